--- a/crates/jobstore/src/abandon.rs
+++ b/crates/jobstore/src/abandon.rs
@@ -10,24 +10,24 @@
 
 /// Frames to the next leader about an item that can never be done, and the pause between two: together
 /// longer than an election takes.
-const TELLINGS_OF_IMPOSSIBLE: u32 = 10;
-const IMPOSSIBLE_INTERVAL: Duration = Duration::from_millis(200);
+const MAX_UNPROCESSABLE_NOTICES: u32 = 10;
+const UNPROCESSABLE_NOTICE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Looks for output that was proposed, and the pause between two.
-const KEPT_LOOKS: u32 = 50;
-const KEPT_PAUSE: Duration = Duration::from_millis(20);
+const MAX_APPLY_POLLS: u32 = 50;
+const APPLY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Store {
     /// Waits until the output of an item up to an event is applied here, or will not be.
-    pub async fn kept(&self, job: &str, item: u32, event: u64) {
-        for _ in 0..KEPT_LOOKS {
+    pub async fn wait_until_applied(&self, job: &str, item: u32, event: u64) {
+        for _ in 0..MAX_APPLY_POLLS {
             let applied = self.with_job(job, |job| {
                 job.open.get(&item).is_none_or(|open| open.partial.last_event >= event)
             });
             if applied != Some(false) || !self.is_leader() {
                 return;
             }
-            tokio::time::sleep(KEPT_PAUSE).await;
+            tokio::time::sleep(APPLY_POLL_INTERVAL).await;
         }
     }
 
@@ -37,27 +37,27 @@
     }
 
     /// Gives an item up where this replica leads and the item has no result.
-    pub fn abandon_only(&self, job: &str, item: u32) {
+    pub fn abandon_detached(&self, job: &str, item: u32) {
         let is_open = self.with_job(job, |job| job.open.contains_key(&item));
         if is_open == Some(true) {
-            self.propose_only(&abandonment(job, item));
+            self.propose_detached(&abandonment(job, item));
         }
     }
 
     /// Gives an item up that can never be done. Invariant: what a back end told of it outlives the
     /// lead of the replica that was told; each further leader would else run the item again. A replica
     /// that has lost the lead tells the next leader, several times, since a frame may be lost.
-    pub async fn abandon_impossible(&self, job: &str, item: u32) {
+    pub async fn abandon_unprocessable(&self, job: &str, item: u32) {
         if self.abandon(job, item).await.is_ok() {
             return;
         }
-        for _ in 0..TELLINGS_OF_IMPOSSIBLE {
+        for _ in 0..MAX_UNPROCESSABLE_NOTICES {
             if self.is_leader() {
-                self.abandon_only(job, item);
+                self.abandon_detached(job, item);
             } else if let Some(leader) = self.leader() {
-                self.send_frame(&leader, &Frame::Impossible { job: job.to_owned(), item });
+                self.send_frame(&leader, &Frame::Unprocessable { job: job.to_owned(), item });
             }
-            tokio::time::sleep(IMPOSSIBLE_INTERVAL).await;
+            tokio::time::sleep(UNPROCESSABLE_NOTICE_INTERVAL).await;
         }
     }
 }
--- a/crates/jobstore/src/addresses.rs
+++ b/crates/jobstore/src/addresses.rs
@@ -10,32 +10,32 @@
 
 use yokefall_serving::FleetCell;
 
-use crate::kept_file;
+use crate::hint_file;
 
 /// Name of the file.
 const FILE: &str = "addresses";
 /// Interval at which the members are looked at; they change when machines come and go.
-const LOOK_INTERVAL: Duration = Duration::from_millis(3_000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(3_000);
 
 /// Addresses by name of the job store.
 pub type Addresses = BTreeMap<String, SocketAddr>;
 
 /// Reads the addresses that were kept; none where the file is not there, or is torn.
 pub fn load(folder: &Path) -> Addresses {
-    kept_file::load(folder, FILE)
+    hint_file::load(folder, FILE)
 }
 
 /// Writes the addresses in the place of those before.
 pub fn save(folder: &Path, addresses: &Addresses) -> Result<()> {
-    kept_file::save(folder, FILE, addresses)
+    hint_file::save(folder, FILE, addresses)
 }
 
 /// Keeps the addresses of the live job stores, for ever. Those of members that are gone stay until
 /// others are known: all may be gone at once.
-pub async fn keep(folder: PathBuf, fleet: FleetCell) {
+pub async fn persist_changes(folder: PathBuf, fleet: FleetCell) {
     let mut kept = Addresses::new();
     loop {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let live: Addresses = fleet
             .load()
             .job_stores()
@@ -45,7 +45,7 @@
         if live == kept || live.len() < 2 {
             continue;
         }
-        if kept_file::save_aside(folder.clone(), FILE, live.clone()).await {
+        if hint_file::save_in_background(folder.clone(), FILE, live.clone()).await {
             kept = live;
         }
     }
--- a/crates/jobstore/src/intake.rs
+++ b/crates/jobstore/src/admission.rs
@@ -8,9 +8,9 @@
 
 /// Why a submission is not taken now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum Rejection {
     /// The same job is on its way into the log; what becomes of it is not known yet.
-    UnderWay,
+    InProgress,
     /// It would take more memory than there is.
     Full,
     /// More tokens would wait in its queue than may.
@@ -26,17 +26,17 @@
 
 /// Submissions that are on their way into the log, by job.
 #[derive(Debug, Default)]
-pub struct Intake {
+pub struct Admission {
     pending: RefCell<BTreeMap<String, Pending>>,
 }
 
 /// What is held already.
 #[derive(Clone, Copy, Debug)]
-pub struct Occupied {
+pub struct Usage {
     /// Bytes of jobs.
     pub bytes: usize,
     /// Most bytes of jobs.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
     /// Tokens of items that wait in the submission's queue.
     pub queued_tokens: u64,
 }
@@ -44,11 +44,11 @@
 /// Room for a submission that is on its way; given back when it is dropped.
 #[derive(Debug)]
 pub struct Reservation<'a> {
-    intake: &'a Intake,
+    admission: &'a Admission,
     job: String,
 }
 
-impl Intake {
+impl Admission {
     /// Whether a job is on its way.
     pub fn is_pending(&self, job: &str) -> bool {
         self.pending.borrow().contains_key(job)
@@ -60,33 +60,33 @@
         &self,
         job: &str,
         submission: &Submission,
-        occupied: Occupied,
-    ) -> Result<Reservation<'_>, NotTaken> {
+        usage: Usage,
+    ) -> Result<Reservation<'_>, Rejection> {
         let mut pending = self.pending.borrow_mut();
         // Its first sending may yet be taken: a refusal would promise that nothing of it runs.
         if pending.contains_key(job) {
-            return Err(NotTaken::UnderWay);
+            return Err(Rejection::InProgress);
         }
         let bytes: usize = submission.items.iter().map(|item| item.held_bytes()).sum();
         let tokens = submission.tokens();
         let pending_bytes: usize = pending.values().map(|pending| pending.bytes).sum();
-        if occupied.bytes + pending_bytes + bytes > occupied.most_bytes {
-            return Err(NotTaken::Full);
+        if usage.bytes + pending_bytes + bytes > usage.max_bytes {
+            return Err(Rejection::Full);
         }
         let same_queue = pending.values().filter(|pending| pending.queue == submission.queue);
         let pending_tokens: u64 = same_queue.map(|pending| pending.tokens).sum();
-        let waiting = occupied.queued_tokens + pending_tokens + tokens;
+        let waiting = usage.queued_tokens + pending_tokens + tokens;
         if submission.most_queued_tokens.is_some_and(|most| waiting > most) {
-            return Err(NotTaken::OverQuota);
+            return Err(Rejection::OverQuota);
         }
         let queue = submission.queue.clone();
         pending.insert(job.to_owned(), Pending { queue, tokens, bytes });
-        Ok(Reservation { intake: self, job: job.to_owned() })
+        Ok(Reservation { admission: self, job: job.to_owned() })
     }
 }
 
 impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        self.intake.pending.borrow_mut().remove(&self.job);
+        self.admission.pending.borrow_mut().remove(&self.job);
     }
 }
--- a/crates/jobstore/src/aggregators.rs
+++ b/crates/jobstore/src/aggregators.rs
@@ -19,12 +19,12 @@
 const GATEWAYS_PER_AGGREGATOR: usize = 32;
 /// Time for which a gateway reports to another job store after one failed twice or knew no leader: longer than an
 /// election, so that a job store which is still without a leader then is cut off.
-const AVOIDANCE_TIME: Duration = Duration::from_millis(2_000);
+const AVOIDANCE_PERIOD: Duration = Duration::from_millis(2_000);
 /// Key by which every process finds the same aggregators.
 const AGGREGATOR_KEY: &[u8] = b"load-aggregators";
 /// Interval at which sums that have not changed are repeated; a third of the time for which they
 /// count.
-const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Gateways of a region, and the job stores there that take reports.
 #[derive(Default)]
@@ -52,13 +52,13 @@
     }
     regions.retain(|_, region| region.gateways > 0 && !region.stores.is_empty());
     if regions.len() < 2 {
-        return first(accepting, fleet.gateways().count(), leader);
+        return select(accepting, fleet.gateways().count(), leader);
     }
-    regions.into_values().flat_map(|region| first(region.stores, region.gateways, None)).collect()
+    regions.into_values().flat_map(|region| select(region.stores, region.gateways, None)).collect()
 }
 
 /// As many job stores as so many gateways need, the first by rendezvous score.
-fn first<'a>(
+fn select<'a>(
     mut stores: Vec<&'a FleetMember>,
     gateways: usize,
     leader: Option<&str>,
@@ -72,7 +72,7 @@
 }
 
 /// The member with the highest hash of both names, so that the loss of one moves only its own gateways.
-fn nearest<'a>(members: Vec<&'a FleetMember>, gateway: &str) -> Option<&'a FleetMember> {
+fn highest_score<'a>(members: Vec<&'a FleetMember>, gateway: &str) -> Option<&'a FleetMember> {
     let score = rendezvous_score(gateway.as_bytes());
     members.into_iter().max_by_key(|member| score(&member.name))
 }
@@ -128,16 +128,16 @@
         let may_report = |member: &&FleetMember| {
             self.avoided.get(&member.name).is_none_or(|until| *until <= now)
         };
-        let nearest = |members: Vec<&'a FleetMember>| nearest(members, &self.gateway);
+        let highest_score = |members: Vec<&'a FleetMember>| highest_score(members, &self.gateway);
         let is_own = |member: &&FleetMember| {
             self.zones.distance(&member.zone, &self.zone) != Distance::OtherRegion
         };
         let aggregators = aggregators(fleet, &self.zones, self.leader());
         let accepting = fleet.job_stores().filter(|member| member.accepting);
-        nearest(aggregators.iter().copied().filter(is_own).filter(may_report).collect())
-            .or_else(|| nearest(aggregators.iter().copied().filter(may_report).collect()))
-            .or_else(|| nearest(accepting.filter(may_report).collect()))
-            .or_else(|| nearest(aggregators))
+        highest_score(aggregators.iter().copied().filter(is_own).filter(may_report).collect())
+            .or_else(|| highest_score(aggregators.iter().copied().filter(may_report).collect()))
+            .or_else(|| highest_score(accepting.filter(may_report).collect()))
+            .or_else(|| highest_score(aggregators))
     }
 
     /// A job store took a report, and told who leads as far as it knows. What it adds up reaches the
@@ -163,7 +163,7 @@
     fn avoid(&mut self, name: &str) {
         let now = Instant::now();
         self.avoided.retain(|_, until| *until > now);
-        self.avoided.insert(name.to_owned(), now + AVOIDANCE_TIME);
+        self.avoided.insert(name.to_owned(), now + AVOIDANCE_PERIOD);
     }
 }
 
@@ -175,14 +175,14 @@
     loop {
         let changed = store.loads_changed.notified();
         if sent.is_some() {
-            let _ = tokio::time::timeout_at(sent_at + REPEAT_INTERVAL, changed).await;
+            let _ = tokio::time::timeout_at(sent_at + RESEND_INTERVAL, changed).await;
         } else {
             changed.await;
         }
         let fleet = fleet.load_full();
         tokio::time::sleep(report_interval(fleet.gateways().count())).await;
-        let sums = store.loads.own_sums(&me);
-        if sums == sent && sent_at.elapsed() < REPEAT_INTERVAL {
+        let sums = store.loads.local_sums(&me);
+        if sums == sent && sent_at.elapsed() < RESEND_INTERVAL {
             continue;
         }
         // Where nothing is left, that is told once.
@@ -194,7 +194,7 @@
             gateways: 0,
         };
         let frame = Frame::Sums(sums.clone().unwrap_or(none));
-        for name in listeners(&fleet, &zones, store.leader(), &me) {
+        for name in sum_receivers(&fleet, &zones, store.leader(), &me) {
             store.send_frame(&name, &frame);
         }
         sent = sums;
@@ -203,7 +203,7 @@
 }
 
 /// Names of the job stores that need this one's sums.
-fn listeners(fleet: &Fleet, zones: &ZoneMap, leader: Option<String>, me: &str) -> Vec<String> {
+fn sum_receivers(fleet: &Fleet, zones: &ZoneMap, leader: Option<String>, me: &str) -> Vec<String> {
     let aggregators = aggregators(fleet, zones, leader.as_deref());
     let mut names: Vec<String> =
         aggregators.into_iter().map(|member| member.name.clone()).collect();
--- a/crates/jobstore/src/backlog.rs
+++ b/crates/jobstore/src/backlog.rs
@@ -7,13 +7,13 @@
 use tokio::time::Instant;
 use yokefall_telemetry::{EventName, Line};
 
-use crate::room::ServiceSlots;
+use crate::capacity::ServiceSlots;
 
 /// Least interval between two lines about the items of one service: a limit changes many times a second
 /// where online requests come and go.
-const LEAST_INTERVAL: Duration = Duration::from_millis(1_000);
+const MIN_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Interval at which a limit that lasts is told again.
-const REPEAT_INTERVAL: Duration = Duration::from_millis(5_000);
+const RELOG_INTERVAL: Duration = Duration::from_millis(5_000);
 
 /// What keeps items of a service from running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,19 +42,19 @@
 
 /// Runs and reports that a scheduling pass found.
 #[derive(Clone, Copy, Debug)]
-pub struct PassFigures {
+pub struct PassStats {
     /// Items that this leader runs.
     pub running: usize,
     /// Items that it runs at most.
     pub most_runs: usize,
     /// Gateways whose reports count.
-    pub gateways_heard: u32,
+    pub reporting_gateways: u32,
 }
 
 /// What was told last, by service.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    told: RefCell<HashMap<String, (Limit, Instant)>>,
+    logged: RefCell<HashMap<String, (Limit, Instant)>>,
 }
 
 impl Backlog {
@@ -62,64 +62,64 @@
     pub fn note<'a>(
         &self,
         services: impl Iterator<Item = (&'a String, &'a ServiceSlots)>,
-        figures: PassFigures,
+        stats: PassStats,
     ) {
         let now = Instant::now();
-        let told = &mut *self.told.borrow_mut();
+        let logged = &mut *self.logged.borrow_mut();
         let held: HashMap<&String, &ServiceSlots> =
-            services.filter(|(_, slots)| slots.held > 0).collect();
-        told.retain(|service, _| {
+            services.filter(|(_, slots)| slots.queued > 0).collect();
+        logged.retain(|service, _| {
             let is_held = held.contains_key(service);
             if !is_held {
-                held_items(service).set(0.0);
+                queued_items(service).set(0.0);
             }
             is_held
         });
         for (service, slots) in held {
-            let limit = limit(slots, figures);
-            let is_due = told.get(service).is_none_or(|(before, at)| {
+            let limit = limit(slots, stats);
+            let is_due = logged.get(service).is_none_or(|(before, at)| {
                 let since = now.duration_since(*at);
-                since >= REPEAT_INTERVAL || (*before != limit && since >= LEAST_INTERVAL)
+                since >= RELOG_INTERVAL || (*before != limit && since >= MIN_LOG_INTERVAL)
             });
             if is_due {
-                told.insert(service.clone(), (limit, now));
-                tell(service, slots, limit, figures);
+                logged.insert(service.clone(), (limit, now));
+                log_backlog(service, slots, limit, stats);
             }
         }
-        metrics::gauge!("job_store_gateways_heard").set(f64::from(figures.gateways_heard));
-        metrics::gauge!("job_store_items_running").set(figures.running as f64);
+        metrics::gauge!("job_store_gateways_heard").set(f64::from(stats.reporting_gateways));
+        metrics::gauge!("job_store_items_running").set(stats.running as f64);
     }
 }
 
-fn held_items(service: &str) -> metrics::Gauge {
+fn queued_items(service: &str) -> metrics::Gauge {
     metrics::gauge!("job_store_items_held", "service" => service.to_owned())
 }
 
-fn limit(slots: &ServiceSlots, figures: PassFigures) -> Limit {
-    if figures.running >= figures.most_runs {
+fn limit(slots: &ServiceSlots, stats: PassStats) -> Limit {
+    if stats.running >= stats.most_runs {
         return Limit::Runs;
     }
-    let room = slots.room();
-    if room.slots == 0 {
+    let capacity = slots.capacity();
+    if capacity.slots == 0 {
         return Limit::NoBackend;
     }
-    match room.items() == 0 && room.free > 0 {
+    match capacity.startable_items() == 0 && capacity.free > 0 {
         true => Limit::Reserve,
         false => Limit::NoFreeSlot,
     }
 }
 
-fn tell(service: &str, slots: &ServiceSlots, limit: Limit, figures: PassFigures) {
-    let room = slots.room();
-    held_items(service).set(slots.held as f64);
+fn log_backlog(service: &str, slots: &ServiceSlots, limit: Limit, stats: PassStats) {
+    let capacity = slots.capacity();
+    queued_items(service).set(slots.queued as f64);
     Line::new(EventName::ItemsHeld)
         .id(service)
-        .field("held", slots.held)
-        .field("running", figures.running)
-        .field("slots", room.slots)
-        .field("free", room.free)
-        .field("reserve", room.reserve())
-        .field("gateways_heard", figures.gateways_heard)
+        .field("held", slots.queued)
+        .field("running", stats.running)
+        .field("slots", capacity.slots)
+        .field("free", capacity.free)
+        .field("reserve", capacity.reserve())
+        .field("gateways_heard", stats.reporting_gateways)
         .field("limit", limit.text())
         .write();
 }
--- a/crates/jobstore/src/room.rs
+++ b/crates/jobstore/src/capacity.rs
@@ -11,16 +11,16 @@
 
 /// Time in which a burst of online requests is taken to fill all slots of a service. As many slots
 /// stay free as it fills before items are preempted, one at least.
-const FILL_TIME: Duration = Duration::from_millis(1_200);
+const BURST_FILL_TIME: Duration = Duration::from_millis(1_200);
 /// Time from a load report until items have been preempted for the requests in it.
 const PREEMPTION_TIME: Duration = Duration::from_millis(70);
 /// Part of that reserve below which items are preempted. It is well below the whole, so that an item is
 /// not preempted for the next one to start.
-const LEAST_RESERVE_SHARE: f64 = 0.5;
+const MIN_RESERVE_SHARE: f64 = 0.5;
 
 /// Slots of a service's back ends.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct Capacity {
     /// All slots.
     pub slots: u32,
     /// Slots that nothing has.
@@ -31,16 +31,16 @@
     unreported_share: f64,
 }
 
-impl Room {
+impl Capacity {
     /// No back ends yet, where gateways report their load at an interval.
     pub fn new(report_interval: Duration) -> Self {
         let reaction = report_interval + PREEMPTION_TIME;
-        let burst_share = reaction.div_duration_f64(FILL_TIME);
+        let burst_share = reaction.div_duration_f64(BURST_FILL_TIME);
         Self { slots: 0, free: 0, burst_share, unreported_share: 0.0 }
     }
 
     /// The same where only a part of the gateways is heard.
-    pub fn heard(self, coverage: Coverage) -> Self {
+    pub fn with_coverage(self, coverage: Coverage) -> Self {
         Self { unreported_share: coverage.unreported_slot_share(), ..self }
     }
 
@@ -59,13 +59,13 @@
     }
 
     /// Items that may start.
-    pub fn items(&self) -> u32 {
+    pub fn startable_items(&self) -> u32 {
         self.free.saturating_sub(self.reserve())
     }
 
     /// Slots that items should give back.
-    pub fn lacking(&self) -> u32 {
-        let least = (f64::from(self.reserve()) * LEAST_RESERVE_SHARE).floor() as u32;
+    pub fn shortfall(&self) -> u32 {
+        let least = (f64::from(self.reserve()) * MIN_RESERVE_SHARE).floor() as u32;
         least.saturating_sub(self.free)
     }
 }
@@ -82,33 +82,33 @@
 /// Free slots of one pool during a scheduling pass.
 #[derive(Debug)]
 pub struct ServiceSlots {
-    room: Room,
+    capacity: Capacity,
     /// Back ends with a free slot.
     backends: Vec<Arc<Backend>>,
     /// Items that found no slot in this pass.
-    pub held: usize,
+    pub queued: usize,
 }
 
 impl ServiceSlots {
     /// The slots of a service, of which these back ends have some that are free.
-    pub fn new(room: Room, backends: Vec<Arc<Backend>>) -> Self {
-        Self { room, backends, held: 0 }
+    pub fn new(capacity: Capacity, backends: Vec<Arc<Backend>>) -> Self {
+        Self { capacity, backends, queued: 0 }
     }
 
     /// The slots of all its back ends.
-    pub fn room(&self) -> &Room {
-        &self.room
+    pub fn capacity(&self) -> &Capacity {
+        &self.capacity
     }
 
     /// Items that may start.
-    pub fn items(&self) -> u32 {
-        self.room.items()
+    pub fn startable_items(&self) -> u32 {
+        self.capacity.startable_items()
     }
 
     /// A back end for the next item, which takes one of its slots.
     pub fn choose(&mut self, balancer: &mut Balancer, now: Timestamp) -> Option<Arc<Backend>> {
         let backend = balancer.choose(now, &self.backends, &[], None)?;
-        self.room.free = self.room.free.saturating_sub(1);
+        self.capacity.free = self.capacity.free.saturating_sub(1);
         Some(backend)
     }
 
--- a/crates/jobstore/src/client.rs
+++ b/crates/jobstore/src/client.rs
@@ -21,7 +21,7 @@
 /// Time after which another job store is asked, beside what a held read may take.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
 /// Pause before the job stores are asked again.
-const ROUND_PAUSE: Duration = Duration::from_millis(60);
+const RETRY_BACKOFF: Duration = Duration::from_millis(60);
 /// Time without acknowledgement of sent bytes after which a connection is given up.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
@@ -53,7 +53,7 @@
     next_member: Cell<usize>,
 }
 
-enum Try {
+enum Attempt {
     Reply(Reply),
     NotSent,
     NoReply,
@@ -77,28 +77,30 @@
             Request::Results { wait_ms, .. } => Duration::from_millis(*wait_ms),
             _ => Duration::ZERO,
         };
-        let changes = matches!(request, Request::Submit { .. } | Request::End { .. });
+        let is_write = matches!(request, Request::Submit { .. } | Request::End { .. });
         let mut may_be_done = false;
         while Instant::now() < deadline {
             let Some((name, address)) = self.candidate() else {
-                tokio::time::sleep(ROUND_PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
                 continue;
             };
             let limit = (Instant::now() + REPLY_TIMEOUT + wait).min(deadline);
             match self.call_one(address, request.clone(), limit).await {
-                Try::Reply(Reply::NotLeader { leader }) => self.follow_hint(&name, leader).await,
-                Try::Reply(Reply::Unsure) => tokio::time::sleep(ROUND_PAUSE).await,
-                Try::Reply(Reply::Unknown) => may_be_done = true,
-                Try::Reply(reply) => {
+                Attempt::Reply(Reply::NotLeader { leader }) => {
+                    self.follow_hint(&name, leader).await
+                }
+                Attempt::Reply(Reply::Unsure) => tokio::time::sleep(RETRY_BACKOFF).await,
+                Attempt::Reply(Reply::Unknown) => may_be_done = true,
+                Attempt::Reply(reply) => {
                     *self.leader.borrow_mut() = Some(name);
                     return CallOutcome::Answered(reply);
                 }
-                Try::NotSent => {
+                Attempt::NotSent => {
                     self.forget(&name);
-                    tokio::time::sleep(ROUND_PAUSE / 4).await;
+                    tokio::time::sleep(RETRY_BACKOFF / 4).await;
                 }
-                Try::NoReply => {
-                    may_be_done |= changes;
+                Attempt::NoReply => {
+                    may_be_done |= is_write;
                     self.forget(&name);
                 }
             }
@@ -117,8 +119,8 @@
         limit: Instant,
     ) -> Option<Reply> {
         match self.call_one(address, request, limit).await {
-            Try::Reply(reply) => Some(reply),
-            Try::NotSent | Try::NoReply => None,
+            Attempt::Reply(reply) => Some(reply),
+            Attempt::NotSent | Attempt::NoReply => None,
         }
     }
 
@@ -143,7 +145,7 @@
         let pause = known.is_none();
         *self.leader.borrow_mut() = known;
         if pause {
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(RETRY_BACKOFF).await;
         }
     }
 
@@ -154,24 +156,24 @@
         }
     }
 
-    async fn call_one(&self, address: SocketAddr, request: Request, limit: Instant) -> Try {
-        let Some(link) = self.link(address).await else { return Try::NotSent };
+    async fn call_one(&self, address: SocketAddr, request: Request, limit: Instant) -> Attempt {
+        let Some(link) = self.link(address).await else { return Attempt::NotSent };
         let call = self.next_call.get();
         self.next_call.set(call + 1);
         let (sender, reply) = oneshot::channel();
         link.waiting.borrow_mut().insert(call, sender);
         if link.frames.send(Frame::Request { call, request }).is_err() {
             link.waiting.borrow_mut().remove(&call);
-            return Try::NotSent;
+            return Attempt::NotSent;
         }
         match tokio::time::timeout_at(limit, reply).await {
-            Ok(Ok(reply)) => Try::Reply(reply),
-            Ok(Err(_)) => Try::NoReply,
+            Ok(Ok(reply)) => Attempt::Reply(reply),
+            Ok(Err(_)) => Attempt::NoReply,
             Err(_) => {
                 link.waiting.borrow_mut().remove(&call);
                 // A silent connection may never speak again; the next call makes a new one.
                 link.open.set(false);
-                Try::NoReply
+                Attempt::NoReply
             }
         }
     }
--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -108,17 +108,19 @@
 
 impl std::error::Error for StartError {}
 
-fn at<E: std::fmt::Display>(step: &'static str) -> impl FnOnce(E) -> StartError {
+fn start_error<E: std::fmt::Display>(step: &'static str) -> impl FnOnce(E) -> StartError {
     move |cause| StartError { step, cause: cause.to_string() }
 }
 
 impl JobStore {
     /// Opens the ports. A port 0 is replaced by the one that the system chose.
     pub async fn bind(mut options: JobStoreOptions) -> Result<Self, StartError> {
-        let listener = TcpListener::bind(options.peer).await.map_err(at("listen for peers"))?;
-        options.peer = listener.local_addr().map_err(at("listen for peers"))?;
-        let datagrams = UdpSocket::bind(options.peer).await.map_err(at("open datagram port"))?;
-        let news = TcpListener::bind(options.news).await.map_err(at("listen for news"))?;
+        let listener =
+            TcpListener::bind(options.peer).await.map_err(start_error("listen for peers"))?;
+        options.peer = listener.local_addr().map_err(start_error("listen for peers"))?;
+        let datagrams =
+            UdpSocket::bind(options.peer).await.map_err(start_error("open datagram port"))?;
+        let news = TcpListener::bind(options.news).await.map_err(start_error("listen for news"))?;
         Ok(Self { options, listener, ports: PeerPorts { datagrams, news } })
     }
 
@@ -135,7 +137,7 @@
     ) -> Result<(), StartError> {
         let Self { options, listener, ports } = self;
         let peer = options.peer;
-        let opened = Wal::open(&options.folder, rand::random()).map_err(at("open log"))?;
+        let opened = Wal::open(&options.folder, rand::random()).map_err(start_error("open log"))?;
         let me = MemberId { name: options.name.clone(), incarnation: opened.incarnation };
         Line::new(EventName::Started)
             .id(&me)
@@ -146,7 +148,7 @@
             .field("empty_disk", opened.was_empty)
             .field("last_position", opened.recovered.last_index())
             .write();
-        let (disk, synced) = Disk::start(opened.wal).map_err(at("start disk thread"))?;
+        let (disk, synced) = Disk::start(opened.wal).map_err(start_error("start disk thread"))?;
 
         let fleet = empty_fleet();
         let identity = Identity {
@@ -161,7 +163,7 @@
         let state = opened.recovered.snapshot.state.clone();
         let core = Consensus::new(me.clone(), opened.recovered, 0, rand::random());
         let links = Links::new(fleet.clone(), addresses::load(&options.folder));
-        tokio::task::spawn_local(addresses::keep(options.folder.clone(), fleet.clone()));
+        tokio::task::spawn_local(addresses::persist_changes(options.folder.clone(), fleet.clone()));
         let limits = StoreLimits {
             copies: options.tolerated_losses + 1,
             log_bytes: staggered(options.log_bytes, &options.name),
@@ -170,7 +172,7 @@
         let observer = Box::new(LogObserver);
         let clock = || ElapsedClock::new(options.suspension.clone());
         let store = Rc::new(Store::new(core, state, disk, links, observer, limits, clock()));
-        tokio::task::spawn_local(take_synced(store.clone(), synced));
+        tokio::task::spawn_local(forward_synced(store.clone(), synced));
         tokio::task::spawn_local(tick(store.clone()));
 
         let freshness = Freshness::new(options.suspension.clone());
@@ -200,10 +202,10 @@
         );
 
         if options.bootstrap && opened.was_empty {
-            tokio::task::spawn_local(group::found(platform.clone(), store.clone(), me.clone()));
+            tokio::task::spawn_local(group::bootstrap(platform.clone(), store.clone(), me.clone()));
         }
         tokio::task::spawn_local(group::join(store.clone(), fleet.clone(), me));
-        tokio::task::spawn_local(group::outlive(platform.clone(), store.clone()));
+        tokio::task::spawn_local(group::continue_alone(platform.clone(), store.clone()));
         tokio::task::spawn_local(aggregators::exchange(
             store.clone(),
             fleet.clone(),
@@ -232,7 +234,10 @@
         let places = Places::with_cold_start(balancer, clock(), cold.clone());
         let suspects = Registry::new(catalog.clone(), clock());
         suspects::load(&options.folder, &suspects);
-        tokio::task::spawn_local(suspects::keep(options.folder.clone(), suspects.clone()));
+        tokio::task::spawn_local(suspects::persist_changes(
+            options.folder.clone(),
+            suspects.clone(),
+        ));
         let client = Rc::new(JobClient::new(fleet.clone()));
         let target = ReportTarget::new(options.name.clone())
             .standing_in(options.zone.clone(), options.zones.clone());
@@ -246,7 +251,7 @@
             catalog.clone(),
             fleet.clone(),
         ));
-        tokio::task::spawn_local(quota::oversee(
+        tokio::task::spawn_local(quota::assign_slots(
             quota.clone(),
             store.clone(),
             catalog.clone(),
@@ -280,7 +285,7 @@
         }
         Line::new(EventName::Stopping).field("leads", store.is_leader()).write();
         quota::release(&quota, &fleet).await;
-        hand_over(&store).await;
+        transfer_leadership(&store).await;
         Line::new(EventName::Stopped).write();
         Ok(())
     }
@@ -293,7 +298,7 @@
     log_bytes - log_bytes / 3 * part as usize / STAGGER_PARTS as usize
 }
 
-async fn take_synced(store: Rc<Store>, mut synced: Synced) {
+async fn forward_synced(store: Rc<Store>, mut synced: Synced) {
     while let Some(orders) = synced.recv().await {
         store.synced(orders);
     }
@@ -310,7 +315,7 @@
 }
 
 /// Before a planned stop the lead goes to another member, so that nobody waits for an election.
-async fn hand_over(store: &Store) {
+async fn transfer_leadership(store: &Store) {
     let other = store.with_core(|core, now| {
         let me = core.id().clone();
         let mut others: Vec<MemberId> =
@@ -373,7 +378,7 @@
         Line::new(EventName::StateSent).id(member).field("bytes", bytes).write();
     }
 
-    fn state_taken(&self, index: Index, bytes: usize) {
+    fn state_installed(&self, index: Index, bytes: usize) {
         Line::new(EventName::StateTaken).field("position", index).field("bytes", bytes).write();
     }
 
--- a/crates/jobstore/src/delegation.rs
+++ b/crates/jobstore/src/delegation.rs
@@ -30,16 +30,16 @@
 /// deployment, so that a cancelled item does not run on at a worker that nobody reaches.
 pub const RUN_LEASE: Duration = Duration::from_millis(1_500);
 /// Interval at which leader and worker say that they live; a third of the lease.
-pub const RENEW_INTERVAL: Duration = Duration::from_millis(500);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for a connection to a worker to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which a worker that failed, or is full, gets nothing.
-const REST_TIME: Duration = Duration::from_millis(1_000);
+const AVOIDANCE_PERIOD: Duration = Duration::from_millis(1_000);
 /// Time for a cancelled run to report how far it came.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which a connection without runs is kept: items come in heaps some seconds apart.
-const IDLE_TIME: Duration = Duration::from_millis(10_000);
+const MAX_IDLE_TIME: Duration = Duration::from_millis(10_000);
 
 /// A run as its leader holds it.
 struct OpenRun {
@@ -64,7 +64,7 @@
     store: Rc<Store>,
     suspects: Rc<Registry>,
     links: RefCell<HashMap<String, Rc<Link>>>,
-    resting: RefCell<HashMap<String, Instant>>,
+    avoided: RefCell<HashMap<String, Instant>>,
     next_call: Cell<u64>,
 }
 
@@ -97,7 +97,7 @@
             store,
             suspects,
             links: RefCell::default(),
-            resting: RefCell::default(),
+            avoided: RefCell::default(),
             next_call: Cell::new(0),
         }
     }
@@ -131,12 +131,12 @@
 
     /// Job stores that take work, have not failed lately and stand where an item may be.
     fn free<'a>(&self, fleet: &'a Fleet, residency: &Residency) -> Vec<&'a FleetMember> {
-        let mut resting = self.resting.borrow_mut();
+        let mut avoided = self.avoided.borrow_mut();
         let now = Instant::now();
-        resting.retain(|_, until| *until > now);
+        avoided.retain(|_, until| *until > now);
         let is_free = |member: &&FleetMember| {
             member.accepting
-                && !resting.contains_key(&member.name)
+                && !avoided.contains_key(&member.name)
                 && residency.allows(self.zones.region_of(&member.zone))
         };
         fleet.job_stores().filter(is_free).collect()
@@ -185,19 +185,19 @@
                 }
             }
             Some(_) => {
-                self.rest(name);
+                self.avoid(name);
                 RunEnd::Again { cause: format!("worker {name} is full"), pause: false }
             }
             None if was_preempted => preemption(),
             None => {
-                self.rest(name);
+                self.avoid(name);
                 lost()
             }
         }
     }
 
-    fn rest(&self, name: &str) {
-        self.resting.borrow_mut().insert(name.to_owned(), Instant::now() + REST_TIME);
+    fn avoid(&self, name: &str) {
+        self.avoided.borrow_mut().insert(name.to_owned(), Instant::now() + AVOIDANCE_PERIOD);
     }
 
     fn link(&self, name: &str, address: SocketAddr) -> Rc<Link> {
@@ -242,17 +242,17 @@
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     if let Ok(Ok(stream)) = connecting.await {
         let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(RUN_LEASE));
-        carry(&link, &store, stream, queued).await;
+        relay_frames(&link, &store, stream, queued).await;
     }
     link.is_open.set(false);
     // Whoever waits learns that the run is lost.
     link.runs.borrow_mut().clear();
 }
 
-async fn carry(link: &Link, store: &Store, stream: TcpStream, mut queued: Queued) {
+async fn relay_frames(link: &Link, store: &Store, stream: TcpStream, mut queued: Queued) {
     let (mut sink, mut incoming) = framed(stream).split();
-    let mut renewal = tokio::time::interval(RENEW_INTERVAL);
-    let mut heard_at = store.now();
+    let mut heartbeat = tokio::time::interval(HEARTBEAT_INTERVAL);
+    let mut received_at = store.now();
     loop {
         tokio::select! {
             frame = queued.recv() => {
@@ -264,13 +264,13 @@
             bytes = incoming.next() => {
                 let Some(Ok(bytes)) = bytes else { return };
                 let Ok(frame) = decode(&bytes) else { return };
-                heard_at = store.now();
-                take(link, frame);
+                received_at = store.now();
+                handle_frame(link, frame);
             }
-            _ = renewal.tick() => {
+            _ = heartbeat.tick() => {
                 let is_unused =
-                    link.runs.borrow().is_empty() && link.used_at.get().elapsed() > IDLE_TIME;
-                if is_unused || store.now() - heard_at > RUN_LEASE.as_millis() as u64 {
+                    link.runs.borrow().is_empty() && link.used_at.get().elapsed() > MAX_IDLE_TIME;
+                if is_unused || store.now() - received_at > RUN_LEASE.as_millis() as u64 {
                     return;
                 }
                 if sink.send(encode(&Frame::Renew)).await.is_err() {
@@ -281,7 +281,7 @@
     }
 }
 
-fn take(link: &Link, frame: Frame) {
+fn handle_frame(link: &Link, frame: Frame) {
     match frame {
         Frame::Output { call, last_event, text } => {
             if let Some(run) = link.runs.borrow().get(&call) {
--- a/crates/jobstore/src/disk.rs
+++ b/crates/jobstore/src/disk.rs
@@ -10,11 +10,11 @@
 use crate::wal::{Rewrite, Wal};
 
 /// Pause after a failed write before it is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
 /// What the disk thread is asked to do, in order.
 #[derive(Debug)]
-pub enum DiskOrder {
+pub enum DiskCommand {
     /// Write these.
     Append(Vec<Write>),
     /// Put this in the place of everything.
@@ -24,7 +24,7 @@
 /// The control thread's side of the disk thread.
 #[derive(Debug)]
 pub struct Disk {
-    orders: Sender<DiskOrder>,
+    commands: Sender<DiskCommand>,
 }
 
 /// Tells how many orders were synced since it last told.
@@ -33,53 +33,58 @@
 impl Disk {
     /// Starts the thread.
     pub fn start(wal: Wal) -> std::io::Result<(Self, Synced)> {
-        let (orders, received) = channel();
-        let (told, synced) = unbounded_channel();
-        std::thread::Builder::new().name("disk".into()).spawn(move || run(wal, received, told))?;
-        Ok((Self { orders }, synced))
+        let (commands, received) = channel();
+        let (report_synced, synced) = unbounded_channel();
+        std::thread::Builder::new()
+            .name("disk".into())
+            .spawn(move || run(wal, received, report_synced))?;
+        Ok((Self { commands }, synced))
     }
 
     /// Queues an order.
-    pub fn order(&self, order: DiskOrder) {
+    pub fn enqueue(&self, command: DiskCommand) {
         // The thread ends with the process.
-        let _ = self.orders.send(order);
+        let _ = self.commands.send(command);
     }
 }
 
 /// Writes everything that waits, syncs once, tells.
-fn run(mut wal: Wal, orders: Receiver<DiskOrder>, told: UnboundedSender<usize>) {
-    while let Ok(first) = orders.recv() {
+fn run(mut wal: Wal, commands: Receiver<DiskCommand>, report_synced: UnboundedSender<usize>) {
+    while let Ok(first) = commands.recv() {
         let mut count = 0;
         let mut next = Some(first);
-        while let Some(order) = next {
+        while let Some(command) = next {
             count += 1;
-            match order {
-                DiskOrder::Append(writes) => writes.iter().for_each(|write| wal.add(write)),
-                DiskOrder::Replace(rewrite) => replace(&mut wal, &rewrite),
+            match command {
+                DiskCommand::Append(writes) => writes.iter().for_each(|write| wal.add(write)),
+                DiskCommand::Replace(rewrite) => replace(&mut wal, &rewrite),
             }
-            next = orders.try_recv().ok();
+            next = commands.try_recv().ok();
         }
-        until_done("sync", || wal.sync());
-        if told.send(count).is_err() {
+        retry_until_done("sync", || wal.sync());
+        if report_synced.send(count).is_err() {
             return;
         }
     }
 }
 
 fn replace(wal: &mut Wal, rewrite: &Rewrite) {
-    until_done("sync", || wal.sync());
-    until_done("rewrite", || wal.rewrite(rewrite.clone()));
+    retry_until_done("sync", || wal.sync());
+    retry_until_done("rewrite", || wal.rewrite(rewrite.clone()));
 }
 
 /// Repeats a step until it is done: a disk that refuses writes may take them later, and until then
 /// nothing is acknowledged.
-fn until_done<E: std::fmt::Display>(step: &'static str, mut action: impl FnMut() -> Result<(), E>) {
-    let mut told = false;
+fn retry_until_done<E: std::fmt::Display>(
+    step: &'static str,
+    mut action: impl FnMut() -> Result<(), E>,
+) {
+    let mut report_synced = false;
     while let Err(error) = action() {
-        if !told {
+        if !report_synced {
             Line::new(EventName::DiskFailed).field("step", step).text("cause", &error).write();
-            told = true;
+            report_synced = true;
         }
-        std::thread::sleep(RETRY_PAUSE);
+        std::thread::sleep(RETRY_BACKOFF);
     }
 }
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -27,27 +27,27 @@
 /// The same once it has asked for a while: it stands by.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Askings at the first interval.
-const EAGER_JOINS: u32 = 20;
+const FAST_JOIN_ATTEMPTS: u32 = 20;
 /// Time for which an asking counts.
 const JOIN_LIFETIME: Duration = Duration::from_millis(2_300);
 /// Interval at which the leader looks at members while a change is wanted.
 const POLICY_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause after a call to the platform's store that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_BACKOFF: Duration = Duration::from_millis(300);
 /// Key of the claim to found the group.
 const FOUNDER_KEY: &str = "jobs";
 /// Interval at which a member of a pair looks whether the other one is gone.
-const OUTLIVE_INTERVAL: Duration = Duration::from_millis(500);
+const PAIR_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for the store's answer about the founder.
-const FOUND_TIMEOUT: Duration = Duration::from_millis(1_500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Machines that are to be emptied, as far as the platform's store told.
 #[derive(Clone, Default)]
-pub struct Leaving {
+pub struct RetiringMachines {
     names: Rc<RefCell<HashMap<String, bool>>>,
 }
 
-impl Leaving {
+impl RetiringMachines {
     /// Names of machines whose emptying is not reported as done.
     fn open(&self) -> Vec<String> {
         let names = self.names.borrow();
@@ -59,17 +59,17 @@
         self.names.borrow().keys().cloned().collect()
     }
 
-    fn note_completed(&self, name: &str) {
+    fn mark_completed(&self, name: &str) {
         self.names.borrow_mut().insert(name.to_owned(), true);
     }
 }
 
-struct LeavingSink {
-    leaving: Leaving,
+struct RetirementSink {
+    leaving: RetiringMachines,
     store: Rc<Store>,
 }
 
-impl Sink<Retirement> for LeavingSink {
+impl Sink<Retirement> for RetirementSink {
     fn replace(&self, listing: Listing<Retirement>) {
         self.leaving.names.borrow_mut().clear();
         self.apply(listing.items, listing.revision);
@@ -89,19 +89,19 @@
     fn ended(&self, _error: Option<&SourceError>) {}
 }
 
-fn decided(decision: &'static str, about: impl std::fmt::Display) {
+fn log_decision(decision: &'static str, about: impl std::fmt::Display) {
     Line::new(EventName::GroupDecision).id(about).field("decision", decision).write();
 }
 
 /// Founds the group, where this is the first start of the whole system and no other member was
 /// faster. The platform's store decides which one: its record is made once.
-pub async fn found<P: Platform>(platform: P, store: Rc<Store>, me: MemberId) {
+pub async fn bootstrap<P: Platform>(platform: P, store: Rc<Store>, me: MemberId) {
     let mut registry = platform.registry();
     let offer = me.to_string();
     loop {
-        match tokio::time::timeout(FOUND_TIMEOUT, registry.claim(FOUNDER_KEY, &offer)).await {
+        match tokio::time::timeout(CLAIM_TIMEOUT, registry.claim(FOUNDER_KEY, &offer)).await {
             Ok(Ok(Claim::Mine)) => {
-                decided("found the group", &me);
+                log_decision("found the group", &me);
                 store.with_core(|core, now| core.found(now));
                 store.deadline_changed.notify_one();
                 return;
@@ -109,7 +109,7 @@
             Ok(Ok(Claim::Another)) => return,
             Ok(Err(_)) | Err(_) => registry.reset(),
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_BACKOFF).await;
     }
 }
 
@@ -123,7 +123,8 @@
                 store.send_frame(&member.name, &Frame::Join(me.clone()));
             }
             asked += 1;
-            let interval = if asked < EAGER_JOINS { JOIN_INTERVAL } else { STANDBY_INTERVAL };
+            let interval =
+                if asked < FAST_JOIN_ATTEMPTS { JOIN_INTERVAL } else { STANDBY_INTERVAL };
             tokio::time::sleep(interval).await;
             continue;
         }
@@ -146,7 +147,7 @@
     places: (FleetCell, CatalogCell, Rc<KnownZones>),
     voters: usize,
 ) {
-    let leaving = Leaving::default();
+    let leaving = RetiringMachines::default();
     let mut watch: Option<tokio::task::JoinHandle<()>> = None;
     loop {
         if !store.leads() {
@@ -162,7 +163,7 @@
             continue;
         }
         if watch.is_none() {
-            let sink = LeavingSink { leaving: leaving.clone(), store: store.clone() };
+            let sink = RetirementSink { leaving: leaving.clone(), store: store.clone() };
             let following = Follow {
                 refresh: Rc::default(),
                 others: Vec::new(),
@@ -173,7 +174,7 @@
             watch = Some(tokio::task::spawn_local(watching));
         }
         let busy = change_members(&platform, &store, &places, &leaving, voters).await;
-        report_emptied(&platform, &store, &leaving).await;
+        report_retired(&platform, &store, &leaving).await;
         if busy {
             tokio::time::sleep(POLICY_INTERVAL).await;
         } else {
@@ -187,12 +188,12 @@
     platform: &P,
     store: &Store,
     (fleet, catalog, known_zones): &(FleetCell, CatalogCell, Rc<KnownZones>),
-    leaving: &Leaving,
+    leaving: &RetiringMachines,
     voters: usize,
 ) -> bool {
-    known_zones.note(&fleet.load());
+    known_zones.record(&fleet.load());
     let joining = store.joining(JOIN_LIFETIME);
-    let joining = from_inside(store, &catalog.load(), known_zones, joining);
+    let joining = prefer_allowed_regions(store, &catalog.load(), known_zones, joining);
     let wishes = Wishes { joining, leaving: leaving.all(), voters, zones: zones_of(fleet) };
     let (step, pair) = store.with_core(|core, now| {
         let step = next_step(core, now, &wishes);
@@ -208,14 +209,14 @@
             if claim_pair(platform, store, pair).await {
                 let told = format!("{members:?}");
                 if store.with_core(|core, now| core.change_members(now, members)) {
-                    decided("change members", told);
+                    log_decision("change members", told);
                 }
             } else {
-                decided("wait for the claim on a pair", format!("{pair:?}"));
+                log_decision("wait for the claim on a pair", format!("{pair:?}"));
             }
         }
         Step::HandOver(to) => {
-            decided("hand the lead over", &to);
+            log_decision("hand the lead over", &to);
             store.with_core(|core, now| core.hand_over(now, &to));
         }
     }
@@ -230,7 +231,7 @@
 }
 
 /// Those who ask from where all jobs may be kept that are held now, where there are any.
-fn from_inside(
+fn prefer_allowed_regions(
     store: &Store,
     catalog: &Catalog,
     known_zones: &KnownZones,
@@ -240,7 +241,7 @@
         return joining;
     }
     let residency = store.residency(catalog);
-    known_zones.prefer_inside(&mut joining, &residency, &catalog.zones);
+    known_zones.prefer_allowed(&mut joining, &residency, &catalog.zones);
     joining
 }
 
@@ -250,15 +251,15 @@
     let me = store.with_core(|core, _| core.id().to_string());
     let key = format!("pair-{epoch}");
     let mut registry = platform.registry();
-    let claimed = tokio::time::timeout(FOUND_TIMEOUT, registry.claim(&key, &me)).await;
+    let claimed = tokio::time::timeout(CLAIM_TIMEOUT, registry.claim(&key, &me)).await;
     matches!(claimed, Ok(Ok(Claim::Mine)))
 }
 
 /// Where the group is a pair and the other one is silent: goes on alone, if this one's claim is the
 /// first.
-pub async fn outlive<P: Platform>(platform: P, store: Rc<Store>) {
+pub async fn continue_alone<P: Platform>(platform: P, store: Rc<Store>) {
     loop {
-        tokio::time::sleep(OUTLIVE_INTERVAL).await;
+        tokio::time::sleep(PAIR_CHECK_INTERVAL).await;
         let joining = store.joining(JOIN_LIFETIME);
         let pair = store
             .with_core(|core, now| core.pair().filter(|_| should_outlive(core, now, &joining)));
@@ -270,7 +271,7 @@
             silent && pair.is_some_and(|pair| core.outlive(now, pair))
         });
         if alone {
-            decided(
+            log_decision(
                 "go on alone after the other of a pair",
                 store.with_core(|c, _| c.id().clone()),
             );
@@ -280,7 +281,7 @@
 }
 
 /// Reports machines that hold nothing of the group any more.
-async fn report_emptied<P: Platform>(platform: &P, store: &Store, leaving: &Leaving) {
+async fn report_retired<P: Platform>(platform: &P, store: &Store, leaving: &RetiringMachines) {
     for name in leaving.open() {
         let out = store.with_core(|core, _| {
             let member = core.members().all().any(|member| member.name == name);
@@ -291,9 +292,9 @@
         }
         let mut registry = platform.registry();
         let report = registry.report_retirement(&name, true);
-        if let Ok(Ok(())) = tokio::time::timeout(FOUND_TIMEOUT, report).await {
-            decided("report a machine as emptied", &name);
-            leaving.note_completed(&name);
+        if let Ok(Ok(())) = tokio::time::timeout(CLAIM_TIMEOUT, report).await {
+            log_decision("report a machine as emptied", &name);
+            leaving.mark_completed(&name);
         }
     }
 }
--- a/crates/jobstore/src/held_items.rs
+++ b/crates/jobstore/src/held_items.rs
@@ -12,10 +12,10 @@
 use crate::running::ItemKey;
 
 /// Pause before another back end is tried for a suspect where its own runs one already.
-const OTHER_BACKEND_PAUSE: Duration = Duration::from_millis(100);
+const OTHER_BACKEND_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Least wait that is told: a shorter one passes before anybody looks.
-const TOLD_WAIT: Duration = Duration::from_millis(1_000);
+const MIN_LOGGED_WAIT: Duration = Duration::from_millis(1_000);
 
 /// When each held item may be looked at again.
 #[derive(Debug, Default)]
@@ -48,10 +48,10 @@
         let Some(digest) = digest() else { return true };
         let wait = match suspects.grant(&digest, backend, Sender::Job) {
             Grant::Granted => return true,
-            Grant::OtherBackend => OTHER_BACKEND_PAUSE,
+            Grant::OtherBackend => OTHER_BACKEND_BACKOFF,
             Grant::Wait { ms } => Duration::from_millis(ms),
         };
-        if wait >= TOLD_WAIT {
+        if wait >= MIN_LOGGED_WAIT {
             Line::new(EventName::ItemHeldBack)
                 .id(format_args!("{} item {}", key.0, key.1))
                 .text("digest", digest)
--- a/crates/jobstore/src/kept_file.rs
+++ b/crates/jobstore/src/hint_file.rs
@@ -17,7 +17,7 @@
         Ok(kept) => kept,
         Err(error) if error.kind() == ErrorKind::NotFound => T::default(),
         Err(error) => {
-            tell_failed(name, "read", &error);
+            log_failure(name, "read", &error);
             T::default()
         }
     }
@@ -45,20 +45,20 @@
 }
 
 /// Writes a value on a thread of its own: a disk may hang for seconds. Returns whether it is kept.
-pub async fn save_aside<T>(folder: PathBuf, name: &'static str, value: T) -> bool
+pub async fn save_in_background<T>(folder: PathBuf, name: &'static str, value: T) -> bool
 where
     T: BorshSerialize + Send + 'static,
 {
     let saved = tokio::task::spawn_blocking(move || save(&folder, name, &value)).await;
     match saved {
         Ok(Ok(())) => return true,
-        Ok(Err(error)) => tell_failed(name, "write", &error),
-        Err(error) => tell_failed(name, "write", &Error::other(error)),
+        Ok(Err(error)) => log_failure(name, "write", &error),
+        Err(error) => log_failure(name, "write", &Error::other(error)),
     }
     false
 }
 
-fn tell_failed(name: &'static str, step: &'static str, error: &Error) {
+fn log_failure(name: &'static str, step: &'static str, error: &Error) {
     Line::new(EventName::DiskFailed)
         .id(name)
         .field("step", step)
--- a/crates/jobstore/src/item_run.rs
+++ b/crates/jobstore/src/item_run.rs
@@ -21,7 +21,7 @@
 use crate::state::{Command, Run};
 
 /// Pause before an item that could not run is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_BACKOFF: Duration = Duration::from_millis(150);
 
 /// The slot of an item that starts.
 struct PlacedItem {
@@ -41,8 +41,8 @@
         }) else {
             return;
         };
-        let run = Run { number: rand::random(), asked_after: partial };
-        let progress = Progress { run, kept_event: partial, last_event: partial, text: None };
+        let run = Run { number: rand::random(), resume_after: partial };
+        let progress = Progress { run, committed_event: partial, last_event: partial, text: None };
         let progress = Rc::new(RefCell::new(progress));
         let place = self.worker.places.take(backend.clone());
         let preempted = Rc::new(Notify::new());
@@ -124,9 +124,9 @@
         }
         if end == RunEnd::Completed {
             let events = progress.borrow().last_event;
-            let mut pace = self.pace.get();
-            pace.finished(item.tokens, events, events - events_before, began.elapsed());
-            self.pace.set(pace);
+            let mut estimator = self.estimator.get();
+            estimator.observe(item.tokens, events, events - events_before, began.elapsed());
+            self.estimator.set(estimator);
         }
         self.finish(&key, &item, &progress, end).await;
         self.running.borrow_mut().remove(&key);
@@ -158,7 +158,7 @@
         let (job, index) = key.clone();
         match end {
             RunEnd::Completed => {
-                let Progress { run, kept_event, text, .. } = progress.borrow().clone();
+                let Progress { run, committed_event, text, .. } = progress.borrow().clone();
                 Line::new(EventName::ItemFinished)
                     .id(&item.id)
                     .text("job", &job)
@@ -169,17 +169,17 @@
                     item: index,
                     state: ItemState::Completed,
                     run,
-                    after_event: kept_event,
+                    after_event: committed_event,
                     text,
                 };
                 let _ = self.store.propose(&command).await;
             }
-            RunEnd::Impossible => {
-                self.tell_abandoned(item, &job, "a back end told that it can never be done");
+            RunEnd::Unprocessable => {
+                self.log_abandoned(item, &job, "a back end told that it can never be done");
                 // In a task of its own: those of a leader end with its lead.
                 let store = self.store.clone();
                 let recording = tokio::task::spawn_local(async move {
-                    store.abandon_impossible(&job, index).await;
+                    store.abandon_unprocessable(&job, index).await;
                 });
                 let _ = recording.await;
             }
@@ -195,16 +195,16 @@
                 if let Some(command) = take_output(key, progress) {
                     let _ = self.store.propose(&command).await;
                 }
-                let kept_event = progress.borrow().kept_event;
-                self.store.kept(&key.0, key.1, kept_event).await;
+                let committed_event = progress.borrow().committed_event;
+                self.store.wait_until_applied(&key.0, key.1, committed_event).await;
                 if pause {
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(RETRY_BACKOFF).await;
                 }
             }
         }
     }
 
-    fn tell_abandoned(&self, item: &JobItem, job: &str, cause: &'static str) {
+    fn log_abandoned(&self, item: &JobItem, job: &str, cause: &'static str) {
         Line::new(EventName::ItemAbandoned)
             .id(&item.id)
             .field("job", job)
@@ -219,11 +219,11 @@
             job.open.get(&index).is_some_and(|open| open.failures >= job.max_attempts)
         });
         if spent == Some(true) {
-            self.tell_abandoned(item, &job, "every attempt failed");
+            self.log_abandoned(item, &job, "every attempt failed");
             // Where the lead is lost, the failures are in the log, and the next leader gives it up.
             let _ = self.store.abandon(&job, index).await;
             return;
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_BACKOFF).await;
     }
 }
--- a/crates/jobstore/src/loads.rs
+++ b/crates/jobstore/src/loads.rs
@@ -21,17 +21,17 @@
 /// says nothing at all may be cut off, and have any number of requests.
 pub const IDLE_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Time for which a report counts: two of the next ones may be lost.
-const LIFETIME: Duration = Duration::from_millis(1_500);
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
 /// The same for a report that holds nothing.
-const IDLE_LIFETIME: Duration = Duration::from_millis(4_500);
+const IDLE_REPORT_LIFETIME: Duration = Duration::from_millis(4_500);
 /// Part of a service's slots that online requests of all gateways may have while none of them reports. A
 /// guess, in force for moments after a start or while all gateways are cut off.
-const UNHEARD_SLOT_SHARE: f64 = 0.7;
+const UNREPORTED_SLOT_SHARE: f64 = 0.7;
 /// Interval between two passes that drop expired reports.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Back ends in one answer at most: about 1.5 KB. The largest changes go first, the others with the
 /// next answer, so that an answer costs the same however many back ends there are.
-const MOST_CHANGES: usize = 48;
+const MAX_CHANGES: usize = 48;
 
 /// Parts of one request in reported outcomes.
 pub const THOUSANDTHS: f64 = 1_000.0;
@@ -40,14 +40,14 @@
 /// at most.
 const INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(4);
 /// Shortest interval between two reports; a round trip takes about a tenth of it.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(20);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest interval between two reports while requests come and go.
-const LONGEST_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Interval between two load reports of one of so many gateways.
 pub fn report_interval(gateways: usize) -> Duration {
     let shared = INTERVAL_PER_GATEWAY * u32::try_from(gateways).unwrap_or(u32::MAX);
-    shared.clamp(SHORTEST_INTERVAL, LONGEST_INTERVAL)
+    shared.clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
 }
 
 /// The last report of one gateway, or the last sums of one job store.
@@ -87,7 +87,7 @@
     gateways: HashMap<String, Source>,
     job_stores: HashMap<String, Source>,
     /// Items that this process runs, by back end.
-    own_items: HashMap<BackendLife, u32>,
+    local_items: HashMap<BackendLife, u32>,
     totals: HashMap<BackendLife, InFlight>,
     /// Requests in 1,000 seconds, by service.
     arrivals: HashMap<String, u64>,
@@ -114,28 +114,28 @@
     /// Gateways in the fleet, as far as known.
     pub gateways: u32,
     /// Gateways whose reports count.
-    pub heard: u32,
+    pub reporting: u32,
     /// Time for which this process has listened.
     pub listening: Duration,
 }
 
 impl Coverage {
     /// Part of the gateways that this process does not hear, from 0 to 1.
-    fn unheard_share(self) -> f64 {
-        if self.heard == 0 {
+    fn unreported_share(self) -> f64 {
+        if self.reporting == 0 {
             return 1.0;
         }
-        let all = self.gateways.max(self.heard);
-        let unheard = 1.0 - f64::from(self.heard) / f64::from(all);
+        let all = self.gateways.max(self.reporting);
+        let unreported = 1.0 - f64::from(self.reporting) / f64::from(all);
         // A process that has just started may not know all gateways; each of them reports once in the
         // longest interval.
-        let not_yet = 1.0 - self.listening.div_duration_f64(IDLE_INTERVAL);
-        unheard.max(not_yet).clamp(0.0, 1.0)
+        let startup_share = 1.0 - self.listening.div_duration_f64(IDLE_INTERVAL);
+        unreported.max(startup_share).clamp(0.0, 1.0)
     }
 
     /// Part of a service's slots that online requests may have which are in no report.
     pub fn unreported_slot_share(self) -> f64 {
-        UNHEARD_SLOT_SHARE * self.unheard_share()
+        UNREPORTED_SLOT_SHARE * self.unreported_share()
     }
 }
 
@@ -151,7 +151,7 @@
     pub fn report(&self, report: LoadReport, leader: Option<String>) -> LoadAnswer {
         // A gateway that is idle says so; else nobody could tell it from one that is cut off, and most slots would
         // stay free for requests that do not exist.
-        let lifetime = if report.is_idle() { IDLE_LIFETIME } else { LIFETIME };
+        let lifetime = if report.is_idle() { IDLE_REPORT_LIFETIME } else { REPORT_LIFETIME };
         let LoadReport { gateway, counts, arrivals, outcomes, answer_all, moved_from: _ } = report;
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
@@ -214,7 +214,7 @@
         changes.sort_unstable_by(|left, right| {
             right.0.cmp(&left.0).then_with(|| left.1.backend.cmp(&right.1.backend))
         });
-        changes.truncate(MOST_CHANGES);
+        changes.truncate(MAX_CHANGES);
         let changes: Vec<BackendTotal> = changes.into_iter().map(|(_, total)| total).collect();
         for BackendTotal { backend, online, items } in &changes {
             if *online == 0 && *items == 0 {
@@ -227,12 +227,12 @@
     }
 
     /// Takes the sums of another job store in the place of those before.
-    pub fn take_sums(&self, sent: LoadSums) {
+    pub fn record_sums(&self, sent: LoadSums) {
         let LoadSums { from, counts, arrivals, outcomes, gateways } = sent;
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         self.count_steps(counts.len());
-        let expires_at = Instant::now() + LIFETIME;
+        let expires_at = Instant::now() + REPORT_LIFETIME;
         let source = Source { expires_at, counts, arrivals, outcomes, gateways };
         sums.add(&source);
         if let Some(before) = sums.job_stores.insert(from, source) {
@@ -242,10 +242,10 @@
 
     /// What was reported to this process, with the items that it runs, for other job stores; `None`
     /// where there is nothing.
-    pub fn own_sums(&self, from: &str) -> Option<LoadSums> {
+    pub fn local_sums(&self, from: &str) -> Option<LoadSums> {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
-        if sums.gateways.is_empty() && sums.own_items.is_empty() {
+        if sums.gateways.is_empty() && sums.local_items.is_empty() {
             return None;
         }
         let mut counts: BTreeMap<&BackendLife, InFlight> = BTreeMap::new();
@@ -262,7 +262,7 @@
                 outcomes.entry(&reported.backend).or_default().add(reported);
             }
         }
-        for (backend, items) in &sums.own_items {
+        for (backend, items) in &sums.local_items {
             counts.entry(backend).or_default().items += items;
         }
         self.count_steps(counts.len());
@@ -270,7 +270,7 @@
             service: service.to_owned(),
             per_1000_seconds: rate,
         };
-        let told = |(backend, sum): (&BackendLife, SummedOutcomes)| BackendOutcomes {
+        let reported = |(backend, sum): (&BackendLife, SummedOutcomes)| BackendOutcomes {
             backend: backend.clone(),
             failed: sum.failed,
             answered: sum.answered,
@@ -279,7 +279,7 @@
             from: from.to_owned(),
             counts: counts.into_iter().map(|(id, total)| total_of(id, total)).collect(),
             arrivals: arrivals.into_iter().map(rate).collect(),
-            outcomes: outcomes.into_iter().map(told).collect(),
+            outcomes: outcomes.into_iter().map(reported).collect(),
             gateways: sums.gateways.len() as u32,
         })
     }
@@ -287,17 +287,17 @@
     /// Notes an item that starts at a back end.
     pub fn item_started(&self, backend: &BackendLife) {
         let sums = &mut *self.sums.borrow_mut();
-        *sums.own_items.entry(backend.clone()).or_default() += 1;
+        *sums.local_items.entry(backend.clone()).or_default() += 1;
         sums.totals.entry(backend.clone()).or_default().items += 1;
     }
 
     /// Notes an item that no longer runs at a back end.
     pub fn item_ended(&self, backend: &BackendLife) {
         let sums = &mut *self.sums.borrow_mut();
-        if let Some(count) = sums.own_items.get_mut(backend) {
+        if let Some(count) = sums.local_items.get_mut(backend) {
             *count -= 1;
             if *count == 0 {
-                sums.own_items.remove(backend);
+                sums.local_items.remove(backend);
             }
             sums.remove_from_total(backend, InFlight { online: 0, items: 1 });
         }
@@ -314,20 +314,20 @@
         self.expire(sums);
         Coverage {
             gateways: u32::try_from(gateways).unwrap_or(u32::MAX),
-            heard: sums.reporters,
+            reporting: sums.reporters,
             listening: self.since.elapsed(),
         }
     }
 
-    /// Online requests at a back end, of the gateways that are heard; `None` where none is.
+    /// Online requests at a back end, of the gateways that are reporting; `None` where none is.
     pub fn online(&self, backend: &BackendLife) -> Option<u32> {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         (sums.reporters > 0).then(|| sums.totals.get(backend).map_or(0, |total| total.online))
     }
 
-    /// Back ends with online requests of the gateways that are heard, and how many.
-    pub fn each_online(&self, mut take: impl FnMut(&BackendLife, u32)) {
+    /// Back ends with online requests of the gateways that are reporting, and how many.
+    pub fn for_each_online(&self, mut take: impl FnMut(&BackendLife, u32)) {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         if sums.reporters > 0 {
@@ -368,8 +368,8 @@
         }
         sums.expired_at = Some(now);
         self.count_steps(sums.gateways.len() + sums.job_stores.len());
-        let gateways = take_expired(&mut sums.gateways, now);
-        let job_stores = take_expired(&mut sums.job_stores, now);
+        let gateways = remove_expired(&mut sums.gateways, now);
+        let job_stores = remove_expired(&mut sums.job_stores, now);
         for (name, source) in gateways {
             sums.answered.remove(&name);
             sums.subtract(&source);
@@ -381,7 +381,7 @@
 }
 
 /// Removes the sources whose reports no longer count.
-fn take_expired(sources: &mut HashMap<String, Source>, now: Instant) -> Vec<(String, Source)> {
+fn remove_expired(sources: &mut HashMap<String, Source>, now: Instant) -> Vec<(String, Source)> {
     let is_expired = |source: &Source| now >= source.expires_at;
     let names: Vec<String> = sources
         .iter()
@@ -426,12 +426,12 @@
                 }
             }
         }
-        for told in &source.outcomes {
-            let Some(sum) = self.outcomes.get_mut(&told.backend) else { continue };
-            sum.failed -= told.failed;
-            sum.answered -= told.answered;
+        for reported in &source.outcomes {
+            let Some(sum) = self.outcomes.get_mut(&reported.backend) else { continue };
+            sum.failed -= reported.failed;
+            sum.answered -= reported.answered;
             if *sum == SummedOutcomes::default() {
-                self.outcomes.remove(&told.backend);
+                self.outcomes.remove(&reported.backend);
             }
         }
         self.reporters -= source.gateways;
--- a/crates/jobstore/src/pool_slots.rs
+++ b/crates/jobstore/src/pool_slots.rs
@@ -6,20 +6,20 @@
 use yokefall_serving::backend_table::BackendTable;
 use yokefall_serving::{Backend, BackendLife};
 
-use crate::room::Room;
+use crate::capacity::Capacity;
 
 /// Slots while they are counted.
 #[derive(Debug)]
 pub struct PoolSlots<'a> {
     tables: &'a [&'a BackendTable],
     /// What is in the slots of back ends with work; `None` for those that are left out.
-    taken: HashMap<&'a str, Option<u32>>,
+    occupied: HashMap<&'a str, Option<u32>>,
 }
 
 impl<'a> PoolSlots<'a> {
     /// All slots of the tables' back ends, none of them taken.
     pub fn new(tables: &'a [&'a BackendTable]) -> Self {
-        Self { tables, taken: HashMap::new() }
+        Self { tables, occupied: HashMap::new() }
     }
 
     fn find(&self, id: &str, started_ms: u64) -> Option<&'a Backend> {
@@ -28,33 +28,33 @@
     }
 
     /// Leaves out a back end, in one life, if it is in one of the tables.
-    pub fn leave_out(&mut self, id: &str, started_ms: u64) {
+    pub fn exclude(&mut self, id: &str, started_ms: u64) {
         if let Some(backend) = self.find(id, started_ms) {
-            self.taken.insert(&backend.id, None);
+            self.occupied.insert(&backend.id, None);
         }
     }
 
     /// Requests or items have slots of a back end, if it is in one of the tables.
-    pub fn take(&mut self, life: &BackendLife, slots: u32) {
+    pub fn occupy(&mut self, life: &BackendLife, slots: u32) {
         let Some(backend) = self.find(&life.id, life.started_ms) else { return };
-        if let Some(taken) = self.taken.entry(&backend.id).or_insert(Some(0)) {
-            *taken += slots;
+        if let Some(occupied) = self.occupied.entry(&backend.id).or_insert(Some(0)) {
+            *occupied += slots;
         }
     }
 
     /// Adds them to a room without any.
-    pub fn add_to(self, mut room: Room) -> Room {
+    pub fn add_to(self, mut capacity: Capacity) -> Capacity {
         let all: u64 = self.tables.iter().map(|table| table.slots()).sum();
         let mut free = u32::try_from(all).unwrap_or(u32::MAX);
-        for (id, taken) in &self.taken {
+        for (id, occupied) in &self.occupied {
             let slots =
                 self.tables.iter().find_map(|table| table.get(id)).map_or(0, |found| found.slots);
             free -= slots;
-            if let Some(taken) = taken {
-                room.add(slots, *taken);
+            if let Some(occupied) = occupied {
+                capacity.add(slots, *occupied);
             }
         }
-        room.add(free, 0);
-        room
+        capacity.add(free, 0);
+        capacity
     }
 }
--- a/crates/jobstore/src/preemption.rs
+++ b/crates/jobstore/src/preemption.rs
@@ -12,7 +12,7 @@
     /// It has a slot.
     Placed,
     /// It was told to give its slot back and still has it.
-    Leaving,
+    RetiringMachines,
     /// It has given its slot back: its end is recorded, or its item rests before the next run.
     Ended,
 }
@@ -30,12 +30,12 @@
     pub phase: Phase,
 }
 
-/// Positions of the runs to be preempted. `online` gives the online requests at a back end, `lacking`
+/// Positions of the runs to be preempted. `online` gives the online requests at a back end, `shortfall`
 /// the slots that the items of a service should give back beside those of full back ends.
 pub fn preempted(
     runs: &[PlacedRun<'_>],
     online: impl Fn(&Backend) -> u32,
-    lacking: impl Fn(&str) -> usize,
+    shortfall: impl Fn(&str) -> usize,
 ) -> Vec<usize> {
     let mut services: BTreeMap<&str, ServiceRuns> = BTreeMap::new();
     for (position, run) in runs.iter().enumerate() {
@@ -44,7 +44,7 @@
             Phase::Placed => {
                 service.by_backend.entry(run.backend.life()).or_default().push(position);
             }
-            Phase::Leaving => service.leaving += 1,
+            Phase::RetiringMachines => service.leaving += 1,
             // An item that rests has no slot: if it counted, its back end would stay full, and another
             // item would be preempted in each pass (97 for one request of 60 ms in the test).
             Phase::Ended => {}
@@ -52,19 +52,19 @@
     }
     let mut chosen = Vec::new();
     for (name, service) in services {
-        let mut rest = Vec::new();
+        let mut remaining = Vec::new();
         for mut here in service.by_backend.into_values() {
             let backend = runs[here[0]].backend;
             let taken = here.len() as u32 + online(backend);
             let over = taken.saturating_sub(backend.slots) as usize;
             sort(&mut here, runs);
-            rest.extend(here.split_off(over.min(here.len())));
+            remaining.extend(here.split_off(over.min(here.len())));
             chosen.extend(here);
         }
-        sort(&mut rest, runs);
+        sort(&mut remaining, runs);
         // Slots that are on their way back are not asked for again.
-        let lacking = lacking(name).saturating_sub(service.leaving);
-        chosen.extend(rest.into_iter().take(lacking));
+        let shortfall = shortfall(name).saturating_sub(service.leaving);
+        chosen.extend(remaining.into_iter().take(shortfall));
     }
     chosen
 }
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -353,7 +353,7 @@
     },
     /// A back end told that an item can never be done, to a process that could not record it: it
     /// does not lead any more.
-    Impossible {
+    Unprocessable {
         /// Id of the job.
         job: String,
         /// Index of the item.
@@ -389,13 +389,13 @@
 
 /// Wraps a connected socket.
 pub fn framed(stream: TcpStream) -> FramedStream {
-    prepare(&stream);
+    configure_socket(&stream);
     Framed::new(stream, codec())
 }
 
 /// Frames are short and awaited; and whoever only reads finds out by probes that the other side is gone: its
 /// connection would else take a descriptor until the process ends.
-fn prepare(stream: &TcpStream) {
+fn configure_socket(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let keep_alive = TcpKeepalive::new()
         .with_time(KEEP_ALIVE_AFTER)
@@ -453,7 +453,7 @@
 
 /// Splits a connected socket into frames that arrive and the end that `send_frame` writes to.
 pub fn split(stream: TcpStream) -> (IncomingFrames, OwnedWriteHalf) {
-    prepare(&stream);
+    configure_socket(&stream);
     let (reader, writer) = stream.into_split();
     (FramedRead::new(reader, codec()), writer)
 }
--- a/crates/jobstore/src/quota.rs
+++ b/crates/jobstore/src/quota.rs
@@ -25,11 +25,11 @@
 const RENEW_INTERVAL: Duration = Duration::from_millis(RENEW_INTERVAL_MS);
 /// Interval at which the leader looks for slots that nobody holds. A slot without an accountant costs
 /// a third of the limits of a sixteenth of the tenants.
-const OVERSEE_INTERVAL: Duration = Duration::from_millis(500);
+const ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a process looks whether the configuration limits any tenant.
-const IDLE_INTERVAL: Duration = Duration::from_millis(2_000);
+const UNLIMITED_POLL_INTERVAL: Duration = Duration::from_millis(2_000);
 /// The same while no configuration is known yet.
-const START_INTERVAL: Duration = Duration::from_millis(50);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for the leader to answer; an accountant that stops must not wait long for it.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -93,11 +93,11 @@
 
 /// How long to wait before the next look whether the configuration limits any tenant; `None` where it
 /// does.
-fn pause(catalog: &CatalogCell) -> Option<Duration> {
+fn idle_interval(catalog: &CatalogCell) -> Option<Duration> {
     match &catalog.load().configuration {
-        None => Some(START_INTERVAL),
+        None => Some(STARTUP_POLL_INTERVAL),
         Some(configuration) if configuration.has_limits() => None,
-        Some(_) => Some(IDLE_INTERVAL),
+        Some(_) => Some(UNLIMITED_POLL_INTERVAL),
     }
 }
 
@@ -105,8 +105,8 @@
 pub async fn renew_leases(quota: Rc<QuotaService>, catalog: CatalogCell, fleet: FleetCell) {
     let leader = JobClient::new(fleet);
     while !quota.accountant.borrow().is_released() {
-        if let Some(pause) = pause(&catalog) {
-            tokio::time::sleep(pause).await;
+        if let Some(idle_interval) = idle_interval(&catalog) {
+            tokio::time::sleep(idle_interval).await;
             continue;
         }
         let asked_at = quota.now();
@@ -127,21 +127,21 @@
 }
 
 /// Assigns slots while this process leads, for ever.
-pub async fn oversee(
+pub async fn assign_slots(
     quota: Rc<QuotaService>,
     store: Rc<Store>,
     catalog: CatalogCell,
     fleet: FleetCell,
 ) {
     loop {
-        if let Some(pause) = pause(&catalog) {
-            tokio::time::sleep(pause).await;
+        if let Some(idle_interval) = idle_interval(&catalog) {
+            tokio::time::sleep(idle_interval).await;
             continue;
         }
         if store.serves() {
             assign(&quota, &store, &fleet).await;
         }
-        tokio::time::sleep(OVERSEE_INTERVAL).await;
+        tokio::time::sleep(ASSIGN_INTERVAL).await;
     }
 }
 
--- a/crates/jobstore/src/reads.rs
+++ b/crates/jobstore/src/reads.rs
@@ -14,27 +14,27 @@
 
 /// What a read found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found<T> {
+pub enum ReadResult<T> {
     /// It is there.
-    Yes(T),
+    Found(T),
     /// It is not there, for certain.
-    No,
+    NotFound,
     /// This replica cannot be sure.
-    Unsure,
+    NotReady,
 }
 
 impl Store {
     /// Reads the jobs where this replica may answer reads.
-    pub fn read<R>(&self, read: impl FnOnce(&Jobs) -> Option<R>) -> Found<R> {
+    pub fn read<R>(&self, read: impl FnOnce(&Jobs) -> Option<R>) -> ReadResult<R> {
         if !self.serves() {
-            return Found::Unsure;
+            return ReadResult::NotReady;
         }
         let inner = self.inner.borrow();
-        read(&inner.jobs).map_or(Found::No, Found::Yes)
+        read(&inner.jobs).map_or(ReadResult::NotFound, ReadResult::Found)
     }
 
     /// Results of a job from a position on.
-    pub fn page(&self, job: &str, requester: &Requester, from: u64) -> Found<ResultPage> {
+    pub fn page(&self, job: &str, requester: &Requester, from: u64) -> ReadResult<ResultPage> {
         self.read(|jobs| jobs.page(job, requester, from))
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Looks at every job with the time since this replica took it.
-    pub fn each_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
+    pub fn for_each_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
         let inner = self.inner.borrow();
         let now = Instant::now();
         for (id, job) in inner.jobs.iter() {
@@ -70,8 +70,8 @@
     }
 
     /// Looks at every job that is open, with the time since this replica took it.
-    pub fn each_open_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
-        self.each_job(|id, job, age| {
+    pub fn for_each_open_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
+        self.for_each_job(|id, job, age| {
             if job.is_open() {
                 look(id, job, age);
             }
--- a/crates/jobstore/src/residence.rs
+++ b/crates/jobstore/src/residence.rs
@@ -30,7 +30,7 @@
 
 impl KnownZones {
     /// Remembers the job stores that live.
-    pub fn note(&self, fleet: &Fleet) {
+    pub fn record(&self, fleet: &Fleet) {
         let mut zones = self.zones.borrow_mut();
         for member in fleet.job_stores() {
             if zones.get(&member.name) != Some(&member.zone) {
@@ -48,7 +48,12 @@
 
     /// Leaves those who ask to join the group from where everything that is held may be kept. Where there are none,
     /// the others may join: without them the next lost disks could take jobs away that were accepted.
-    pub fn prefer_inside(&self, joining: &mut Vec<MemberId>, residency: &Residency, map: &ZoneMap) {
+    pub fn prefer_allowed(
+        &self,
+        joining: &mut Vec<MemberId>,
+        residency: &Residency,
+        map: &ZoneMap,
+    ) {
         let is_inside = |member: &MemberId| self.may_keep(&member.name, residency, map);
         if joining.iter().any(is_inside) {
             joining.retain(is_inside);
--- a/crates/jobstore/src/run.rs
+++ b/crates/jobstore/src/run.rs
@@ -21,9 +21,9 @@
 /// Time for a connection to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time without any byte after which a run is continued elsewhere.
-const SILENCE_LIMIT: Duration = Duration::from_millis(3_000);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Connections of this process to one back end.
-const CONNECTIONS: usize = 32;
+const MAX_CONNECTIONS: usize = 32;
 
 /// Output of an item since it was last made durable.
 #[derive(Clone, Debug, Default)]
@@ -31,7 +31,7 @@
     /// The run that gives it.
     pub run: Run,
     /// Last event that is in the log.
-    pub kept_event: u64,
+    pub committed_event: u64,
     /// Last event seen.
     pub last_event: u64,
     /// Data of the events between.
@@ -65,7 +65,7 @@
     /// The whole output is there.
     Completed,
     /// The item can never be done.
-    Impossible,
+    Unprocessable,
     /// The item failed by its own fault.
     ItemFailed,
     /// It did not run, or broke off: try again.
@@ -158,19 +158,20 @@
     ) -> RunEnd {
         let backend = place.backend.clone();
         let again = |cause: String, pause| RunEnd::Again { cause, pause };
-        let mut connection = match self.pool.connect(&backend, CONNECT_TIMEOUT, CONNECTIONS).await {
-            Ok(connection) => connection,
-            Err(error) => {
-                place.outcome = match error {
-                    ConnectFailure::Unreachable { .. } => Outcome::Unreachable,
-                    ConnectFailure::Exhausted => Outcome::Full,
-                };
-                return again(error.to_string(), false);
-            }
-        };
+        let mut connection =
+            match self.pool.connect(&backend, CONNECT_TIMEOUT, MAX_CONNECTIONS).await {
+                Ok(connection) => connection,
+                Err(error) => {
+                    place.outcome = match error {
+                        ConnectFailure::Unreachable { .. } => Outcome::Unreachable,
+                        ConnectFailure::Exhausted => Outcome::Full,
+                    };
+                    return again(error.to_string(), false);
+                }
+            };
         let after = progress.borrow().last_event;
         let Some(request) = self.request(sender, item, &backend, after) else {
-            return RunEnd::Impossible;
+            return RunEnd::Unprocessable;
         };
         let permit = match permit() {
             Ok(permit) => permit,
@@ -184,7 +185,7 @@
         let names = self.dialect.headers();
         let id_header = self.dialect.marks_answers().then_some(&names.request_id);
         let sent = exchange(&mut connection, request, id_header, permit);
-        let answer = match tokio::time::timeout(SILENCE_LIMIT, sent).await {
+        let answer = match tokio::time::timeout(SILENCE_TIMEOUT, sent).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
                 place.outcome = match error {
@@ -206,7 +207,7 @@
             }
         };
         connection.note_keep_alive(answer.headers());
-        self.note_told(place, answer.headers());
+        self.record_backend_headers(place, answer.headers());
         let not_run = answer.headers().contains_key(&self.dialect.headers().not_run);
         match answer.status() {
             StatusCode::OK => {
@@ -215,7 +216,7 @@
             }
             StatusCode::UNPROCESSABLE_ENTITY => {
                 place.outcome = Outcome::Answered;
-                RunEnd::Impossible
+                RunEnd::Unprocessable
             }
             StatusCode::MISDIRECTED_REQUEST => {
                 place.outcome = Outcome::Misdirected;
@@ -233,7 +234,7 @@
     }
 
     /// Takes what a back end tells of itself with its answer.
-    fn note_told(&self, place: &Place, headers: &http::HeaderMap) {
+    fn record_backend_headers(&self, place: &Place, headers: &http::HeaderMap) {
         let load = headers.get(&self.dialect.headers().load);
         if let Some(load) = load.and_then(|value| self.dialect.parse_load(value)) {
             place.told(load);
@@ -283,7 +284,7 @@
         let last = Connection::is_last(answer.headers());
         let mut events = answer.into_body().into_data_stream().eventsource();
         loop {
-            let event = match tokio::time::timeout(SILENCE_LIMIT, events.next()).await {
+            let event = match tokio::time::timeout(SILENCE_TIMEOUT, events.next()).await {
                 Ok(Some(Ok(event))) => event,
                 Ok(None) => break,
                 Ok(Some(Err(error))) => {
--- a/crates/jobstore/src/runner.rs
+++ b/crates/jobstore/src/runner.rs
@@ -12,26 +12,26 @@
 use yokefall_suspects::RequestDigest;
 use yokefall_telemetry::{EventName, Line};
 
-use crate::backlog::{Backlog, PassFigures};
+use crate::backlog::{Backlog, PassStats};
+use crate::capacity::FreeSlots;
 use crate::delegation::Delegation;
 use crate::held_items::HeldItems;
 use crate::preemption::Phase;
-use crate::room::FreeSlots;
 use crate::run::{item_digest, ItemSender};
 use crate::running::{take_output, ItemKey, Running};
 use crate::state::{Command, OpenItem};
 use crate::store::Store;
-use crate::urgency::{Pace, WaitingItem, WaitingJob};
+use crate::urgency::{DurationEstimator, WaitingItem, WaitingJob};
 use crate::worker::Worker;
 
 /// Interval at which the output of running items is made durable.
-const KEEP_INTERVAL: Duration = Duration::from_millis(1_000);
+const COMMIT_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Least interval between two scheduling passes; load reports come as often where gateways are few.
-const LEAST_PASS_INTERVAL: Duration = Duration::from_millis(20);
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest interval between two scheduling passes.
-const PASS_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between two searches for jobs that are over.
-const FORGET_INTERVAL: Duration = Duration::from_millis(5_000);
+const PURGE_INTERVAL: Duration = Duration::from_millis(5_000);
 
 /// The runner's state, shared between its tasks.
 pub struct Runner {
@@ -41,7 +41,7 @@
     pub(crate) fleet: FleetCell,
     pub(crate) running: RefCell<HashMap<ItemKey, Running>>,
     /// How fast items are done.
-    pub(crate) pace: Cell<Pace>,
+    pub(crate) estimator: Cell<DurationEstimator>,
     backlog: Backlog,
     /// Items that wait because back ends ended under them.
     held: HeldItems,
@@ -68,9 +68,9 @@
         fleet: FleetCell,
         options: RunnerOptions,
     ) -> Self {
-        let (running, pace) = (RefCell::default(), Cell::default());
+        let (running, estimator) = (RefCell::default(), Cell::default());
         let (backlog, held) = (Backlog::default(), HeldItems::default());
-        Self { store, worker, delegation, fleet, running, pace, backlog, held, options }
+        Self { store, worker, delegation, fleet, running, estimator, backlog, held, options }
     }
 
     /// Runs for ever: waits for the lead, then runs items until it is lost.
@@ -78,7 +78,7 @@
         loop {
             while !self.store.serves() {
                 let woken = self.store.work_changed.notified();
-                let _ = tokio::time::timeout(PASS_INTERVAL, woken).await;
+                let _ = tokio::time::timeout(MAX_PASS_INTERVAL, woken).await;
                 if self.store.with_core(|core, _| core.role() != yokefall_consensus::Role::Leader) {
                     self.store.work_changed.notified().await;
                 }
@@ -95,35 +95,35 @@
     }
 
     async fn lead(self: Rc<Self>) {
-        let mut keep_at = Instant::now() + KEEP_INTERVAL;
-        let mut forget_at = Instant::now() + FORGET_INTERVAL;
+        let mut commit_at = Instant::now() + COMMIT_INTERVAL;
+        let mut purge_at = Instant::now() + PURGE_INTERVAL;
         // What runs goes on through a moment without a lease; nothing starts in it.
         while self.store.is_leader() {
             self.stop_closed();
             self.preempt();
             if self.store.serves() {
-                self.take_loads();
+                self.apply_load_reports();
                 self.start_items();
             }
             let now = Instant::now();
-            if now >= keep_at {
-                self.keep_output();
-                keep_at = now + KEEP_INTERVAL;
+            if now >= commit_at {
+                self.commit_output();
+                commit_at = now + COMMIT_INTERVAL;
             }
-            if now >= forget_at {
-                self.forget_jobs();
-                forget_at = now + FORGET_INTERVAL;
+            if now >= purge_at {
+                self.purge_jobs();
+                purge_at = now + PURGE_INTERVAL;
             }
-            self.rest(keep_at).await;
+            self.wait_for_work(commit_at).await;
         }
     }
 
-    async fn rest(&self, keep_at: Instant) {
+    async fn wait_for_work(&self, commit_at: Instant) {
         // Loads are reported many times a second; one pass serves what came meanwhile.
-        tokio::time::sleep(LEAST_PASS_INTERVAL).await;
+        tokio::time::sleep(MIN_PASS_INTERVAL).await;
         let woken = self.store.work_changed.notified();
         let busy = !self.running.borrow().is_empty() || self.store.has_open_jobs();
-        let until = if busy { keep_at } else { Instant::now() + FORGET_INTERVAL };
+        let until = if busy { commit_at } else { Instant::now() + PURGE_INTERVAL };
         let _ = tokio::time::timeout_at(until, woken).await;
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Takes over what gateways reported of their requests.
-    fn take_loads(&self) {
+    fn apply_load_reports(&self) {
         let totals = self.store.loads.totals();
         let totals = totals
             .iter()
@@ -168,12 +168,12 @@
                 self.start_items_of(job, late, &mut services);
             }
         }
-        let figures = PassFigures {
+        let stats = PassStats {
             running: self.running.borrow().len(),
             most_runs: self.options.most_runs,
-            gateways_heard: self.store.loads.reporters(),
+            reporting_gateways: self.store.loads.reporters(),
         };
-        self.backlog.note(services.services(), figures);
+        self.backlog.note(services.services(), stats);
     }
 
     /// Jobs with items that do not run yet. Items that have waited for longer than their route allows
@@ -181,7 +181,7 @@
     fn waiting_jobs(self: &Rc<Self>) -> Vec<WaitingJob> {
         let mut jobs = Vec::new();
         let mut expired = Vec::new();
-        self.store.each_open_job(|id, job, age| {
+        self.store.for_each_open_job(|id, job, age| {
             if age.as_millis() as u64 > job.max_queue_ms {
                 expired.extend(job.open.keys().map(|item| (id.clone(), *item)));
                 return;
@@ -192,7 +192,7 @@
         });
         for key in expired {
             if !self.running.borrow().contains_key(&key) {
-                self.give_up(key);
+                self.abandon_expired(key);
             }
         }
         jobs
@@ -200,20 +200,20 @@
 
     /// Starts the items of a job that can be done in time, or those that cannot.
     fn start_items_of(self: &Rc<Self>, job: &WaitingJob, late: bool, services: &mut FreeSlots) {
-        let pace = self.pace.get();
+        let estimator = self.estimator.get();
         let waiting = self.store.with_job(&job.id, |held| {
             let running = self.running.borrow();
             let is_waiting =
                 |(index, _): &(&u32, &OpenItem)| !running.contains_key(&(job.id.clone(), **index));
-            let left = |(index, open): (&u32, &OpenItem)| {
-                let left = pace.left(open.item.tokens, open.partial.last_event);
-                WaitingItem { index: *index, left }
+            let remaining = |(index, open): (&u32, &OpenItem)| {
+                let remaining = estimator.remaining(open.item.tokens, open.partial.last_event);
+                WaitingItem { index: *index, remaining }
             };
-            held.open.iter().filter(is_waiting).map(left).collect::<Vec<WaitingItem>>()
+            held.open.iter().filter(is_waiting).map(remaining).collect::<Vec<WaitingItem>>()
         });
         let mut waiting = waiting.unwrap_or_default();
-        waiting.retain(|item| job.is_late(item.left) == late);
-        waiting.sort_unstable_by_key(|item| (item.left, item.index));
+        waiting.retain(|item| job.is_late(item.remaining) == late);
+        waiting.sort_unstable_by_key(|item| (item.remaining, item.index));
         for (started, item) in waiting.iter().enumerate() {
             let key = (job.id.clone(), item.index);
             if self.held.contains(&key) {
@@ -223,10 +223,10 @@
             let Some(pool) = self.pool_of(&key) else { continue };
             let free = services.of(&pool, || self.free_slots(&pool));
             let may_start =
-                free.items() > 0 && self.running.borrow().len() < self.options.most_runs;
+                free.startable_items() > 0 && self.running.borrow().len() < self.options.most_runs;
             let choose = || self.worker.places.with(|balancer, now| free.choose(balancer, now));
             let Some(backend) = may_start.then(choose).flatten() else {
-                free.held += waiting.len() - started;
+                free.queued += waiting.len() - started;
                 return;
             };
             let suspects = &self.worker.items.suspects;
@@ -254,7 +254,7 @@
     }
 
     /// Gives up an item that waited too long; it counts as running until that is in the log.
-    fn give_up(self: &Rc<Self>, key: ItemKey) {
+    fn abandon_expired(self: &Rc<Self>, key: ItemKey) {
         let (runner, item) = (self.clone(), key.clone());
         let task = tokio::task::spawn_local(async move {
             Line::new(EventName::ItemAbandoned)
@@ -279,24 +279,24 @@
     }
 
     /// Makes the output of running items durable, so that another leader goes on from there.
-    fn keep_output(&self) {
+    fn commit_output(&self) {
         let running = self.running.borrow();
         let commands: Vec<Command> =
             running.iter().filter_map(|(key, run)| take_output(key, &run.progress)).collect();
         if !commands.is_empty() {
-            self.store.propose_only(&Command::Several(commands));
+            self.store.propose_detached(&Command::Batch(commands));
         }
     }
 
-    fn forget_jobs(&self) {
+    fn purge_jobs(&self) {
         let mut over = Vec::new();
-        self.store.each_job(|id, job, age| {
+        self.store.for_each_job(|id, job, age| {
             if age > self.options.retention && !job.is_open() {
                 over.push(Command::Forget { job: id.clone() });
             }
         });
         if !over.is_empty() {
-            self.store.propose_only(&Command::Several(over));
+            self.store.propose_detached(&Command::Batch(over));
         }
         self.held.retain(|(job, item)| {
             self.store.with_job(job, |job| job.open.contains_key(item)) == Some(true)
--- a/crates/jobstore/src/running.rs
+++ b/crates/jobstore/src/running.rs
@@ -41,7 +41,7 @@
 
     /// Tells it to give its slot, which it has, to an online request.
     pub fn preempt(&self) {
-        self.phase.set(Phase::Leaving);
+        self.phase.set(Phase::RetiringMachines);
         self.preempted.notify_one();
     }
 }
@@ -73,9 +73,9 @@
 pub fn take_output(key: &ItemKey, progress: &Rc<RefCell<Progress>>) -> Option<Command> {
     let mut progress = progress.borrow_mut();
     let text = progress.text.take()?;
-    let after_event = progress.kept_event;
-    progress.kept_event = progress.last_event;
-    Some(Command::Keep {
+    let after_event = progress.committed_event;
+    progress.committed_event = progress.last_event;
+    Some(Command::AppendOutput {
         job: key.0.clone(),
         item: key.1,
         run: progress.run,
--- a/crates/jobstore/src/server.rs
+++ b/crates/jobstore/src/server.rs
@@ -14,13 +14,13 @@
 use yokefall_serving::{FleetCell, Requester, Residency};
 use yokefall_suspects::{Sender, SuspectReport};
 
+use crate::admission::Rejection;
 use crate::delegation::RUN_LEASE;
-use crate::intake::NotTaken;
 use crate::protocol::{
     decode, encode, send_frame, split, Frame, IncomingFrames, Outgoing, Reply, Request, Submission,
 };
 use crate::quota::QuotaService;
-use crate::reads::Found;
+use crate::reads::ReadResult;
 use crate::residence::{residency_of_job, KnownZones};
 use crate::state::{Command, PAGE_BYTES};
 use crate::store::{ProposeError, Store};
@@ -29,7 +29,7 @@
 /// Longest time for which a read is held, whatever its caller asks.
 const MAX_READ_WAIT: Duration = Duration::from_millis(2_000);
 /// Pause after a connection could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Memory that a page takes while it is on its way, in parts of its text: as results, and encoded.
 const PAGE_COPIES: usize = 2;
@@ -63,7 +63,7 @@
             Ok((stream, _)) => {
                 tokio::task::spawn_local(serve_connection(stream, server.clone()));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
@@ -82,10 +82,10 @@
         }
     });
     let runs = ConnectionRuns::default();
-    let mut heard_at = store.now();
+    let mut received_at = store.now();
     while let Some(bytes) = next_frame(&mut frames, &runs).await {
-        let silent_ms = store.now() - heard_at;
-        heard_at = store.now();
+        let silent_ms = store.now() - received_at;
+        received_at = store.now();
         if !runs.is_empty() && silent_ms > RUN_LEASE.as_millis() as u64 {
             // This machine was suspended: its timer did not see that the lease ended, and another process
             // has the runs.
@@ -94,11 +94,11 @@
         let Ok(frame) = decode(&bytes) else { break };
         match frame {
             Frame::Consensus(message) => store.receive(message),
-            Frame::Join(member) => take_join(store, member),
-            Frame::Leader(name) => store.note_leader(name),
-            Frame::Impossible { job, item } => store.abandon_only(&job, item),
+            Frame::Join(member) => handle_join(store, member),
+            Frame::Leader(name) => store.set_leader_hint(name),
+            Frame::Unprocessable { job, item } => store.abandon_detached(&job, item),
             Frame::Sums(sums) => {
-                store.loads.take_sums(sums);
+                store.loads.record_sums(sums);
                 store.work_changed.notify_one();
             }
             Frame::GatewayMoved { gateway } => {
@@ -135,26 +135,26 @@
 }
 
 /// A member asks to join; the leader tells it who leads, whether it is admitted or not.
-fn take_join(store: &Store, member: MemberId) {
+fn handle_join(store: &Store, member: MemberId) {
     if store.is_leader() {
         let me = store.with_core(|core, _| core.id().name.clone());
         store.send_frame(&member.name, &Frame::Leader(me));
     }
-    store.note_joining(member);
+    store.record_join_request(member);
 }
 
 async fn answer(server: Server, call: u64, request: Request, replies: UnboundedSender<Outgoing>) {
     let mut room = None;
     if let Request::Results { job, from, wait_ms, .. } = &request {
         let wait = Duration::from_millis(*wait_ms).min(MAX_READ_WAIT);
-        until_readable(&server.store, job, *from, Instant::now() + wait).await;
+        wait_until_readable(&server.store, job, *from, Instant::now() + wait).await;
         room = server.pages.clone().acquire_owned().await.ok();
     }
-    let reply = carry_out(&server, request).await;
+    let reply = handle_request(&server, request).await;
     let _ = replies.send(Outgoing { frame: Frame::Reply { call, reply }, room });
 }
 
-async fn carry_out(server: &Server, request: Request) -> Reply {
+async fn handle_request(server: &Server, request: Request) -> Reply {
     let (store, quota) = (&server.store, &server.quota);
     let suspects = &server.worker.items.suspects;
     // Loads are no part of the log: any job store adds them up, so that they stay known while
@@ -163,7 +163,7 @@
         if let Some(before) = &report.moved_from {
             store.send_frame(before, &Frame::GatewayMoved { gateway: report.gateway.clone() });
         }
-        let answer = store.loads.report(report, store.leader_in_touch());
+        let answer = store.loads.report(report, store.confirmed_leader());
         store.loads_changed.notify_one();
         store.work_changed.notify_one();
         return Reply::Load(answer);
@@ -176,7 +176,7 @@
         return Reply::Suspects(exchange.answer(suspects));
     }
     if !store.serves() {
-        return not_sure(store);
+        return not_ready(store);
     }
     match request {
         Request::TrySuspect { news, backend } => {
@@ -197,19 +197,19 @@
             }
             let _room = match store.reserve(&job, &submission) {
                 Ok(room) => room,
-                Err(NotTaken::UnderWay) => return Reply::Unknown,
-                Err(NotTaken::Full) => return Reply::Full,
-                Err(NotTaken::OverQuota) => return Reply::OverQuota,
+                Err(Rejection::InProgress) => return Reply::Unknown,
+                Err(Rejection::Full) => return Reply::Full,
+                Err(Rejection::OverQuota) => return Reply::OverQuota,
             };
             let command = Command::SubmitFor { job, tenant: requester.owner(), submission };
-            changed(store, command, Reply::Accepted).await
+            commit(store, command, Reply::Accepted).await
         }
         Request::End { job, requester } => {
             let may_use = store.with_job(&job, |held| requester.may_use(held.tenant.as_ref()));
             if may_use != Some(true) {
-                return found(store, Found::No, |()| Reply::Ended);
+                return found(store, ReadResult::NotFound, |()| Reply::Ended);
             }
-            changed(store, Command::End { job }, Reply::Ended).await
+            commit(store, Command::End { job }, Reply::Ended).await
         }
         Request::Body { job, requester, item } => {
             let body = store.read(|jobs| jobs.body(&job, &requester, &item).map(<[u8]>::to_vec));
@@ -219,7 +219,7 @@
             match store.with_job(&job, |held| requester.may_use(held.tenant.as_ref())) {
                 Some(true) => Reply::Accepted,
                 Some(false) => Reply::Taken,
-                None if store.is_under_way(&job) => Reply::Unknown,
+                None if store.is_pending(&job) => Reply::Unknown,
                 None => Reply::NotFound,
             }
         }
@@ -251,35 +251,35 @@
     let names: Vec<String> = server
         .store
         .with_core(|core, _| core.members().all().map(|member| member.name.clone()).collect());
-    server.known_zones.note(&server.fleet.load());
+    server.known_zones.record(&server.fleet.load());
     server.known_zones.forbidden(names.iter().map(String::as_str), &residency, &catalog.zones)
 }
 
-fn not_sure(store: &Store) -> Reply {
+fn not_ready(store: &Store) -> Reply {
     if store.is_leader() {
         return Reply::Unsure;
     }
     Reply::NotLeader { leader: store.leader() }
 }
 
-async fn changed(store: &Store, command: Command, done: Reply) -> Reply {
+async fn commit(store: &Store, command: Command, done: Reply) -> Reply {
     match store.propose(&command).await {
         Ok(()) => done,
-        Err(ProposeError::NotLeader) => not_sure(store),
+        Err(ProposeError::NotLeader) => not_ready(store),
         Err(ProposeError::Unknown) => Reply::Unknown,
     }
 }
 
-fn found<T>(store: &Store, found: Found<T>, reply: impl FnOnce(T) -> Reply) -> Reply {
+fn found<T>(store: &Store, found: ReadResult<T>, reply: impl FnOnce(T) -> Reply) -> Reply {
     match found {
-        Found::Yes(value) => reply(value),
-        Found::No => Reply::NotFound,
-        Found::Unsure => not_sure(store),
+        ReadResult::Found(value) => reply(value),
+        ReadResult::NotFound => Reply::NotFound,
+        ReadResult::NotReady => not_ready(store),
     }
 }
 
 /// Waits until a result exists from a position on, or nothing more will come, or until a time.
-async fn until_readable(store: &Store, job: &str, from: u64, until: Instant) {
+async fn wait_until_readable(store: &Store, job: &str, from: u64, until: Instant) {
     loop {
         let reader = store.reader(job);
         let woken = reader.notified();
--- a/crates/jobstore/src/slots.rs
+++ b/crates/jobstore/src/slots.rs
@@ -6,10 +6,10 @@
 
 use yokefall_serving::{Backend, Need, Residency, RouteKind};
 
+use crate::capacity::{Capacity, ServiceSlots, SlotPool};
 use crate::item_worker::ItemWorkers;
 use crate::pool_slots::PoolSlots;
 use crate::preemption::{preempted, PlacedRun};
-use crate::room::{Room, ServiceSlots, SlotPool};
 use crate::run::ItemSender;
 use crate::runner::Runner;
 use crate::running::{ItemKey, Running};
@@ -18,7 +18,7 @@
     /// Back ends of a pool with a free slot, and how many items may start there.
     pub(crate) fn free_slots(&self, pool: &SlotPool) -> ServiceSlots {
         let catalog = self.worker.catalog.load();
-        let room = self.room(pool);
+        let capacity = self.capacity(pool);
         let need = Need { service: &pool.service, residency: &pool.residency };
         let workers = self.item_workers();
         let backends = self.worker.places.with(|balancer, now| {
@@ -33,7 +33,7 @@
             };
             candidates.iter().filter(is_free).cloned().collect()
         });
-        ServiceSlots::new(room, backends)
+        ServiceSlots::new(capacity, backends)
     }
 
     /// The slots that the configuration in force gives an item.
@@ -52,34 +52,35 @@
 
     /// The slots of a pool. Of back ends that may take an item only those are looked at that have work: a pass comes up to
     /// fifty times a second, and before 10,000 back ends a leader that looked at all of them had a fifth of its items done.
-    fn room(&self, pool: &SlotPool) -> Room {
+    fn capacity(&self, pool: &SlotPool) -> Capacity {
         let catalog = self.worker.catalog.load();
         let need = Need { service: &pool.service, residency: &pool.residency };
         let coverage = self.store.loads.coverage(self.fleet.load().gateways().count());
-        let room = Room::new(self.store.loads.report_interval()).heard(coverage);
+        let capacity = Capacity::new(self.store.loads.report_interval()).with_coverage(coverage);
         let Some(closed) = self.item_workers().closed(&need) else {
             // What is known is too old to tell that any of them is warm.
-            return self.room_of_each(room, &self.item_workers().candidates(&catalog, &need));
+            return self
+                .capacity_of_each(capacity, &self.item_workers().candidates(&catalog, &need));
         };
         let tables = self.worker.eligibility.tables(&catalog, &need);
         self.worker.places.with(|balancer, now| {
             let mut counted = PoolSlots::new(&tables);
-            closed.iter().for_each(|backend| counted.leave_out(&backend.id, backend.started_ms));
-            balancer.ejected(now).for_each(|(id, started_ms)| counted.leave_out(id, started_ms));
-            self.store.loads.each_online(|life, requests| counted.take(life, requests));
-            balancer.all_in_flight().for_each(|(life, items)| counted.take(&life, items));
-            counted.add_to(room)
+            closed.iter().for_each(|backend| counted.exclude(&backend.id, backend.started_ms));
+            balancer.ejected(now).for_each(|(id, started_ms)| counted.exclude(id, started_ms));
+            self.store.loads.for_each_online(|life, requests| counted.occupy(life, requests));
+            balancer.all_in_flight().for_each(|(life, items)| counted.occupy(&life, items));
+            counted.add_to(capacity)
         })
     }
 
-    fn room_of_each(&self, mut room: Room, candidates: &[Arc<Backend>]) -> Room {
+    fn capacity_of_each(&self, mut capacity: Capacity, candidates: &[Arc<Backend>]) -> Capacity {
         self.worker.places.with(|balancer, now| {
             for backend in candidates.iter().filter(|backend| !balancer.is_ejected(now, backend)) {
                 let online = self.reported_online(backend);
-                room.add(backend.slots, online + balancer.in_flight(backend));
+                capacity.add(backend.slots, online + balancer.in_flight(backend));
             }
         });
-        room
+        capacity
     }
 
     /// Who may run items.
@@ -111,11 +112,11 @@
             .collect();
         let runs: Vec<PlacedRun> = placed.iter().map(|(run, backend)| run.at(backend)).collect();
         let online = |backend: &Backend| self.reported_online(backend);
-        let lacking = |service: &str| {
+        let shortfall = |service: &str| {
             let pool = SlotPool { service: service.to_owned(), residency: Residency::Anywhere };
-            self.room(&pool).lacking() as usize
+            self.capacity(&pool).shortfall() as usize
         };
-        for position in preempted(&runs, online, lacking) {
+        for position in preempted(&runs, online, shortfall) {
             placed[position].0.preempt();
         }
     }
--- a/crates/jobstore/src/snapshot.rs
+++ b/crates/jobstore/src/snapshot.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use yokefall_quota::Assignment;
 
-use crate::state::{HeldResult, Job, Jobs, OpenItem};
+use crate::state::{Job, Jobs, OpenItem, StoredResult};
 
 /// Begins a snapshot that has a version. A snapshot of version 1 begins with its number of jobs,
 /// which does not reach this number.
@@ -25,7 +25,7 @@
     queue: String,
     total: u32,
     open: BTreeMap<u32, OpenItem>,
-    results: Vec<HeldResult>,
+    results: Vec<StoredResult>,
     ended: bool,
 }
 
--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -45,7 +45,7 @@
         text: Option<String>,
     },
     /// Keeps the output of an item so far, so that its run goes on elsewhere.
-    Keep {
+    AppendOutput {
         /// Id of the job.
         job: String,
         /// Index of the item.
@@ -77,7 +77,7 @@
         job: String,
     },
     /// Several commands that nobody waits for, in one entry.
-    Several(Vec<Command>),
+    Batch(Vec<Command>),
     /// Takes a job of a tenant.
     SubmitFor {
         /// Id of the job.
@@ -139,12 +139,12 @@
     /// Drawn for each run.
     pub number: u64,
     /// The event after which the run was asked to continue; 0 for a run from the beginning.
-    pub asked_after: u64,
+    pub resume_after: u64,
 }
 
 /// Output of an item that has not ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Partial {
+pub struct PartialOutput {
     /// The last event in the text; 0 for none.
     pub last_event: u64,
     /// Data of the events so far.
@@ -153,13 +153,13 @@
     pub run: u64,
 }
 
-impl Partial {
+impl PartialOutput {
     /// Whether text of a run after an event may be joined to this one. Invariant: a text is joined
     /// of runs only where the next one was asked to continue. A run that was asked for another event
     /// may come to the same one by itself, when what an earlier run gave is kept late.
-    fn may_join(&self, run: Run, after_event: u64) -> bool {
+    fn accepts(&self, run: Run, after_event: u64) -> bool {
         let goes_on = self.run == run.number;
-        let was_asked = run.asked_after == after_event;
+        let was_asked = run.resume_after == after_event;
         self.last_event == after_event && (goes_on || was_asked)
     }
 }
@@ -172,12 +172,12 @@
     /// Runs that failed by the item's own fault.
     pub failures: u32,
     /// Output so far.
-    pub partial: Partial,
+    pub partial: PartialOutput,
 }
 
 /// The result of an item at its position.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct HeldResult {
+pub struct StoredResult {
     /// Id of the item.
     pub id: String,
     /// How it ended.
@@ -186,7 +186,7 @@
     pub text: PackedText,
 }
 
-impl HeldResult {
+impl StoredResult {
     fn positioned(&self) -> PositionedResult {
         PositionedResult { id: self.id.clone(), state: self.state, text: self.text.unpack() }
     }
@@ -211,7 +211,7 @@
     pub open: BTreeMap<u32, OpenItem>,
     /// Results by position. Invariant: only ever added to; a caller that read a position reads the
     /// same there later.
-    pub results: Vec<HeldResult>,
+    pub results: Vec<StoredResult>,
     /// Whether its caller ended it.
     pub ended: bool,
     /// Tenant that it belongs to; any of the tenant's keys reads and ends it.
@@ -226,14 +226,14 @@
 
     fn held_bytes(&self) -> usize {
         let open = |open: &OpenItem| open.item.held_bytes() + open.partial.text.len();
-        let result = |result: &HeldResult| RECORD_BYTES + result.text.held_bytes();
+        let result = |result: &StoredResult| RECORD_BYTES + result.text.held_bytes();
         let open: usize = self.open.values().map(open).sum();
         open + self.results.iter().map(result).sum::<usize>()
     }
 }
 
 /// Text to be joined to what an item gave before.
-struct KeptText<'a> {
+struct OutputChunk<'a> {
     run: Run,
     after_event: u64,
     last_event: u64,
@@ -300,9 +300,9 @@
             Command::Finish { job, item, state, run, after_event, text } => {
                 self.finish(job, item, state, run, after_event, text.as_deref())
             }
-            Command::Keep { job, item, run, after_event, last_event, text } => {
-                let text = KeptText { run, after_event, last_event, text: &text };
-                self.keep(&job, item, &text)
+            Command::AppendOutput { job, item, run, after_event, last_event, text } => {
+                let text = OutputChunk { run, after_event, last_event, text: &text };
+                self.append_output(&job, item, &text)
             }
             Command::CountFailure { job, item } => {
                 if let Some(open) = self.open_item(&job, item) {
@@ -320,7 +320,7 @@
                 self.accountants.assign(changes.collect());
                 Applied::Nothing
             }
-            Command::Several(commands) => {
+            Command::Batch(commands) => {
                 for command in commands {
                     self.apply(command);
                 }
@@ -341,7 +341,7 @@
         let open_item = |item: JobItem| OpenItem {
             item: Arc::new(item),
             failures: 0,
-            partial: Partial::default(),
+            partial: PartialOutput::default(),
         };
         let open: BTreeMap<u32, OpenItem> =
             (0..).zip(submission.items.into_iter().map(open_item)).collect();
@@ -379,7 +379,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return Applied::Nothing };
         let Some(open) = job.open.get(&item) else { return Applied::Nothing };
         let completed = state == ItemState::Completed;
-        if completed && !open.partial.may_join(run, after_event) {
+        if completed && !open.partial.accepts(run, after_event) {
             return Applied::Nothing;
         }
         let Some(open) = job.open.remove(&item) else { return Applied::Nothing };
@@ -387,18 +387,18 @@
         if completed {
             whole = open.partial.text;
             if let Some(text) = text {
-                join(&mut whole, after_event, text);
+                append_events(&mut whole, after_event, text);
             }
         }
         let text = PackedText::pack(whole);
-        job.results.push(HeldResult { id: open.item.id.clone(), state, text });
+        job.results.push(StoredResult { id: open.item.id.clone(), state, text });
         Applied::Finished { job: id, item }
     }
 
-    fn keep(&mut self, job: &str, item: u32, kept: &KeptText) -> Applied {
-        let joins = |open: &&mut OpenItem| open.partial.may_join(kept.run, kept.after_event);
+    fn append_output(&mut self, job: &str, item: u32, kept: &OutputChunk) -> Applied {
+        let joins = |open: &&mut OpenItem| open.partial.accepts(kept.run, kept.after_event);
         if let Some(open) = self.open_item(job, item).filter(joins) {
-            join(&mut open.partial.text, kept.after_event, kept.text);
+            append_events(&mut open.partial.text, kept.after_event, kept.text);
             open.partial.last_event = kept.last_event;
             open.partial.run = kept.run.number;
         }
@@ -413,13 +413,13 @@
     }
 
     /// A job that a requester may read and end.
-    pub fn of(&self, id: &str, requester: &Requester) -> Option<&Job> {
+    pub fn get_for(&self, id: &str, requester: &Requester) -> Option<&Job> {
         self.jobs.get(id).filter(|job| requester.may_use(job.tenant.as_ref()))
     }
 
     /// Results of a job from a position on; one at least where one exists.
     pub fn page(&self, id: &str, requester: &Requester, from: u64) -> Option<ResultPage> {
-        let job = self.of(id, requester)?;
+        let job = self.get_for(id, requester)?;
         let mut page = ResultPage { total: u64::from(job.total), results: Vec::new(), next: from };
         let mut bytes = 0;
         for result in job.results.iter().skip(from as usize) {
@@ -446,13 +446,13 @@
 
     /// Body of an item without a result.
     pub fn body(&self, id: &str, requester: &Requester, item: &str) -> Option<&[u8]> {
-        let open = self.of(id, requester)?.open.values().find(|open| open.item.id == item)?;
+        let open = self.get_for(id, requester)?.open.values().find(|open| open.item.id == item)?;
         Some(&open.item.body)
     }
 }
 
 /// Adds the data of the events after an event; 0 stands before the first.
-fn join(whole: &mut String, after_event: u64, text: &str) {
+fn append_events(whole: &mut String, after_event: u64, text: &str) {
     if after_event > 0 {
         whole.push('\n');
     }
--- a/crates/jobstore/src/store.rs
+++ b/crates/jobstore/src/store.rs
@@ -16,9 +16,9 @@
 };
 use yokefall_core::Timestamp;
 
+use crate::admission::{Admission, Rejection, Reservation, Usage};
 use crate::connections::Links;
-use crate::disk::{Disk, DiskOrder};
-use crate::intake::{Intake, NotTaken, Occupied, Reservation};
+use crate::disk::{Disk, DiskCommand};
 use crate::loads::Loads;
 use crate::protocol::{Frame, Submission};
 use crate::snapshot::{decode_state, encode_state};
@@ -26,7 +26,7 @@
 use crate::wal::Rewrite;
 
 /// Time for which another member's word of who leads counts.
-const HINT_LIFETIME: Duration = Duration::from_millis(3_000);
+const LEADER_HINT_LIFETIME: Duration = Duration::from_millis(3_000);
 
 /// What a replica may hold, and what its answers need.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
 
 /// Orders to the disk that belong together, and what waits for them.
 struct Batch {
-    orders: usize,
+    commands: usize,
     held: Vec<Message>,
 }
 
@@ -76,7 +76,7 @@
     /// The whole state goes to a member; its bytes.
     fn state_sent(&self, member: &MemberId, bytes: usize);
     /// The whole state after a position was taken; its bytes.
-    fn state_taken(&self, index: Index, bytes: usize);
+    fn state_installed(&self, index: Index, bytes: usize);
     /// A command was applied.
     fn applied(&self, index: Index, applied: &Applied);
     /// A command can't be read. This replica must not go on: it would hold another state than the others.
@@ -91,7 +91,7 @@
     clock: ElapsedClock,
     observer: Box<dyn StoreObserver>,
     limits: StoreLimits,
-    intake: Intake,
+    admission: Admission,
     /// What is in flight at back ends.
     pub loads: Loads,
     /// Woken when the role or a deadline changed.
@@ -142,7 +142,7 @@
             clock,
             observer,
             limits,
-            intake: Intake::default(),
+            admission: Admission::default(),
             loads: Loads::default(),
             deadline_changed: Notify::new(),
             work_changed: Notify::new(),
@@ -169,7 +169,7 @@
         let inner = &mut *self.inner.borrow_mut();
         let before = inner.core.next_deadline();
         let result = step(&mut inner.core, now);
-        self.carry_out(inner);
+        self.apply_effects(inner);
         if inner.core.next_deadline() < before {
             self.deadline_changed.notify_one();
         }
@@ -187,23 +187,23 @@
     }
 
     /// The disk synced this many orders.
-    pub fn synced(&self, orders: usize) {
+    pub fn synced(&self, commands: usize) {
         let now = self.now();
         let inner = &mut *self.inner.borrow_mut();
-        let mut left = orders;
+        let mut left = commands;
         while left > 0 {
             let Some(batch) = inner.batches.front_mut() else { break };
-            let done = batch.orders.min(left);
-            batch.orders -= done;
+            let done = batch.commands.min(left);
+            batch.commands -= done;
             left -= done;
-            if batch.orders > 0 {
+            if batch.commands > 0 {
                 break;
             }
             inner.core.persisted(now);
             let held = inner.batches.pop_front().map(|batch| batch.held).unwrap_or_default();
             self.send(held);
         }
-        self.carry_out(inner);
+        self.apply_effects(inner);
     }
 
     fn send(&self, messages: Vec<Message>) {
@@ -218,7 +218,7 @@
         self.links.send(name, frame);
     }
 
-    fn carry_out(&self, inner: &mut Inner) {
+    fn apply_effects(&self, inner: &mut Inner) {
         loop {
             let effects = inner.core.take_effects();
             let Effects { writes, messages, messages_after_sync, install, committed, installs } =
@@ -228,7 +228,7 @@
                 && committed.is_empty()
                 && installs.is_empty();
             self.send(messages);
-            self.order_writes(inner, writes, messages_after_sync);
+            self.enqueue_writes(inner, writes, messages_after_sync);
             if let Some(snapshot) = install {
                 self.install(inner, &snapshot);
             }
@@ -242,14 +242,14 @@
                 break;
             }
         }
-        self.note_role(inner);
+        self.update_role(inner);
         let log = inner.core.log().bytes();
         if log > self.limits.log_bytes && inner.core.applied_bytes() > self.limits.log_bytes / 2 {
             let state = encode_state(&inner.jobs);
             self.observer.compacted(state.len(), log, inner.jobs.held_bytes());
             inner.core.compact(state);
             let effects = inner.core.take_effects();
-            self.order_writes(inner, effects.writes, Vec::new());
+            self.enqueue_writes(inner, effects.writes, Vec::new());
         }
     }
 
@@ -263,7 +263,7 @@
         }
     }
 
-    fn order_writes(&self, inner: &mut Inner, writes: Vec<Write>, held: Vec<Message>) {
+    fn enqueue_writes(&self, inner: &mut Inner, writes: Vec<Write>, held: Vec<Message>) {
         if writes.is_empty() {
             match inner.batches.back_mut() {
                 Some(batch) => batch.held.extend(held),
@@ -272,27 +272,27 @@
             return;
         }
         inner.core.writing();
-        let mut orders = 0;
+        let mut commands = 0;
         let mut plain = Vec::new();
         for write in writes {
             if let Write::Snapshot { snapshot, .. } = write {
-                self.disk.order(DiskOrder::Append(std::mem::take(&mut plain)));
+                self.disk.enqueue(DiskCommand::Append(std::mem::take(&mut plain)));
                 let rewrite = rewrite_of(&inner.core, snapshot);
-                self.disk.order(DiskOrder::Replace(Box::new(rewrite)));
-                orders += 2;
+                self.disk.enqueue(DiskCommand::Replace(Box::new(rewrite)));
+                commands += 2;
             } else {
                 plain.push(write);
             }
         }
         if !plain.is_empty() {
-            self.disk.order(DiskOrder::Append(plain));
-            orders += 1;
+            self.disk.enqueue(DiskCommand::Append(plain));
+            commands += 1;
         }
-        inner.batches.push_back(Batch { orders, held });
+        inner.batches.push_back(Batch { commands, held });
     }
 
     fn install(&self, inner: &mut Inner, snapshot: &Snapshot) {
-        self.observer.state_taken(snapshot.index, snapshot.state.len());
+        self.observer.state_installed(snapshot.index, snapshot.state.len());
         inner.jobs = decode_state(&snapshot.state).expect("a state of the log");
         let now = Instant::now();
         let accepted = inner.jobs.iter().map(|(id, _)| (id.clone(), now));
@@ -310,7 +310,7 @@
             Payload::Command(bytes) => match Command::decode(&bytes) {
                 Ok(command) => {
                     let applied = inner.jobs.apply(command);
-                    self.note_applied(inner, index, applied);
+                    self.handle_applied(inner, index, applied);
                 }
                 Err(error) => self.observer.unreadable(index, &error),
             },
@@ -322,7 +322,7 @@
         }
     }
 
-    fn note_applied(&self, inner: &mut Inner, index: Index, applied: Applied) {
+    fn handle_applied(&self, inner: &mut Inner, index: Index, applied: Applied) {
         self.observer.applied(index, &applied);
         match applied {
             Applied::Accepted { job } => {
@@ -343,7 +343,7 @@
         }
     }
 
-    fn note_role(&self, inner: &mut Inner) {
+    fn update_role(&self, inner: &mut Inner) {
         let role = inner.core.role();
         if role == inner.role {
             return;
@@ -388,37 +388,41 @@
         if let Some(leader) = inner.core.leader() {
             return Some(leader.name.clone());
         }
-        let hint = inner.leader_hint.as_ref().filter(|(_, at)| at.elapsed() < HINT_LIFETIME);
+        let hint = inner.leader_hint.as_ref().filter(|(_, at)| at.elapsed() < LEADER_HINT_LIFETIME);
         hint.map(|(name, _)| name.clone())
     }
 
     /// Who leads, unless it is this replica and its lease has ended: it may be cut off, and another one
     /// may lead already.
-    pub fn leader_in_touch(&self) -> Option<String> {
+    pub fn confirmed_leader(&self) -> Option<String> {
         let own_name = self.inner.borrow().core.id().name.clone();
         self.leader().filter(|leader| *leader != own_name || self.serves())
     }
 
     /// Another member tells who leads.
-    pub fn note_leader(&self, name: String) {
+    pub fn set_leader_hint(&self, name: String) {
         self.inner.borrow_mut().leader_hint = Some((name, Instant::now()));
     }
 
     /// Reserves room for a submission while it is on its way into the log.
-    pub fn reserve(&self, job: &str, submission: &Submission) -> Result<Reservation<'_>, NotTaken> {
+    pub fn reserve(
+        &self,
+        job: &str,
+        submission: &Submission,
+    ) -> Result<Reservation<'_>, Rejection> {
         let inner = self.inner.borrow();
         let limited = submission.most_queued_tokens.is_some();
-        let occupied = Occupied {
+        let usage = Usage {
             bytes: inner.jobs.held_bytes(),
-            most_bytes: self.limits.job_bytes,
+            max_bytes: self.limits.job_bytes,
             queued_tokens: if limited { inner.jobs.queued_tokens(&submission.queue) } else { 0 },
         };
-        self.intake.reserve(job, submission, occupied)
+        self.admission.reserve(job, submission, usage)
     }
 
     /// Whether a submission is on its way into the log.
-    pub fn is_under_way(&self, job: &str) -> bool {
-        self.intake.is_pending(job)
+    pub fn is_pending(&self, job: &str) -> bool {
+        self.admission.is_pending(job)
     }
 
     /// Proposes a command and waits until it is in force.
@@ -431,7 +435,7 @@
     }
 
     /// Proposes a command that nobody waits for. Returns whether this replica leads.
-    pub fn propose_only(&self, command: &Command) -> bool {
+    pub fn propose_detached(&self, command: &Command) -> bool {
         self.propose_with(command, None)
     }
 
@@ -444,12 +448,12 @@
             let term = inner.core.term();
             inner.proposals.insert(index, Proposal { term, reply });
         }
-        self.carry_out(inner);
+        self.apply_effects(inner);
         true
     }
 
     /// A member asks to join the group.
-    pub fn note_joining(&self, member: MemberId) {
+    pub fn record_join_request(&self, member: MemberId) {
         let entry = (member.clone(), Instant::now());
         self.inner.borrow_mut().joining.insert(member.name, entry);
         self.group_changed.notify_one();
--- a/crates/jobstore/src/suspects.rs
+++ b/crates/jobstore/src/suspects.rs
@@ -16,21 +16,21 @@
 
 use crate::aggregators::ReportTarget;
 use crate::client::JobClient;
-use crate::kept_file;
+use crate::hint_file;
 use crate::protocol::{Reply, Request};
 
 /// Longest pause between two exchanges: three of them fall into the time within which all must know.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The same until the first has succeeded: a process that has just started sends what others hold back.
-const FIRST_INTERVAL: Duration = Duration::from_millis(200);
+const INITIAL_EXCHANGE_INTERVAL: Duration = Duration::from_millis(200);
 /// Exchanges after which what is over is dropped, about a minute.
-const ROUNDS_TO_FORGET: u32 = 64;
+const ROUNDS_PER_PURGE: u32 = 64;
 /// Pause before what this process learnt by itself is exchanged.
-const OBSERVED_PAUSE: Duration = Duration::from_millis(50);
+const OBSERVATION_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Least pause between two writes to the disk.
-const SAVE_PAUSE: Duration = Duration::from_millis(50);
+const MIN_SAVE_INTERVAL: Duration = Duration::from_millis(50);
 /// Name of the file.
 const FILE: &str = "suspects";
 
@@ -84,16 +84,16 @@
     mut target: ReportTarget,
 ) {
     let mut rounds: u32 = 0;
-    let mut has_learnt = false;
+    let mut has_synced = false;
     loop {
         rounds = rounds.wrapping_add(1);
-        if rounds % ROUNDS_TO_FORGET == 0 {
+        if rounds % ROUNDS_PER_PURGE == 0 {
             registry.forget();
         }
-        let interval = if has_learnt { EXCHANGE_INTERVAL } else { FIRST_INTERVAL };
+        let interval = if has_synced { EXCHANGE_INTERVAL } else { INITIAL_EXCHANGE_INTERVAL };
         let wait = interval.mul_f64(rand::random_range(0.5..1.0));
         if tokio::time::timeout(wait, registry.observed.notified()).await.is_ok() {
-            tokio::time::sleep(OBSERVED_PAUSE).await;
+            tokio::time::sleep(OBSERVATION_DELAY).await;
         }
         let Some(peer) = peer(&fleet.load(), &target) else { continue };
         let first = SuspectExchange::without_report(&registry);
@@ -102,7 +102,7 @@
             continue;
         };
         target.answered(&peer.name, Some(peer.name.clone()));
-        has_learnt = true;
+        has_synced = true;
         registry.take(answer.report);
         if answer.fingerprint != registry.fingerprint() {
             let second = SuspectExchange::with_report(&registry);
@@ -138,11 +138,11 @@
 /// Takes what was kept before this process started. Ages are those of the moment when it was kept: a
 /// suspect may be held back for longer than it would have been, never for less.
 pub fn load(folder: &Path, registry: &Registry) {
-    registry.take(kept_file::load(folder, FILE));
+    registry.take(hint_file::load(folder, FILE));
 }
 
 /// Keeps suspects that do not run freely on the disk, for ever: all processes may be killed at once.
-pub async fn keep(folder: PathBuf, registry: Rc<Registry>) {
+pub async fn persist_changes(folder: PathBuf, registry: Rc<Registry>) {
     let mut kept = registry.fingerprint();
     loop {
         registry.changed.notified().await;
@@ -151,9 +151,9 @@
             continue;
         }
         let report = registry.report_to_keep();
-        if kept_file::save_aside(folder.clone(), FILE, report).await {
+        if hint_file::save_in_background(folder.clone(), FILE, report).await {
             kept = fingerprint;
         }
-        tokio::time::sleep(SAVE_PAUSE).await;
+        tokio::time::sleep(MIN_SAVE_INTERVAL).await;
     }
 }
--- a/crates/jobstore/src/urgency.rs
+++ b/crates/jobstore/src/urgency.rs
@@ -8,40 +8,40 @@
 use std::time::Duration;
 
 /// Weight of one finished item in what was learnt.
-const LEARNING_WEIGHT: f64 = 0.1;
+const SMOOTHING_FACTOR: f64 = 0.1;
 /// Least part of an item's expected output that is taken to be left: outputs differ in length.
-const LEAST_LEFT_SHARE: f64 = 0.1;
+const MIN_REMAINING_SHARE: f64 = 0.1;
 
 /// What was observed of finished items.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pace {
+pub struct DurationEstimator {
     /// Events of output for each token that an item may take; 0 while nothing is known.
     events_per_token: f64,
     /// Time for an event, in milliseconds.
     event_ms: f64,
 }
 
-impl Pace {
-    /// An item that may take `tokens` ended with `events`, the last `made` of them within `time`.
-    pub fn finished(&mut self, tokens: u64, events: u64, made: u64, time: Duration) {
-        if tokens == 0 || made == 0 {
+impl DurationEstimator {
+    /// An item that may take `tokens` ended with `events`, the last `events_in_run` of them within `time`.
+    pub fn observe(&mut self, tokens: u64, events: u64, events_in_run: u64, time: Duration) {
+        if tokens == 0 || events_in_run == 0 {
             return;
         }
         let events_per_token = events as f64 / tokens as f64;
-        let event_ms = time.as_secs_f64() * 1_000.0 / made as f64;
+        let event_ms = time.as_secs_f64() * 1_000.0 / events_in_run as f64;
         if self.event_ms == 0.0 {
             *self = Self { events_per_token, event_ms };
             return;
         }
-        self.events_per_token += (events_per_token - self.events_per_token) * LEARNING_WEIGHT;
-        self.event_ms += (event_ms - self.event_ms) * LEARNING_WEIGHT;
+        self.events_per_token += (events_per_token - self.events_per_token) * SMOOTHING_FACTOR;
+        self.event_ms += (event_ms - self.event_ms) * SMOOTHING_FACTOR;
     }
 
     /// Time that an item with some events of output is expected to take yet.
-    pub fn left(&self, tokens: u64, events: u64) -> Duration {
+    pub fn remaining(&self, tokens: u64, events: u64) -> Duration {
         let expected = tokens as f64 * self.events_per_token;
-        let left = (expected - events as f64).max(expected * LEAST_LEFT_SHARE);
-        Duration::from_secs_f64(left * self.event_ms / 1_000.0)
+        let remaining = (expected - events as f64).max(expected * MIN_REMAINING_SHARE);
+        Duration::from_secs_f64(remaining * self.event_ms / 1_000.0)
     }
 }
 
@@ -53,13 +53,13 @@
     /// Time after that at which it is due; `None` where its route tells none.
     pub due: Option<Duration>,
     /// Time that it is expected to take yet.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 impl Urgency {
     /// Whether it cannot be done in time any more.
     pub fn is_late(&self) -> bool {
-        self.due.is_some_and(|due| self.age + self.left > due)
+        self.due.is_some_and(|due| self.age + self.remaining > due)
     }
 
     /// Time until it is due; items without such a time come after those with one.
@@ -77,7 +77,7 @@
             true => by_age,
             false => self.slack().cmp(&other.slack()).then(by_age),
         };
-        by_lateness.then(within).then(self.left.cmp(&other.left))
+        by_lateness.then(within).then(self.remaining.cmp(&other.remaining))
     }
 }
 
@@ -98,25 +98,26 @@
     /// Its index in its job.
     pub index: u32,
     /// Time that it is expected to take yet.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 impl WaitingJob {
     /// How soon an item of it should run that takes so long yet.
-    fn urgency(&self, left: Duration) -> Urgency {
-        Urgency { age: self.age, due: self.due, left }
+    fn urgency(&self, remaining: Duration) -> Urgency {
+        Urgency { age: self.age, due: self.due, remaining }
     }
 
     /// Whether an item that takes so long cannot be done in time any more.
-    pub fn is_late(&self, left: Duration) -> bool {
-        self.urgency(left).is_late()
+    pub fn is_late(&self, remaining: Duration) -> bool {
+        self.urgency(remaining).is_late()
     }
 
     /// Whether its items go before those of another job: those of items that can be done in time, or
     /// of `late` ones.
     pub fn order(&self, other: &Self, late: bool) -> Ordering {
-        let left = |job: &Self| if late { job.due.unwrap_or_default() } else { Duration::ZERO };
-        let order = self.urgency(left(self)).order(&other.urgency(left(other)));
+        let remaining =
+            |job: &Self| if late { job.due.unwrap_or_default() } else { Duration::ZERO };
+        let order = self.urgency(remaining(self)).order(&other.urgency(remaining(other)));
         order.then_with(|| self.id.cmp(&other.id))
     }
 }
--- a/crates/jobstore/src/wal.rs
+++ b/crates/jobstore/src/wal.rs
@@ -15,7 +15,7 @@
 use yokefall_consensus::{Entry, Index, MemberId, Members, Recovered, Snapshot, Term, Write};
 
 /// Bytes of a record's length and checksum.
-const HEAD_BYTES: usize = 8;
+const HEADER_BYTES: usize = 8;
 /// Bytes of the length that stands before a snapshot's state, which ends its record.
 const LENGTH_BYTES: usize = 4;
 /// Largest record believed, in bytes.
@@ -141,7 +141,7 @@
             synced: valid,
             pending: Vec::new(),
         };
-        wal.rewind()?;
+        wal.truncate_to_synced()?;
         wal.file.sync_all().map_err(|cause| wal.error("sync", cause))?;
         Ok(wal)
     }
@@ -199,7 +199,7 @@
         if self.pending.is_empty() {
             return Ok(());
         }
-        self.rewind()?;
+        self.truncate_to_synced()?;
         let pending = std::mem::take(&mut self.pending);
         let written = self.file.write_all(&pending).and_then(|()| self.file.sync_data());
         if let Err(cause) = written {
@@ -211,7 +211,7 @@
     }
 
     /// Cuts off whatever stands after the synced bytes.
-    fn rewind(&mut self) -> Result<(), WalError> {
+    fn truncate_to_synced(&mut self) -> Result<(), WalError> {
         let length = self.file.metadata().map_err(|cause| self.error("look at", cause))?.len();
         if length > self.synced {
             self.file.set_len(self.synced).map_err(|cause| self.error("cut", cause))?;
@@ -279,13 +279,13 @@
 
 fn encode(record: &Record, bytes: &mut Vec<u8>) {
     let head = bytes.len();
-    bytes.extend_from_slice(&[0; HEAD_BYTES]);
+    bytes.extend_from_slice(&[0; HEADER_BYTES]);
     // Encoding into memory fails for no value of this type.
     let _ = borsh::to_writer(&mut *bytes, record);
-    let content = &bytes[head + HEAD_BYTES..];
+    let content = &bytes[head + HEADER_BYTES..];
     let (length, checksum) = (content.len() as u32, crc32fast::hash(content));
     bytes[head..head + 4].copy_from_slice(&length.to_le_bytes());
-    bytes[head + 4..head + HEAD_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    bytes[head + 4..head + HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
 }
 
 /// Writes one record; the state of a snapshot goes out as it lies in memory.
@@ -309,7 +309,7 @@
     file.write_all(&checksum.finalize().to_le_bytes())?;
     file.write_all(&content)?;
     file.write_all(state)?;
-    Ok((HEAD_BYTES + length) as u64)
+    Ok((HEADER_BYTES + length) as u64)
 }
 
 struct Scan {
@@ -338,7 +338,7 @@
                 recovered.voted_for = voted_for;
                 recovered.settled = settled;
             }
-            Record::Entries(entries) => take_entries(&mut recovered, entries),
+            Record::Entries(entries) => append_entries(&mut recovered, entries),
             Record::Snapshot(snapshot) => {
                 recovered.snapshot = snapshot;
                 recovered.entries.clear();
@@ -350,7 +350,7 @@
     Ok(incarnation.map(|incarnation| Scan { incarnation, recovered, valid }))
 }
 
-fn take_entries(recovered: &mut Recovered, entries: Vec<Entry>) {
+fn append_entries(recovered: &mut Recovered, entries: Vec<Entry>) {
     let Some(first) = entries.first().map(|entry| entry.index) else { return };
     while recovered.entries.last().is_some_and(|entry| entry.index >= first) {
         recovered.entries.pop();
@@ -360,15 +360,15 @@
 
 /// The next record of a file of which `left` bytes remain, and its bytes; `None` where it is torn.
 fn next_record(reader: &mut impl Read, left: u64) -> std::io::Result<Option<(Record, u64)>> {
-    if left < HEAD_BYTES as u64 {
+    if left < HEADER_BYTES as u64 {
         return Ok(None);
     }
-    let mut head = [0; HEAD_BYTES];
+    let mut head = [0; HEADER_BYTES];
     reader.read_exact(&mut head)?;
     let [l0, l1, l2, l3, c0, c1, c2, c3] = head;
     let length = u32::from_le_bytes([l0, l1, l2, l3]);
     let checksum = u32::from_le_bytes([c0, c1, c2, c3]);
-    let whole = HEAD_BYTES as u64 + u64::from(length);
+    let whole = HEADER_BYTES as u64 + u64::from(length);
     if length > MAX_RECORD_BYTES || whole > left {
         return Ok(None);
     }
--- a/crates/jobstore/src/worker.rs
+++ b/crates/jobstore/src/worker.rs
@@ -99,9 +99,9 @@
     async fn run(&self, order: RunOrder, sink: &OutputSink, cancelled: &Notify) -> RunReport {
         let RunOrder { backend, host, tenant, item, after_event } = order;
         let sender = ItemSender { host, tenant };
-        let run = Run { number: 0, asked_after: after_event };
+        let run = Run { number: 0, resume_after: after_event };
         let progress =
-            Progress { run, kept_event: after_event, last_event: after_event, text: None };
+            Progress { run, committed_event: after_event, last_event: after_event, text: None };
         let progress = Rc::new(RefCell::new(progress));
         let (backend, item): (Arc<Backend>, Arc<JobItem>) = (backend.into(), item.into());
         // Before a connection is made as well: one to a back end that left would not come up for a while.
--- /dev/null
+++ b/crates/jobstore/tests/admission.rs
@@ -0,0 +1,62 @@
+//! Room for submissions.
+
+use yokefall_jobstore::admission::{Admission, Rejection, Usage};
+use yokefall_jobstore::Submission;
+use yokefall_serving::JobItem;
+
+const EMPTY: Usage = Usage { bytes: 0, max_bytes: 1 << 20, queued_tokens: 0 };
+
+fn submission(queue: &str, tokens: u64) -> Submission {
+    let item = JobItem {
+        id: "a".into(),
+        path: "/run".into(),
+        headers: Vec::new(),
+        body: vec![0; 1_000],
+        tokens,
+    };
+    Submission {
+        host: "h".into(),
+        max_attempts: 1,
+        max_queue_ms: 1_000,
+        completion_target_ms: 1_000,
+        queue: queue.into(),
+        most_queued_tokens: Some(250),
+        items: vec![item],
+    }
+}
+
+#[test]
+fn submissions_at_the_same_moment_count_together() {
+    let admission = Admission::default();
+    let first = admission.reserve("job-1", &submission("h/a/", 200), EMPTY).expect("room");
+    let second = admission.reserve("job-2", &submission("h/a/", 100), EMPTY);
+    assert_eq!(second.err(), Some(Rejection::OverQuota));
+    assert!(admission.reserve("job-3", &submission("h/b/", 100), EMPTY).is_ok());
+    drop(first);
+    assert!(admission.reserve("job-2", &submission("h/a/", 100), EMPTY).is_ok());
+}
+
+#[test]
+fn what_waits_counts() {
+    let admission = Admission::default();
+    let usage = Usage { queued_tokens: 200, ..EMPTY };
+    let over = admission.reserve("job-1", &submission("h/a/", 51), usage);
+    assert_eq!(over.err(), Some(Rejection::OverQuota));
+    assert!(admission.reserve("job-1", &submission("h/a/", 50), usage).is_ok());
+}
+
+#[test]
+fn a_job_under_way_is_not_refused_when_it_comes_again() {
+    let admission = Admission::default();
+    let _first = admission.reserve("job-1", &submission("h/a/", 200), EMPTY).expect("room");
+    let again = admission.reserve("job-1", &submission("h/a/", 200), EMPTY);
+    assert_eq!(again.err(), Some(Rejection::InProgress));
+}
+
+#[test]
+fn memory_bounds_what_is_taken() {
+    let admission = Admission::default();
+    let usage = Usage { bytes: (1 << 20) - 100, ..EMPTY };
+    let full = admission.reserve("job-1", &submission("h/a/", 1), usage);
+    assert_eq!(full.err(), Some(Rejection::Full));
+}
--- a/crates/jobstore/tests/room.rs
+++ b/crates/jobstore/tests/capacity.rs
@@ -2,39 +2,39 @@
 
 use std::time::Duration;
 
+use yokefall_jobstore::capacity::Capacity;
 use yokefall_jobstore::loads::report_interval;
-use yokefall_jobstore::room::Room;
 
-fn room(back_ends: u32, taken: u32, interval_ms: u64) -> Room {
-    let mut room = Room::new(Duration::from_millis(interval_ms));
+fn capacity(back_ends: u32, taken: u32, interval_ms: u64) -> Capacity {
+    let mut capacity = Capacity::new(Duration::from_millis(interval_ms));
     for _ in 0..back_ends {
-        room.add(10, taken);
+        capacity.add(10, taken);
     }
-    room
+    capacity
 }
 
 #[test]
 fn a_reserve_is_kept_that_a_burst_fills_before_items_give_way() {
     // 20 ms to tell and 70 to give way are 0.075 of the time in which a burst fills all slots.
-    assert_eq!(room(10, 0, 20).items(), 100 - 8);
+    assert_eq!(capacity(10, 0, 20).startable_items(), 100 - 8);
     // The later loads are told, the more stays free.
-    assert_eq!(room(10, 0, 100).items(), 100 - 15);
+    assert_eq!(capacity(10, 0, 100).startable_items(), 100 - 15);
 }
 
 #[test]
 fn items_give_way_below_half_of_the_reserve_not_before() {
     // 10 of 100 slots are free, of 8 that should be.
-    assert_eq!((room(10, 9, 20).items(), room(10, 9, 20).lacking()), (2, 0));
+    assert_eq!((capacity(10, 9, 20).startable_items(), capacity(10, 9, 20).shortfall()), (2, 0));
     // None is free.
-    assert_eq!((room(10, 10, 20).items(), room(10, 10, 20).lacking()), (0, 4));
+    assert_eq!((capacity(10, 10, 20).startable_items(), capacity(10, 10, 20).shortfall()), (0, 4));
     // More is there than slots.
-    assert_eq!((room(10, 14, 20).items(), room(10, 14, 20).lacking()), (0, 4));
+    assert_eq!((capacity(10, 14, 20).startable_items(), capacity(10, 14, 20).shortfall()), (0, 4));
 }
 
 #[test]
 fn a_service_of_one_back_end_keeps_a_slot_free() {
-    assert_eq!(room(1, 0, 20).items(), 9);
-    assert_eq!(room(1, 9, 20).items(), 0);
+    assert_eq!(capacity(1, 0, 20).startable_items(), 9);
+    assert_eq!(capacity(1, 9, 20).startable_items(), 0);
 }
 
 #[test]
--- a/crates/jobstore/tests/frames.rs
+++ b/crates/jobstore/tests/frames.rs
@@ -20,7 +20,7 @@
         Frame::Request { call: 1, request: Request::Load(report) },
         Frame::Reply { call: 2, reply: Reply::NotLeader { leader: Some(text.to_owned()) } },
         Frame::Output { call: 3, last_event: 4, text: text.to_owned() },
-        Frame::Impossible { job: text.to_owned(), item: number },
+        Frame::Unprocessable { job: text.to_owned(), item: number },
         Frame::GatewayMoved { gateway: text.to_owned() },
         Frame::Renew,
     ]
--- a/crates/jobstore/tests/loads.rs
+++ b/crates/jobstore/tests/loads.rs
@@ -5,8 +5,8 @@
 
 use quickcheck::quickcheck;
 use yokefall_jobstore::aggregators::{aggregators, ReportTarget};
+use yokefall_jobstore::capacity::Capacity;
 use yokefall_jobstore::loads::Loads;
-use yokefall_jobstore::room::Room;
 use yokefall_jobstore::{
     BackendCount, BackendOutcomes, BackendTotal, LoadReport, LoadSums, ServiceRate,
 };
@@ -105,7 +105,7 @@
         assert!(most.len() <= 64, "{gateways} gateways: {} at one aggregator", most.len());
         let loads = Loads::default();
         for peer in 1..chosen.len() {
-            loads.take_sums(LoadSums {
+            loads.record_sums(LoadSums {
                 from: format!("store-{peer}"),
                 counts: (0..back_ends).map(|id| total(id, 1)).collect(),
                 arrivals: vec![],
@@ -171,13 +171,13 @@
         outcomes: vec![],
         gateways: 7,
     };
-    loads.take_sums(sums.clone());
-    loads.take_sums(sums);
+    loads.record_sums(sums.clone());
+    loads.record_sums(sums);
     assert_eq!(
         (loads.online(&life("i-1")), loads.items(&life("i-1")), loads.reporters()),
         (Some(5), 5, 8)
     );
-    let own = loads.own_sums("store-1").expect("sums");
+    let own = loads.local_sums("store-1").expect("sums");
     assert_eq!(own.counts, [BackendTotal { backend: life("i-1"), online: 2, items: 1 }]);
     assert_eq!((own.gateways, own.arrivals[0].per_1000_seconds), (1, 1_000));
     let answer = loads.report(report(1, &[(1, 2)]), None);
@@ -201,7 +201,7 @@
     assert_eq!(loads.report(report(3, &[]), None).failing, [life("i-1")]);
     // Their sums make it known to the gateways of other aggregators.
     let other = Loads::default();
-    other.take_sums(loads.own_sums("store-1").expect("sums"));
+    other.record_sums(loads.local_sums("store-1").expect("sums"));
     assert_eq!(other.report(report(4, &[]), None).failing, [life("i-1")]);
     // It is forgotten with the reports.
     tokio::time::sleep(Duration::from_millis(2_000)).await;
@@ -257,9 +257,9 @@
 
 /// Slots of 100 that stay free for online requests where `loads` hears some of 6 gateways.
 fn reserve(loads: &Loads) -> u32 {
-    let mut room = Room::new(Duration::from_millis(24)).heard(loads.coverage(6));
-    room.add(100, 0);
-    room.reserve()
+    let mut capacity = Capacity::new(Duration::from_millis(24)).with_coverage(loads.coverage(6));
+    capacity.add(100, 0);
+    capacity.reserve()
 }
 
 /// Longer than the longest interval between two reports of any gateway.
@@ -274,7 +274,7 @@
     // All slots but those that a burst fills before items are preempted.
     assert_eq!(reserve(&loads), 8);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    assert_eq!((loads.coverage(6).heard, loads.online(&life("i-1"))), (0, None));
+    assert_eq!((loads.coverage(6).reporting, loads.online(&life("i-1"))), (0, None));
     assert_eq!(reserve(&loads), 70);
 }
 
@@ -375,12 +375,12 @@
     let (leader, other) = (Loads::default(), Loads::default());
     other.report(report(1, &[(1, 4)]), None);
     other.report(report(2, &[(1, 1)]), None);
-    leader.take_sums(other.own_sums("store-2").expect("sums"));
+    leader.record_sums(other.local_sums("store-2").expect("sums"));
     assert_eq!((leader.online(&life("i-1")), leader.reporters()), (Some(5), 2));
     // Its report at the leader tells where it comes from; that job store forgets it.
     leader.report(report(1, &[(1, 4)]), None);
     other.forget("edge-1");
-    leader.take_sums(other.own_sums("store-2").expect("sums"));
+    leader.record_sums(other.local_sums("store-2").expect("sums"));
     assert_eq!((leader.online(&life("i-1")), leader.reporters()), (Some(5), 2));
 }
 
@@ -421,7 +421,7 @@
     assert_eq!(answer.failing, std::slice::from_ref(&before));
     assert_eq!(answer.changes.len(), 2);
     let other = Loads::default();
-    other.take_sums(loads.own_sums("store-1").expect("sums"));
+    other.record_sums(loads.local_sums("store-1").expect("sums"));
     assert_eq!((other.online(&after), other.online(&before)), (Some(2), Some(8)));
     // The requests of the earlier life end late.
     loads.report(told(2, vec![]), None);
--- a/crates/jobstore/tests/pool_slots.rs
+++ b/crates/jobstore/tests/pool_slots.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
+use yokefall_jobstore::capacity::Capacity;
 use yokefall_jobstore::pool_slots::PoolSlots;
-use yokefall_jobstore::room::Room;
 use yokefall_serving::backend_table::BackendTable;
 use yokefall_serving::{Backend, BackendLife, BackendState};
 
@@ -33,11 +33,11 @@
     for (index, slots) in taken {
         *of_each.entry(*index).or_default() += u32::from(*slots);
     }
-    let mut room = Room::new(Duration::from_millis(20));
+    let mut capacity = Capacity::new(Duration::from_millis(20));
     for index in (0..count).filter(|index| !left_out.contains(index)) {
-        room.add(4, of_each.get(&index).copied().unwrap_or(0));
+        capacity.add(4, of_each.get(&index).copied().unwrap_or(0));
     }
-    (room.slots, room.free)
+    (capacity.slots, capacity.free)
 }
 
 quickcheck! {
@@ -51,13 +51,13 @@
         let mut counted = PoolSlots::new(&tables);
         // In any order: a back end may be found to be left out before or after its work is counted.
         let (early, late) = taken.split_at(taken.len() / 2);
-        early.iter().for_each(|(index, slots)| counted.take(&life(*index), u32::from(*slots)));
-        left_out.iter().for_each(|index| counted.leave_out(&life(*index).id, 1));
-        late.iter().for_each(|(index, slots)| counted.take(&life(*index), u32::from(*slots)));
+        early.iter().for_each(|(index, slots)| counted.occupy(&life(*index), u32::from(*slots)));
+        left_out.iter().for_each(|index| counted.exclude(&life(*index).id, 1));
+        late.iter().for_each(|(index, slots)| counted.occupy(&life(*index), u32::from(*slots)));
         // Another life of a back end says nothing of this one.
-        counted.take(&BackendLife { id: "i-0".into(), started_ms: 2 }, 1);
-        counted.leave_out("i-0", 2);
-        let room = counted.add_to(Room::new(Duration::from_millis(20)));
-        (room.slots, room.free) == by_each_back_end(count, &left_out, &taken)
+        counted.occupy(&BackendLife { id: "i-0".into(), started_ms: 2 }, 1);
+        counted.exclude("i-0", 2);
+        let capacity = counted.add_to(Capacity::new(Duration::from_millis(20)));
+        (capacity.slots, capacity.free) == by_each_back_end(count, &left_out, &taken)
     }
 }
--- a/crates/jobstore/tests/residence.rs
+++ b/crates/jobstore/tests/residence.rs
@@ -92,8 +92,8 @@
 fn a_member_that_has_ended_counts_where_it_stood_and_one_that_is_unknown_keeps_nothing() {
     let known = KnownZones::default();
     let all = [job_store("n", "north-a"), job_store("s", "south-a"), job_store("x", "elsewhere")];
-    known.note(&Fleet { members: all.to_vec(), ..Fleet::default() });
-    known.note(&Fleet { members: all[..1].to_vec(), ..Fleet::default() });
+    known.record(&Fleet { members: all.to_vec(), ..Fleet::default() });
+    known.record(&Fleet { members: all[..1].to_vec(), ..Fleet::default() });
     let forbidden = |residency| {
         let members = ["n", "s", "x", "never-met"];
         known.forbidden(members.into_iter(), &residency, &zones())
@@ -106,8 +106,8 @@
 #[test]
 fn a_job_store_that_comes_back_elsewhere_counts_there() {
     let known = KnownZones::default();
-    known.note(&Fleet { members: vec![job_store("n", "north-a")], ..Fleet::default() });
-    known.note(&Fleet { members: vec![job_store("n", "south-a")], ..Fleet::default() });
+    known.record(&Fleet { members: vec![job_store("n", "north-a")], ..Fleet::default() });
+    known.record(&Fleet { members: vec![job_store("n", "south-a")], ..Fleet::default() });
     assert!(!known.may_keep("n", &within(&["north"]), &zones()));
 }
 
@@ -115,13 +115,13 @@
 fn newcomers_from_outside_the_regions_of_held_jobs_join_only_where_none_from_inside_asks() {
     let known = KnownZones::default();
     let members = [job_store("a", "south-a"), job_store("b", "north-a"), job_store("c", "north-b")];
-    known.note(&Fleet { members: members.to_vec(), ..Fleet::default() });
+    known.record(&Fleet { members: members.to_vec(), ..Fleet::default() });
     let asking = |name: &str| MemberId { name: name.into(), incarnation: 1 };
     let mut joining = vec![asking("a"), asking("c"), asking("b")];
-    known.prefer_inside(&mut joining, &within(&["north"]), &zones());
+    known.prefer_allowed(&mut joining, &within(&["north"]), &zones());
     assert_eq!(joining, [asking("c"), asking("b")]);
     let mut outside = vec![asking("a")];
-    known.prefer_inside(&mut outside, &within(&["north"]), &zones());
+    known.prefer_allowed(&mut outside, &within(&["north"]), &zones());
     assert_eq!(outside, [asking("a")]);
 }
 
--- a/crates/jobstore/tests/state.rs
+++ b/crates/jobstore/tests/state.rs
@@ -36,18 +36,18 @@
         job: JOB.into(),
         item,
         state: ItemState::Completed,
-        run: Run { number: 1, asked_after: 0 },
+        run: Run { number: 1, resume_after: 0 },
         after_event,
         text: text.map(str::to_owned),
     }
 }
 
 fn keep(item: u32, after_event: u64, last_event: u64, text: &str) -> Command {
-    keep_of(Run { number: 1, asked_after: 0 }, item, after_event, last_event, text)
+    keep_of(Run { number: 1, resume_after: 0 }, item, after_event, last_event, text)
 }
 
 fn keep_of(run: Run, item: u32, after_event: u64, last_event: u64, text: &str) -> Command {
-    Command::Keep { job: JOB.into(), item, run, after_event, last_event, text: text.into() }
+    Command::AppendOutput { job: JOB.into(), item, run, after_event, last_event, text: text.into() }
 }
 
 fn texts(jobs: &Jobs) -> Vec<String> {
@@ -106,13 +106,13 @@
 /// in the log, and came to the same event by itself.
 #[test]
 fn a_run_is_joined_only_where_it_was_asked_to_continue() {
-    let (first, second) = (Run { number: 1, asked_after: 0 }, Run { number: 2, asked_after: 0 });
+    let (first, second) = (Run { number: 1, resume_after: 0 }, Run { number: 2, resume_after: 0 });
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a"]));
     jobs.apply(keep_of(first, 0, 0, 2, "1\n2"));
     jobs.apply(keep_of(second, 0, 0, 2, "one\ntwo"));
     jobs.apply(keep_of(second, 0, 2, 3, "three"));
-    let asked = Run { number: 3, asked_after: 2 };
+    let asked = Run { number: 3, resume_after: 2 };
     jobs.apply(keep_of(asked, 0, 2, 4, "3\n4"));
     let job = JOB.to_owned();
     let state = ItemState::Completed;
--- a/crates/jobstore/tests/urgency.rs
+++ b/crates/jobstore/tests/urgency.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use yokefall_jobstore::urgency::{Pace, Urgency};
+use yokefall_jobstore::urgency::{DurationEstimator, Urgency};
 
-fn urgency(age: u64, due: Option<u64>, left: u64) -> Urgency {
+fn urgency(age: u64, due: Option<u64>, remaining: u64) -> Urgency {
     Urgency {
         age: Duration::from_secs(age),
         due: due.map(Duration::from_secs),
-        left: Duration::from_secs(left),
+        remaining: Duration::from_secs(remaining),
     }
 }
 
@@ -42,14 +42,14 @@
 
 #[test]
 fn the_pace_is_learnt_from_finished_items() {
-    let mut pace = Pace::default();
-    assert_eq!(pace.left(1_000, 0), Duration::ZERO);
+    let mut estimator = DurationEstimator::default();
+    assert_eq!(estimator.remaining(1_000, 0), Duration::ZERO);
     // 100 events of 20 ms for 1,000 tokens; one without tokens or output teaches nothing.
-    pace.finished(1_000, 100, 100, Duration::from_secs(2));
-    pace.finished(0, 100, 100, Duration::from_secs(9));
-    pace.finished(1_000, 100, 0, Duration::from_secs(9));
-    assert_eq!(pace.left(1_000, 0), Duration::from_secs(2));
-    assert_eq!(pace.left(1_000, 50), Duration::from_secs(1));
+    estimator.observe(1_000, 100, 100, Duration::from_secs(2));
+    estimator.observe(0, 100, 100, Duration::from_secs(9));
+    estimator.observe(1_000, 100, 0, Duration::from_secs(9));
+    assert_eq!(estimator.remaining(1_000, 0), Duration::from_secs(2));
+    assert_eq!(estimator.remaining(1_000, 50), Duration::from_secs(1));
     // One that makes more than expected is taken to have a tenth left.
-    assert_eq!(pace.left(1_000, 120), Duration::from_millis(200));
+    assert_eq!(estimator.remaining(1_000, 120), Duration::from_millis(200));
 }
