--- a/crates/jobstore/src/abandon.rs
+++ b/crates/jobstore/src/abandon.rs
@@ -1,4 +1,4 @@
-//! Items that are given up, and output that must be in the log before a run goes on from it.
+//! Abandoning items, and waiting until the output of an item is applied before its run is resumed.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 use crate::state::{Command, Run};
 use crate::store::{ProposeError, Store};
 
-/// Frames to the next leader about an item that can never be done, and the pause between two: together
-/// longer than an election takes.
+/// Number of notices sent to the next leader about an unprocessable item, and the interval between
+/// them. Together they span more than an election.
 const MAX_UNPROCESSABLE_NOTICES: u32 = 10;
 const UNPROCESSABLE_NOTICE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Looks for output that was proposed, and the pause between two.
+/// Number of checks whether proposed output has been applied, and the interval between them.
 const MAX_APPLY_POLLS: u32 = 50;
 const APPLY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Store {
-    /// Waits until the output of an item up to an event is applied here, or will not be.
+    /// Waits until the output of an item up to `event` is applied on this replica, or no longer can
+    /// be.
     pub async fn wait_until_applied(&self, job: &str, item: u32, event: u64) {
         for _ in 0..MAX_APPLY_POLLS {
             let applied = self.with_job(job, |job| {
@@ -31,12 +32,12 @@
         }
     }
 
-    /// Gives an item up; returns when that is in the log, or the lead is lost.
+    /// Abandons an item. Returns once this is committed, or leadership is lost.
     pub async fn abandon(&self, job: &str, item: u32) -> Result<(), ProposeError> {
         self.propose(&abandonment(job, item)).await
     }
 
-    /// Gives an item up where this replica leads and the item has no result.
+    /// Abandons an item without waiting, if this replica leads and the item has no result.
     pub fn abandon_detached(&self, job: &str, item: u32) {
         let is_open = self.with_job(job, |job| job.open.contains_key(&item));
         if is_open == Some(true) {
@@ -44,9 +45,11 @@
         }
     }
 
-    /// Gives an item up that can never be done. Invariant: what a back end told of it outlives the
-    /// lead of the replica that was told; each further leader would else run the item again. A replica
-    /// that has lost the lead tells the next leader, several times, since a frame may be lost.
+    /// Abandons an item that a back end reported as unprocessable.
+    ///
+    /// Invariant: the verdict outlives the leadership of the replica that received it; otherwise
+    /// each later leader would run the item again. A replica that has lost leadership notifies the
+    /// next leader, repeatedly because frames may be lost.
     pub async fn abandon_unprocessable(&self, job: &str, item: u32) {
         if self.abandon(job, item).await.is_ok() {
             return;
--- a/crates/jobstore/src/addresses.rs
+++ b/crates/jobstore/src/addresses.rs
@@ -1,6 +1,8 @@
-//! Addresses of the other job stores, kept on the disk. After a loss of all processes the group can elect
-//! a leader before membership has found everybody again. An address is a hint and proves nothing: a message
-//! names the member that it is for, and another process at the address drops it.
+//! Addresses of the other job stores, persisted on disk so that after a restart of all processes
+//! the group can elect a leader before membership has found every member.
+//!
+//! An address is a hint only: each message names the member that it is addressed to, and any other
+//! process at that address drops it.
 
 use std::collections::BTreeMap;
 use std::io::Result;
@@ -12,26 +14,27 @@
 
 use crate::hint_file;
 
-/// Name of the file.
+/// File name in the data folder.
 const FILE: &str = "addresses";
-/// Interval at which the members are looked at; they change when machines come and go.
+/// Interval at which the member list is checked for changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// Addresses by name of the job store.
+/// Addresses by job store name.
 pub type Addresses = BTreeMap<String, SocketAddr>;
 
-/// Reads the addresses that were kept; none where the file is not there, or is torn.
+/// Reads the stored addresses; empty if the file is missing or corrupt.
 pub fn load(folder: &Path) -> Addresses {
     hint_file::load(folder, FILE)
 }
 
-/// Writes the addresses in the place of those before.
+/// Replaces the stored addresses.
 pub fn save(folder: &Path, addresses: &Addresses) -> Result<()> {
     hint_file::save(folder, FILE, addresses)
 }
 
-/// Keeps the addresses of the live job stores, for ever. Those of members that are gone stay until
-/// others are known: all may be gone at once.
+/// Writes the addresses of the live job stores whenever they change. Never returns. Addresses of
+/// members that are gone are kept until other live ones are known, since all members may be down at
+/// once.
 pub async fn persist_changes(folder: PathBuf, fleet: FleetCell) {
     let mut kept = Addresses::new();
     loop {
--- a/crates/jobstore/src/admission.rs
+++ b/crates/jobstore/src/admission.rs
@@ -1,19 +1,19 @@
-//! Whether a submission may be taken: it must fit the memory, and the tokens that may wait in its
-//! queue, together with submissions that are on their way into the log.
+//! Admission of submissions: a submission must fit the memory limit and the token limit of its
+//! queue, together with the submissions that are still being replicated.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
 use crate::protocol::Submission;
 
-/// Why a submission is not taken now.
+/// Why a submission is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The same job is on its way into the log; what becomes of it is not known yet.
+    /// The same job is still being replicated; its outcome is not known yet.
     InProgress,
-    /// It would take more memory than there is.
+    /// It would exceed the memory limit.
     Full,
-    /// More tokens would wait in its queue than may.
+    /// It would exceed the token limit of its queue.
     OverQuota,
 }
 
@@ -24,24 +24,24 @@
     bytes: usize,
 }
 
-/// Submissions that are on their way into the log, by job.
+/// Submissions that are being replicated, by job id.
 #[derive(Debug, Default)]
 pub struct Admission {
     pending: RefCell<BTreeMap<String, Pending>>,
 }
 
-/// What is held already.
+/// Resources that are already in use, and their limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Bytes of jobs.
+    /// Bytes used by jobs.
     pub bytes: usize,
-    /// Most bytes of jobs.
+    /// Maximum bytes used by jobs.
     pub max_bytes: usize,
-    /// Tokens of items that wait in the submission's queue.
+    /// Tokens of waiting items in the submission's queue.
     pub queued_tokens: u64,
 }
 
-/// Room for a submission that is on its way; given back when it is dropped.
+/// Reservation for a submission that is being replicated; released on drop.
 #[derive(Debug)]
 pub struct Reservation<'a> {
     admission: &'a Admission,
@@ -49,13 +49,16 @@
 }
 
 impl Admission {
-    /// Whether a job is on its way.
+    /// Whether a job is being replicated.
     pub fn is_pending(&self, job: &str) -> bool {
         self.pending.borrow().contains_key(job)
     }
 
-    /// Reserves room for a submission. Invariant: what was taken and what is on its way never
-    /// exceeds the limits together; submissions that arrive at the same moment would else each fit.
+    /// Reserves memory and queue tokens for a submission.
+    ///
+    /// Invariant: accepted and pending submissions together never exceed the limits. Without
+    /// counting the pending ones, submissions that arrive at the same time would each be found to
+    /// fit.
     pub fn reserve(
         &self,
         job: &str,
@@ -63,7 +66,8 @@
         usage: Usage,
     ) -> Result<Reservation<'_>, Rejection> {
         let mut pending = self.pending.borrow_mut();
-        // Its first sending may yet be taken: a refusal would promise that nothing of it runs.
+        // The first attempt may still be committed, so a rejection, which promises that nothing
+        // runs, would be wrong.
         if pending.contains_key(job) {
             return Err(Rejection::InProgress);
         }
--- a/crates/jobstore/src/aggregators.rs
+++ b/crates/jobstore/src/aggregators.rs
@@ -1,4 +1,4 @@
-//! Which job stores add up load reports, and the exchange of their sums.
+//! Selection of the job stores that aggregate load reports, and the exchange of their sums.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -14,28 +14,29 @@
 use crate::protocol::{Frame, LoadSums};
 use crate::store::Store;
 
-/// Gateways for each aggregator, from the arithmetic of work: with `g` gateways an aggregator takes
-/// `g / k` reports in an interval and `k - 1` sums, and both stay below 40 up to 500 gateways.
+/// Gateways per aggregator. With `g` gateways and `k` aggregators, one aggregator receives `g / k`
+/// reports and `k - 1` sums per interval; both stay below 40 for up to 500 gateways.
 const GATEWAYS_PER_AGGREGATOR: usize = 32;
-/// Time for which a gateway reports to another job store after one failed twice or knew no leader: longer than an
-/// election, so that a job store which is still without a leader then is cut off.
+/// Time for which a gateway reports elsewhere after a job store failed twice or knew no leader.
+/// Longer than an election, so that a job store that still knows no leader afterwards is cut off.
 const AVOIDANCE_PERIOD: Duration = Duration::from_millis(2_000);
-/// Key by which every process finds the same aggregators.
+/// Rendezvous-hash key with which every process selects the same aggregators.
 const AGGREGATOR_KEY: &[u8] = b"load-aggregators";
-/// Interval at which sums that have not changed are repeated; a third of the time for which they
-/// count.
+/// Interval at which unchanged sums are sent again; a third of their lifetime.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Gateways of a region, and the job stores there that take reports.
+/// Gateways of a region, and the job stores there that accept work.
 #[derive(Default)]
 struct Region<'a> {
     gateways: usize,
     stores: Vec<&'a FleetMember>,
 }
 
-/// The job stores that add up load reports: some in each region that has any, so that only sums and no reports
-/// cross regions. Where all stand in one region, or nothing is known of regions, and one is enough, the leader does
-/// it, so that the runner of items knows loads without another hop.
+/// The job stores that aggregate load reports.
+///
+/// Each region with gateways and job stores has its own, so that only sums cross regions, not
+/// reports. If there is a single region, or regions are unknown, and one aggregator suffices, it is
+/// the leader, which then knows the load without another hop.
 pub fn aggregators<'a>(
     fleet: &'a Fleet,
     zones: &ZoneMap,
@@ -57,7 +58,7 @@
     regions.into_values().flat_map(|region| select(region.stores, region.gateways, None)).collect()
 }
 
-/// As many job stores as so many gateways need, the first by rendezvous score.
+/// The job stores with the highest rendezvous scores, as many as this number of gateways needs.
 fn select<'a>(
     mut stores: Vec<&'a FleetMember>,
     gateways: usize,
@@ -71,30 +72,31 @@
     stores
 }
 
-/// The member with the highest hash of both names, so that the loss of one moves only its own gateways.
+/// The member with the highest rendezvous score for a gateway, so that losing a member moves only
+/// its own gateways.
 fn highest_score<'a>(members: Vec<&'a FleetMember>, gateway: &str) -> Option<&'a FleetMember> {
     let score = rendezvous_score(gateway.as_bytes());
     members.into_iter().max_by_key(|member| score(&member.name))
 }
 
-/// The job store to which one gateway reports.
+/// Selects the job store to which a process reports.
 #[derive(Debug)]
 pub struct ReportTarget {
     gateway: String,
-    /// Zone in which it stands.
+    /// Zone of the process.
     zone: String,
-    /// Regions of zones.
+    /// Region of each zone.
     zones: Arc<ZoneMap>,
-    /// Who leads, by the last answer.
+    /// The leader according to the last answer.
     leader: Option<String>,
-    /// Job stores that get no report until then.
+    /// Job stores that receive no report until the given time.
     avoided: HashMap<String, Instant>,
-    /// The job store that gave no answer to the last report.
+    /// The job store that did not answer the last report.
     unanswered: Option<String>,
 }
 
 impl ReportTarget {
-    /// Nothing is known of who leads yet.
+    /// Creates a target that knows no leader and no zone.
     pub fn new(gateway: String) -> Self {
         Self {
             gateway,
@@ -106,23 +108,23 @@
         }
     }
 
-    /// The same for a gateway whose zone is known: it reports in its own region while it can.
+    /// Sets the zone of the process, which then prefers job stores in its own region.
     pub fn standing_in(self, zone: String, zones: Arc<ZoneMap>) -> Self {
         Self { zone, zones, ..self }
     }
 
-    /// Name of the gateway.
+    /// Name of the reporting process.
     pub fn gateway(&self) -> &str {
         &self.gateway
     }
 
-    /// Who leads, by the last answer.
+    /// The leader according to the last answer.
     pub fn leader(&self) -> Option<&str> {
         self.leader.as_deref()
     }
 
-    /// The job store that gets the next report: an aggregator, of the own region where there is one, or any job
-    /// store where all aggregators are avoided.
+    /// The job store for the next report: an aggregator, preferably in the own region, or any job
+    /// store if all aggregators are avoided.
     pub fn choose<'a>(&self, fleet: &'a Fleet) -> Option<&'a FleetMember> {
         let now = Instant::now();
         let may_report = |member: &&FleetMember| {
@@ -140,8 +142,8 @@
             .or_else(|| highest_score(aggregators))
     }
 
-    /// A job store took a report, and told who leads as far as it knows. What it adds up reaches the
-    /// leader only where it knows one: one that is cut off takes reports to no use.
+    /// Records that a job store answered, and which leader it named. A job store that knows no
+    /// leader is avoided: it may be cut off, and its sums do not reach the leader.
     pub fn answered(&mut self, name: &str, leader: Option<String>) {
         if leader.is_none() {
             self.avoid(name);
@@ -150,8 +152,8 @@
         self.leader = leader;
     }
 
-    /// A job store gave no answer. It is left after the second time in a row: one late answer of a busy
-    /// process is no reason to begin anew elsewhere, where all totals have to be learnt again.
+    /// Records that a job store did not answer. It is avoided after the second failure in a row;
+    /// after a single late answer a switch would cost more, since all totals must be fetched again.
     pub fn failed(&mut self, name: &str) {
         if self.unanswered.as_deref() == Some(name) {
             self.avoid(name);
@@ -167,8 +169,8 @@
     }
 }
 
-/// Sends this process's sums to the other aggregators and to the leader, for ever: when they change,
-/// once an interval at most.
+/// Sends this process's sums to the other aggregators and to the leader when they change, at most
+/// once per interval. Never returns.
 pub async fn exchange(store: Rc<Store>, fleet: FleetCell, zones: Arc<ZoneMap>, me: String) {
     let mut sent: Option<LoadSums> = None;
     let mut sent_at = Instant::now();
@@ -185,7 +187,7 @@
         if sums == sent && sent_at.elapsed() < RESEND_INTERVAL {
             continue;
         }
-        // Where nothing is left, that is told once.
+        // When nothing is left, empty sums are sent once.
         let none = LoadSums {
             from: me.clone(),
             counts: vec![],
@@ -202,7 +204,7 @@
     }
 }
 
-/// Names of the job stores that need this one's sums.
+/// Names of the job stores that need this process's sums.
 fn sum_receivers(fleet: &Fleet, zones: &ZoneMap, leader: Option<String>, me: &str) -> Vec<String> {
     let aggregators = aggregators(fleet, zones, leader.as_deref());
     let mut names: Vec<String> =
--- a/crates/jobstore/src/backlog.rs
+++ b/crates/jobstore/src/backlog.rs
@@ -1,4 +1,4 @@
-//! Tells which items wait for a slot, and what keeps them from one.
+//! Logs and metrics about items that wait for a slot, and the limit that holds them back.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,56 +9,56 @@
 
 use crate::capacity::ServiceSlots;
 
-/// Least interval between two lines about the items of one service: a limit changes many times a second
-/// where online requests come and go.
+/// Minimum interval between two log lines about one service: the limit changes many times a second
+/// under fluctuating online load.
 const MIN_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Interval at which a limit that lasts is told again.
+/// Interval at which an unchanged limit is logged again.
 const RELOG_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// What keeps items of a service from running.
+/// What prevents the items of a service from starting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    /// No back end of the service takes work.
+    /// No back end of the service accepts work.
     NoBackend,
-    /// Each back end is full, or left out for its failures.
+    /// Every back end is full or ejected after failures.
     NoFreeSlot,
-    /// The free slots are kept for online requests.
+    /// The free slots are reserved for online requests.
     Reserve,
-    /// This process runs as many items as its memory allows.
+    /// This process has reached its limit of concurrent runs.
     Runs,
 }
 
 impl Limit {
-    /// As it stands in lines.
+    /// Text of the limit in log lines.
     fn text(self) -> &'static str {
         match self {
-            Self::NoBackend => "no back end takes work",
+            Self::NoBackend => "no back end accepts work",
             Self::NoFreeSlot => "no back end has a free slot",
-            Self::Reserve => "free slots are kept for online requests",
-            Self::Runs => "as many items run as memory allows",
+            Self::Reserve => "free slots are reserved for online requests",
+            Self::Runs => "limit of concurrent runs reached",
         }
     }
 }
 
-/// Runs and reports that a scheduling pass found.
+/// Statistics of a scheduling pass.
 #[derive(Clone, Copy, Debug)]
 pub struct PassStats {
     /// Items that this leader runs.
     pub running: usize,
-    /// Items that it runs at most.
+    /// Maximum number of items that it runs.
     pub most_runs: usize,
-    /// Gateways whose reports count.
+    /// Gateways whose load reports are current.
     pub reporting_gateways: u32,
 }
 
-/// What was told last, by service.
+/// The last limit logged for each service, and when.
 #[derive(Debug, Default)]
 pub struct Backlog {
     logged: RefCell<HashMap<String, (Limit, Instant)>>,
 }
 
 impl Backlog {
-    /// Tells of the items that a pass left waiting.
+    /// Logs the items that a pass left waiting, and updates the metrics.
     pub fn note<'a>(
         &self,
         services: impl Iterator<Item = (&'a String, &'a ServiceSlots)>,
--- a/crates/jobstore/src/client.rs
+++ b/crates/jobstore/src/client.rs
@@ -1,5 +1,5 @@
-//! The gateways' side: finds the leader through any job store, and tells what is known of the
-//! outcome of a call.
+//! Client of the job stores: finds the leader through any job store, and reports what is known
+//! about the outcome of a call.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,21 +16,22 @@
 
 use crate::protocol::{decode, encode, framed, Frame, Reply, Request};
 
-/// Time for a connection to come up.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time after which another job store is asked, beside what a held read may take.
+/// Time to wait for a reply before another job store is tried, in addition to the wait of a
+/// long-polling read.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause before the job stores are asked again.
+/// Backoff before the job stores are tried again.
 const RETRY_BACKOFF: Duration = Duration::from_millis(60);
-/// Time without acknowledgement of sent bytes after which a connection is given up.
+/// TCP user timeout: a connection is closed when sent bytes stay unacknowledged for this long.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// The leader answered.
     Answered(Reply),
-    /// No leader answered; nothing was done.
+    /// No leader answered; the request was not executed.
     NotDone,
     /// No leader answered; the change may be in force.
     Unknown,
@@ -44,7 +45,7 @@
     open: Rc<Cell<bool>>,
 }
 
-/// Calls job stores.
+/// Client that calls the job stores.
 pub struct JobClient {
     fleet: FleetCell,
     links: RefCell<HashMap<SocketAddr, Rc<Link>>>,
@@ -60,7 +61,7 @@
 }
 
 impl JobClient {
-    /// A client that finds job stores in the fleet.
+    /// Creates a client that finds the job stores in `fleet`.
     pub fn new(fleet: FleetCell) -> Self {
         Self {
             fleet,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Calls the leader until it answers or `deadline` has come.
+    /// Calls the leader until it answers or `deadline` is reached.
     pub async fn call(&self, request: Request, deadline: Instant) -> CallOutcome {
         let wait = match &request {
             Request::Results { wait_ms, .. } => Duration::from_millis(*wait_ms),
@@ -111,7 +112,7 @@
         CallOutcome::NotDone
     }
 
-    /// Calls one job store, whether it leads or not; `None` where it gave no reply by `limit`.
+    /// Calls one job store, whether it leads or not; `None` if it did not reply by `limit`.
     pub async fn call_member(
         &self,
         address: SocketAddr,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// The leader as far as known, else each job store in turn.
+    /// The leader if known, otherwise the next job store in turn.
     fn candidate(&self) -> Option<(String, SocketAddr)> {
         let fleet = self.fleet.load();
         let leader = self.leader.borrow();
@@ -171,7 +172,7 @@
             Ok(Err(_)) => Attempt::NoReply,
             Err(_) => {
                 link.waiting.borrow_mut().remove(&call);
-                // A silent connection may never speak again; the next call makes a new one.
+                // An unresponsive connection may never recover; the next call opens a new one.
                 link.open.set(false);
                 Attempt::NoReply
             }
@@ -217,7 +218,7 @@
             }
         }
         open.set(false);
-        // Whoever waits hears that there will be no reply.
+        // Dropping the senders tells all callers that no reply will come.
         waiting.borrow_mut().clear();
     });
     link
--- a/crates/jobstore/src/connections.rs
+++ b/crates/jobstore/src/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to the other members. A message that cannot be sent now is dropped: the replicated
-//! log sends again what is still wanted.
+//! Connections to the other members of the group. A message that cannot be sent immediately is
+//! dropped: the replicated log retransmits what is still needed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,41 +18,43 @@
 use crate::addresses::Addresses;
 use crate::protocol::{encode, send_frame, split, Frame, IncomingFrames};
 
-/// Frames that may wait for one member.
+/// Maximum number of frames queued for one member.
 const MAX_QUEUED_FRAMES: usize = 128;
-/// Time for a connection to come up.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause after a connection that did not come up.
+/// Backoff after a failed connection attempt.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
-/// Time without acknowledgement of sent bytes after which a connection is given up: a member that
-/// returns must not wait for the system's long pauses between repeats.
+/// TCP user timeout. A member that returns must not have to wait for the retransmission backoff of
+/// the operating system.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Interval at which a connection in use is asked for an answer.
+/// Interval at which a connection in use sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without that answer after which a connection is given up. One may go silent for good, though new ones
-/// come up and its bytes are acknowledged; members would hear nothing of this one until it restarts. Some round
-/// trips between regions, and below what an election takes twice.
+/// Time without a heartbeat answer after which a connection is closed. A connection may lose
+/// everything that is sent on it although bytes are acknowledged and new connections work; the peer
+/// would then receive nothing until a restart. Several round trips between regions, and less than
+/// twice an election.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time that a byte may take that was sent after the question: the answer comes behind a snapshot of megabytes
-/// on a link of 30 Mbit/s, shared by four.
+/// Additional time per byte sent after the heartbeat: the answer may be delayed by a snapshot of
+/// several megabytes on a 30 Mbit/s link shared by four.
 const MAX_TIME_PER_BYTE: Duration = Duration::from_nanos(1_000);
 
-/// Connections to other members, by name.
+/// Connections to the other members, by name.
 #[derive(Debug)]
 pub struct Links {
     fleet: FleetCell,
-    /// Where members were before this process started.
+    /// Addresses that members had before this process started.
     hints: Addresses,
     links: RefCell<HashMap<String, Sender<Bytes>>>,
 }
 
 impl Links {
-    /// No connections yet; addresses come from the fleet, and from `hints` where it does not know one.
+    /// Creates a set without connections. Addresses come from the fleet, or from `hints` for
+    /// members that it does not know.
     pub fn new(fleet: FleetCell, hints: Addresses) -> Self {
         Self { fleet, hints, links: RefCell::default() }
     }
 
-    /// Sends a frame to a member, or drops it.
+    /// Sends a frame to a member, or drops it if the queue is full.
     pub fn send(&self, name: &str, frame: &Frame) {
         let mut links = self.links.borrow_mut();
         let link = links.entry(name.to_owned()).or_insert_with(|| {
@@ -66,20 +68,20 @@
     }
 }
 
-/// The address of a member, as far as the fleet tells it.
+/// The address of a member, if the fleet knows it.
 pub fn address_of(fleet: &FleetCell, name: &str) -> Option<SocketAddr> {
     fleet.load().members.iter().find(|member| member.name == name).map(|member| member.address)
 }
 
-/// An open connection to a member. Members send their messages on connections of their own; what comes back on
-/// this one are answers to renewals alone.
+/// An open connection to a member. Members send their own messages on connections that they open;
+/// only heartbeat answers are received on this one.
 struct OpenConnection {
     reader: IncomingFrames,
     writer: OwnedWriteHalf,
-    /// When the last renewal was sent, and the bytes sent since.
+    /// When the last heartbeat was sent, and the bytes sent since.
     heartbeat_sent_at: Instant,
     bytes_since_heartbeat: usize,
-    /// Whether that renewal has been answered.
+    /// Whether that heartbeat has been answered.
     is_answered: bool,
 }
 
@@ -93,7 +95,7 @@
         Some(Self { reader, writer, heartbeat_sent_at, bytes_since_heartbeat, is_answered: true })
     }
 
-    /// Sends a frame, and now and then a renewal after it.
+    /// Sends a frame, followed by a heartbeat if one is due.
     async fn send(&mut self, frame: Bytes) -> std::io::Result<()> {
         self.bytes_since_heartbeat += frame.len();
         send_frame(&mut self.writer, frame).await?;
@@ -105,7 +107,7 @@
         Ok(())
     }
 
-    /// Until the connection has ended, or has not answered in time.
+    /// Waits until the connection is closed or a heartbeat answer is overdue.
     async fn wait_for_loss(&mut self) -> Lost {
         loop {
             let answered = match self.is_answered {
--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The job store process: one thread for the group, the jobs and the runs; one for the disk.
+//! The job store process: one thread for consensus, jobs and runs, and one for the disk.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -38,49 +38,49 @@
 use crate::worker::Worker;
 use crate::{addresses, aggregators, group, server, suspects};
 
-/// Parts in which replicas differ in when they rewrite their disks.
+/// Number of steps over which the replicas spread their disk rewrites.
 const STAGGER_PARTS: u64 = 64;
 
-/// What a job store is told at its start.
+/// Start options of a job store.
 #[derive(Clone, Debug)]
 pub struct JobStoreOptions {
     /// Name, unique in the fleet.
     pub name: String,
-    /// Zone in which it stands.
+    /// Zone of the process.
     pub zone: String,
     /// Region of the zone.
     pub region: String,
-    /// Regions of all zones.
+    /// Region of each zone.
     pub zones: Arc<ZoneMap>,
-    /// What is promised of zones, and of back ends that are not warm yet.
+    /// Bounds for the evacuation of zones and for back ends that are still cold.
     pub placement: PlacementBounds,
     /// Address for other processes, TCP and UDP.
     pub peer: SocketAddr,
-    /// Address at which other processes ask for configuration and back ends.
+    /// Address at which other processes request the configuration and the back ends.
     pub news: SocketAddr,
-    /// Peer addresses of some processes; they change when settings are read again.
+    /// Peer addresses of some processes; updated when the settings are reloaded.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// Folder for the log.
+    /// Folder of the log.
     pub folder: PathBuf,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at the same time.
     pub tolerated_losses: usize,
-    /// Time for which jobs that are over are kept.
+    /// How long finished jobs are retained.
     pub retention: Duration,
-    /// Bytes of log that are held in memory, and on disk beside the state.
+    /// Bytes of log held in memory, and on disk in addition to the snapshot.
     pub log_bytes: usize,
-    /// Bytes of jobs above which no further one is taken.
+    /// Bytes of jobs above which submissions are rejected.
     pub job_bytes: usize,
-    /// Bytes of results that may be on their way to readers.
+    /// Maximum bytes of results in flight to readers.
     pub page_bytes: usize,
-    /// Items that run at once at most.
+    /// Maximum number of items that run at the same time.
     pub most_runs: usize,
-    /// Decisions that are switched on.
+    /// Enabled policies.
     pub policy: Policy,
-    /// What is tolerated beyond tenants' limits.
+    /// Tolerances beyond the limits of tenants.
     pub quota: QuotaBounds,
-    /// Where it is known from that the machine was suspended.
+    /// Source that tells when the machine was suspended.
     pub suspension: SuspensionSource,
 }
 
@@ -91,10 +91,10 @@
     ports: PeerPorts,
 }
 
-/// Why a job store did not start.
+/// Why a job store failed to start.
 #[derive(Debug)]
 pub struct StartError {
-    /// The step.
+    /// The step that failed.
     pub step: &'static str,
     /// The cause.
     pub cause: String,
@@ -113,7 +113,7 @@
 }
 
 impl JobStore {
-    /// Opens the ports. A port 0 is replaced by the one that the system chose.
+    /// Opens the ports. Port 0 is replaced by the port that the system assigned.
     pub async fn bind(mut options: JobStoreOptions) -> Result<Self, StartError> {
         let listener =
             TcpListener::bind(options.peer).await.map_err(start_error("listen for peers"))?;
@@ -124,12 +124,12 @@
         Ok(Self { options, listener, ports: PeerPorts { datagrams, news } })
     }
 
-    /// What it was told, with the ports that are open.
+    /// The start options, with the ports that are open.
     pub fn options(&self) -> &JobStoreOptions {
         &self.options
     }
 
-    /// Runs until `stop` turns true. To be called within a `tokio::task::LocalSet`.
+    /// Runs until `stop` becomes true. Must be called within a `tokio::task::LocalSet`.
     pub async fn run<P: Platform>(
         self,
         platform: P,
@@ -228,8 +228,8 @@
         };
         let cold = ColdStart::new(catalog.clone(), fleet.clone(), cold_options);
         tokio::task::spawn_local(cold_start::watch(cold.clone()));
-        // It knows no regions: items of all would fill the back ends of the leader's region, though a worker near
-        // the back end sends them.
+        // This balancer ignores regions: otherwise the items of all regions would fill the back
+        // ends of the leader's region, although a worker near the back end sends them.
         let balancer = Balancer::new(options.zone.clone(), rand::random(), options.policy);
         let places = Places::with_cold_start(balancer, clock(), cold.clone());
         let suspects = Registry::new(catalog.clone(), clock());
@@ -291,8 +291,9 @@
     }
 }
 
-/// A bound on the log that differs among replicas by up to a third: all of them would rewrite their
-/// disks at the same moment, and nothing could be committed meanwhile.
+/// The log limit of a replica, lowered by up to a third depending on its name. With equal limits
+/// all replicas would rewrite their disks at the same time, and nothing could be committed
+/// meanwhile.
 fn staggered(log_bytes: usize, name: &str) -> usize {
     let part = xxh3_64(name.as_bytes()) % STAGGER_PARTS;
     log_bytes - log_bytes / 3 * part as usize / STAGGER_PARTS as usize
@@ -314,7 +315,7 @@
     }
 }
 
-/// Before a planned stop the lead goes to another member, so that nobody waits for an election.
+/// Transfers leadership before a planned stop, so that no election is needed.
 async fn transfer_leadership(store: &Store) {
     let other = store.with_core(|core, now| {
         let me = core.id().clone();
@@ -331,7 +332,7 @@
 
 struct LogObserver;
 
-/// Exit code of a process whose log holds what it can't read: that of a data folder that failed.
+/// Exit code if the log holds an unreadable command; the same as for a failed data folder.
 const EXIT_UNREADABLE_LOG: i32 = 4;
 
 impl StoreObserver for LogObserver {
@@ -342,9 +343,10 @@
             .text("build", version::build())
             .field("formats", version::FORMAT_VERSION)
             .write();
-        // Lines are written by a thread of their own, which may not come to this one any more.
-        eprintln!("yokefall: position {index} of the log: {error}");
-        // Nothing is lost: what is synced stays, and a program that knows the command goes on from here.
+        // The process may exit before the logging thread has written the line above.
+        eprintln!("yokefall: log position {index}: {error}");
+        // No data is lost: what is synced stays, and a build that knows the command can continue
+        // from here.
         std::process::exit(EXIT_UNREADABLE_LOG);
     }
 
--- a/crates/jobstore/src/delegation.rs
+++ b/crates/jobstore/src/delegation.rs
@@ -1,9 +1,10 @@
-//! The leader's side of runs at other job stores: which one runs an item, and what it reports.
+//! The leader's side of runs at other job stores: selects the worker for an item and collects its
+//! output and report.
 //!
-//! A run that is delegated is leased: the worker ends it when the connection breaks or nothing comes
-//! from the leader for `RUN_LEASE`, and the leader takes it for lost when nothing comes from the worker
-//! for as long. What a lost run gives is dropped with its connection; only the leader proposes results,
-//! and the log takes one for each item.
+//! A delegated run is leased. The worker ends it if the connection breaks or the leader sends
+//! nothing for `RUN_LEASE`; the leader considers it lost if the worker sends nothing for as long.
+//! Output of a lost run is dropped with its connection. Only the leader proposes results, and the
+//! log accepts one result per item.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -26,22 +27,23 @@
 use crate::run::{Progress, RunEnd};
 use crate::store::Store;
 
-/// Time without a frame from the other side after which a run ends. Below `cancelMs` of every
-/// deployment, so that a cancelled item does not run on at a worker that nobody reaches.
+/// Time without a frame from the other side after which a run ends. Must be below `cancelMs` of
+/// every deployment, so that a cancelled item does not keep running at an unreachable worker.
 pub const RUN_LEASE: Duration = Duration::from_millis(1_500);
-/// Interval at which leader and worker say that they live; a third of the lease.
+/// Interval of heartbeats between leader and worker; a third of the lease.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for a connection to a worker to come up.
+/// Time limit for connecting to a worker.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for which a worker that failed, or is full, gets nothing.
+/// Time for which a failed or full worker receives no runs.
 const AVOIDANCE_PERIOD: Duration = Duration::from_millis(1_000);
-/// Time for a cancelled run to report how far it came.
+/// Time for a cancelled run to report its progress.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for which a connection without runs is kept: items come in heaps some seconds apart.
+/// Time after which a connection without runs is closed. Items arrive in batches some seconds
+/// apart.
 const MAX_IDLE_TIME: Duration = Duration::from_millis(10_000);
 
-/// A run as its leader holds it.
+/// The leader's record of a delegated run.
 struct OpenRun {
     progress: Rc<RefCell<Progress>>,
     report: oneshot::Sender<Reply>,
@@ -51,13 +53,13 @@
 struct Link {
     frames: UnboundedSender<Frame>,
     runs: RefCell<HashMap<u64, OpenRun>>,
-    /// Takes what the worker learnt of suspects.
+    /// Receives the worker's reports on suspects.
     suspects: Rc<Registry>,
     is_open: Cell<bool>,
     used_at: Cell<Instant>,
 }
 
-/// Workers of this leader.
+/// The workers of this leader.
 pub struct Delegation {
     fleet: FleetCell,
     zones: Arc<ZoneMap>,
@@ -68,7 +70,7 @@
     next_call: Cell<u64>,
 }
 
-/// Tells the worker to end a run whose task is dropped.
+/// Cancels a run at its worker when the task of the run is dropped.
 struct CancelOnDrop<'a> {
     link: &'a Link,
     call: u64,
@@ -77,14 +79,14 @@
 impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if self.link.runs.borrow_mut().remove(&self.call).is_some() {
-            // A link that is closed has ended the run already.
+            // If the link is closed, the run has already ended.
             let _ = self.link.frames.send(Frame::Cancel { call: self.call });
         }
     }
 }
 
 impl Delegation {
-    /// No connections yet.
+    /// Creates a delegation without connections.
     pub fn new(
         fleet: FleetCell,
         zones: Arc<ZoneMap>,
@@ -102,9 +104,12 @@
         }
     }
 
-    /// The job store that runs items of a back end: of those that do not vote and stand where the item may be,
-    /// the nearest to the back end (`nearest`), and of these the one with the highest hash of both names, so
-    /// that connections to back ends are used again. `None` where this process should run them itself.
+    /// The job store that runs items of a back end, or `None` if this process should run them
+    /// itself.
+    ///
+    /// Candidates are the non-voters that the residency allows; of the nearest ones (see `nearest`)
+    /// the one with the highest rendezvous score is chosen, so that connections to back ends are
+    /// reused.
     pub fn worker_for(&self, backend: &Backend, residency: &Residency) -> Option<FleetMember> {
         let fleet = self.fleet.load();
         let voters = self.store.with_core(|core, _| core.members().voters.clone());
@@ -116,20 +121,20 @@
         candidates.max_by_key(|member| score(&member.name)).cloned()
     }
 
-    /// The job store of this name, where it may be given items. One that votes may: few have a share of a back end
-    /// that is cold, and in a small group all vote.
+    /// The job store with this name, if it may run items with this residency. Voters are included:
+    /// only few job stores have a share of a cold back end, and in a small group all of them vote.
     pub fn worker_named(&self, name: &str, residency: &Residency) -> Option<FleetMember> {
         let fleet = self.fleet.load();
         self.free(&fleet, residency).into_iter().find(|member| member.name == name).cloned()
     }
 
-    /// Names of the job stores that may be given items with a residency.
+    /// Names of the job stores that may run items with a residency.
     pub fn free_names(&self, residency: &Residency) -> Vec<String> {
         let fleet = self.fleet.load();
         self.free(&fleet, residency).into_iter().map(|member| member.name.clone()).collect()
     }
 
-    /// Job stores that take work, have not failed lately and stand where an item may be.
+    /// Job stores that accept work, have not failed recently and stand where the residency allows.
     fn free<'a>(&self, fleet: &'a Fleet, residency: &Residency) -> Vec<&'a FleetMember> {
         let mut avoided = self.avoided.borrow_mut();
         let now = Instant::now();
@@ -142,7 +147,7 @@
         fleet.job_stores().filter(is_free).collect()
     }
 
-    /// Runs an item at a worker. The output comes into `progress`; `preempted` ends the run.
+    /// Runs an item at a worker. Output is added to `progress`; `preempted` cancels the run.
     pub async fn run(
         &self,
         worker: &FleetMember,
@@ -170,7 +175,7 @@
             reply = &mut reported => reply.ok(),
             () = preempted.notified() => {
                 was_preempted = true;
-                // Where the link has closed, the report never comes.
+                // If the link has closed, no report arrives.
                 let _ = link.frames.send(Frame::Cancel { call });
                 tokio::time::timeout(CANCEL_TIMEOUT, reported).await.ok().and_then(Result::ok)
             }
@@ -219,7 +224,7 @@
     }
 }
 
-/// Members as near to a zone as any: those in it, else those of its region, else all.
+/// The members nearest to a zone: those in the zone, otherwise those in its region, otherwise all.
 pub fn nearest<'a>(
     members: &[&'a FleetMember],
     zone: &str,
@@ -230,14 +235,14 @@
     members.iter().copied().filter(|member| Some(distance(member)) == least).collect()
 }
 
-/// How a run ends that gave its slot to an online request.
+/// The end of a run that was preempted by an online request.
 pub fn preemption() -> RunEnd {
     RunEnd::Again { cause: "preempted by online requests".into(), pause: true }
 }
 
 type Queued = tokio::sync::mpsc::UnboundedReceiver<Frame>;
 
-/// Carries frames until the connection breaks or the worker falls silent.
+/// Serves a link until the connection breaks or the worker stops responding.
 async fn serve(link: Rc<Link>, store: Rc<Store>, address: SocketAddr, queued: Queued) {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     if let Ok(Ok(stream)) = connecting.await {
@@ -245,7 +250,7 @@
         relay_frames(&link, &store, stream, queued).await;
     }
     link.is_open.set(false);
-    // Whoever waits learns that the run is lost.
+    // Dropping the senders tells all waiting tasks that their run is lost.
     link.runs.borrow_mut().clear();
 }
 
@@ -291,7 +296,7 @@
         Frame::Suspects(report) => link.suspects.take(report),
         Frame::Reply { call, reply } => {
             if let Some(run) = link.runs.borrow_mut().remove(&call) {
-                // A run whose task was dropped needs no report.
+                // The task of the run may have been dropped.
                 let _ = run.report.send(reply);
             }
         }
--- a/crates/jobstore/src/disk.rs
+++ b/crates/jobstore/src/disk.rs
@@ -1,4 +1,5 @@
-//! The thread that writes: nothing that waits for the disk holds up the thread that answers peers.
+//! The disk thread. Writing on a thread of its own keeps a slow disk from blocking the thread that
+//! answers peers.
 
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
@@ -9,25 +10,25 @@
 
 use crate::wal::{Rewrite, Wal};
 
-/// Pause after a failed write before it is tried again.
+/// Backoff after a failed write.
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What the disk thread is asked to do, in order.
+/// A command to the disk thread; commands are executed in order.
 #[derive(Debug)]
 pub enum DiskCommand {
-    /// Write these.
+    /// Appends records to the log.
     Append(Vec<Write>),
-    /// Put this in the place of everything.
+    /// Replaces the whole log.
     Replace(Box<Rewrite>),
 }
 
-/// The control thread's side of the disk thread.
+/// Handle to the disk thread.
 #[derive(Debug)]
 pub struct Disk {
     commands: Sender<DiskCommand>,
 }
 
-/// Tells how many orders were synced since it last told.
+/// Receives the number of commands synced since the previous message.
 pub type Synced = UnboundedReceiver<usize>;
 
 impl Disk {
@@ -41,14 +42,14 @@
         Ok((Self { commands }, synced))
     }
 
-    /// Queues an order.
+    /// Enqueues a command.
     pub fn enqueue(&self, command: DiskCommand) {
-        // The thread ends with the process.
+        // The thread lives as long as the process.
         let _ = self.commands.send(command);
     }
 }
 
-/// Writes everything that waits, syncs once, tells.
+/// Executes all pending commands, syncs once and reports the number of commands.
 fn run(mut wal: Wal, commands: Receiver<DiskCommand>, report_synced: UnboundedSender<usize>) {
     while let Ok(first) = commands.recv() {
         let mut count = 0;
@@ -73,8 +74,8 @@
     retry_until_done("rewrite", || wal.rewrite(rewrite.clone()));
 }
 
-/// Repeats a step until it is done: a disk that refuses writes may take them later, and until then
-/// nothing is acknowledged.
+/// Retries a step until it succeeds. A failing disk may recover; until then nothing is
+/// acknowledged.
 fn retry_until_done<E: std::fmt::Display>(
     step: &'static str,
     mut action: impl FnMut() -> Result<(), E>,
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -1,5 +1,5 @@
-//! The group's members from outside the log: founding, joining, and the machines that an operator
-//! wants to empty.
+//! Changes to the group's members that originate outside the log: bootstrap, joining, and the
+//! retirement of machines by an operator.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,40 +21,40 @@
 use crate::residence::KnownZones;
 use crate::store::Store;
 
-/// Interval at which a member that is outside asks to join, at first: a lost disk is to be replaced
-/// within seconds.
+/// Initial interval of join requests: a lost disk should be replaced within seconds.
 const JOIN_INTERVAL: Duration = Duration::from_millis(250);
-/// The same once it has asked for a while: it stands by.
+/// Interval of join requests after `FAST_JOIN_ATTEMPTS`, for a member on standby.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Askings at the first interval.
+/// Number of join requests at the initial interval.
 const FAST_JOIN_ATTEMPTS: u32 = 20;
-/// Time for which an asking counts.
+/// Time for which a join request is valid.
 const JOIN_LIFETIME: Duration = Duration::from_millis(2_300);
-/// Interval at which the leader looks at members while a change is wanted.
+/// Interval at which the leader evaluates the membership policy while a change is pending.
 const POLICY_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a call to the platform's store that failed.
+/// Backoff after a failed call to the platform's store.
 const RETRY_BACKOFF: Duration = Duration::from_millis(300);
-/// Key of the claim to found the group.
+/// Key of the claim that elects the founder of the group.
 const FOUNDER_KEY: &str = "jobs";
-/// Interval at which a member of a pair looks whether the other one is gone.
+/// Interval at which a member of a two-member group checks whether the other one is gone.
 const PAIR_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for the store's answer about the founder.
+/// Time limit for a claim or report to the platform's store.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Machines that are to be emptied, as far as the platform's store told.
+/// Machines that are being retired according to the platform's store, with whether that is
+/// completed.
 #[derive(Clone, Default)]
 pub struct RetiringMachines {
     names: Rc<RefCell<HashMap<String, bool>>>,
 }
 
 impl RetiringMachines {
-    /// Names of machines whose emptying is not reported as done.
+    /// Machines whose retirement has not been reported as completed.
     fn open(&self) -> Vec<String> {
         let names = self.names.borrow();
         names.iter().filter(|(_, completed)| !**completed).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Names of all machines that must take nothing.
+    /// All machines that must not be given any role.
     fn all(&self) -> Vec<String> {
         self.names.borrow().keys().cloned().collect()
     }
@@ -93,15 +93,15 @@
     Line::new(EventName::GroupDecision).id(about).field("decision", decision).write();
 }
 
-/// Founds the group, where this is the first start of the whole system and no other member was
-/// faster. The platform's store decides which one: its record is made once.
+/// Bootstraps the group if this is the first start of the whole system and no other member was
+/// first. A claim in the platform's store, which can be made only once, decides.
 pub async fn bootstrap<P: Platform>(platform: P, store: Rc<Store>, me: MemberId) {
     let mut registry = platform.registry();
     let offer = me.to_string();
     loop {
         match tokio::time::timeout(CLAIM_TIMEOUT, registry.claim(FOUNDER_KEY, &offer)).await {
             Ok(Ok(Claim::Mine)) => {
-                log_decision("found the group", &me);
+                log_decision("bootstrap the group", &me);
                 store.with_core(|core, now| core.found(now));
                 store.deadline_changed.notify_one();
                 return;
@@ -113,7 +113,7 @@
     }
 }
 
-/// Asks to join for as long as this member is outside of the group.
+/// Sends join requests while this member is not in the group. Never returns.
 pub async fn join(store: Rc<Store>, fleet: FleetCell, me: MemberId) {
     let mut asked = 0;
     loop {
@@ -129,7 +129,7 @@
             continue;
         }
         asked = 0;
-        // A member that was removed while it was away learns it from nobody: look now and then.
+        // A member that was removed while it was down is not notified, so it checks for a leader.
         tokio::time::sleep(JOIN_INTERVAL * 4).await;
         let leaderless = store.with_core(|core, _| core.leader().is_none());
         if leaderless {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Changes members while this member leads.
+/// Manages the members of the group while this member leads.
 pub async fn lead<P: Platform>(
     platform: P,
     store: Rc<Store>,
@@ -183,7 +183,7 @@
     }
 }
 
-/// One step. Returns whether another look is wanted soon.
+/// Executes one step of the membership policy. Returns whether it should be evaluated again soon.
 async fn change_members<P: Platform>(
     platform: &P,
     store: &Store,
@@ -212,11 +212,11 @@
                     log_decision("change members", told);
                 }
             } else {
-                log_decision("wait for the claim on a pair", format!("{pair:?}"));
+                log_decision("wait for the claim of a two-member group", format!("{pair:?}"));
             }
         }
         Step::HandOver(to) => {
-            log_decision("hand the lead over", &to);
+            log_decision("transfer leadership", &to);
             store.with_core(|core, now| core.hand_over(now, &to));
         }
     }
@@ -224,13 +224,13 @@
     !wishes.joining.is_empty() || !leaving.open().is_empty() || learners
 }
 
-/// Zones of the job stores that are known.
+/// Zones of the known job stores.
 fn zones_of(fleet: &FleetCell) -> Zones {
     let fleet = fleet.load();
     Zones::new(fleet.job_stores().map(|member| (member.name.clone(), member.zone.clone())))
 }
 
-/// Those who ask from where all jobs may be kept that are held now, where there are any.
+/// Prefers joining members that stand where all current jobs may be stored, if there are any.
 fn prefer_allowed_regions(
     store: &Store,
     catalog: &Catalog,
@@ -245,7 +245,8 @@
     joining
 }
 
-/// Claims a pair for this member; where there is none, nothing needs a claim.
+/// Claims, in the platform's store, the exclusive right of this member to act for a two-member
+/// group. Without a pair no claim is needed.
 async fn claim_pair<P: Platform>(platform: &P, store: &Store, pair: Option<Pair>) -> bool {
     let Some(Pair { epoch }) = pair else { return true };
     let me = store.with_core(|core, _| core.id().to_string());
@@ -255,8 +256,8 @@
     matches!(claimed, Ok(Ok(Claim::Mine)))
 }
 
-/// Where the group is a pair and the other one is silent: goes on alone, if this one's claim is the
-/// first.
+/// In a two-member group whose other member is unresponsive, continues alone if this member's claim
+/// is the first. Never returns.
 pub async fn continue_alone<P: Platform>(platform: P, store: Rc<Store>) {
     loop {
         tokio::time::sleep(PAIR_CHECK_INTERVAL).await;
@@ -272,7 +273,7 @@
         });
         if alone {
             log_decision(
-                "go on alone after the other of a pair",
+                "continue alone in a two-member group",
                 store.with_core(|c, _| c.id().clone()),
             );
             store.deadline_changed.notify_one();
@@ -280,7 +281,7 @@
     }
 }
 
-/// Reports machines that hold nothing of the group any more.
+/// Reports retired machines that no longer hold any data of the group.
 async fn report_retired<P: Platform>(platform: &P, store: &Store, leaving: &RetiringMachines) {
     for name in leaving.open() {
         let out = store.with_core(|core, _| {
@@ -293,7 +294,7 @@
         let mut registry = platform.registry();
         let report = registry.report_retirement(&name, true);
         if let Ok(Ok(())) = tokio::time::timeout(CLAIM_TIMEOUT, report).await {
-            log_decision("report a machine as emptied", &name);
+            log_decision("report a machine as retired", &name);
             leaving.mark_completed(&name);
         }
     }
--- a/crates/jobstore/src/held_items.rs
+++ b/crates/jobstore/src/held_items.rs
@@ -1,5 +1,6 @@
-//! Items that wait because back ends ended under them. They are not given up for it: an item has until its
-//! route's time is over, and what held it back may turn out to have another cause.
+//! Items that are held back because back ends crashed while running them. They are not abandoned
+//! for that: an item may wait until its route's queue time is over, and the crashes may turn out to
+//! have another cause.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,20 +12,20 @@
 
 use crate::running::ItemKey;
 
-/// Pause before another back end is tried for a suspect where its own runs one already.
+/// Backoff before a suspect is tried at another back end, if this one already runs a suspect.
 const OTHER_BACKEND_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Least wait that is told: a shorter one passes before anybody looks.
+/// Minimum wait that is logged; shorter ones end before anyone would look.
 const MIN_LOGGED_WAIT: Duration = Duration::from_millis(1_000);
 
-/// When each held item may be looked at again.
+/// Time until which each item is held back.
 #[derive(Debug, Default)]
 pub struct HeldItems {
     until: RefCell<HashMap<ItemKey, Instant>>,
 }
 
 impl HeldItems {
-    /// Whether an item is not to be looked at yet.
+    /// Whether an item is still held back.
     pub fn contains(&self, key: &ItemKey) -> bool {
         let mut held = self.until.borrow_mut();
         let is_held = held.get(key).is_some_and(|until| *until > Instant::now());
@@ -34,7 +35,8 @@
         is_held
     }
 
-    /// Whether an item may start at a back end; to be asked by the leader. One that may not is held.
+    /// Whether an item may start at a back end; must be called by the leader. An item that may not
+    /// start is held back.
     pub fn may_start(
         &self,
         suspects: &Registry,
@@ -63,7 +65,7 @@
         false
     }
 
-    /// Drops items that wait no longer.
+    /// Drops items that no longer wait.
     pub fn retain(&self, waits: impl Fn(&ItemKey) -> bool) {
         self.until.borrow_mut().retain(|key, _| waits(key));
     }
--- a/crates/jobstore/src/hint_file.rs
+++ b/crates/jobstore/src/hint_file.rs
@@ -1,5 +1,5 @@
-//! Small files beside the log that hold hints: one value each, with a checksum before it. A file that is
-//! torn, or missing, is as if nothing had been kept.
+//! Small checksummed files beside the log. Each holds one value that serves as a hint; a missing or
+//! corrupt file is treated as empty.
 
 use std::fs::File;
 use std::io::{Error, ErrorKind, Result, Write};
@@ -8,10 +8,10 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use yokefall_telemetry::{EventName, Line};
 
-/// Bytes of the checksum before the content.
+/// Bytes of the checksum that precedes the content.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Reads what was kept in a file of the folder; the default where it is not there, or is torn.
+/// Reads the value of a file; the default if the file is missing or corrupt.
 pub fn load<T: BorshDeserialize + Default>(folder: &Path, name: &'static str) -> T {
     match read(&folder.join(name)) {
         Ok(kept) => kept,
@@ -26,16 +26,15 @@
 fn read<T: BorshDeserialize>(path: &Path) -> Result<T> {
     let bytes = std::fs::read(path)?;
     let Some((checksum, content)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
-        return Err(Error::new(ErrorKind::InvalidData, "shorter than its checksum"));
+        return Err(Error::new(ErrorKind::InvalidData, "file is shorter than its checksum"));
     };
     if u32::from_le_bytes(*checksum) != crc32fast::hash(content) {
-        return Err(Error::new(ErrorKind::InvalidData, "its checksum differs"));
+        return Err(Error::new(ErrorKind::InvalidData, "checksum mismatch"));
     }
     borsh::from_slice(content)
 }
 
-/// Writes a value in the place of the one before. A write that is cut off leaves a file whose checksum
-/// differs.
+/// Replaces the value of a file. An interrupted write leaves a file with a wrong checksum.
 pub fn save<T: BorshSerialize>(folder: &Path, name: &str, value: &T) -> Result<()> {
     let content = borsh::to_vec(value)?;
     let mut file = File::create(folder.join(name))?;
@@ -44,7 +43,8 @@
     file.sync_all()
 }
 
-/// Writes a value on a thread of its own: a disk may hang for seconds. Returns whether it is kept.
+/// Writes a value on a blocking thread, since a disk may hang for seconds. Returns whether it was
+/// stored.
 pub async fn save_in_background<T>(folder: PathBuf, name: &'static str, value: T) -> bool
 where
     T: BorshSerialize + Send + 'static,
--- a/crates/jobstore/src/item_run.rs
+++ b/crates/jobstore/src/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of an item as its leader sees it: from the slot that it got to what is recorded of its end.
+//! A run of an item from the leader's point of view: from occupying a slot to recording the result.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,15 +20,15 @@
 use crate::running::{take_output, CountedItem, ItemKey, Running};
 use crate::state::{Command, Run};
 
-/// Pause before an item that could not run is tried again.
+/// Backoff before an item that could not run is retried.
 const RETRY_BACKOFF: Duration = Duration::from_millis(150);
 
-/// The slot of an item that starts.
+/// The slot, worker and state of an item that starts.
 struct PlacedItem {
     place: Place,
     worker: ItemWorker,
     phase: Rc<Cell<Phase>>,
-    /// Tells it to give its slot to an online request.
+    /// Notified when the item must release its slot to an online request.
     preempted: Rc<Notify>,
 }
 
@@ -115,7 +115,7 @@
             match end.is_whole_answer() {
                 true => suspects.note_answer(&digest),
                 false => {
-                    // One that gave no event may have waited in the back end's queue.
+                    // Without any event it may have waited in the back end's queue.
                     let gave_events = progress.borrow().last_event > events_before;
                     let worked = if gave_events { began.elapsed() } else { Duration::ZERO };
                     suspects.note_concluded(&digest, worked);
@@ -133,7 +133,7 @@
         self.store.work_changed.notify_one();
     }
 
-    /// The right to send an item that is still wanted to a back end; else the cause.
+    /// Permission to send an item that is still open to a back end, otherwise the cause.
     fn permit(
         &self,
         (job, index): &ItemKey,
@@ -176,7 +176,8 @@
             }
             RunEnd::Unprocessable => {
                 self.log_abandoned(item, &job, "a back end told that it can never be done");
-                // In a task of its own: those of a leader end with its lead.
+                // Spawned separately, because the leader's tasks are aborted when leadership is
+                // lost.
                 let store = self.store.clone();
                 let recording = tokio::task::spawn_local(async move {
                     store.abandon_unprocessable(&job, index).await;
@@ -191,7 +192,8 @@
                     .field("after_event", progress.borrow().last_event)
                     .field("cause", cause)
                     .write();
-                // The next run asks for what follows the text in the log: it must be there first.
+                // The next run resumes after the output in the log, which must therefore be
+                // committed first.
                 if let Some(command) = take_output(key, progress) {
                     let _ = self.store.propose(&command).await;
                 }
@@ -220,7 +222,8 @@
         });
         if spent == Some(true) {
             self.log_abandoned(item, &job, "every attempt failed");
-            // Where the lead is lost, the failures are in the log, and the next leader gives it up.
+            // If leadership is lost, the failures are in the log and the next leader abandons the
+            // item.
             let _ = self.store.abandon(&job, index).await;
             return;
         }
--- a/crates/jobstore/src/item_worker.rs
+++ b/crates/jobstore/src/item_worker.rs
@@ -1,5 +1,5 @@
-//! Which job store runs an item, as its leader decides: for a back end that is not known to be warm only one that
-//! has a share there, so that the item doesn't come back.
+//! Selection of the job store that runs an item. For a back end that is not known to be warm it is
+//! one that has a share of it, so that the item is not refused.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
     Other(FleetMember),
 }
 
-/// What decides.
+/// Selects workers for items.
 pub struct ItemWorkers<'a> {
     /// The leader's own worker.
     pub worker: &'a Worker,
-    /// The other ones.
+    /// The other job stores.
     pub delegation: &'a Delegation,
     /// Name of the leader.
     pub leader: String,
@@ -37,26 +37,26 @@
         self.worker.eligibility.item_candidates(catalog, need, usable)
     }
 
-    /// Back ends out of many that may take an item now, by chance; `None` where all are to be looked at.
+    /// A random sample of many back ends that may take an item now; `None` if all must be examined.
     pub fn draw(&self, catalog: &Catalog, need: &Need, generator: &mut impl Rng) -> Option<Drawn> {
         let free = self.delegation.free_names(need.residency);
         let usable = |name: &str| self.is_usable(&free, name);
         self.worker.eligibility.draw_for_items(catalog, need, usable, generator)
     }
 
-    /// Back ends that may not take an item now because they are not known to be warm; `None` where each is to be
-    /// looked at.
+    /// Back ends that may not take an item now because they are not known to be warm; `None` if
+    /// each must be examined.
     pub fn closed(&self, need: &Need) -> Option<Vec<Arc<Backend>>> {
         let free = self.delegation.free_names(need.residency);
         self.worker.eligibility.closed_to_items(need.service, |name| self.is_usable(&free, name))
     }
 
-    /// Whether a further item with a residency may go to a back end now.
+    /// Whether a back end may take one more item with this residency now.
     pub fn may_take(&self, backend: &Backend, residency: &Residency) -> bool {
         self.worker.cold.is_warm(backend) || self.share_holder(backend, residency).is_some()
     }
 
-    /// Who runs an item with a residency that goes to a back end now; `None` where nobody may.
+    /// Selects who runs an item at a back end; `None` if nobody may run it now.
     pub fn choose(&self, backend: &Backend, residency: &Residency) -> Option<ItemWorker> {
         if self.worker.cold.is_warm(backend) {
             let other = self.delegation.worker_for(backend, residency);
--- a/crates/jobstore/src/lib.rs
+++ b/crates/jobstore/src/lib.rs
@@ -1,12 +1,12 @@
 //! Keeps batch jobs on a replicated log and runs their items.
 //!
-//! `state` is the replicated state machine; `wal` the log on disk; `protocol` what processes say to
-//! a job store; `client` the gateways' side of it; `store` ties consensus, disk and state together, `reads` and
-//! `abandon` are what others ask of it;
-//! `runner` decides while the process leads which item runs at which back end; `delegation` asks other
-//! job stores for it, whose `worker` does it, each by a `run`; `preemption` takes slots back for online
-//! requests; `backlog` tells what waits; `loads` adds load reports up, and `aggregators` exchanges the
-//! sums.
+//! - `state` is the replicated state machine and `wal` the log on disk; `store` combines consensus,
+//!   disk and state, with its queries in `reads` and the abandoning of items in `abandon`.
+//! - `protocol` defines the frames, `server` answers them, and `client` is the gateways' side.
+//! - `runner` decides on the leader which item runs at which back end. `delegation` hands items to
+//!   other job stores, whose `worker` executes them; `run` is one run at a back end.
+//! - `preemption` returns slots to online requests, and `backlog` reports waiting items.
+//! - `loads` sums load reports, and `aggregators` exchanges the sums.
 
 mod abandon;
 pub mod addresses;
--- a/crates/jobstore/src/loads.rs
+++ b/crates/jobstore/src/loads.rs
@@ -1,8 +1,8 @@
-//! Requests in flight at back ends, added up from load reports.
+//! Requests in flight at back ends, summed from load reports.
 //!
-//! Each gateway reports to one job store, its aggregator. Aggregators send each other their sums, so
-//! that a report costs work for one job store and not for all. Totals are running sums: a report
-//! changes them by its difference to the one before, and costs as many steps as it has entries.
+//! Each gateway reports to one job store, its aggregator. Aggregators exchange their sums, so that
+//! a report costs work at one job store only. Totals are maintained incrementally: a report changes
+//! them by its difference from the previous one, at a cost proportional to its entries.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -15,53 +15,53 @@
     BackendOutcomes, BackendTotal, LoadAnswer, LoadReport, LoadSums, ServiceRate,
 };
 
-/// Longest interval between two reports of a gateway that has something to report.
+/// Maximum interval between two reports of a gateway with load.
 pub const BUSY_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval between two reports of a gateway that has nothing to report. It still reports: a gateway that
-/// says nothing at all may be cut off, and have any number of requests.
+/// Interval between two reports of an idle gateway. Idle gateways report too: one that sends
+/// nothing may be cut off and have any number of requests.
 pub const IDLE_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Time for which a report counts: two of the next ones may be lost.
+/// Lifetime of a report; two of the following reports may be lost.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
-/// The same for a report that holds nothing.
+/// Lifetime of a report of an idle gateway.
 const IDLE_REPORT_LIFETIME: Duration = Duration::from_millis(4_500);
-/// Part of a service's slots that online requests of all gateways may have while none of them reports. A
-/// guess, in force for moments after a start or while all gateways are cut off.
+/// Share of a service's slots that the online requests of all gateways are assumed to occupy while
+/// none of them reports: shortly after a start, or while all gateways are cut off.
 const UNREPORTED_SLOT_SHARE: f64 = 0.7;
-/// Interval between two passes that drop expired reports.
+/// Minimum interval between two passes that drop expired reports.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Back ends in one answer at most: about 1.5 KB. The largest changes go first, the others with the
-/// next answer, so that an answer costs the same however many back ends there are.
+/// Maximum number of back ends in one answer, about 1.5 KB. The largest changes are sent first and
+/// the others with the next answer, so that the cost of an answer does not depend on the number of
+/// back ends.
 const MAX_CHANGES: usize = 48;
 
-/// Parts of one request in reported outcomes.
+/// Fixed-point scale of reported outcomes: units per request.
 pub const THOUSANDTHS: f64 = 1_000.0;
 
-/// Share of an aggregator's time for which one gateway asks: an aggregator takes 250 reports a second
-/// at most.
+/// Report interval per gateway of the fleet; limits an aggregator to 250 reports a second.
 const INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(4);
-/// Shortest interval between two reports; a round trip takes about a tenth of it.
+/// Minimum interval between two reports; a round trip takes about a tenth of it.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest interval between two reports while requests come and go.
+/// Maximum interval between two reports while load changes.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval between two load reports of one of so many gateways.
+/// Interval between two load reports of a gateway in a fleet with this many gateways.
 pub fn report_interval(gateways: usize) -> Duration {
     let shared = INTERVAL_PER_GATEWAY * u32::try_from(gateways).unwrap_or(u32::MAX);
     shared.clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
 }
 
-/// The last report of one gateway, or the last sums of one job store.
+/// The last report of a gateway, or the last sums of a job store.
 #[derive(Debug)]
 struct Source {
     expires_at: Instant,
     counts: Vec<BackendTotal>,
     arrivals: Vec<ServiceRate>,
     outcomes: Vec<BackendOutcomes>,
-    /// Gateways whose requests are in it.
+    /// Gateways whose requests are included.
     gateways: u32,
 }
 
-/// Outcomes of all reports at one back end, in thousandths.
+/// Summed outcomes at one back end, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct SummedOutcomes {
     failed: u64,
@@ -89,12 +89,12 @@
     /// Items that this process runs, by back end.
     local_items: HashMap<BackendLife, u32>,
     totals: HashMap<BackendLife, InFlight>,
-    /// Requests in 1,000 seconds, by service.
+    /// Requests per 1,000 seconds, by service.
     arrivals: HashMap<String, u64>,
     /// Recent outcomes in thousandths, by back end.
     outcomes: HashMap<BackendLife, SummedOutcomes>,
     reporters: u32,
-    /// Totals that each gateway was answered with.
+    /// Totals last sent to each gateway.
     answered: HashMap<String, HashMap<BackendLife, InFlight>>,
     expired_at: Option<Instant>,
 }
@@ -104,36 +104,36 @@
 pub struct Loads {
     sums: RefCell<Sums>,
     steps: Cell<u64>,
-    /// When this process began to listen.
+    /// When this process began to receive reports.
     since: Instant,
 }
 
-/// How many of the gateways a process hears.
+/// How many of the gateways report to a process or its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Coverage {
-    /// Gateways in the fleet, as far as known.
+    /// Known gateways in the fleet.
     pub gateways: u32,
-    /// Gateways whose reports count.
+    /// Gateways whose reports are current.
     pub reporting: u32,
-    /// Time for which this process has listened.
+    /// Time for which this process has received reports.
     pub listening: Duration,
 }
 
 impl Coverage {
-    /// Part of the gateways that this process does not hear, from 0 to 1.
+    /// Share of the gateways whose load is not reported, from 0 to 1.
     fn unreported_share(self) -> f64 {
         if self.reporting == 0 {
             return 1.0;
         }
         let all = self.gateways.max(self.reporting);
         let unreported = 1.0 - f64::from(self.reporting) / f64::from(all);
-        // A process that has just started may not know all gateways; each of them reports once in the
-        // longest interval.
+        // A process that has just started may not know all gateways; each of them reports once
+        // within the longest interval.
         let startup_share = 1.0 - self.listening.div_duration_f64(IDLE_INTERVAL);
         unreported.max(startup_share).clamp(0.0, 1.0)
     }
 
-    /// Part of a service's slots that online requests may have which are in no report.
+    /// Share of a service's slots that unreported online requests may occupy.
     pub fn unreported_slot_share(self) -> f64 {
         UNREPORTED_SLOT_SHARE * self.unreported_share()
     }
@@ -146,11 +146,10 @@
 }
 
 impl Loads {
-    /// Takes the report of a gateway in the place of the one before, and answers it with the totals
-    /// that changed since its last answer.
+    /// Replaces the report of a gateway and returns the totals that changed since its last answer.
     pub fn report(&self, report: LoadReport, leader: Option<String>) -> LoadAnswer {
-        // A gateway that is idle says so; else nobody could tell it from one that is cut off, and most slots would
-        // stay free for requests that do not exist.
+        // An idle gateway reports explicitly. Otherwise it could not be told from one that is cut
+        // off, and most slots would be reserved for requests that do not exist.
         let lifetime = if report.is_idle() { IDLE_REPORT_LIFETIME } else { REPORT_LIFETIME };
         let LoadReport { gateway, counts, arrivals, outcomes, answer_all, moved_from: _ } = report;
         let sums = &mut *self.sums.borrow_mut();
@@ -183,7 +182,8 @@
         LoadAnswer { changes, arrivals, failing, leader, gateways }
     }
 
-    /// A gateway reports to another job store: what it reported here would count twice until it expired.
+    /// Drops the report of a gateway that now reports to another job store, and would count twice
+    /// until it expired.
     pub fn forget(&self, gateway: &str) {
         let sums = &mut *self.sums.borrow_mut();
         sums.answered.remove(gateway);
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Totals that differ from what a gateway was answered, the largest differences first.
+    /// Totals that differ from those last sent to a gateway, the largest differences first.
     fn changes(&self, sums: &mut Sums, gateway: String) -> Vec<BackendTotal> {
         let Sums { totals, answered, .. } = sums;
         let answered = answered.entry(gateway).or_default();
@@ -226,7 +226,7 @@
         changes
     }
 
-    /// Takes the sums of another job store in the place of those before.
+    /// Replaces the sums of another job store.
     pub fn record_sums(&self, sent: LoadSums) {
         let LoadSums { from, counts, arrivals, outcomes, gateways } = sent;
         let sums = &mut *self.sums.borrow_mut();
@@ -240,8 +240,8 @@
         }
     }
 
-    /// What was reported to this process, with the items that it runs, for other job stores; `None`
-    /// where there is nothing.
+    /// Sums of the reports received by this process and of the items that it runs, for other job
+    /// stores; `None` if there are none.
     pub fn local_sums(&self, from: &str) -> Option<LoadSums> {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
@@ -284,14 +284,14 @@
         })
     }
 
-    /// Notes an item that starts at a back end.
+    /// Counts an item that starts at a back end.
     pub fn item_started(&self, backend: &BackendLife) {
         let sums = &mut *self.sums.borrow_mut();
         *sums.local_items.entry(backend.clone()).or_default() += 1;
         sums.totals.entry(backend.clone()).or_default().items += 1;
     }
 
-    /// Notes an item that no longer runs at a back end.
+    /// Removes an item that no longer runs at a back end.
     pub fn item_ended(&self, backend: &BackendLife) {
         let sums = &mut *self.sums.borrow_mut();
         if let Some(count) = sums.local_items.get_mut(backend) {
@@ -303,12 +303,12 @@
         }
     }
 
-    /// Items at a back end.
+    /// Number of items at a back end.
     pub fn items(&self, backend: &BackendLife) -> u32 {
         self.sums.borrow().totals.get(backend).map_or(0, |total| total.items)
     }
 
-    /// How many of the fleet's gateways this process hears.
+    /// How many of the fleet's gateways report.
     pub fn coverage(&self, gateways: usize) -> Coverage {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
@@ -319,14 +319,15 @@
         }
     }
 
-    /// Online requests at a back end, of the gateways that are reporting; `None` where none is.
+    /// Online requests of the reporting gateways at a back end; `None` if no gateway reports.
     pub fn online(&self, backend: &BackendLife) -> Option<u32> {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         (sums.reporters > 0).then(|| sums.totals.get(backend).map_or(0, |total| total.online))
     }
 
-    /// Back ends with online requests of the gateways that are reporting, and how many.
+    /// Calls `take` with each back end that has online requests of reporting gateways, and their
+    /// number.
     pub fn for_each_online(&self, mut take: impl FnMut(&BackendLife, u32)) {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
@@ -336,23 +337,23 @@
         }
     }
 
-    /// Interval between two reports of a gateway, as many as report.
+    /// Report interval of a gateway, given the number that report.
     pub fn report_interval(&self) -> Duration {
         report_interval(self.sums.borrow().reporters as usize)
     }
 
-    /// Everything in flight, by back end.
+    /// All totals, by back end.
     pub fn totals(&self) -> Vec<BackendTotal> {
         let sums = self.sums.borrow();
         sums.totals.iter().map(|(id, total)| total_of(id, *total)).collect()
     }
 
-    /// Gateways whose reports count now.
+    /// Number of gateways whose reports are current.
     pub fn reporters(&self) -> u32 {
         self.sums.borrow().reporters
     }
 
-    /// Entries that were looked at so far: what the work grows with.
+    /// Number of entries examined so far; a measure of the work done.
     pub fn steps(&self) -> u64 {
         self.steps.get()
     }
@@ -380,7 +381,7 @@
     }
 }
 
-/// Removes the sources whose reports no longer count.
+/// Removes and returns expired sources.
 fn remove_expired(sources: &mut HashMap<String, Source>, now: Instant) -> Vec<(String, Source)> {
     let is_expired = |source: &Source| now >= source.expires_at;
     let names: Vec<String> = sources
@@ -412,7 +413,7 @@
         failing.map(|(backend, _)| backend.clone()).collect()
     }
 
-    /// Takes out what a source added before.
+    /// Subtracts what a source added before.
     fn subtract(&mut self, source: &Source) {
         for count in &source.counts {
             let part = InFlight { online: count.online, items: count.items };
--- a/crates/jobstore/src/packed.rs
+++ b/crates/jobstore/src/packed.rs
@@ -1,26 +1,26 @@
-//! Text of finished items, compressed: results are kept for minutes and read a few times.
+//! Compressed text of finished items: results are retained for minutes and read a few times.
 
 use std::cell::RefCell;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Level of compression: the quickest that codes entropy.
+/// Compression level: the fastest one with entropy coding.
 const LEVEL: i32 = 1;
 
 thread_local! {
-    /// Contexts are large and made once for each thread.
+    /// Contexts are large and therefore created once per thread.
     static COMPRESSOR: RefCell<Option<zstd::bulk::Compressor<'static>>> =
         RefCell::new(zstd::bulk::Compressor::new(LEVEL).ok());
 }
 
-/// A text as it is held.
+/// A text as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PackedText {
-    /// As it is: compressing would not make it shorter.
+    /// Uncompressed, since compression would not make it shorter.
     Plain(String),
     /// Compressed.
     Compressed {
-        /// Bytes of the text.
+        /// Bytes of the uncompressed text.
         length: u32,
         /// The compressed bytes.
         bytes: Box<[u8]>,
@@ -41,19 +41,20 @@
         }
     }
 
-    /// The text.
+    /// Returns the text.
     pub fn unpack(&self) -> String {
         match self {
             Self::Plain(text) => text.clone(),
             Self::Compressed { length, bytes } => {
-                // What was packed here, or came checksummed from where it was packed, unpacks.
-                let text = zstd::bulk::decompress(bytes, *length as usize).expect("a packed text");
-                String::from_utf8(text).expect("a packed text")
+                // The bytes were compressed by this process, or arrived checksummed from the one
+                // that did.
+                let text = zstd::bulk::decompress(bytes, *length as usize).expect("valid packed text");
+                String::from_utf8(text).expect("valid packed text")
             }
         }
     }
 
-    /// Bytes of the text itself.
+    /// Bytes of the uncompressed text.
     pub fn text_bytes(&self) -> usize {
         match self {
             Self::Plain(text) => text.len(),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Bytes that it takes.
+    /// Bytes of memory used.
     pub fn held_bytes(&self) -> usize {
         match self {
             Self::Plain(text) => text.len(),
--- a/crates/jobstore/src/pool_slots.rs
+++ b/crates/jobstore/src/pool_slots.rs
@@ -1,5 +1,5 @@
-//! Slots of the back ends of a pool, counted from the sums of its tables and the few back ends that have work or are
-//! left out.
+//! Slots of a pool, computed from the totals of its tables and the few back ends that have work or
+//! are excluded.
 
 use std::collections::HashMap;
 
@@ -8,16 +8,16 @@
 
 use crate::capacity::Capacity;
 
-/// Slots while they are counted.
+/// Slots of a pool while they are counted.
 #[derive(Debug)]
 pub struct PoolSlots<'a> {
     tables: &'a [&'a BackendTable],
-    /// What is in the slots of back ends with work; `None` for those that are left out.
+    /// Occupied slots of back ends with work; `None` for excluded back ends.
     occupied: HashMap<&'a str, Option<u32>>,
 }
 
 impl<'a> PoolSlots<'a> {
-    /// All slots of the tables' back ends, none of them taken.
+    /// Starts with all slots of the tables' back ends, none of them occupied.
     pub fn new(tables: &'a [&'a BackendTable]) -> Self {
         Self { tables, occupied: HashMap::new() }
     }
@@ -27,14 +27,14 @@
         (found.started_ms == started_ms).then_some(found)
     }
 
-    /// Leaves out a back end, in one life, if it is in one of the tables.
+    /// Excludes an incarnation of a back end, if it is in one of the tables.
     pub fn exclude(&mut self, id: &str, started_ms: u64) {
         if let Some(backend) = self.find(id, started_ms) {
             self.occupied.insert(&backend.id, None);
         }
     }
 
-    /// Requests or items have slots of a back end, if it is in one of the tables.
+    /// Occupies slots of a back end, if it is in one of the tables.
     pub fn occupy(&mut self, life: &BackendLife, slots: u32) {
         let Some(backend) = self.find(&life.id, life.started_ms) else { return };
         if let Some(occupied) = self.occupied.entry(&backend.id).or_insert(Some(0)) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Adds them to a room without any.
+    /// Adds the slots to an empty capacity.
     pub fn add_to(self, mut capacity: Capacity) -> Capacity {
         let all: u64 = self.tables.iter().map(|table| table.slots()).sum();
         let mut free = u32::try_from(all).unwrap_or(u32::MAX);
--- a/crates/jobstore/src/preemption.rs
+++ b/crates/jobstore/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Which items give their slots to online requests.
+//! Selection of the items that are preempted by online requests.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,32 +6,33 @@
 use tokio::time::Instant;
 use yokefall_serving::{Backend, BackendLife};
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has a slot.
+    /// It occupies a slot.
     Placed,
-    /// It was told to give its slot back and still has it.
-    RetiringMachines,
-    /// It has given its slot back: its end is recorded, or its item rests before the next run.
+    /// It was told to release its slot and still occupies it.
+    Preempting,
+    /// It has released its slot: its end is being recorded, or its item waits for the next run.
     Ended,
 }
 
-/// A run of an item as preemption sees it.
+/// A run of an item as seen by preemption.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacedRun<'a> {
     /// Its back end.
     pub backend: &'a Backend,
-    /// Whether it has given any output.
+    /// Whether it has produced any output.
     pub has_output: bool,
     /// When it started.
     pub started: Instant,
-    /// Where it stands.
+    /// Its phase.
     pub phase: Phase,
 }
 
-/// Positions of the runs to be preempted. `online` gives the online requests at a back end, `shortfall`
-/// the slots that the items of a service should give back beside those of full back ends.
+/// Positions of the runs to preempt. `online` returns the online requests at a back end,
+/// `shortfall` the slots that the items of a service should release in addition to those of
+/// overfull back ends.
 pub fn preempted(
     runs: &[PlacedRun<'_>],
     online: impl Fn(&Backend) -> u32,
@@ -44,9 +45,10 @@
             Phase::Placed => {
                 service.by_backend.entry(run.backend.life()).or_default().push(position);
             }
-            Phase::RetiringMachines => service.leaving += 1,
-            // An item that rests has no slot: if it counted, its back end would stay full, and another
-            // item would be preempted in each pass (97 for one request of 60 ms in the test).
+            Phase::Preempting => service.preempting += 1,
+            // An item that waits for its next run has no slot. If it were counted, its back end
+            // would still appear full and another item would be preempted in each pass (97 for one
+            // request of 60 ms in the test).
             Phase::Ended => {}
         }
     }
@@ -62,8 +64,8 @@
             chosen.extend(here);
         }
         sort(&mut remaining, runs);
-        // Slots that are on their way back are not asked for again.
-        let shortfall = shortfall(name).saturating_sub(service.leaving);
+        // Slots that are already being released are not requested again.
+        let shortfall = shortfall(name).saturating_sub(service.preempting);
         chosen.extend(remaining.into_iter().take(shortfall));
     }
     chosen
@@ -72,13 +74,14 @@
 /// Runs of one service.
 #[derive(Debug, Default)]
 struct ServiceRuns {
-    /// Positions of those that have a slot and may lose it, by the life at which it is.
+    /// Positions of runs that occupy a slot, by incarnation of the back end.
     by_backend: BTreeMap<BackendLife, Vec<usize>>,
-    /// Runs that were told to give their slot back and still have it.
-    leaving: usize,
+    /// Runs that were told to release their slot and still occupy it.
+    preempting: usize,
 }
 
-/// The run that is preempted first is the newest one with output: one without any would begin anew.
+/// Sorts runs in the order of preemption: the newest with output first. A run without output would
+/// have to start over.
 fn sort(positions: &mut [usize], runs: &[PlacedRun<'_>]) {
     positions
         .sort_by_key(|position| (!runs[*position].has_output, Reverse(runs[*position].started)));
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Frames between gateways and job stores, and among job stores: borsh, prefixed by their length.
+//! Frames between gateways and job stores, and among job stores: borsh with a length prefix.
 
 use std::time::Duration;
 
@@ -19,37 +19,39 @@
 use crate::run::RunEnd;
 use crate::suspects::SuspectExchange;
 
-/// Largest frame, in bytes; a snapshot is one frame.
+/// Maximum size of a frame; a snapshot is sent as one frame.
 const MAX_FRAME_BYTES: usize = 256 * 1024 * 1024;
-/// Bytes from which a frame is written without being copied first.
+/// Size from which a frame is written without being copied first.
 const LARGE_FRAME_BYTES: usize = 64 * 1024;
-/// Time without a byte after which the system probes a connection, between two probes, and how many it sends: a
-/// connection whose other side is gone lasts a minute. Those in use are watched by what is sent on them.
+/// TCP keep-alive: idle time before the first probe, interval between probes, and their number. A
+/// connection whose peer is gone lasts about a minute; connections in use are monitored by their
+/// own traffic.
 const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(30);
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 const KEEP_ALIVE_RETRIES: u32 = 3;
 
-/// A job as a gateway takes it from its caller. Its form is part of the log's format.
+/// A job as a gateway receives it from a client. Its encoding is part of the log format.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Submission {
     /// Host that the job was sent to.
     pub host: String,
-    /// Attempts of an item that fails by itself before it is given up.
+    /// Number of failed attempts after which an item is abandoned.
     pub max_attempts: u32,
-    /// Time after which an item may be given up, in milliseconds.
+    /// Time in milliseconds after which a waiting item may be abandoned.
     pub max_queue_ms: u64,
-    /// Time after which its results are due, in milliseconds; 0 where the route tells none.
+    /// Time in milliseconds after which the results are due; 0 if the route has no target.
     pub completion_target_ms: u64,
-    /// Queue that limits its waiting tokens: the tenant, and the host and path prefix of the route.
+    /// Queue whose waiting tokens are limited: the tenant, and the host and path prefix of the
+    /// route.
     pub queue: String,
-    /// Most tokens of items that may wait in the queue; `None` for no limit.
+    /// Maximum tokens of items that wait in the queue; `None` for no limit.
     pub most_queued_tokens: Option<u64>,
     /// The items.
     pub items: Vec<JobItem>,
 }
 
 impl Submission {
-    /// Tokens of all its items.
+    /// Total tokens of the items.
     pub fn tokens(&self) -> u64 {
         self.items.iter().map(|item| item.tokens).sum()
     }
@@ -58,16 +60,16 @@
 /// Requests at a back end.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendCount {
-    /// The back end, in one life: what an earlier one has says nothing of the load of the next.
+    /// The incarnation of the back end; load of an earlier incarnation does not count for the next.
     pub backend: BackendLife,
     /// Requests that run or wait there.
     pub requests: u32,
 }
 
-/// What all gateways and the runner of items have at a back end.
+/// Load of all gateways and job runners at a back end.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendTotal {
-    /// The back end, in one life: what an earlier one has says nothing of the load of the next.
+    /// The incarnation of the back end; load of an earlier incarnation does not count for the next.
     pub backend: BackendLife,
     /// Online requests.
     pub online: u32,
@@ -75,19 +77,20 @@
     pub items: u32,
 }
 
-/// Requests that arrive at a service.
+/// Arrival rate of a service.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ServiceRate {
     /// Name of the service.
     pub service: String,
-    /// Requests in 1,000 seconds, averaged over the last half second.
+    /// Requests per 1,000 seconds, averaged over the last half second.
     pub per_1000_seconds: u64,
 }
 
 /// Recent outcomes of requests at a back end, in thousandths.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendOutcomes {
-    /// The back end, in one life: what an earlier one has says nothing of the load of the next.
+    /// The incarnation of the back end; outcomes of an earlier incarnation do not count for the
+    /// next.
     pub backend: BackendLife,
     /// Requests that failed.
     pub failed: u64,
@@ -95,70 +98,70 @@
     pub answered: u64,
 }
 
-/// What a gateway has in flight. It takes the place of the gateway's report before.
+/// Requests in flight at a gateway. Replaces the previous report of the gateway.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct LoadReport {
     /// Name of the gateway.
     pub gateway: String,
-    /// Its online requests, by back end; others have none.
+    /// Its online requests, by back end; other back ends have none.
     pub counts: Vec<BackendCount>,
-    /// Its arrivals, by service.
+    /// Its arrival rates, by service.
     pub arrivals: Vec<ServiceRate>,
     /// Recent outcomes of its requests.
     pub outcomes: Vec<BackendOutcomes>,
-    /// Whether every total is wanted, and not only those that changed: the gateway is new to this
-    /// job store, or has missed an answer.
+    /// Whether all totals are requested, not only changes: the gateway is new to this job store, or
+    /// missed an answer.
     pub answer_all: bool,
-    /// The job store that got the report before, where that was another one.
+    /// The job store that received the previous report, if it was another one.
     pub moved_from: Option<String>,
 }
 
 impl LoadReport {
-    /// Whether the gateway has nothing in flight and had nothing lately.
+    /// Whether the gateway has no requests in flight and had none recently.
     pub fn is_idle(&self) -> bool {
         self.counts.is_empty() && self.arrivals.is_empty() && self.outcomes.is_empty()
     }
 }
 
-/// What all processes have in flight, as far as it changed since the gateway's last answer.
+/// Load of all processes, as far as it changed since the gateway's last answer.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct LoadAnswer {
-    /// Totals that changed; zeros for back ends where nothing is left.
+    /// Changed totals; zeros for back ends without load.
     pub changes: Vec<BackendTotal>,
-    /// Arrivals at all gateways, by service.
+    /// Arrival rates at all gateways, by service.
     pub arrivals: Vec<ServiceRate>,
-    /// Back ends that fail for all gateways.
+    /// Back ends that fail across gateways.
     pub failing: Vec<BackendLife>,
-    /// The job store that leads, as far as known.
+    /// The leading job store, if known.
     pub leader: Option<String>,
-    /// Gateways whose requests are in it.
+    /// Number of gateways whose requests are included.
     pub gateways: u32,
 }
 
 impl LoadAnswer {
-    /// Whether it is of most gateways of a fleet with so many. One of a job store that hears few says
-    /// nothing of the others, and is not to be taken for all that is in flight.
+    /// Whether the answer covers a majority of a fleet with this many gateways. The answer of a job
+    /// store that receives few reports must not be taken for the total load.
     pub fn covers_most_of(&self, gateways: usize) -> bool {
         self.gateways as usize * 2 > gateways
     }
 }
 
-/// The sums of one job store over the gateways that report to it, with the items that it runs.
+/// The sums of one job store over the gateways that report to it, and the items that it runs.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct LoadSums {
     /// Name of the job store.
     pub from: String,
     /// Requests and items, by back end.
     pub counts: Vec<BackendTotal>,
-    /// Arrivals, by service.
+    /// Arrival rates, by service.
     pub arrivals: Vec<ServiceRate>,
     /// Recent outcomes, by back end.
     pub outcomes: Vec<BackendOutcomes>,
-    /// Gateways whose reports are in the sums.
+    /// Number of gateways whose reports are included.
     pub gateways: u32,
 }
 
-/// An item to be run at a back end, for the leader.
+/// Request of the leader to run an item at a back end.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RunOrder {
     /// The back end.
@@ -169,16 +172,16 @@
     pub tenant: Option<TenantName>,
     /// The item.
     pub item: JobItem,
-    /// The event after which its output goes on; 0 from the beginning.
+    /// The event after which its output is resumed; 0 to start at the beginning.
     pub after_event: u64,
 }
 
-/// How a run ended.
+/// Report on a finished run.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RunReport {
     /// How it ended.
     pub end: RunEnd,
-    /// What that says of the back end.
+    /// Outcome with regard to the back end.
     pub outcome: Outcome,
     /// The last event of its output.
     pub last_event: u64,
@@ -186,10 +189,10 @@
     pub text: Option<String>,
 }
 
-/// What a process asks of a job store.
+/// A request to a job store.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Request {
-    /// Takes a job; one that is held already is taken once.
+    /// Submits a job; submitting it again has no effect.
     Submit {
         /// Id of the job.
         job: String,
@@ -198,22 +201,22 @@
         /// The job.
         submission: Submission,
     },
-    /// Results from a position on.
+    /// Reads results from a position on.
     Results {
         /// Id of the job.
         job: String,
-        /// Who asks.
+        /// Who reads them.
         requester: Requester,
-        /// First position wanted.
+        /// First position to read.
         from: u64,
-        /// Longest wait for one, in milliseconds.
+        /// Maximum time to wait for a result, in milliseconds.
         wait_ms: u64,
     },
-    /// Body of an item without a result.
+    /// Reads the body of an item that has no result.
     Body {
         /// Id of the job.
         job: String,
-        /// Who asks.
+        /// Who reads it.
         requester: Requester,
         /// Id of the item.
         item: String,
@@ -222,34 +225,34 @@
     End {
         /// Id of the job.
         job: String,
-        /// Who asks.
+        /// Who ends it.
         requester: Requester,
     },
-    /// Reports what a gateway has in flight, and asks what all processes have.
+    /// Reports the load of a gateway and requests the load of all processes.
     Load(LoadReport),
-    /// Runs an item for the leader, who asks.
+    /// Runs an item on behalf of the leader.
     Run(RunOrder),
-    /// Asks an accountant for tokens of tenants' limits.
+    /// Requests tokens of tenants' limits from an accountant.
     TakeTokens(Vec<TokenAsk>),
-    /// Asks the leader who the accountants are.
+    /// Requests the assignment of accountants from the leader.
     Accountants,
-    /// Compares what is known of suspects.
+    /// Exchanges knowledge of suspects.
     Suspects(SuspectExchange),
     /// Asks the leader whether a suspect may run alone at a back end.
     TrySuspect {
-        /// What the asking process knows of it.
+        /// What the requesting process knows of it.
         news: SuspectNews,
-        /// Identity of the back end.
+        /// Id of the back end.
         backend: String,
     },
-    /// An accountant asks the leader to renew the leases of its slots, or gives them back.
+    /// Sent by an accountant to the leader, to renew or release the leases of its slots.
     RenewSlots {
         /// Name of the job store.
         name: String,
-        /// Whether it gives them back, since it stops.
+        /// Whether it releases them because it is stopping.
         releases: bool,
     },
-    /// Asks whether a job is kept, or may yet be, without sending it.
+    /// Asks whether a job is held, or may still be accepted, without submitting it.
     IsKept {
         /// Id of the job.
         job: String,
@@ -258,74 +261,75 @@
     },
 }
 
-/// What a job store answers.
+/// A reply of a job store.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Reply {
-    /// The job is kept.
+    /// The job is durable.
     Accepted,
     /// Results.
     Page(ResultPage),
     /// The body of an item.
     Body(Vec<u8>),
-    /// The job is ended.
+    /// The job has been ended.
     Ended,
     /// The answer to a load report.
     Load(LoadAnswer),
     /// A run has ended.
     RunEnded(RunReport),
-    /// There is no such job or item of this requester, for certain.
+    /// The requester definitely has no such job or item.
     NotFound,
-    /// Another tenant has a job of this id; nothing was kept.
+    /// The job id belongs to another tenant; nothing was stored.
     Taken,
-    /// The job, or the run, cannot be taken for want of memory; nothing of it was kept or sent.
+    /// The job or the run was rejected for lack of memory; nothing was stored or sent.
     Full,
-    /// More tokens would wait in its queue than may; nothing of it was kept.
+    /// The job would exceed the token limit of its queue; nothing was stored.
     OverQuota,
-    /// Tokens, one answer for each ask.
+    /// Tokens, one answer per request.
     Tokens(Vec<TokenGrant>),
-    /// Who the accountants are.
+    /// The assignment of accountants.
     Accountants(Assignment),
-    /// What is known of suspects.
+    /// Knowledge of suspects.
     Suspects(SuspectExchange),
     /// Whether a suspect may run alone.
     Tried(Grant),
-    /// Slots that are leased to whom asked.
+    /// Slots leased to the requester.
     Slots(Vec<SlotLease>),
-    /// This member does not lead; the one that does, as far as known. Nothing was done.
+    /// This member is not the leader; nothing was done.
     NotLeader {
-        /// Name of the leader.
+        /// Name of the leader, if known.
         leader: Option<String>,
     },
-    /// This member leads but cannot be sure now. Nothing was done.
+    /// This member leads but has no valid lease or too few replicas at the moment; nothing was
+    /// done.
     Unsure,
-    /// The change may be in force or not.
+    /// The change may or may not be in force.
     Unknown,
-    /// The job may not be kept at some members of the group, to which it would go; nothing of it was kept.
+    /// Members of the group stand where the job may not be stored; nothing was stored.
     OutOfRegions {
-        /// Their names.
+        /// Names of these members.
         members: Vec<String>,
     },
 }
 
-/// One frame.
+/// A frame.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
     /// A message of the replicated log.
     Consensus(Message),
     /// A member asks to join the group.
     Join(MemberId),
-    /// The sender leads; to a process outside of the group, which gets nothing of the log.
+    /// The sender leads. Sent to processes outside the group, which do not receive the log.
     Leader(String),
-    /// The sums of a job store to which gateways report.
+    /// The sums of an aggregator.
     Sums(LoadSums),
-    /// A gateway reports to the sender now, and no longer to the receiver.
+    /// A gateway now reports to the sender and no longer to the receiver.
     GatewayMoved {
         /// Name of the gateway.
         gateway: String,
     },
-    /// A request with its number on this connection.
+    /// A request.
     Request {
-        /// Number.
+        /// Number of the request, unique on this connection.
         call: u64,
         /// The request.
         request: Request,
@@ -337,45 +341,46 @@
         /// The reply.
         reply: Reply,
     },
-    /// Output of a run that goes on.
+    /// Output of a run that has not ended.
     Output {
-        /// Number of the request for the run.
+        /// Number of the request that started the run.
         call: u64,
         /// The last event of the output.
         last_event: u64,
         /// Data of the events that were not sent before.
         text: String,
     },
-    /// Ends a run.
+    /// Cancels a run.
     Cancel {
-        /// Number of the request for the run.
+        /// Number of the request that started the run.
         call: u64,
     },
-    /// A back end told that an item can never be done, to a process that could not record it: it
-    /// does not lead any more.
+    /// A back end reported an item as unprocessable to a process that could not record it because
+    /// it lost leadership.
     Unprocessable {
         /// Id of the job.
         job: String,
         /// Index of the item.
         item: u32,
     },
-    /// What a worker learnt of suspects by a run; before its report, so that the leader knows it when it
-    /// decides on the next run.
+    /// What a worker learned about suspects during a run. Sent before the report of the run, so
+    /// that the leader has it when it decides on the next run.
     Suspects(SuspectReport),
-    /// The leader still wants its runs; the worker answers with the same.
+    /// Renews the lease of the runs on the connection, or checks that it works; answered with the
+    /// same frame.
     Renew,
 }
 
-/// A frame to send, with the room that it takes until it is sent.
+/// A frame to send, with the permit that it holds until it is sent.
 pub struct Outgoing {
     /// The frame.
     pub frame: Frame,
-    /// Given back when the frame is sent or dropped.
+    /// Released when the frame has been sent or dropped.
     pub room: Option<OwnedSemaphorePermit>,
 }
 
 impl Outgoing {
-    /// A frame that takes no room.
+    /// Creates a frame without a permit.
     pub fn new(frame: Frame) -> Self {
         Self { frame, room: None }
     }
@@ -384,7 +389,7 @@
 /// A connection that carries frames.
 pub type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Frames that arrive on a connection.
+/// Frames received on a connection.
 pub type IncomingFrames = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
 /// Wraps a connected socket.
@@ -393,8 +398,9 @@
     Framed::new(stream, codec())
 }
 
-/// Frames are short and awaited; and whoever only reads finds out by probes that the other side is gone: its
-/// connection would else take a descriptor until the process ends.
+/// Disables Nagle's algorithm, since frames are short and awaited, and enables keep-alive: a side
+/// that only reads would otherwise never notice that its peer is gone, and keep the descriptor
+/// until the process ends.
 fn configure_socket(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let keep_alive = TcpKeepalive::new()
@@ -411,17 +417,17 @@
 /// Encodes a frame.
 pub fn encode(frame: &Frame) -> Bytes {
     let mut bytes = Vec::with_capacity(size_hint(frame));
-    // Encoding into memory fails for no value of these types.
+    // Encoding into memory cannot fail for these types.
     let _ = borsh::to_writer(&mut bytes, frame);
     bytes.into()
 }
 
-/// Bytes of a result in a frame beside its text.
+/// Encoded size of a result in addition to its text.
 const RESULT_OVERHEAD_BYTES: usize = 64;
-/// Bytes of a frame beside what it carries.
+/// Encoded size of a frame in addition to its payload.
 const FRAME_OVERHEAD_BYTES: usize = 512;
 
-/// About the bytes of a frame: a large one must not grow by doubling.
+/// Estimated size of an encoded frame, so that the buffer of a large one is not grown by doubling.
 fn size_hint(frame: &Frame) -> usize {
     let carried = match frame {
         Frame::Consensus(message) => message_bytes(&message.body),
@@ -441,7 +447,7 @@
     }
 }
 
-/// Sends an encoded frame; a large one goes out of its own buffer, without another copy.
+/// Sends an encoded frame; a large one is written from its own buffer without another copy.
 pub async fn send_frame(socket: &mut OwnedWriteHalf, frame: Bytes) -> std::io::Result<()> {
     let head = (frame.len() as u32).to_be_bytes();
     if frame.len() < LARGE_FRAME_BYTES {
@@ -451,7 +457,7 @@
     socket.write_all(&frame).await
 }
 
-/// Splits a connected socket into frames that arrive and the end that `send_frame` writes to.
+/// Splits a connected socket into received frames and the write half for `send_frame`.
 pub fn split(stream: TcpStream) -> (IncomingFrames, OwnedWriteHalf) {
     configure_socket(&stream);
     let (reader, writer) = stream.into_split();
--- a/crates/jobstore/src/quota.rs
+++ b/crates/jobstore/src/quota.rs
@@ -1,5 +1,5 @@
-//! A job store as an accountant of tenants' limits, and as the one that assigns accountants where it
-//! leads. The decisions are `yokefall_quota`'s.
+//! Quota service of a job store: acts as an accountant of tenants' limits and, on the leader,
+//! assigns accountants. The decisions are made by `yokefall_quota`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,29 +23,31 @@
 
 /// Interval at which leases are renewed.
 const RENEW_INTERVAL: Duration = Duration::from_millis(RENEW_INTERVAL_MS);
-/// Interval at which the leader looks for slots that nobody holds. A slot without an accountant costs
-/// a third of the limits of a sixteenth of the tenants.
+/// Interval at which the leader looks for slots without an accountant. Such a slot costs a
+/// sixteenth of the tenants a third of their limits.
 const ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval at which a process looks whether the configuration limits any tenant.
+/// Interval at which a process checks whether the configuration limits any tenant.
 const UNLIMITED_POLL_INTERVAL: Duration = Duration::from_millis(2_000);
 /// The same while no configuration is known yet.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for the leader to answer; an accountant that stops must not wait long for it.
+/// Time limit for releasing leases; a stopping accountant must not wait long.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Grants tokens, and renews the leases of others where this process leads.
+/// Grants tokens, and on the leader renews the leases of accountants.
 #[derive(Debug)]
 pub struct QuotaService {
     name: String,
     clock: ElapsedClock,
     accountant: RefCell<Accountant>,
-    /// What this process knows of leases as the leader of a term. Invariant: what it knew in another
-    /// term is dropped, since another leader may have renewed leases in between.
+    /// The overseer of a term in which this process leads.
+    ///
+    /// Invariant: it is discarded when the term changes, since another leader may have renewed
+    /// leases in between.
     overseer: RefCell<Option<(Term, Overseer)>>,
 }
 
 impl QuotaService {
-    /// The service of the job store of this name.
+    /// Creates the service of the job store with this name.
     pub fn new(name: String, bounds: QuotaBounds, clock: ElapsedClock) -> Rc<Self> {
         Rc::new(Self {
             name,
@@ -59,15 +61,15 @@
         self.clock.now()
     }
 
-    /// Grants tokens, one answer for each ask.
+    /// Grants tokens, one answer per request.
     pub fn take(&self, asks: &[TokenAsk]) -> Vec<TokenGrant> {
         let now = self.now();
         let mut accountant = self.accountant.borrow_mut();
         asks.iter().map(|ask| accountant.take(now, ask)).collect()
     }
 
-    /// Renews the leases of an accountant, or takes its slots back. To be called where this process
-    /// leads and may answer.
+    /// Renews the leases of an accountant, or takes back its slots. Must only be called on a leader
+    /// that may answer.
     pub fn renew(&self, store: &Store, name: &str, releases: bool) -> Vec<SlotLease> {
         let now = self.now();
         self.with_overseer(store, |overseer| {
@@ -79,7 +81,7 @@
         })
     }
 
-    /// The overseer of the present term.
+    /// Calls `step` with the overseer of the current term.
     fn with_overseer<R>(&self, store: &Store, step: impl FnOnce(&mut Overseer) -> R) -> R {
         let term = store.term();
         let mut held = self.overseer.borrow_mut();
@@ -91,7 +93,7 @@
     }
 }
 
-/// How long to wait before the next look whether the configuration limits any tenant; `None` where it
+/// Time to wait before checking again whether the configuration limits any tenant; `None` if it
 /// does.
 fn idle_interval(catalog: &CatalogCell) -> Option<Duration> {
     match &catalog.load().configuration {
@@ -101,7 +103,7 @@
     }
 }
 
-/// Renews the leases of this process's slots until it gives them back.
+/// Renews the leases of this process until they are released.
 pub async fn renew_leases(quota: Rc<QuotaService>, catalog: CatalogCell, fleet: FleetCell) {
     let leader = JobClient::new(fleet);
     while !quota.accountant.borrow().is_released() {
@@ -126,7 +128,7 @@
     }
 }
 
-/// Assigns slots while this process leads, for ever.
+/// Assigns slots while this process leads. Never returns.
 pub async fn assign_slots(
     quota: Rc<QuotaService>,
     store: Rc<Store>,
@@ -164,11 +166,12 @@
         .field("job_stores", candidates.len())
         .write();
     let slots = changes.into_iter().map(|(slot, accountant)| SlotAssignment { slot, accountant });
-    // Where the lead is lost, the next leader finds the slots without an accountant as well.
+    // If leadership is lost, the next leader finds the unassigned slots as well.
     let _ = store.propose(&Command::AssignSlots(slots.collect())).await;
 }
 
-/// Gives this process's slots back before a planned stop, so that nobody waits for leases to end.
+/// Releases this process's slots before a planned stop, so that nobody has to wait for the leases
+/// to expire.
 pub async fn release(quota: &QuotaService, fleet: &FleetCell) {
     let held = quota.accountant.borrow().held(quota.now());
     quota.accountant.borrow_mut().release();
@@ -177,6 +180,6 @@
     }
     let leader = JobClient::new(fleet.clone());
     let request = Request::RenewSlots { name: quota.name.clone(), releases: true };
-    // Where no leader answers in time, the leases end by themselves.
+    // If no leader answers in time, the leases expire.
     let _ = leader.call(request, Instant::now() + RELEASE_TIMEOUT).await;
 }
--- a/crates/jobstore/src/reads.rs
+++ b/crates/jobstore/src/reads.rs
@@ -1,4 +1,4 @@
-//! What is read from a replica: jobs, their results, and what to wait on for further ones.
+//! Reads from a replica: jobs, their results, and notification of further results.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use crate::state::{Job, Jobs};
 use crate::store::Store;
 
-/// What a read found.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadResult<T> {
-    /// It is there.
+    /// The value exists.
     Found(T),
-    /// It is not there, for certain.
+    /// The value definitely does not exist.
     NotFound,
-    /// This replica cannot be sure.
+    /// This replica may not answer reads at the moment.
     NotReady,
 }
 
 impl Store {
-    /// Reads the jobs where this replica may answer reads.
+    /// Reads the jobs if this replica may answer reads.
     pub fn read<R>(&self, read: impl FnOnce(&Jobs) -> Option<R>) -> ReadResult<R> {
         if !self.serves() {
             return ReadResult::NotReady;
@@ -38,17 +38,17 @@
         self.read(|jobs| jobs.page(job, requester, from))
     }
 
-    /// What to wait on for further results of a job.
+    /// Notified when the job has further results.
     pub fn reader(&self, job: &str) -> Rc<Notify> {
         let mut inner = self.inner.borrow_mut();
         if inner.jobs.get(job).is_none() {
-            // Nobody would ever forget it again.
+            // An entry for an unknown job would never be removed.
             return Rc::default();
         }
         inner.readers.entry(job.to_owned()).or_default().clone()
     }
 
-    /// Where everything may be kept that is held: the regions that the bodies of all open items allow.
+    /// Where all current jobs may be stored: the intersection of what their open items allow.
     pub fn residency(&self, catalog: &Catalog) -> Residency {
         let inner = self.inner.borrow();
         let open = inner.jobs.iter().filter(|(_, job)| job.is_open());
@@ -59,7 +59,7 @@
         each.fold(Residency::Anywhere, |all, one| all.and(&one))
     }
 
-    /// Looks at every job with the time since this replica took it.
+    /// Calls `look` with each job and the time since this replica applied its submission.
     pub fn for_each_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
         let inner = self.inner.borrow();
         let now = Instant::now();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Looks at every job that is open, with the time since this replica took it.
+    /// Calls `look` with each open job and the time since this replica applied its submission.
     pub fn for_each_open_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
         self.for_each_job(|id, job, age| {
             if job.is_open() {
@@ -83,12 +83,12 @@
         self.inner.borrow().jobs.iter().any(|(_, job)| job.is_open())
     }
 
-    /// Who the accountants of tenants' limits are, as far as this replica has applied.
+    /// The assignment of accountants, as applied on this replica.
     pub fn accountants(&self) -> Assignment {
         self.inner.borrow().jobs.accountants().clone()
     }
 
-    /// Looks at one job.
+    /// Calls `look` with a job, if it exists.
     pub fn with_job<R>(&self, id: &str, look: impl FnOnce(&Job) -> R) -> Option<R> {
         self.inner.borrow().jobs.get(id).map(look)
     }
--- a/crates/jobstore/src/residence.rs
+++ b/crates/jobstore/src/residence.rs
@@ -1,5 +1,5 @@
-//! Whether a job may be kept: its bodies go to every member of the group, so that all of these have to stand
-//! where the job may be stored.
+//! Where a job may be stored. Its bodies are copied to every member of the group, so that all
+//! members must stand where the job may be stored.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,8 +7,8 @@
 use yokefall_consensus::MemberId;
 use yokefall_serving::{Catalog, Fleet, Residency, TenantName, ZoneMap};
 
-/// Where a job with items of these paths may be kept: where each of them may. A path without a route restricts
-/// nothing: its item is not run before it has one.
+/// Where a job with items of these paths may be stored: the intersection of what each path allows.
+/// A path without a route restricts nothing, since its item does not run before there is a route.
 pub fn residency_of_job<'a>(
     catalog: &Catalog,
     host: &str,
@@ -20,16 +20,16 @@
     each.fold(Residency::Anywhere, |all, one| all.and(&one))
 }
 
-/// Zones of job stores, those too that have ended: one that was a member of the group gets what it missed when
-/// it comes back.
+/// Zones of job stores, including stopped ones: a member of the group that returns receives the
+/// entries that it missed.
 #[derive(Debug, Default)]
 pub struct KnownZones {
-    /// Name to zone.
+    /// Zone by name.
     zones: RefCell<BTreeMap<String, String>>,
 }
 
 impl KnownZones {
-    /// Remembers the job stores that live.
+    /// Records the zones of the live job stores.
     pub fn record(&self, fleet: &Fleet) {
         let mut zones = self.zones.borrow_mut();
         for member in fleet.job_stores() {
@@ -39,15 +39,15 @@
         }
     }
 
-    /// Whether something with this residency may be kept at a job store. Where nothing is known of it, only what
-    /// may be kept anywhere.
+    /// Whether data with this residency may be stored at a job store. An unknown job store may only
+    /// hold unrestricted data.
     pub fn may_keep(&self, job_store: &str, residency: &Residency, map: &ZoneMap) -> bool {
         let zones = self.zones.borrow();
         residency.allows(zones.get(job_store).and_then(|zone| map.region_of(zone)))
     }
 
-    /// Leaves those who ask to join the group from where everything that is held may be kept. Where there are none,
-    /// the others may join: without them the next lost disks could take jobs away that were accepted.
+    /// Keeps only the joining members that may store all current data. If there are none, the
+    /// others may join: without them, further disk losses could lose accepted jobs.
     pub fn prefer_allowed(
         &self,
         joining: &mut Vec<MemberId>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Those of these job stores at which something with this residency may not be kept.
+    /// The job stores that may not hold data with this residency.
     pub fn forbidden<'a>(
         &self,
         job_stores: impl Iterator<Item = &'a str>,
--- a/crates/jobstore/src/run.rs
+++ b/crates/jobstore/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of an item at a back end.
+//! A run of an item at a back end.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,23 +18,23 @@
 
 use crate::state::Run;
 
-/// Time for a connection to come up.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time without any byte after which a run is continued elsewhere.
+/// Time without any received byte after which a run is continued elsewhere.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Connections of this process to one back end.
+/// Maximum number of connections from this process to one back end.
 const MAX_CONNECTIONS: usize = 32;
 
-/// Output of an item since it was last made durable.
+/// Output of an item since it was last committed.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// The run that gives it.
+    /// The run that produces it.
     pub run: Run,
     /// Last event that is in the log.
     pub committed_event: u64,
-    /// Last event seen.
+    /// Last event received.
     pub last_event: u64,
-    /// Data of the events between.
+    /// Data of the events in between.
     pub text: Option<String>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Adds the data of all events up to one, which another process read.
+    /// Adds the data of all events up to `last_event`, which another process received.
     pub fn extend(&mut self, last_event: u64, data: Option<String>) {
         if let Some(data) = data.filter(|_| last_event > self.last_event) {
             self.push(last_event, &data);
@@ -62,23 +62,23 @@
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RunEnd {
-    /// The whole output is there.
+    /// The output is complete.
     Completed,
-    /// The item can never be done.
+    /// The back end reported that the item can never be processed.
     Unprocessable,
-    /// The item failed by its own fault.
+    /// The item itself failed.
     ItemFailed,
-    /// It did not run, or broke off: try again.
+    /// The run did not start or was interrupted; to be retried.
     Again {
         /// The cause.
         cause: String,
-        /// Whether a pause should come first.
+        /// Whether to back off before the retry.
         pause: bool,
     },
 }
 
 impl RunEnd {
-    /// Whether the back end gave a whole answer, of whatever kind: it outlived the item.
+    /// Whether the back end sent a complete answer of any kind, that is, it did not crash.
     pub fn is_whole_answer(&self) -> bool {
         !matches!(self, RunEnd::Again { .. })
     }
@@ -87,20 +87,21 @@
 /// Why an item may not be sent to a back end now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NoPermit {
-    /// The cause, as text.
+    /// The cause.
     pub cause: String,
-    /// Whether the back end is cold and this process has no share left: trying again at once is in vain.
+    /// Whether the back end is cold and the share of this process is used up; an immediate retry
+    /// would fail again.
     pub is_cold: bool,
 }
 
 impl NoPermit {
-    /// A cause that another back end may not have.
+    /// Creates an error whose cause may not apply to other back ends.
     pub fn new(cause: impl Into<String>) -> Self {
         Self { cause: cause.into(), is_cold: false }
     }
 }
 
-/// What a back end is told of whose item it runs.
+/// On whose behalf an item is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemSender {
     /// Host that the item's job was sent to.
@@ -109,7 +110,7 @@
     pub tenant: Option<TenantName>,
 }
 
-/// The body of an item, shared with the state.
+/// The body of an item, shared with the replicated state.
 struct SharedBody(Arc<JobItem>);
 
 impl AsRef<[u8]> for SharedBody {
@@ -118,7 +119,7 @@
     }
 }
 
-/// What an item has in common with every other attempt of the same request, items or not.
+/// Digest that identifies all attempts of the same request, as an item or not.
 pub fn item_digest(sender: &ItemSender, item: &JobItem) -> RequestDigest {
     RequestDigest::of(&RequestIdentity {
         method: Method::POST.as_str(),
@@ -131,23 +132,24 @@
 
 /// Runs items at back ends.
 pub struct ItemRunner {
-    /// Connections.
+    /// Connections to back ends.
     pub pool: Pool,
-    /// Requests under which back ends ended.
+    /// Requests that are suspected of crashing back ends.
     pub suspects: Rc<Registry>,
     dialect: Arc<dyn Dialect>,
 }
 
 impl ItemRunner {
-    /// A runner without connections yet.
+    /// Creates a runner without connections.
     pub fn new(dialect: Arc<dyn Dialect>, suspects: Rc<Registry>) -> Self {
         Self { pool: Pool::default(), suspects, dialect }
     }
 
-    /// Runs an item at the back end of a place, from where its output stands. Invariant: `permit` is asked for
-    /// at the last moment before the item is sent. A connection may take long to come up, and a process
-    /// without processor time may take longer; meanwhile the job may have been cancelled, the lead lost, or
-    /// the back end have begun to drain.
+    /// Runs an item at a back end, resuming after the output so far.
+    ///
+    /// Invariant: `permit` is requested immediately before the item is sent. Connecting may take
+    /// long, and longer if the process gets no processor time; meanwhile the job may have been
+    /// cancelled, leadership lost, or the back end begun to drain.
     pub async fn run_at(
         &self,
         place: &mut Place,
@@ -233,7 +235,8 @@
         }
     }
 
-    /// Takes what a back end tells of itself with its answer.
+    /// Records the load and the remaining warm-up time that a back end reports in its response
+    /// headers.
     fn record_backend_headers(&self, place: &Place, headers: &http::HeaderMap) {
         let load = headers.get(&self.dialect.headers().load);
         if let Some(load) = load.and_then(|value| self.dialect.parse_load(value)) {
@@ -259,7 +262,7 @@
             let name = HeaderName::try_from(header.name.as_str()).ok()?;
             headers.append(name, HeaderValue::try_from(header.value.as_str()).ok()?);
         }
-        // What the submission named of keys and tenants is no back end's business.
+        // Replaces the tenant headers of the submission, which are not meant for back ends.
         mark_tenant(sender.tenant.as_ref(), &names.tenant, headers);
         headers.insert(header::HOST, HeaderValue::try_from(&sender.host).ok()?);
         headers.insert(&names.request_id, HeaderValue::try_from(item.id.as_str()).ok()?);
--- a/crates/jobstore/src/runner.rs
+++ b/crates/jobstore/src/runner.rs
@@ -1,6 +1,7 @@
-//! Decides which item runs at which back end while this replica leads. Online requests go first: an
-//! item gets a slot only where online requests leave some free (`slots`). One run of an item, from its start to what is
-//! recorded of it, is in `item_run`; who reads the events is `delegation`'s.
+//! Decides which item runs at which back end while this replica leads. Online requests take
+//! precedence: an item gets a slot only if enough slots stay free for them (`slots`). `item_run`
+//! handles a single run from its start to the recorded result, and `delegation` the runs at other
+//! job stores.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,43 +25,45 @@
 use crate::urgency::{DurationEstimator, WaitingItem, WaitingJob};
 use crate::worker::Worker;
 
-/// Interval at which the output of running items is made durable.
+/// Interval at which the output of running items is committed.
 const COMMIT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Least interval between two scheduling passes; load reports come as often where gateways are few.
+/// Minimum interval between two scheduling passes; load reports arrive this often if there are few
+/// gateways.
 const MIN_PASS_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest interval between two scheduling passes.
+/// Maximum interval between two scheduling passes.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval between two searches for jobs that are over.
+/// Interval between two searches for finished jobs.
 const PURGE_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// The runner's state, shared between its tasks.
+/// State of the runner, shared by its tasks.
 pub struct Runner {
     pub(crate) store: Rc<Store>,
     pub(crate) worker: Rc<Worker>,
     pub(crate) delegation: Delegation,
     pub(crate) fleet: FleetCell,
     pub(crate) running: RefCell<HashMap<ItemKey, Running>>,
-    /// How fast items are done.
+    /// Estimates how long items take.
     pub(crate) estimator: Cell<DurationEstimator>,
     backlog: Backlog,
-    /// Items that wait because back ends ended under them.
+    /// Items that are held back because back ends crashed while running them.
     held: HeldItems,
     pub(crate) options: RunnerOptions,
 }
 
-/// What a runner is given at its start.
+/// Options of a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct RunnerOptions {
-    /// Time for which jobs that are over are kept.
+    /// How long finished jobs are retained.
     pub retention: Duration,
-    /// Items that run at once at most; each takes memory for its connection and its output.
+    /// Maximum number of items that run at the same time; each needs memory for its connection and
+    /// output.
     pub most_runs: usize,
-    /// Decisions that are switched on.
+    /// Enabled policies.
     pub policy: Policy,
 }
 
 impl Runner {
-    /// A runner that gives items to `worker`, and through `delegation` to other job stores.
+    /// Creates a runner that runs items with `worker`, or at other job stores through `delegation`.
     pub fn new(
         store: Rc<Store>,
         worker: Rc<Worker>,
@@ -73,7 +76,7 @@
         Self { store, worker, delegation, fleet, running, estimator, backlog, held, options }
     }
 
-    /// Runs for ever: waits for the lead, then runs items until it is lost.
+    /// Waits for leadership, runs items until it is lost, and repeats. Never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
             while !self.store.serves() {
@@ -97,7 +100,7 @@
     async fn lead(self: Rc<Self>) {
         let mut commit_at = Instant::now() + COMMIT_INTERVAL;
         let mut purge_at = Instant::now() + PURGE_INTERVAL;
-        // What runs goes on through a moment without a lease; nothing starts in it.
+        // Items keep running while the leader has no valid lease, but none is started.
         while self.store.is_leader() {
             self.stop_closed();
             self.preempt();
@@ -119,7 +122,7 @@
     }
 
     async fn wait_for_work(&self, commit_at: Instant) {
-        // Loads are reported many times a second; one pass serves what came meanwhile.
+        // Load is reported many times a second; one pass handles all that arrived in the meantime.
         tokio::time::sleep(MIN_PASS_INTERVAL).await;
         let woken = self.store.work_changed.notified();
         let busy = !self.running.borrow().is_empty() || self.store.has_open_jobs();
@@ -127,7 +130,7 @@
         let _ = tokio::time::timeout_at(until, woken).await;
     }
 
-    /// Stops runs of items that have a result, or whose job was ended.
+    /// Stops runs of items that have a result or whose job was ended.
     fn stop_closed(&self) {
         self.running.borrow_mut().retain(|(job, item), running| {
             let is_open = self.store.with_job(job, |job| job.open.contains_key(item));
@@ -146,7 +149,7 @@
         });
     }
 
-    /// Takes over what gateways reported of their requests.
+    /// Applies the load totals to the balancer.
     fn apply_load_reports(&self) {
         let totals = self.store.loads.totals();
         let totals = totals
@@ -156,8 +159,8 @@
         self.worker.places.with(|balancer, now| balancer.heard_totals(now, totals, items));
     }
 
-    /// Starts what waits, in its order, as far as there are free slots. The work of a pass grows with
-    /// the jobs that are open and the items that start, not with the items that wait.
+    /// Starts waiting items in order while slots are free. The cost of a pass depends on the open
+    /// jobs and the started items, not on the waiting items.
     fn start_items(self: &Rc<Self>) {
         let jobs = self.waiting_jobs();
         let mut services = FreeSlots::default();
@@ -176,8 +179,8 @@
         self.backlog.note(services.services(), stats);
     }
 
-    /// Jobs with items that do not run yet. Items that have waited for longer than their route allows
-    /// are given up.
+    /// Jobs that are still open. Items that have waited longer than their route allows are
+    /// abandoned.
     fn waiting_jobs(self: &Rc<Self>) -> Vec<WaitingJob> {
         let mut jobs = Vec::new();
         let mut expired = Vec::new();
@@ -198,7 +201,8 @@
         jobs
     }
 
-    /// Starts the items of a job that can be done in time, or those that cannot.
+    /// Starts the items of a job that can meet their target, or, if `late` is set, those that
+    /// cannot.
     fn start_items_of(self: &Rc<Self>, job: &WaitingJob, late: bool, services: &mut FreeSlots) {
         let estimator = self.estimator.get();
         let waiting = self.store.with_job(&job.id, |held| {
@@ -219,7 +223,7 @@
             if self.held.contains(&key) {
                 continue;
             }
-            // An item whose route is unknown must not hold up the items of others.
+            // An item without a route must not block other items.
             let Some(pool) = self.pool_of(&key) else { continue };
             let free = services.of(&pool, || self.free_slots(&pool));
             let may_start =
@@ -244,7 +248,7 @@
         }
     }
 
-    /// The digest of an item; `None` where its job or the item is gone.
+    /// The digest of an item; `None` if the job or the item no longer exists.
     fn digest_of(&self, (job, index): &ItemKey) -> Option<RequestDigest> {
         self.store.with_job(job, |job| {
             let item = job.open.get(index)?.item.clone();
@@ -253,16 +257,16 @@
         })?
     }
 
-    /// Gives up an item that waited too long; it counts as running until that is in the log.
+    /// Abandons an item that waited too long. It counts as running until this is committed.
     fn abandon_expired(self: &Rc<Self>, key: ItemKey) {
         let (runner, item) = (self.clone(), key.clone());
         let task = tokio::task::spawn_local(async move {
             Line::new(EventName::ItemAbandoned)
                 .id(format_args!("{} item {}", item.0, item.1))
                 .text("job", &item.0)
-                .field("cause", "it waited longer than its route allows")
+                .field("cause", "queued for longer than its route allows")
                 .write();
-            // Where the lead is lost, the next leader finds that it waited too long as well.
+            // If leadership is lost, the next leader finds that the item waited too long as well.
             let _ = runner.store.abandon(&item.0, item.1).await;
             runner.running.borrow_mut().remove(&item);
             runner.store.work_changed.notify_one();
@@ -278,7 +282,7 @@
         self.running.borrow_mut().insert(key, running);
     }
 
-    /// Makes the output of running items durable, so that another leader goes on from there.
+    /// Commits the output of running items, so that another leader can resume them.
     fn commit_output(&self) {
         let running = self.running.borrow();
         let commands: Vec<Command> =
--- a/crates/jobstore/src/running.rs
+++ b/crates/jobstore/src/running.rs
@@ -1,4 +1,4 @@
-//! Items that run, and what the runner does with their output.
+//! Running items and their output.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,47 +13,47 @@
 use crate::state::Command;
 use crate::store::Store;
 
-/// An item by its job and index.
+/// Id of the job and index of the item.
 pub type ItemKey = (String, u32);
 
-/// An item that runs.
+/// A running item.
 pub struct Running {
     /// Its task.
     pub task: tokio::task::JoinHandle<()>,
     /// Its output so far.
     pub progress: Rc<RefCell<Progress>>,
-    /// Back end at which it runs; none for an item that is being given up.
+    /// The back end at which it runs; `None` while it is being abandoned.
     pub backend: Option<Arc<Backend>>,
     /// When it started.
     pub started: Instant,
-    /// Whether it has its slot.
+    /// Whether it occupies its slot.
     pub phase: Rc<Cell<Phase>>,
-    /// Tells it to give its slot to an online request.
+    /// Notified when it must release its slot to an online request.
     pub preempted: Rc<Notify>,
 }
 
 impl Running {
-    /// The run as preemption sees it.
+    /// The run as seen by preemption.
     pub fn at<'a>(&self, backend: &'a Backend) -> PlacedRun<'a> {
         let has_output = self.progress.borrow().last_event > 0;
         PlacedRun { backend, has_output, started: self.started, phase: self.phase.get() }
     }
 
-    /// Tells it to give its slot, which it has, to an online request.
+    /// Tells the run, which must occupy a slot, to release it to an online request.
     pub fn preempt(&self) {
-        self.phase.set(Phase::RetiringMachines);
+        self.phase.set(Phase::Preempting);
         self.preempted.notify_one();
     }
 }
 
-/// An item that counts at its back end, until it is dropped.
+/// Counts an item in the load of its back end until it is dropped.
 pub struct CountedItem {
     store: Rc<Store>,
     backend: BackendLife,
 }
 
 impl CountedItem {
-    /// Counts an item from now on.
+    /// Starts to count an item.
     pub fn new(store: Rc<Store>, backend: BackendLife) -> Self {
         store.loads.item_started(&backend);
         store.loads_changed.notify_one();
@@ -68,8 +68,8 @@
     }
 }
 
-/// The command that makes the output since the last one durable. The log keeps the order of what
-/// this leader proposes, so a later end of the item follows on it.
+/// The command that commits the output since the last one. The log preserves the order of a
+/// leader's proposals, so that the end of the item follows its output.
 pub fn take_output(key: &ItemKey, progress: &Rc<RefCell<Progress>>) -> Option<Command> {
     let mut progress = progress.borrow_mut();
     let text = progress.text.take()?;
--- a/crates/jobstore/src/server.rs
+++ b/crates/jobstore/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers gateways and takes messages of other members.
+//! Serves gateways and the other members of the group.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,15 +26,15 @@
 use crate::store::{ProposeError, Store};
 use crate::worker::{ConnectionRuns, Worker};
 
-/// Longest time for which a read is held, whatever its caller asks.
+/// Maximum wait of a read, whatever the client requests.
 const MAX_READ_WAIT: Duration = Duration::from_millis(2_000);
-/// Pause after a connection could not be taken.
+/// Backoff after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Memory that a page takes while it is on its way, in parts of its text: as results, and encoded.
+/// Memory of a page in flight as a multiple of its text: the results and their encoding.
 const PAGE_COPIES: usize = 2;
 
-/// What the tasks of a server share.
+/// State shared by the tasks of a server.
 #[derive(Clone)]
 struct Server {
     store: Rc<Store>,
@@ -42,11 +42,11 @@
     quota: Rc<QuotaService>,
     fleet: FleetCell,
     known_zones: Rc<KnownZones>,
-    /// Pages that may be on their way at once.
+    /// Limits the pages in flight.
     pages: Arc<Semaphore>,
 }
 
-/// Serves a listener for ever. Pages of results that are on their way take `page_bytes` at most.
+/// Serves a listener. Never returns. Pages of results in flight use at most `page_bytes`.
 pub async fn serve(
     listener: TcpListener,
     store: Rc<Store>,
@@ -87,8 +87,8 @@
         let silent_ms = store.now() - received_at;
         received_at = store.now();
         if !runs.is_empty() && silent_ms > RUN_LEASE.as_millis() as u64 {
-            // This machine was suspended: its timer did not see that the lease ended, and another process
-            // has the runs.
+            // The machine was suspended, so the timer missed the end of the lease, and another
+            // process may have taken over the runs.
             break;
         }
         let Ok(frame) = decode(&bytes) else { break };
@@ -111,7 +111,7 @@
             }
             Frame::Cancel { call } => runs.cancel(call),
             Frame::Renew => {
-                // A writer that has ended ends the connection as well.
+                // If the writer has ended, so does the connection.
                 let _ = replies.send(Outgoing::new(Frame::Renew));
             }
             Frame::Request { call, request } => {
@@ -124,8 +124,8 @@
     writer.abort();
 }
 
-/// The next frame; `None` where the connection has ended, or where the leader of runs on it has not
-/// renewed them.
+/// The next frame; `None` if the connection has ended, or the leader has not renewed the lease of
+/// its runs.
 async fn next_frame(frames: &mut IncomingFrames, runs: &ConnectionRuns) -> Option<BytesMut> {
     let frame = match runs.is_empty() {
         true => frames.next().await,
@@ -134,7 +134,7 @@
     frame?.ok()
 }
 
-/// A member asks to join; the leader tells it who leads, whether it is admitted or not.
+/// Handles a join request. A leader answers that it leads, whether or not it admits the member.
 fn handle_join(store: &Store, member: MemberId) {
     if store.is_leader() {
         let me = store.with_core(|core, _| core.id().name.clone());
@@ -157,8 +157,8 @@
 async fn handle_request(server: &Server, request: Request) -> Reply {
     let (store, quota) = (&server.store, &server.quota);
     let suspects = &server.worker.items.suspects;
-    // Loads are no part of the log: any job store adds them up, so that they stay known while
-    // nobody leads.
+    // Load is not part of the log. Any job store aggregates it, so that it stays known while there
+    // is no leader.
     if let Request::Load(report) = request {
         if let Some(before) = &report.moved_from {
             store.send_frame(before, &Frame::GatewayMoved { gateway: report.gateway.clone() });
@@ -171,7 +171,7 @@
     if let Request::TakeTokens(asks) = request {
         return Reply::Tokens(quota.take(&asks));
     }
-    // What is known of suspects is no part of the log either.
+    // Knowledge of suspects is not part of the log either.
     if let Request::Suspects(exchange) = request {
         return Reply::Suspects(exchange.answer(suspects));
     }
@@ -234,8 +234,8 @@
     }
 }
 
-/// Members of the group to which a job would go though it may not be kept there. A gateway looks at all job
-/// stores that it knows before it sends a job; this process knows who is a member.
+/// Members of the group that may not store the job. Gateways check all job stores that they know
+/// before they send a job; this process knows the actual members.
 fn forbidden_members(
     server: &Server,
     requester: &Requester,
@@ -278,7 +278,8 @@
     }
 }
 
-/// Waits until a result exists from a position on, or nothing more will come, or until a time.
+/// Waits until there is a result at or after a position, no more results will come, or the deadline
+/// is reached.
 async fn wait_until_readable(store: &Store, job: &str, from: u64, until: Instant) {
     loop {
         let reader = store.reader(job);
--- a/crates/jobstore/src/slots.rs
+++ b/crates/jobstore/src/slots.rs
@@ -1,5 +1,5 @@
-//! Slots that items may have: those that online requests leave free at back ends where an item may be served, and
-//! those that online requests get back.
+//! Slots for items: those that online requests leave free at back ends where an item may be served,
+//! and those that are returned to online requests.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
         ServiceSlots::new(capacity, backends)
     }
 
-    /// The slots that the configuration in force gives an item.
+    /// The slot pool that the current configuration assigns to an item.
     pub(crate) fn pool_of(&self, key: &ItemKey) -> Option<SlotPool> {
         let catalog = self.worker.catalog.load();
         let (sender, path) = self.store.with_job(&key.0, |job| {
@@ -50,15 +50,16 @@
         (route.kind == RouteKind::Batch).then_some(SlotPool { service, residency })
     }
 
-    /// The slots of a pool. Of back ends that may take an item only those are looked at that have work: a pass comes up to
-    /// fifty times a second, and before 10,000 back ends a leader that looked at all of them had a fifth of its items done.
+    /// Capacity of a pool. Only back ends with work are examined one by one: there are up to fifty
+    /// passes a second, and with 10,000 back ends a leader that examined all of them completed only
+    /// a fifth of its items.
     fn capacity(&self, pool: &SlotPool) -> Capacity {
         let catalog = self.worker.catalog.load();
         let need = Need { service: &pool.service, residency: &pool.residency };
         let coverage = self.store.loads.coverage(self.fleet.load().gateways().count());
         let capacity = Capacity::new(self.store.loads.report_interval()).with_coverage(coverage);
         let Some(closed) = self.item_workers().closed(&need) else {
-            // What is known is too old to tell that any of them is warm.
+            // The data is too old to know any of them as warm.
             return self
                 .capacity_of_each(capacity, &self.item_workers().candidates(&catalog, &need));
         };
@@ -83,7 +84,7 @@
         capacity
     }
 
-    /// Who may run items.
+    /// The workers that may run items.
     pub(crate) fn item_workers(&self) -> ItemWorkers<'_> {
         let leader = self.store.with_core(|core, _| core.id().name.clone());
         ItemWorkers { worker: &self.worker, delegation: &self.delegation, leader }
@@ -94,13 +95,13 @@
         self.reported_online(backend) + items < backend.slots
     }
 
-    /// Online requests at a back end of the gateways that are heard. Those of the others are in the
-    /// reserve of the service (`Coverage`), at which back end is not known.
+    /// Online requests of the reporting gateways at a back end. Those of other gateways are covered
+    /// by the reserve of the service (see `Coverage`), since their back ends are not known.
     fn reported_online(&self, backend: &Backend) -> u32 {
         self.store.loads.online(&backend.life()).unwrap_or(0)
     }
 
-    /// Where online requests need the slots of items, the newest items are preempted.
+    /// Preempts the newest items if online requests need their slots.
     pub(crate) fn preempt(&self) {
         if !self.options.policy.give_way {
             return;
--- a/crates/jobstore/src/snapshot.rs
+++ b/crates/jobstore/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! The format of a snapshot: a mark, a version, and the state in borsh. Version 1, which had neither
-//! mark nor version, is read as well.
+//! Snapshot format: magic bytes, a version, and the state in borsh. Version 1, which had neither
+//! magic bytes nor a version, can still be read.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 
 use crate::state::{Job, Jobs, OpenItem, StoredResult};
 
-/// Begins a snapshot that has a version. A snapshot of version 1 begins with its number of jobs,
-/// which does not reach this number.
-const MARK: [u8; 4] = *b"YKFJ";
+/// Magic bytes of a versioned snapshot. A version 1 snapshot begins with its number of jobs, which
+/// never reaches this value.
+const MAGIC: [u8; 4] = *b"YKFJ";
 /// Version that is written.
 const VERSION: u16 = 2;
 
-/// A job of version 1, which knew no tenants.
+/// A job of version 1, without a tenant.
 #[derive(BorshDeserialize)]
 struct JobVersion1 {
     host: String,
@@ -49,25 +49,25 @@
 /// Encodes the state.
 pub fn encode_state(jobs: &Jobs) -> Bytes {
     let mut bytes = Vec::with_capacity(jobs.held_bytes());
-    bytes.extend_from_slice(&MARK);
+    bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&VERSION.to_le_bytes());
-    // Encoding into memory fails for no value of this type.
+    // Encoding into memory cannot fail for this type.
     let _ = BorshSerialize::serialize(jobs, &mut bytes);
     bytes.into()
 }
 
-/// Decodes a state of this version or of one before; no bytes are no jobs. The error names what
-/// could not be read.
+/// Decodes a state of this or an earlier version; empty input is an empty state. The error names
+/// what could not be read.
 pub fn decode_state(state: &[u8]) -> std::io::Result<Jobs> {
     if state.is_empty() {
         return Ok(Jobs::default());
     }
-    let Some(versioned) = state.strip_prefix(&MARK) else { return decode_version_1(state) };
+    let Some(versioned) = state.strip_prefix(&MAGIC) else { return decode_version_1(state) };
     let mut rest = versioned;
     match u16::deserialize(&mut rest)? {
         VERSION => borsh::from_slice(rest),
         version => {
-            let cause = format!("snapshot of version {version}, this program reads 1 to {VERSION}");
+            let cause = format!("unsupported snapshot version {version}; this build reads versions 1 to {VERSION}");
             Err(std::io::Error::new(std::io::ErrorKind::Unsupported, cause))
         }
     }
--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -1,5 +1,5 @@
-//! Jobs, their items and results: the replicated state machine. Every replica applies the same
-//! commands in the same order and holds the same state.
+//! The replicated state machine: jobs, their items and results. All replicas apply the same
+//! commands in the same order and hold the same state.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,24 +12,26 @@
 use crate::packed::PackedText;
 use crate::protocol::Submission;
 
-/// Most bytes of results in one page.
+/// Maximum bytes of results in one page.
 pub const PAGE_BYTES: usize = 256 * 1024;
 
-/// Bytes of a result beside its text.
+/// Memory of a result in addition to its text.
 const RECORD_BYTES: usize = 96;
 
-/// A change of the state. Invariant: variants are only ever added at the end, and none changes its
-/// form, so that a log that an earlier version wrote can be read.
+/// A change of the state.
+///
+/// Invariant: variants are only appended and never changed, so that logs of earlier versions can be
+/// read.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Command {
-    /// Takes a job of nobody; earlier versions, which knew no tenants, wrote it.
+    /// Submits a job without a tenant; written by versions without tenants.
     Submit {
         /// Id of the job.
         job: String,
         /// The job.
         submission: Submission,
     },
-    /// Records the end of an item; the first end of an item counts, and gets the next position.
+    /// Records the end of an item. Only the first end counts; it is assigned the next position.
     Finish {
         /// Id of the job.
         job: String,
@@ -37,29 +39,29 @@
         item: u32,
         /// How it ended.
         state: ItemState,
-        /// The run that gave the text.
+        /// The run that produced the text.
         run: Run,
-        /// The last event kept before; the command is void where another one is.
+        /// The last event stored before; the command has no effect if it differs.
         after_event: u64,
-        /// Data of the events after it; none where there are no further events.
+        /// Data of the events after it; `None` if there are none.
         text: Option<String>,
     },
-    /// Keeps the output of an item so far, so that its run goes on elsewhere.
+    /// Appends to the stored output of an item, so that its run can be resumed elsewhere.
     AppendOutput {
         /// Id of the job.
         job: String,
         /// Index of the item.
         item: u32,
-        /// The run that gave the text.
+        /// The run that produced the text.
         run: Run,
-        /// The last event kept before; the command is void where another one is.
+        /// The last event stored before; the command has no effect if it differs.
         after_event: u64,
         /// The last event in the text.
         last_event: u64,
-        /// Data of the events after the ones kept before.
+        /// Data of the events after `after_event`.
         text: String,
     },
-    /// Counts a run that failed by the item's own fault.
+    /// Counts a run that failed because of the item itself.
     CountFailure {
         /// Id of the job.
         job: String,
@@ -71,14 +73,14 @@
         /// Id of the job.
         job: String,
     },
-    /// Forgets a job that is over.
+    /// Removes a finished job.
     Forget {
         /// Id of the job.
         job: String,
     },
-    /// Several commands that nobody waits for, in one entry.
+    /// Several commands in one entry; nobody waits for their outcome.
     Batch(Vec<Command>),
-    /// Takes a job of a tenant.
+    /// Submits a job of a tenant.
     SubmitFor {
         /// Id of the job.
         job: String,
@@ -87,17 +89,17 @@
         /// The job.
         submission: Submission,
     },
-    /// Makes job stores the accountants of slots of tenants' limits.
+    /// Assigns slots of tenants' limits to accountants.
     AssignSlots(Vec<SlotAssignment>),
 }
 
-/// A command of the log that this program cannot read: a later version wrote it. Whoever passed it over would hold
-/// another state than the others from then on.
+/// A command in the log that this build cannot read, written by a later version. Skipping it would
+/// make the state differ from that of other replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableCommand {
-    /// Its variant; `None` for a command without any bytes.
+    /// Its variant; `None` for an empty command.
     pub variant: Option<u8>,
-    /// What was wrong with it.
+    /// Why it could not be decoded.
     pub cause: String,
 }
 
@@ -106,7 +108,7 @@
         let variant = self.variant.map_or("none".to_owned(), |variant| variant.to_string());
         write!(
             formatter,
-            "a command of variant {variant} that this program cannot read: {}",
+            "unreadable command of variant {variant}: {}",
             self.cause
         )
     }
@@ -136,27 +138,29 @@
 /// A run of an item at a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Run {
-    /// Drawn for each run.
+    /// Random number of the run.
     pub number: u64,
-    /// The event after which the run was asked to continue; 0 for a run from the beginning.
+    /// The event after which the run was asked to resume; 0 for a run from the beginning.
     pub resume_after: u64,
 }
 
 /// Output of an item that has not ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct PartialOutput {
-    /// The last event in the text; 0 for none.
+    /// The last event in the text; 0 if there is none.
     pub last_event: u64,
     /// Data of the events so far.
     pub text: String,
-    /// Number of the run that gave the last of them.
+    /// Number of the run that produced the last event.
     pub run: u64,
 }
 
 impl PartialOutput {
-    /// Whether text of a run after an event may be joined to this one. Invariant: a text is joined
-    /// of runs only where the next one was asked to continue. A run that was asked for another event
-    /// may come to the same one by itself, when what an earlier run gave is kept late.
+    /// Whether output of a run after an event may be appended.
+    ///
+    /// Invariant: output of different runs is only joined where the later run was asked to resume.
+    /// A run that was asked to resume elsewhere may happen to be at the same event if the output of
+    /// an earlier run is committed late.
     fn accepts(&self, run: Run, after_event: u64) -> bool {
         let goes_on = self.run == run.number;
         let was_asked = run.resume_after == after_event;
@@ -167,9 +171,9 @@
 /// An item without a result.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct OpenItem {
-    /// What to run; runs share it.
+    /// The item; shared with its runs.
     pub item: Arc<JobItem>,
-    /// Runs that failed by the item's own fault.
+    /// Runs that failed because of the item itself.
     pub failures: u32,
     /// Output so far.
     pub partial: PartialOutput,
@@ -182,7 +186,7 @@
     pub id: String,
     /// How it ended.
     pub state: ItemState,
-    /// Its whole output.
+    /// Its complete output.
     pub text: PackedText,
 }
 
@@ -197,29 +201,30 @@
 pub struct Job {
     /// Host that it was sent to.
     pub host: String,
-    /// Attempts of an item that fails by itself.
+    /// Number of failed attempts after which an item is abandoned.
     pub max_attempts: u32,
-    /// Time after which an item may be given up, in milliseconds.
+    /// Time in milliseconds after which a waiting item may be abandoned.
     pub max_queue_ms: u64,
-    /// Time after which its results are due, in milliseconds; 0 where the route tells none.
+    /// Time in milliseconds after which the results are due; 0 if the route has no target.
     pub completion_target_ms: u64,
-    /// Queue of the route that took it: its host and path prefix.
+    /// Queue of the route: its host and path prefix.
     pub queue: String,
     /// Number of items.
     pub total: u32,
     /// Items without a result, by index.
     pub open: BTreeMap<u32, OpenItem>,
-    /// Results by position. Invariant: only ever added to; a caller that read a position reads the
-    /// same there later.
+    /// Results by position.
+    ///
+    /// Invariant: results are only appended, so that a position always yields the same result.
     pub results: Vec<StoredResult>,
-    /// Whether its caller ended it.
+    /// Whether its client ended it.
     pub ended: bool,
-    /// Tenant that it belongs to; any of the tenant's keys reads and ends it.
+    /// Tenant that it belongs to; all keys of the tenant may read and end it.
     pub tenant: Option<TenantName>,
 }
 
 impl Job {
-    /// Whether anything remains to be done for it.
+    /// Whether it has unfinished items and was not ended.
     pub fn is_open(&self) -> bool {
         !self.ended && !self.open.is_empty()
     }
@@ -232,7 +237,7 @@
     }
 }
 
-/// Text to be joined to what an item gave before.
+/// Output to append to that of an item.
 struct OutputChunk<'a> {
     run: Run,
     after_event: u64,
@@ -240,10 +245,10 @@
     text: &'a str,
 }
 
-/// What applying a command changed.
+/// The effect of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// A job was taken.
+    /// A job was accepted.
     Accepted {
         /// Id of the job.
         job: String,
@@ -260,12 +265,12 @@
         /// Id of the job.
         job: String,
     },
-    /// A job was forgotten.
+    /// A job was removed.
     Forgotten {
         /// Id of the job.
         job: String,
     },
-    /// Nothing that others wait for.
+    /// No effect that anyone waits for.
     Nothing,
 }
 
@@ -277,17 +282,17 @@
 }
 
 impl Jobs {
-    /// A job.
+    /// A job by its id.
     pub fn get(&self, job: &str) -> Option<&Job> {
         self.jobs.get(job)
     }
 
-    /// Who the accountants of tenants' limits are.
+    /// The assignment of accountants.
     pub fn accountants(&self) -> &Assignment {
         &self.accountants
     }
 
-    /// Every job with its id.
+    /// All jobs with their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Job)> {
         self.jobs.iter()
     }
@@ -365,8 +370,9 @@
         self.jobs.get_mut(job)?.open.get_mut(&item)
     }
 
-    /// Invariant: an item gets one result. The first end in the log counts; a second one, of a run
-    /// by a former leader, finds no open item. Text is joined only to the text that it follows.
+    /// Invariant: an item gets exactly one result. The first end in the log counts; for a second
+    /// one, from a run of a former leader, the item is no longer open. Text is only appended to the
+    /// output that it continues.
     fn finish(
         &mut self,
         id: String,
@@ -412,12 +418,12 @@
         Applied::Ended { job: id }
     }
 
-    /// A job that a requester may read and end.
+    /// A job that the requester may read and end.
     pub fn get_for(&self, id: &str, requester: &Requester) -> Option<&Job> {
         self.jobs.get(id).filter(|job| requester.may_use(job.tenant.as_ref()))
     }
 
-    /// Results of a job from a position on; one at least where one exists.
+    /// Results of a job from a position on; at least one if any exists.
     pub fn page(&self, id: &str, requester: &Requester, from: u64) -> Option<ResultPage> {
         let job = self.get_for(id, requester)?;
         let mut page = ResultPage { total: u64::from(job.total), results: Vec::new(), next: from };
@@ -433,7 +439,7 @@
         Some(page)
     }
 
-    /// About the bytes that the jobs take.
+    /// Approximate memory used by the jobs.
     pub fn held_bytes(&self) -> usize {
         self.jobs.values().map(Job::held_bytes).sum()
     }
@@ -451,7 +457,7 @@
     }
 }
 
-/// Adds the data of the events after an event; 0 stands before the first.
+/// Appends the data of the events after `after_event`; 0 means from the beginning.
 fn append_events(whole: &mut String, after_event: u64, text: &str) {
     if after_event > 0 {
         whole.push('\n');
--- a/crates/jobstore/src/store.rs
+++ b/crates/jobstore/src/store.rs
@@ -1,5 +1,5 @@
-//! One replica: the replicated log, its disk, the jobs, and whoever waits for them. All of it is
-//! on the control thread; the disk has a thread of its own.
+//! A replica: consensus, its disk, the jobs, and the tasks that wait for them. All of it runs on
+//! the control thread; the disk has its own thread.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -25,21 +25,21 @@
 use crate::state::{Applied, Command, Jobs, UnreadableCommand};
 use crate::wal::Rewrite;
 
-/// Time for which another member's word of who leads counts.
+/// How long a leader hint from another member is valid.
 const LEADER_HINT_LIFETIME: Duration = Duration::from_millis(3_000);
 
-/// What a replica may hold, and what its answers need.
+/// Resource limits of a replica, and the replication that acknowledgements require.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Disks that must hold what is acknowledged.
+    /// Number of disks that must hold acknowledged data.
     pub copies: usize,
-    /// Bytes of log after which the state takes the place of its entries.
+    /// Bytes of log above which it is compacted into a snapshot.
     pub log_bytes: usize,
-    /// Bytes of jobs above which no further one is taken.
+    /// Bytes of jobs above which submissions are rejected.
     pub job_bytes: usize,
 }
 
-/// Orders to the disk that belong together, and what waits for them.
+/// Disk commands that belong together, and the messages to send once they are synced.
 struct Batch {
     commands: usize,
     held: Vec<Message>,
@@ -55,35 +55,36 @@
     pub(crate) jobs: Jobs,
     batches: VecDeque<Batch>,
     proposals: HashMap<Index, Proposal>,
-    /// Woken by each result of a job.
+    /// Notified about each result of a job.
     pub(crate) readers: HashMap<String, Rc<Notify>>,
     /// When this replica applied the submission of each job.
     pub(crate) accepted_at: HashMap<String, Instant>,
     joining: HashMap<String, (MemberId, Instant)>,
-    /// Who leads by the word of another member; for a process outside of the group.
+    /// The leader according to another member; used outside the group.
     leader_hint: Option<(String, Instant)>,
     role: Role,
 }
 
-/// Told of what happens to the group and to jobs.
+/// Observer of the group and its jobs.
 pub trait StoreObserver {
-    /// The role of this replica, or its view of the leader, changed.
+    /// The role of this replica changed.
     fn role(&self, role: Role, term: Term, leader: Option<&MemberId>);
     /// The members changed.
     fn members(&self, voters: usize, learners: usize, index: Index);
-    /// The state took the place of log entries; bytes of the state, the log and the jobs.
+    /// The log was compacted; bytes of the state, the log and the jobs.
     fn compacted(&self, state: usize, log: usize, jobs: usize);
-    /// The whole state goes to a member; its bytes.
+    /// A snapshot of `bytes` is sent to a member.
     fn state_sent(&self, member: &MemberId, bytes: usize);
-    /// The whole state after a position was taken; its bytes.
+    /// A snapshot of `bytes` up to `index` was installed.
     fn state_installed(&self, index: Index, bytes: usize);
     /// A command was applied.
     fn applied(&self, index: Index, applied: &Applied);
-    /// A command can't be read. This replica must not go on: it would hold another state than the others.
+    /// A command cannot be read. The replica must stop; otherwise its state would differ from the
+    /// others'.
     fn unreadable(&self, index: Index, error: &UnreadableCommand);
 }
 
-/// One replica.
+/// A replica.
 pub struct Store {
     pub(crate) inner: RefCell<Inner>,
     disk: Disk,
@@ -92,29 +93,29 @@
     observer: Box<dyn StoreObserver>,
     limits: StoreLimits,
     admission: Admission,
-    /// What is in flight at back ends.
+    /// Load of the back ends.
     pub loads: Loads,
-    /// Woken when the role or a deadline changed.
+    /// Notified when the role or a deadline changed.
     pub deadline_changed: Notify,
-    /// Woken when there may be something to run, or to stop running.
+    /// Notified when items may have to be started or stopped.
     pub work_changed: Notify,
-    /// Woken when a gateway reported its load, or items started or ended.
+    /// Notified when a gateway reported its load, or items started or ended.
     pub loads_changed: Notify,
-    /// Woken when members may have to change.
+    /// Notified when the members may have to change.
     pub group_changed: Notify,
 }
 
-/// Why a command is not in force.
+/// Why a command is not known to be in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
     /// This replica does not lead; nothing was done.
     NotLeader,
-    /// The lead was lost: the command may be in force or not.
+    /// Leadership was lost; the command may or may not be in force.
     Unknown,
 }
 
 impl Store {
-    /// A replica; `core` is not ticked yet.
+    /// Creates a replica; `core` must not have been ticked yet.
     pub fn new(
         core: Consensus,
         state: Bytes,
@@ -126,7 +127,7 @@
     ) -> Self {
         let inner = Inner {
             core,
-            jobs: decode_state(&state).expect("a state of the log"),
+            jobs: decode_state(&state).expect("a valid snapshot"),
             batches: VecDeque::new(),
             proposals: HashMap::new(),
             readers: HashMap::new(),
@@ -151,19 +152,19 @@
         }
     }
 
-    /// Milliseconds on this process's clock, which counts suspension: a leader that was suspended for longer
-    /// than its lease must not answer, since another one may lead.
+    /// Milliseconds on the clock of this process, which includes time in suspension: a leader that
+    /// was suspended for longer than its lease must not answer, since there may be another leader.
     pub fn now(&self) -> Millis {
         self.clock.now().0
     }
 
-    /// When `tick` has something to do.
+    /// When `tick` must be called next.
     pub fn next_deadline(&self) -> Instant {
         let deadline = self.inner.borrow().core.next_deadline();
         self.clock.timer_at(Timestamp(deadline.min(u64::from(u32::MAX))))
     }
 
-    /// Runs a step of the core, then carries out what follows.
+    /// Runs a step of the consensus core and applies its effects.
     pub fn with_core<R>(&self, step: impl FnOnce(&mut Consensus, Millis) -> R) -> R {
         let now = self.now();
         let inner = &mut *self.inner.borrow_mut();
@@ -176,17 +177,17 @@
         result
     }
 
-    /// Time has passed.
+    /// Advances the consensus core to the current time.
     pub fn tick(&self) {
         self.with_core(|core, now| core.tick(now));
     }
 
-    /// A message of another member arrived.
+    /// Handles a message of another member.
     pub fn receive(&self, message: Message) {
         self.with_core(|core, now| core.receive(now, message));
     }
 
-    /// The disk synced this many orders.
+    /// Handles that the disk has synced this many commands.
     pub fn synced(&self, commands: usize) {
         let now = self.now();
         let inner = &mut *self.inner.borrow_mut();
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Sends a frame that is not the core's own.
+    /// Sends a frame that does not originate from the consensus core.
     pub fn send_frame(&self, name: &str, frame: &Frame) {
         self.links.send(name, frame);
     }
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Sends the whole state to members that lack entries which the log no longer has.
+    /// Sends a snapshot to members that lack entries which are no longer in the log.
     fn send_state(&self, inner: &mut Inner, members: &[MemberId]) {
         let state = encode_state(&inner.jobs);
         let now = self.now();
@@ -293,7 +294,7 @@
 
     fn install(&self, inner: &mut Inner, snapshot: &Snapshot) {
         self.observer.state_installed(snapshot.index, snapshot.state.len());
-        inner.jobs = decode_state(&snapshot.state).expect("a state of the log");
+        inner.jobs = decode_state(&snapshot.state).expect("a valid snapshot");
         let now = Instant::now();
         let accepted = inner.jobs.iter().map(|(id, _)| (id.clone(), now));
         inner.accepted_at = accepted.collect();
@@ -350,7 +351,7 @@
         }
         inner.role = role;
         if role != Role::Leader {
-            // Whoever waits hears that the outcome is unknown.
+            // Dropping the senders tells all waiting tasks that the outcome is unknown.
             inner.proposals.clear();
         }
         self.observer.role(role, inner.core.term(), inner.core.leader());
@@ -359,30 +360,30 @@
         self.group_changed.notify_one();
     }
 
-    /// Whether this replica leads and has applied everything of the terms before.
+    /// Whether this replica leads with a valid lease and has applied all entries of earlier terms.
     pub fn leads(&self) -> bool {
         let inner = self.inner.borrow();
         inner.core.can_read(self.now())
     }
 
-    /// Whether this replica leads, though it may not be sure of it at this moment.
+    /// Whether this replica is the leader, even if its lease is not valid at the moment.
     pub fn is_leader(&self) -> bool {
         self.inner.borrow().core.role() == Role::Leader
     }
 
-    /// Whether this replica leads a group with enough disks for an answer to be worth the loss of
-    /// one. What a group below that holds, a lost disk may take away again.
+    /// Whether this replica may answer: it leads, and its state is on enough disks that losing one
+    /// does not lose acknowledged data.
     pub fn serves(&self) -> bool {
         let inner = self.inner.borrow();
         inner.core.can_read(self.now()) && inner.core.committed_voters() >= self.limits.copies
     }
 
-    /// The present term.
+    /// The current term.
     pub fn term(&self) -> Term {
         self.inner.borrow().core.term()
     }
 
-    /// Name of the leader, as far as known.
+    /// Name of the leader, if known.
     pub fn leader(&self) -> Option<String> {
         let inner = self.inner.borrow();
         if let Some(leader) = inner.core.leader() {
@@ -392,19 +393,19 @@
         hint.map(|(name, _)| name.clone())
     }
 
-    /// Who leads, unless it is this replica and its lease has ended: it may be cut off, and another one
-    /// may lead already.
+    /// Name of the leader, unless it is this replica and its lease has expired: it may be cut off,
+    /// and there may be another leader.
     pub fn confirmed_leader(&self) -> Option<String> {
         let own_name = self.inner.borrow().core.id().name.clone();
         self.leader().filter(|leader| *leader != own_name || self.serves())
     }
 
-    /// Another member tells who leads.
+    /// Records a leader hint from another member.
     pub fn set_leader_hint(&self, name: String) {
         self.inner.borrow_mut().leader_hint = Some((name, Instant::now()));
     }
 
-    /// Reserves room for a submission while it is on its way into the log.
+    /// Reserves resources for a submission while it is being replicated.
     pub fn reserve(
         &self,
         job: &str,
@@ -420,12 +421,12 @@
         self.admission.reserve(job, submission, usage)
     }
 
-    /// Whether a submission is on its way into the log.
+    /// Whether a submission is being replicated.
     pub fn is_pending(&self, job: &str) -> bool {
         self.admission.is_pending(job)
     }
 
-    /// Proposes a command and waits until it is in force.
+    /// Proposes a command and waits until it is applied.
     pub async fn propose(&self, command: &Command) -> Result<(), ProposeError> {
         let (reply, done) = oneshot::channel();
         if !self.propose_with(command, Some(reply)) {
@@ -434,7 +435,7 @@
         done.await.map_err(|_| ProposeError::Unknown)
     }
 
-    /// Proposes a command that nobody waits for. Returns whether this replica leads.
+    /// Proposes a command without waiting for it. Returns whether this replica leads.
     pub fn propose_detached(&self, command: &Command) -> bool {
         self.propose_with(command, None)
     }
@@ -452,7 +453,7 @@
         true
     }
 
-    /// A member asks to join the group.
+    /// Records a join request of a member.
     pub fn record_join_request(&self, member: MemberId) {
         let entry = (member.clone(), Instant::now());
         self.inner.borrow_mut().joining.insert(member.name, entry);
--- a/crates/jobstore/src/suspects.rs
+++ b/crates/jobstore/src/suspects.rs
@@ -1,8 +1,10 @@
-//! What keeps knowledge of suspects alike in all processes, and on the disks of the job stores.
+//! Synchronizes knowledge of suspects across all processes, and persists it on the disks of the job
+//! stores.
 //!
-//! Notices bring an observation to all within a round trip; this is for what they miss: a lost datagram, a
-//! cut that has healed, a process that has just started. Each process compares a fingerprint with a job
-//! store, so that two that know the same pay some 100 bytes a second for it.
+//! Notices spread an observation to all processes within a round trip. This exchange covers what
+//! they miss: lost datagrams, healed partitions, and processes that have just started. Each process
+//! compares a fingerprint with a job store, so that two processes with the same knowledge spend
+//! about 100 bytes a second.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -19,27 +21,29 @@
 use crate::hint_file;
 use crate::protocol::{Reply, Request};
 
-/// Longest pause between two exchanges: three of them fall into the time within which all must know.
+/// Maximum interval between two exchanges; three fit into the time within which all processes must
+/// know.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same until the first has succeeded: a process that has just started sends what others hold back.
+/// The same until the first exchange succeeds: a process that has just started sends requests that
+/// others hold back.
 const INITIAL_EXCHANGE_INTERVAL: Duration = Duration::from_millis(200);
-/// Exchanges after which what is over is dropped, about a minute.
+/// Number of exchanges, about a minute, after which finished suspects are purged.
 const ROUNDS_PER_PURGE: u32 = 64;
-/// Pause before what this process learnt by itself is exchanged.
+/// Delay before a local observation is exchanged.
 const OBSERVATION_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for an answer.
+/// Time limit for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Least pause between two writes to the disk.
+/// Minimum interval between two writes to the disk.
 const MIN_SAVE_INTERVAL: Duration = Duration::from_millis(50);
-/// Name of the file.
+/// File name in the data folder.
 const FILE: &str = "suspects";
 
-/// What a process knows, as it asks another.
+/// Knowledge of suspects, as exchanged between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, borsh::BorshSerialize, borsh::BorshDeserialize)]
 pub struct SuspectExchange {
-    /// A number that differs where two processes would tell different news.
+    /// Fingerprint of the knowledge; differs if two processes know different suspects.
     pub fingerprint: u64,
-    /// All of it, where the other side is known to lack some.
+    /// The complete knowledge, if the other side is known to lack some of it.
     pub report: SuspectReport,
 }
 
@@ -52,7 +56,8 @@
         Self { fingerprint: registry.fingerprint(), report: registry.report() }
     }
 
-    /// The answer to it, after its report was taken: a report where the two sides still differ.
+    /// Merges the received report and returns the answer, with a report if the two sides still
+    /// differ.
     pub fn answer(self, registry: &Registry) -> Self {
         registry.take(self.report);
         match self.fingerprint == registry.fingerprint() {
@@ -62,7 +67,7 @@
     }
 }
 
-/// Starts what keeps knowledge of suspects alike in all processes. `target` names this process.
+/// Starts the tasks that synchronize suspects across processes. `target` names this process.
 pub fn share(
     registry: Rc<Registry>,
     client: Rc<JobClient>,
@@ -76,7 +81,8 @@
     tokio::task::spawn_local(exchange(registry, client, fleet, target));
 }
 
-/// Exchanges with job stores, for ever: with those of this process's own region, as load reports.
+/// Exchanges knowledge with job stores, preferably in the own region like load reports. Never
+/// returns.
 async fn exchange(
     registry: Rc<Registry>,
     client: Rc<JobClient>,
@@ -113,8 +119,8 @@
     }
 }
 
-/// The job store to exchange with: one of those that add up loads, to which gateways have connections anyway;
-/// for such a one any other, so that all of them hear of each other.
+/// The job store to exchange with: an aggregator, to which gateways are connected anyway; for an
+/// aggregator, any other job store, so that knowledge spreads among all of them.
 fn peer(fleet: &Fleet, target: &ReportTarget) -> Option<FleetMember> {
     let me = target.gateway();
     let is_other = |member: &&FleetMember| member.accepting && member.name != me;
@@ -122,7 +128,7 @@
     chosen.or_else(|| fleet.job_stores().filter(is_other).choose(&mut rand::rng())).cloned()
 }
 
-/// What a job store answers; `None` where it gave no answer, and another one is asked the next time.
+/// Sends an exchange to a job store; `None` if it did not answer.
 async fn ask(
     client: &JobClient,
     address: std::net::SocketAddr,
@@ -135,13 +141,14 @@
     }
 }
 
-/// Takes what was kept before this process started. Ages are those of the moment when it was kept: a
-/// suspect may be held back for longer than it would have been, never for less.
+/// Loads the suspects stored before this process started. Their ages are those at the time of
+/// storing, so that a suspect may be held back for longer, but never for less time.
 pub fn load(folder: &Path, registry: &Registry) {
     registry.take(hint_file::load(folder, FILE));
 }
 
-/// Keeps suspects that do not run freely on the disk, for ever: all processes may be killed at once.
+/// Stores restricted suspects on disk when they change, since all processes may be killed at once.
+/// Never returns.
 pub async fn persist_changes(folder: PathBuf, registry: Rc<Registry>) {
     let mut kept = registry.fingerprint();
     loop {
--- a/crates/jobstore/src/urgency.rs
+++ b/crates/jobstore/src/urgency.rs
@@ -1,28 +1,30 @@
-//! In which order items wait, and which is done first.
+//! Order in which waiting items run.
 //!
-//! The item that is due first goes first, as long as it can be done in time. One that cannot be done
-//! in time goes after all that can: where there is more work than room, the oldest first would have
-//! every item done just after it was due.
+//! Items run in the order of their due times, as long as they can meet them. An item that cannot
+//! meet its due time runs after all that can: otherwise, under overload, every item would complete
+//! just after it was due.
 
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Weight of one finished item in what was learnt.
+/// Weight of one finished item in the moving averages.
 const SMOOTHING_FACTOR: f64 = 0.1;
-/// Least part of an item's expected output that is taken to be left: outputs differ in length.
+/// Minimum share of its expected output that an item is assumed to have remaining, since output
+/// lengths vary.
 const MIN_REMAINING_SHARE: f64 = 0.1;
 
-/// What was observed of finished items.
+/// Estimates durations from finished items.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DurationEstimator {
-    /// Events of output for each token that an item may take; 0 while nothing is known.
+    /// Events of output per requested token; 0 while unknown.
     events_per_token: f64,
-    /// Time for an event, in milliseconds.
+    /// Time per event, in milliseconds.
     event_ms: f64,
 }
 
 impl DurationEstimator {
-    /// An item that may take `tokens` ended with `events`, the last `events_in_run` of them within `time`.
+    /// Records an item with `tokens` requested that ended with `events`, of which the last
+    /// `events_in_run` took `time`.
     pub fn observe(&mut self, tokens: u64, events: u64, events_in_run: u64, time: Duration) {
         if tokens == 0 || events_in_run == 0 {
             return;
@@ -37,7 +39,7 @@
         self.event_ms += (event_ms - self.event_ms) * SMOOTHING_FACTOR;
     }
 
-    /// Time that an item with some events of output is expected to take yet.
+    /// Expected remaining time of an item with `events` of output so far.
     pub fn remaining(&self, tokens: u64, events: u64) -> Duration {
         let expected = tokens as f64 * self.events_per_token;
         let remaining = (expected - events as f64).max(expected * MIN_REMAINING_SHARE);
@@ -45,30 +47,30 @@
     }
 }
 
-/// How soon an item should run.
+/// Urgency of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Urgency {
-    /// Time since its job was taken.
+    /// Time since its job was accepted.
     pub age: Duration,
-    /// Time after that at which it is due; `None` where its route tells none.
+    /// Time after acceptance at which it is due; `None` if the route has no target.
     pub due: Option<Duration>,
-    /// Time that it is expected to take yet.
+    /// Expected remaining time.
     pub remaining: Duration,
 }
 
 impl Urgency {
-    /// Whether it cannot be done in time any more.
+    /// Whether it can no longer meet its due time.
     pub fn is_late(&self) -> bool {
         self.due.is_some_and(|due| self.age + self.remaining > due)
     }
 
-    /// Time until it is due; items without such a time come after those with one.
+    /// Time until it is due; maximal for items without a due time.
     fn slack(&self) -> Duration {
         self.due.map_or(Duration::MAX, |due| due.saturating_sub(self.age))
     }
 
-    /// Whether it goes before another one: the one that is due first, of one job the one that is
-    /// done first, and late ones at last, the oldest first.
+    /// Ordering by urgency: the earliest due first, within a job the shortest remaining time first,
+    /// and late items last, the oldest first.
     pub fn order(&self, other: &Self) -> Ordering {
         let late = self.is_late();
         let by_lateness = late.cmp(&other.is_late());
@@ -81,39 +83,39 @@
     }
 }
 
-/// A job with items that wait.
+/// A job with waiting items.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingJob {
     /// Its id.
     pub id: String,
-    /// Time since it was taken.
+    /// Time since it was accepted.
     pub age: Duration,
-    /// Time after that at which it is due; `None` where its route tells none.
+    /// Time after acceptance at which it is due; `None` if the route has no target.
     pub due: Option<Duration>,
 }
 
-/// An item that waits.
+/// A waiting item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitingItem {
-    /// Its index in its job.
+    /// Its index in the job.
     pub index: u32,
-    /// Time that it is expected to take yet.
+    /// Expected remaining time.
     pub remaining: Duration,
 }
 
 impl WaitingJob {
-    /// How soon an item of it should run that takes so long yet.
+    /// Urgency of an item of this job with this remaining time.
     fn urgency(&self, remaining: Duration) -> Urgency {
         Urgency { age: self.age, due: self.due, remaining }
     }
 
-    /// Whether an item that takes so long cannot be done in time any more.
+    /// Whether an item with this remaining time can no longer meet its due time.
     pub fn is_late(&self, remaining: Duration) -> bool {
         self.urgency(remaining).is_late()
     }
 
-    /// Whether its items go before those of another job: those of items that can be done in time, or
-    /// of `late` ones.
+    /// Ordering of jobs by the urgency of their items: of those that can be in time, or of the
+    /// `late` ones.
     pub fn order(&self, other: &Self, late: bool) -> Ordering {
         let remaining =
             |job: &Self| if late { job.due.unwrap_or_default() } else { Duration::ZERO };
