--- a/crates/jobstore/src/wal.rs
+++ b/crates/jobstore/src/wal.rs
@@ -1,9 +1,10 @@
-//! The log on disk: checksummed records in one file, appended and synced.
+//! The write-ahead log: checksummed records in one file, appended and synced.
 //!
 //! Files are named `log-N`. A file begins with the identity of the disk and whatever a compaction
-//! carried over, and counts from its `Sealed` record on. A compaction writes file N + 1 whole, syncs
-//! it and its folder, and removes file N after that: the highest sealed file is the log, whichever
-//! names a loss of power kept. A torn record ends the file: nothing after it was synced.
+//! carried over, and is valid once it contains a `Sealed` record. A compaction writes file N + 1
+//! completely, syncs it and its folder, and then removes file N; after a power failure the sealed
+//! file with the highest number is the log, whichever directory entries survived. A torn record
+//! ends the log, since nothing after it was synced.
 
 use std::fmt;
 use std::fs::{File, OpenOptions};
@@ -16,30 +17,30 @@
 
 /// Bytes of a record's length and checksum.
 const HEADER_BYTES: usize = 8;
-/// Bytes of the length that stands before a snapshot's state, which ends its record.
+/// Bytes of the length that precedes a snapshot's state at the end of its record.
 const LENGTH_BYTES: usize = 4;
-/// Largest record believed, in bytes.
+/// Maximum plausible size of a record, in bytes.
 const MAX_RECORD_BYTES: u32 = 512 * 1024 * 1024;
 
-/// One record.
+/// A record.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 enum Record {
     /// Identity of the disk.
     Identity { incarnation: u64 },
     /// Term and vote.
     State { term: Term, voted_for: Option<MemberId>, settled: Index },
-    /// Entries, in the place of any at their positions and after.
+    /// Entries, replacing any at the same or later positions.
     Entries(Vec<Entry>),
-    /// A snapshot, in the place of everything before.
+    /// A snapshot, replacing everything before it.
     Snapshot(Snapshot),
-    /// The file counts from here on.
+    /// Marks the file as valid.
     Sealed,
 }
 
-/// A step on the disk that failed.
+/// A failed disk operation.
 #[derive(Debug)]
 pub struct WalError {
-    /// The step.
+    /// The operation.
     pub step: &'static str,
     /// File or folder.
     pub path: PathBuf,
@@ -55,14 +56,14 @@
 
 impl std::error::Error for WalError {}
 
-/// What a compaction puts in the place of all that was written.
+/// The content that replaces the whole log in a compaction.
 #[derive(Clone, Debug)]
 pub struct Rewrite {
     /// Term.
     pub term: Term,
-    /// Vote in it.
+    /// Vote in this term.
     pub voted_for: Option<MemberId>,
-    /// Position of the newest members that are known to be committed.
+    /// Position of the newest membership that is known to be committed.
     pub settled: Index,
     /// The snapshot.
     pub snapshot: Snapshot,
@@ -70,7 +71,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// The open log of one disk.
+/// The open log of a disk.
 #[derive(Debug)]
 pub struct Wal {
     folder: PathBuf,
@@ -83,24 +84,24 @@
     pending: Vec<u8>,
 }
 
-/// A log and what it held.
+/// A log and its recovered content.
 pub struct Opened {
     /// The log.
     pub wal: Wal,
     /// Identity of the disk.
     pub incarnation: u64,
-    /// What it held.
+    /// The recovered content.
     pub recovered: Recovered,
-    /// Whether the disk held nothing.
+    /// Whether the disk was empty.
     pub was_empty: bool,
 }
 
 impl Wal {
-    /// Opens the log in a folder. A folder without one gets `fresh_incarnation` as its identity,
-    /// which is synced before this returns.
+    /// Opens the log in a folder. An empty folder gets `fresh_incarnation` as its identity, which
+    /// is synced before this returns.
     pub fn open(folder: &Path, fresh_incarnation: u64) -> Result<Opened, WalError> {
         let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
-        std::fs::create_dir_all(folder).map_err(at("make folder"))?;
+        std::fs::create_dir_all(folder).map_err(at("create folder"))?;
         let mut numbers = list(folder).map_err(at("list folder"))?;
         numbers.sort_unstable_by(|left, right| right.cmp(left));
         let highest = numbers.first().copied().unwrap_or(0);
@@ -125,7 +126,7 @@
         Ok(Opened { wal, incarnation: fresh_incarnation, recovered, was_empty: true })
     }
 
-    /// Goes on after the last whole record.
+    /// Continues after the last complete record.
     fn resume(
         folder: &Path,
         number: u64,
@@ -161,7 +162,7 @@
         let options = options.read(true).write(true).create(true).truncate(true);
         let mut file = options.open(&path).map_err(at("create"))?;
         let mut synced = 0;
-        // Record by record: a snapshot is large, and no copy of it is made.
+        // Records are written one by one to avoid a copy of the large snapshot.
         for record in start {
             synced += write_record(&mut file, record).map_err(at("write"))?;
         }
@@ -180,21 +181,21 @@
         self.synced + self.pending.len() as u64
     }
 
-    /// Adds a write; it lasts when `sync` has returned well.
+    /// Adds a write; it is durable once `sync` has succeeded.
     pub fn add(&mut self, write: &Write) {
         let record = match write {
             Write::State { term, voted_for, settled } => {
                 Record::State { term: *term, voted_for: voted_for.clone(), settled: *settled }
             }
             Write::Entries(entries) => Record::Entries(entries.clone()),
-            // Written by `rewrite`, which also carries over what stays.
+            // Written by `rewrite`, which also carries over the entries after the snapshot.
             Write::Snapshot { .. } => return,
         };
         encode(&record, &mut self.pending);
     }
 
-    /// Writes and syncs what was added. After an error it may be called again: everything that is
-    /// not synced is written anew, since a failed sync may have dropped what was written.
+    /// Writes and syncs the added records. May be called again after an error: everything that is
+    /// not synced is rewritten, since a failed sync may have dropped written data.
     pub fn sync(&mut self) -> Result<(), WalError> {
         if self.pending.is_empty() {
             return Ok(());
@@ -210,9 +211,9 @@
         Ok(())
     }
 
-    /// Cuts off whatever stands after the synced bytes.
+    /// Truncates the file to the synced bytes.
     fn truncate_to_synced(&mut self) -> Result<(), WalError> {
-        let length = self.file.metadata().map_err(|cause| self.error("look at", cause))?.len();
+        let length = self.file.metadata().map_err(|cause| self.error("read metadata of", cause))?.len();
         if length > self.synced {
             self.file.set_len(self.synced).map_err(|cause| self.error("cut", cause))?;
         }
@@ -221,7 +222,7 @@
         Ok(())
     }
 
-    /// Puts a snapshot and what follows it in the place of the whole log.
+    /// Replaces the whole log by a snapshot and the entries after it.
     pub fn rewrite(&mut self, rewrite: Rewrite) -> Result<(), WalError> {
         let start = [
             Record::Identity { incarnation: self.incarnation },
@@ -236,15 +237,14 @@
         ];
         let former = file_path(&self.folder, self.number);
         *self = Self::create(&self.folder, self.number + 1, self.incarnation, &start)?;
-        // A former file that stays is passed over: the new one has a higher number.
+        // A remaining old file is ignored, since the new one has a higher number.
         let _ = std::fs::remove_file(former);
         let _ = sync_folder(&self.folder);
         Ok(())
     }
 }
 
-/// The members that the newest entry in a folder's log tells. For tools and tests: reads, and
-/// changes nothing.
+/// The members according to the newest entry of a folder's log. Read-only; for tools and tests.
 pub fn peek_members(folder: &Path) -> Result<Members, WalError> {
     let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
     let mut numbers = list(folder).map_err(at("list folder"))?;
@@ -280,7 +280,7 @@
 fn encode(record: &Record, bytes: &mut Vec<u8>) {
     let head = bytes.len();
     bytes.extend_from_slice(&[0; HEADER_BYTES]);
-    // Encoding into memory fails for no value of this type.
+    // Encoding into memory cannot fail for this type.
     let _ = borsh::to_writer(&mut *bytes, record);
     let content = &bytes[head + HEADER_BYTES..];
     let (length, checksum) = (content.len() as u32, crc32fast::hash(content));
@@ -288,7 +288,7 @@
     bytes[head + 4..head + HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Writes one record; the state of a snapshot goes out as it lies in memory.
+/// Writes one record; the state of a snapshot is written from memory without a copy.
 fn write_record(file: &mut File, record: &Record) -> std::io::Result<u64> {
     let Record::Snapshot(snapshot) = record else {
         let mut bytes = Vec::new();
@@ -297,7 +297,7 @@
         return Ok(bytes.len() as u64);
     };
     let state = &snapshot.state;
-    // The same record with an empty state, whose length is then put right.
+    // Encodes the record with an empty state and then corrects the length.
     let mut content = borsh::to_vec(&Record::Snapshot(snapshot.position()))?;
     content.truncate(content.len() - LENGTH_BYTES);
     content.extend_from_slice(&(state.len() as u32).to_le_bytes());
@@ -315,12 +315,12 @@
 struct Scan {
     incarnation: u64,
     recovered: Recovered,
-    /// Bytes up to the end of the last whole record.
+    /// Bytes up to the end of the last complete record.
     valid: u64,
 }
 
-/// Reads a file up to the first record that is not whole; `None` where it is not sealed. One record
-/// at a time is in memory beside what was recovered.
+/// Reads a file up to the first incomplete record; `None` if it is not sealed. Holds only one
+/// record in memory in addition to the recovered content.
 fn scan(file: &File) -> std::io::Result<Option<Scan>> {
     let mut left = file.metadata()?.len();
     let mut reader = BufReader::new(file);
@@ -358,7 +358,7 @@
     recovered.entries.extend(entries);
 }
 
-/// The next record of a file of which `left` bytes remain, and its bytes; `None` where it is torn.
+/// The next record of a file with `left` bytes remaining, and its size; `None` if it is torn.
 fn next_record(reader: &mut impl Read, left: u64) -> std::io::Result<Option<(Record, u64)>> {
     if left < HEADER_BYTES as u64 {
         return Ok(None);
--- a/crates/jobstore/src/worker.rs
+++ b/crates/jobstore/src/worker.rs
@@ -1,6 +1,6 @@
-//! Runs items at back ends, for this process where it leads or for the leader. Many job stores have
-//! nothing to do while one leads: the leader decides which item runs where and keeps what comes of it,
-//! and others read the events.
+//! Runs items at back ends, for this process when it leads or on behalf of the leader. The leader
+//! decides which item runs where and stores the results; the other job stores, otherwise idle,
+//! receive the events.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,30 +20,30 @@
 use crate::run::{ItemRunner, ItemSender, NoPermit, Progress, RunEnd};
 use crate::state::Run;
 
-/// Interval at which the output of a run is sent to the leader, which makes it durable as often.
+/// Interval at which the output of a run is sent to the leader, which commits it as often.
 const OUTPUT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What runs items.
+/// Runs items.
 pub struct Worker {
-    /// Back ends that are known here.
+    /// The known back ends.
     pub catalog: CatalogCell,
-    /// Which of them may take an item.
+    /// Decides which back ends may take an item.
     pub eligibility: Eligibility,
-    /// What may be sent to those that are not known to be warm.
+    /// Limits what may be sent to back ends that are not known to be warm.
     pub cold: Rc<ColdStart>,
-    /// How old what is known of the platform's objects is.
+    /// Age of the data from the platform.
     pub freshness: Freshness,
-    /// Runs of this process.
+    /// Runner of items.
     pub items: ItemRunner,
-    /// Load and health of back ends as this process sees them.
+    /// Load and health of back ends as seen by this process.
     pub places: Rc<Places>,
-    /// Runs for a leader at once at most.
+    /// Maximum number of concurrent runs for a leader.
     pub most_runs: usize,
     runs: Cell<usize>,
 }
 
 impl Worker {
-    /// A worker without runs yet.
+    /// Creates a worker without runs.
     pub fn new(
         catalog: CatalogCell,
         cold: Rc<ColdStart>,
@@ -57,7 +57,7 @@
         Rc::new(Self { catalog, eligibility, cold, freshness, items, places, most_runs, runs })
     }
 
-    /// The right to send an item to a back end now, as this process knows it; else the cause.
+    /// Permission to send an item to a back end now, as known to this process; otherwise the cause.
     pub fn permit(
         &self,
         backend: &Backend,
@@ -67,7 +67,7 @@
         self.ask(backend, sender, item, |need| self.eligibility.permit(backend, need))
     }
 
-    /// Whether `permit` would give it.
+    /// Whether `permit` would succeed.
     fn check(
         &self,
         backend: &Backend,
@@ -104,7 +104,8 @@
             Progress { run, committed_event: after_event, last_event: after_event, text: None };
         let progress = Rc::new(RefCell::new(progress));
         let (backend, item): (Arc<Backend>, Arc<JobItem>) = (backend.into(), item.into());
-        // Before a connection is made as well: one to a back end that left would not come up for a while.
+        // Checked before connecting as well, since connecting to a back end that has left may take
+        // long.
         if let Err(refused) = self.check(&backend, &sender, &item) {
             let cause =
                 format!("{} takes no work now, as its worker knows: {}", backend.id, refused.cause);
@@ -138,7 +139,7 @@
     }
 }
 
-/// Where the output of a run goes.
+/// Receiver of the output of a run.
 struct OutputSink {
     call: u64,
     replies: UnboundedSender<Outgoing>,
@@ -150,13 +151,14 @@
         let Some(text) = progress.text.take() else { return };
         let last_event = progress.last_event;
         let frame = Frame::Output { call: self.call, last_event, text };
-        // A leader that is gone ends the run by its connection.
+        // If the leader is gone, the closed connection ends the run.
         let _ = self.replies.send(Outgoing::new(frame));
     }
 }
 
-/// Runs that a leader asked for on one connection. Invariant: they end with the connection, so that
-/// a leader that is replaced leaves no runs behind.
+/// Runs that a leader requested on one connection.
+///
+/// Invariant: they end with the connection, so that a replaced leader leaves no runs behind.
 #[derive(Default)]
 pub struct ConnectionRuns {
     runs: Rc<RefCell<HashMap<u64, OpenRun>>>,
@@ -200,14 +202,14 @@
         self.runs.borrow_mut().insert(call, OpenRun { task, cancelled });
     }
 
-    /// Ends a run; its report tells how far it came.
+    /// Cancels a run; its report contains the progress so far.
     pub fn cancel(&self, call: u64) {
         if let Some(run) = self.runs.borrow().get(&call) {
             run.cancelled.notify_one();
         }
     }
 
-    /// Whether nothing runs.
+    /// Whether there are no runs.
     pub fn is_empty(&self) -> bool {
         self.runs.borrow().is_empty()
     }
