--- a/crates/jobstore/src/addresses.rs
+++ b/crates/jobstore/src/addresses.rs
@@ -36,7 +36,7 @@
 /// members that are gone are kept until other live ones are known, since all members may be down at
 /// once.
 pub async fn persist_changes(folder: PathBuf, fleet: FleetCell) {
-    let mut kept = Addresses::new();
+    let mut saved = Addresses::new();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         let live: Addresses = fleet
@@ -45,11 +45,11 @@
             .filter(|member| member.accepting)
             .map(|member| (member.name.clone(), member.address))
             .collect();
-        if live == kept || live.len() < 2 {
+        if live == saved || live.len() < 2 {
             continue;
         }
         if hint_file::save_in_background(folder.clone(), FILE, live.clone()).await {
-            kept = live;
+            saved = live;
         }
     }
 }
--- a/crates/jobstore/src/delegation.rs
+++ b/crates/jobstore/src/delegation.rs
@@ -256,7 +256,7 @@
 
 async fn relay_frames(link: &Link, store: &Store, stream: TcpStream, mut queued: Queued) {
     let (mut sink, mut incoming) = framed(stream).split();
-    let mut heartbeat = tokio::time::interval(HEARTBEAT_INTERVAL);
+    let mut heartbeats = tokio::time::interval(HEARTBEAT_INTERVAL);
     let mut received_at = store.now();
     loop {
         tokio::select! {
@@ -272,7 +272,7 @@
                 received_at = store.now();
                 handle_frame(link, frame);
             }
-            _ = heartbeat.tick() => {
+            _ = heartbeats.tick() => {
                 let is_unused =
                     link.runs.borrow().is_empty() && link.used_at.get().elapsed() > MAX_IDLE_TIME;
                 if is_unused || store.now() - received_at > RUN_LEASE.as_millis() as u64 {
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -115,20 +115,20 @@
 
 /// Sends join requests while this member is not in the group. Never returns.
 pub async fn join(store: Rc<Store>, fleet: FleetCell, me: MemberId) {
-    let mut asked = 0;
+    let mut attempts = 0;
     loop {
         let outside = store.with_core(|core, _| !core.members().contains(&me));
         if outside {
             for member in fleet.load().job_stores().filter(|member| member.name != me.name) {
                 store.send_frame(&member.name, &Frame::Join(me.clone()));
             }
-            asked += 1;
+            attempts += 1;
             let interval =
-                if asked < FAST_JOIN_ATTEMPTS { JOIN_INTERVAL } else { STANDBY_INTERVAL };
+                if attempts < FAST_JOIN_ATTEMPTS { JOIN_INTERVAL } else { STANDBY_INTERVAL };
             tokio::time::sleep(interval).await;
             continue;
         }
-        asked = 0;
+        attempts = 0;
         // A member that was removed while it was down is not notified, so it checks for a leader.
         tokio::time::sleep(JOIN_INTERVAL * 4).await;
         let leaderless = store.with_core(|core, _| core.leader().is_none());
@@ -207,9 +207,9 @@
         Step::Rest => {}
         Step::Change(members) => {
             if claim_pair(platform, store, pair).await {
-                let told = format!("{members:?}");
+                let description = format!("{members:?}");
                 if store.with_core(|core, now| core.change_members(now, members)) {
-                    log_decision("change members", told);
+                    log_decision("change members", description);
                 }
             } else {
                 log_decision("wait for the claim of a two-member group", format!("{pair:?}"));
--- a/crates/jobstore/src/hint_file.rs
+++ b/crates/jobstore/src/hint_file.rs
@@ -14,7 +14,7 @@
 /// Reads the value of a file; the default if the file is missing or corrupt.
 pub fn load<T: BorshDeserialize + Default>(folder: &Path, name: &'static str) -> T {
     match read(&folder.join(name)) {
-        Ok(kept) => kept,
+        Ok(value) => value,
         Err(error) if error.kind() == ErrorKind::NotFound => T::default(),
         Err(error) => {
             log_failure(name, "read", &error);
--- a/crates/jobstore/src/item_run.rs
+++ b/crates/jobstore/src/item_run.rs
@@ -73,17 +73,17 @@
             ItemWorker::Leader => None,
             ItemWorker::Other(member) => Some(member),
         };
-        let life = place.backend.life();
+        let incarnation = place.backend.life();
         Line::new(EventName::ItemStarted)
             .id(&item.id)
             .text("job", &key.0)
             .text("backend", &place.backend.id)
             .field("worker", worker.as_ref().map(|worker| worker.name.clone()))
-            .field("online", self.store.loads.online(&life))
-            .field("items", self.store.loads.items(&life))
+            .field("online", self.store.loads.online(&incarnation))
+            .field("items", self.store.loads.items(&incarnation))
             .field("after_event", progress.borrow().last_event)
             .write();
-        let counted = CountedItem::new(self.store.clone(), life);
+        let counted = CountedItem::new(self.store.clone(), incarnation);
         let (began, events_before) = (Instant::now(), progress.borrow().last_event);
         let end = match worker {
             Some(worker) => {
--- a/crates/jobstore/src/packed.rs
+++ b/crates/jobstore/src/packed.rs
@@ -48,7 +48,8 @@
             Self::Compressed { length, bytes } => {
                 // The bytes were compressed by this process, or arrived checksummed from the one
                 // that did.
-                let text = zstd::bulk::decompress(bytes, *length as usize).expect("valid packed text");
+                let text =
+                    zstd::bulk::decompress(bytes, *length as usize).expect("valid packed text");
                 String::from_utf8(text).expect("valid packed text")
             }
         }
--- a/crates/jobstore/src/pool_slots.rs
+++ b/crates/jobstore/src/pool_slots.rs
@@ -35,8 +35,8 @@
     }
 
     /// Occupies slots of a back end, if it is in one of the tables.
-    pub fn occupy(&mut self, life: &BackendLife, slots: u32) {
-        let Some(backend) = self.find(&life.id, life.started_ms) else { return };
+    pub fn occupy(&mut self, incarnation: &BackendLife, slots: u32) {
+        let Some(backend) = self.find(&incarnation.id, incarnation.started_ms) else { return };
         if let Some(occupied) = self.occupied.entry(&backend.id).or_insert(Some(0)) {
             *occupied += slots;
         }
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -376,13 +376,13 @@
     /// The frame.
     pub frame: Frame,
     /// Released when the frame has been sent or dropped.
-    pub room: Option<OwnedSemaphorePermit>,
+    pub permit: Option<OwnedSemaphorePermit>,
 }
 
 impl Outgoing {
     /// Creates a frame without a permit.
     pub fn new(frame: Frame) -> Self {
-        Self { frame, room: None }
+        Self { frame, permit: None }
     }
 }
 
--- a/crates/jobstore/src/reads.rs
+++ b/crates/jobstore/src/reads.rs
@@ -59,21 +59,21 @@
         each.fold(Residency::Anywhere, |all, one| all.and(&one))
     }
 
-    /// Calls `look` with each job and the time since this replica applied its submission.
-    pub fn for_each_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
+    /// Calls `visit` with each job and the time since this replica applied its submission.
+    pub fn for_each_job(&self, mut visit: impl FnMut(&String, &Job, Duration)) {
         let inner = self.inner.borrow();
         let now = Instant::now();
         for (id, job) in inner.jobs.iter() {
             let accepted = inner.accepted_at.get(id).copied().unwrap_or(now);
-            look(id, job, now.duration_since(accepted));
+            visit(id, job, now.duration_since(accepted));
         }
     }
 
-    /// Calls `look` with each open job and the time since this replica applied its submission.
-    pub fn for_each_open_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
+    /// Calls `visit` with each open job and the time since this replica applied its submission.
+    pub fn for_each_open_job(&self, mut visit: impl FnMut(&String, &Job, Duration)) {
         self.for_each_job(|id, job, age| {
             if job.is_open() {
-                look(id, job, age);
+                visit(id, job, age);
             }
         });
     }
@@ -88,8 +88,8 @@
         self.inner.borrow().jobs.accountants().clone()
     }
 
-    /// Calls `look` with a job, if it exists.
-    pub fn with_job<R>(&self, id: &str, look: impl FnOnce(&Job) -> R) -> Option<R> {
-        self.inner.borrow().jobs.get(id).map(look)
+    /// Calls `visit` with a job, if it exists.
+    pub fn with_job<R>(&self, id: &str, visit: impl FnOnce(&Job) -> R) -> Option<R> {
+        self.inner.borrow().jobs.get(id).map(visit)
     }
 }
--- a/crates/jobstore/src/server.rs
+++ b/crates/jobstore/src/server.rs
@@ -73,7 +73,7 @@
     let (mut frames, mut socket) = split(stream);
     let (replies, mut queued) = unbounded_channel::<Outgoing>();
     let writer = tokio::task::spawn_local(async move {
-        while let Some(Outgoing { frame, room: _room }) = queued.recv().await {
+        while let Some(Outgoing { frame, permit: _permit }) = queued.recv().await {
             let bytes = encode(&frame);
             drop(frame);
             if send_frame(&mut socket, bytes).await.is_err() {
@@ -144,14 +144,14 @@
 }
 
 async fn answer(server: Server, call: u64, request: Request, replies: UnboundedSender<Outgoing>) {
-    let mut room = None;
+    let mut permit = None;
     if let Request::Results { job, from, wait_ms, .. } = &request {
         let wait = Duration::from_millis(*wait_ms).min(MAX_READ_WAIT);
         wait_until_readable(&server.store, job, *from, Instant::now() + wait).await;
-        room = server.pages.clone().acquire_owned().await.ok();
+        permit = server.pages.clone().acquire_owned().await.ok();
     }
     let reply = handle_request(&server, request).await;
-    let _ = replies.send(Outgoing { frame: Frame::Reply { call, reply }, room });
+    let _ = replies.send(Outgoing { frame: Frame::Reply { call, reply }, permit });
 }
 
 async fn handle_request(server: &Server, request: Request) -> Reply {
@@ -195,8 +195,8 @@
             if !members.is_empty() {
                 return Reply::OutOfRegions { members };
             }
-            let _room = match store.reserve(&job, &submission) {
-                Ok(room) => room,
+            let _permit = match store.reserve(&job, &submission) {
+                Ok(permit) => permit,
                 Err(Rejection::InProgress) => return Reply::Unknown,
                 Err(Rejection::Full) => return Reply::Full,
                 Err(Rejection::OverQuota) => return Reply::OverQuota,
--- a/crates/jobstore/src/snapshot.rs
+++ b/crates/jobstore/src/snapshot.rs
@@ -67,7 +67,9 @@
     match u16::deserialize(&mut rest)? {
         VERSION => borsh::from_slice(rest),
         version => {
-            let cause = format!("unsupported snapshot version {version}; this build reads versions 1 to {VERSION}");
+            let cause = format!(
+                "unsupported snapshot version {version}; this build reads versions 1 to {VERSION}"
+            );
             Err(std::io::Error::new(std::io::ErrorKind::Unsupported, cause))
         }
     }
--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -106,11 +106,7 @@
 impl fmt::Display for UnreadableCommand {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let variant = self.variant.map_or("none".to_owned(), |variant| variant.to_string());
-        write!(
-            formatter,
-            "unreadable command of variant {variant}: {}",
-            self.cause
-        )
+        write!(formatter, "unreadable command of variant {variant}: {}", self.cause)
     }
 }
 
@@ -401,12 +397,13 @@
         Applied::Finished { job: id, item }
     }
 
-    fn append_output(&mut self, job: &str, item: u32, kept: &OutputChunk) -> Applied {
-        let joins = |open: &&mut OpenItem| open.partial.accepts(kept.run, kept.after_event);
-        if let Some(open) = self.open_item(job, item).filter(joins) {
-            append_events(&mut open.partial.text, kept.after_event, kept.text);
-            open.partial.last_event = kept.last_event;
-            open.partial.run = kept.run.number;
+    fn append_output(&mut self, job: &str, item: u32, chunk: &OutputChunk) -> Applied {
+        let accepts_chunk =
+            |open: &&mut OpenItem| open.partial.accepts(chunk.run, chunk.after_event);
+        if let Some(open) = self.open_item(job, item).filter(accepts_chunk) {
+            append_events(&mut open.partial.text, chunk.after_event, chunk.text);
+            open.partial.last_event = chunk.last_event;
+            open.partial.run = chunk.run.number;
         }
         Applied::Nothing
     }
--- a/crates/jobstore/src/store.rs
+++ b/crates/jobstore/src/store.rs
@@ -191,12 +191,12 @@
     pub fn synced(&self, commands: usize) {
         let now = self.now();
         let inner = &mut *self.inner.borrow_mut();
-        let mut left = commands;
-        while left > 0 {
+        let mut remaining = commands;
+        while remaining > 0 {
             let Some(batch) = inner.batches.front_mut() else { break };
-            let done = batch.commands.min(left);
+            let done = batch.commands.min(remaining);
             batch.commands -= done;
-            left -= done;
+            remaining -= done;
             if batch.commands > 0 {
                 break;
             }
--- a/crates/jobstore/src/suspects.rs
+++ b/crates/jobstore/src/suspects.rs
@@ -150,16 +150,16 @@
 /// Stores restricted suspects on disk when they change, since all processes may be killed at once.
 /// Never returns.
 pub async fn persist_changes(folder: PathBuf, registry: Rc<Registry>) {
-    let mut kept = registry.fingerprint();
+    let mut saved = registry.fingerprint();
     loop {
         registry.changed.notified().await;
         let fingerprint = registry.fingerprint();
-        if fingerprint == kept {
+        if fingerprint == saved {
             continue;
         }
         let report = registry.report_to_keep();
         if hint_file::save_in_background(folder.clone(), FILE, report).await {
-            kept = fingerprint;
+            saved = fingerprint;
         }
         tokio::time::sleep(MIN_SAVE_INTERVAL).await;
     }
--- a/crates/jobstore/src/wal.rs
+++ b/crates/jobstore/src/wal.rs
@@ -103,7 +103,7 @@
         let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
         std::fs::create_dir_all(folder).map_err(at("create folder"))?;
         let mut numbers = list(folder).map_err(at("list folder"))?;
-        numbers.sort_unstable_by(|left, right| right.cmp(left));
+        numbers.sort_unstable_by(|remaining, right| right.cmp(remaining));
         let highest = numbers.first().copied().unwrap_or(0);
         for number in numbers {
             let path = file_path(folder, number);
@@ -213,7 +213,8 @@
 
     /// Truncates the file to the synced bytes.
     fn truncate_to_synced(&mut self) -> Result<(), WalError> {
-        let length = self.file.metadata().map_err(|cause| self.error("read metadata of", cause))?.len();
+        let length =
+            self.file.metadata().map_err(|cause| self.error("read metadata of", cause))?.len();
         if length > self.synced {
             self.file.set_len(self.synced).map_err(|cause| self.error("cut", cause))?;
         }
@@ -248,7 +249,7 @@
 pub fn peek_members(folder: &Path) -> Result<Members, WalError> {
     let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
     let mut numbers = list(folder).map_err(at("list folder"))?;
-    numbers.sort_unstable_by(|left, right| right.cmp(left));
+    numbers.sort_unstable_by(|remaining, right| right.cmp(remaining));
     for number in numbers {
         let file = File::open(file_path(folder, number)).map_err(at("read log in"))?;
         if let Some(scan) = scan(&file).map_err(at("read log in"))? {
@@ -322,15 +323,15 @@
 /// Reads a file up to the first incomplete record; `None` if it is not sealed. Holds only one
 /// record in memory in addition to the recovered content.
 fn scan(file: &File) -> std::io::Result<Option<Scan>> {
-    let mut left = file.metadata()?.len();
+    let mut remaining = file.metadata()?.len();
     let mut reader = BufReader::new(file);
     let mut recovered = Recovered::default();
     let mut incarnation = None;
     let mut sealed = false;
     let mut valid = 0;
-    while let Some((record, length)) = next_record(&mut reader, left)? {
+    while let Some((record, length)) = next_record(&mut reader, remaining)? {
         valid += length;
-        left -= length;
+        remaining -= length;
         match record {
             Record::Identity { incarnation: held } => incarnation = Some(held),
             Record::State { term, voted_for, settled } => {
@@ -358,9 +359,9 @@
     recovered.entries.extend(entries);
 }
 
-/// The next record of a file with `left` bytes remaining, and its size; `None` if it is torn.
-fn next_record(reader: &mut impl Read, left: u64) -> std::io::Result<Option<(Record, u64)>> {
-    if left < HEADER_BYTES as u64 {
+/// The next record of a file with `remaining` bytes remaining, and its size; `None` if it is torn.
+fn next_record(reader: &mut impl Read, remaining: u64) -> std::io::Result<Option<(Record, u64)>> {
+    if remaining < HEADER_BYTES as u64 {
         return Ok(None);
     }
     let mut head = [0; HEADER_BYTES];
@@ -368,8 +369,8 @@
     let [l0, l1, l2, l3, c0, c1, c2, c3] = head;
     let length = u32::from_le_bytes([l0, l1, l2, l3]);
     let checksum = u32::from_le_bytes([c0, c1, c2, c3]);
-    let whole = HEADER_BYTES as u64 + u64::from(length);
-    if length > MAX_RECORD_BYTES || whole > left {
+    let total = HEADER_BYTES as u64 + u64::from(length);
+    if length > MAX_RECORD_BYTES || total > remaining {
         return Ok(None);
     }
     let mut content = vec![0; length as usize];
@@ -377,5 +378,5 @@
     if crc32fast::hash(&content) != checksum {
         return Ok(None);
     }
-    Ok(borsh::from_slice(&content).ok().map(|record| (record, whole)))
+    Ok(borsh::from_slice(&content).ok().map(|record| (record, total)))
 }
--- a/crates/jobstore/src/worker.rs
+++ b/crates/jobstore/src/worker.rs
@@ -185,10 +185,10 @@
         let cancelled = Rc::new(Notify::new());
         let (worker, runs) = (worker.clone(), self.runs.clone());
         let sink = OutputSink { call, replies };
-        let told = cancelled.clone();
+        let cancel_signal = cancelled.clone();
         let task = tokio::task::spawn_local(async move {
             let counted = CountedRun::new(worker.clone());
-            let report = worker.run(order, &sink, &told).await;
+            let report = worker.run(order, &sink, &cancel_signal).await;
             drop(counted);
             let suspects = &worker.items.suspects;
             if report.outcome == Outcome::Failed && !suspects.is_empty() {
--- a/crates/jobstore/tests/addresses.rs
+++ b/crates/jobstore/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses of job stores on the disk.
+//! Persisted addresses of job stores.
 
 use yokefall_jobstore::addresses::{load, save, Addresses};
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn what_was_kept_is_there_after_a_start() {
+fn saved_addresses_are_loaded() {
     let folder = tempfile::tempdir().expect("a folder");
     assert!(load(folder.path()).is_empty());
     save(folder.path(), &addresses()).expect("saved");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_torn_or_spoilt_file_is_no_hint() {
+fn a_truncated_or_corrupt_file_is_ignored() {
     let folder = tempfile::tempdir().expect("a folder");
     save(folder.path(), &addresses()).expect("saved");
     let file = folder.path().join("addresses");
@@ -30,9 +30,9 @@
         assert!(load(folder.path()).is_empty(), "cut after {length} bytes");
     }
     for position in 0..whole.len() {
-        let mut spoilt = whole.clone();
-        spoilt[position] ^= 1;
-        std::fs::write(&file, &spoilt).expect("written");
+        let mut corrupt = whole.clone();
+        corrupt[position] ^= 1;
+        std::fs::write(&file, &corrupt).expect("written");
         assert!(load(folder.path()).is_empty(), "spoilt at {position}");
     }
 }
--- a/crates/jobstore/tests/admission.rs
+++ b/crates/jobstore/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Room for submissions.
+//! Admission of submissions.
 
 use yokefall_jobstore::admission::{Admission, Rejection, Usage};
 use yokefall_jobstore::Submission;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn submissions_at_the_same_moment_count_together() {
+fn concurrent_submissions_count_together() {
     let admission = Admission::default();
     let first = admission.reserve("job-1", &submission("h/a/", 200), EMPTY).expect("room");
     let second = admission.reserve("job-2", &submission("h/a/", 100), EMPTY);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_waits_counts() {
+fn waiting_tokens_count() {
     let admission = Admission::default();
     let usage = Usage { queued_tokens: 200, ..EMPTY };
     let over = admission.reserve("job-1", &submission("h/a/", 51), usage);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_job_under_way_is_not_refused_when_it_comes_again() {
+fn a_resubmitted_pending_job_is_reported_as_in_progress() {
     let admission = Admission::default();
     let _first = admission.reserve("job-1", &submission("h/a/", 200), EMPTY).expect("room");
     let again = admission.reserve("job-1", &submission("h/a/", 200), EMPTY);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn memory_bounds_what_is_taken() {
+fn memory_limits_submissions() {
     let admission = Admission::default();
     let usage = Usage { bytes: (1 << 20) - 100, ..EMPTY };
     let full = admission.reserve("job-1", &submission("h/a/", 1), usage);
--- a/crates/jobstore/tests/aggregators.rs
+++ b/crates/jobstore/tests/aggregators.rs
@@ -1,7 +1,7 @@
-//! To which job store a gateway of a fleet with several regions reports.
+//! Selection of the job store to which a gateway reports in a fleet with several regions.
 //!
-//! Failure prevented: gateways reported to aggregators of any region, so that two of three reports and of their
-//! answers crossed regions, many times a second.
+//! Guards against gateways that report to aggregators of any region: two of three reports and
+//! answers would cross regions, many times a second.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
     }
 }
 
-/// So many gateways and five job stores in each region.
+/// A fleet with this many gateways and five job stores per region.
 fn fleet(gateways: usize) -> Fleet {
     let mut members = Vec::new();
     for region in REGIONS {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn reports_stay_in_the_region_and_each_aggregator_has_its_part() {
+fn reports_stay_in_the_region_and_are_spread_over_aggregators() {
     for gateways in [3, 26, 100] {
         let fleet = fleet(gateways);
         let mut reports: BTreeMap<&str, usize> = BTreeMap::new();
@@ -52,7 +52,7 @@
             *reports.entry(&chosen.name).or_default() += 1;
         }
         assert!(reports.values().all(|count| *count <= 64), "{reports:?}");
-        // Those who report and those who exchange sums mean the same job stores.
+        // Reporting gateways and aggregators agree on the selected job stores.
         let known = aggregators(&fleet, &zones(), Some("store-west-0"));
         let known: BTreeSet<&str> = known.iter().map(|store| &*store.name).collect();
         assert!(reports.keys().all(|name| known.contains(name)), "{reports:?} of {known:?}");
--- a/crates/jobstore/tests/capacity.rs
+++ b/crates/jobstore/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Room for items beside online requests.
+//! Capacity for items beside online requests.
 
 use std::time::Duration;
 
@@ -14,20 +14,20 @@
 }
 
 #[test]
-fn a_reserve_is_kept_that_a_burst_fills_before_items_give_way() {
-    // 20 ms to tell and 70 to give way are 0.075 of the time in which a burst fills all slots.
+fn the_reserve_covers_a_burst_until_items_are_preempted() {
+    // 20 ms to report and 70 ms to preempt are 0.075 of the time in which a burst fills all slots.
     assert_eq!(capacity(10, 0, 20).startable_items(), 100 - 8);
-    // The later loads are told, the more stays free.
+    // The later load is reported, the larger the reserve.
     assert_eq!(capacity(10, 0, 100).startable_items(), 100 - 15);
 }
 
 #[test]
-fn items_give_way_below_half_of_the_reserve_not_before() {
-    // 10 of 100 slots are free, of 8 that should be.
+fn items_are_preempted_only_below_half_of_the_reserve() {
+    // 10 of 100 slots are free, and the reserve is 8.
     assert_eq!((capacity(10, 9, 20).startable_items(), capacity(10, 9, 20).shortfall()), (2, 0));
-    // None is free.
+    // No slot is free.
     assert_eq!((capacity(10, 10, 20).startable_items(), capacity(10, 10, 20).shortfall()), (0, 4));
-    // More is there than slots.
+    // There are more requests than slots.
     assert_eq!((capacity(10, 14, 20).startable_items(), capacity(10, 14, 20).shortfall()), (0, 4));
 }
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_job_store_hears_a_bounded_number_of_gateways_a_second() {
+fn report_rate_of_a_job_store_is_bounded() {
     for gateways in [1, 6, 25, 80, 550] {
         let interval = report_interval(gateways);
         assert!((20..=100).contains(&interval.as_millis()), "{gateways}: {interval:?}");
--- a/crates/jobstore/tests/connections.rs
+++ b/crates/jobstore/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between members of the group that go silent for good, while new ones work.
+//! Connections between members of the group that stop delivering data while new connections work.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use yokefall_jobstore::protocol::{decode, encode, framed, Frame};
 use yokefall_serving::{Fleet, FleetMember};
 
-/// Symptom: a member hears nothing of another one for as long as both live. Sequence: the connection on which
-/// one sends goes silent, without a reset; what it sends is acknowledged, and reaches nobody. Cause: nothing was
-/// ever read on it, and only a failed write ended it.
+/// Guards against a connection that stays open although nothing sent on it arrives: its bytes are
+/// acknowledged and it is never reset, so that only a heartbeat without an answer reveals it.
+/// Without heartbeats a member would receive nothing from the sender while both live.
 #[tokio::test]
-async fn a_connection_that_goes_silent_is_made_anew() {
+async fn a_silent_connection_is_replaced() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let member = FleetMember {
         name: "store-2".into(),
@@ -28,35 +28,35 @@
     let fleet =
         Arc::new(ArcSwap::from_pointee(Fleet { members: vec![member], ..Fleet::default() }));
     let links = Links::new(fleet, Addresses::new());
-    let told = || links.send("store-2", &Frame::Leader("store-1".into()));
+    let send_frame = || links.send("store-2", &Frame::Leader("store-1".into()));
     LocalSet::new()
         .run_until(async {
             let sending = async {
                 loop {
-                    told();
+                    send_frame();
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             };
-            let hearing = async {
+            let receiving = async {
                 let (silent, _) = listener.accept().await.expect("a connection");
                 let (stream, _) = listener.accept().await.expect("a second connection");
                 let mut frames = framed(stream);
-                let mut heard = 0;
-                // The second one answers, and is kept.
-                while heard < 40 {
+                let mut received = 0;
+                // The second connection answers and is kept.
+                while received < 40 {
                     let bytes = frames.next().await.expect("a connection").expect("a frame");
                     match decode(&bytes).expect("a frame") {
                         Frame::Renew => frames.send(encode(&Frame::Renew)).await.expect("a write"),
-                        Frame::Leader(_) => heard += 1,
+                        Frame::Leader(_) => received += 1,
                         _ => panic!("nothing else was sent"),
                     }
                 }
                 drop(silent);
             };
-            let hearing = tokio::time::timeout(Duration::from_secs(20), hearing);
+            let receiving = tokio::time::timeout(Duration::from_secs(20), receiving);
             tokio::select! {
                 () = sending => {}
-                heard = hearing => heard.expect("the limit only ends a test that hangs"),
+                received = receiving => received.expect("the limit only ends a test that hangs"),
             }
         })
         .await;
--- a/crates/jobstore/tests/formats.rs
+++ b/crates/jobstore/tests/formats.rs
@@ -1,5 +1,5 @@
-//! What earlier versions wrote into the log can be read. The bytes were written by the version before
-//! tenants (fd322a9).
+//! Data written by earlier versions can be read. The bytes come from the version before tenants
+//! (fd322a9).
 
 use yokefall_jobstore::snapshot::{decode_state, encode_state};
 use yokefall_jobstore::state::{Command, Jobs, SlotAssignment};
@@ -29,7 +29,7 @@
     borsh::from_slice(&bytes(hex)).expect("a command")
 }
 
-/// One job of items `a` and `b`, of which `b` has its result.
+/// One job with the items `a` and `b`, of which `b` has a result.
 fn check(jobs: &Jobs) {
     let job = jobs.get("job-1").expect("the job");
     assert_eq!((job.total, job.tenant.as_ref()), (2, None));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_snapshot_keeps_owners_and_accountants() {
+fn a_snapshot_preserves_owners_and_accountants() {
     let mut jobs = Jobs::default();
     let Command::Submit { job, submission } = command(SUBMIT) else { panic!("another command") };
     let tenant = Some(TenantName::new("huka270"));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_state_of_a_later_version_or_a_torn_one_is_an_error() {
+fn a_later_version_or_a_truncated_state_is_an_error() {
     let state = encode_state(&Jobs::default());
     let mut later = state.to_vec();
     later[4] = 9;
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn another_tenant_sees_no_job() {
+fn a_job_is_hidden_from_other_tenants() {
     let mut jobs = Jobs::default();
     let Command::Submit { job, submission } = command(SUBMIT) else { panic!("another command") };
     let tenant = Some(TenantName::new("mine"));
--- a/crates/jobstore/tests/frames.rs
+++ b/crates/jobstore/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that are cut, flipped or made up: an error, and never a panic or a huge allocation.
+//! Truncated, corrupted and random frames yield an error, never a panic or a huge allocation.
 
 use quickcheck::{quickcheck, TestResult};
 use yokefall_jobstore::protocol::{decode, encode, Frame};
@@ -34,21 +34,21 @@
         true
     }
 
-    fn a_frame_comes_back_as_it_was_sent(text: String, number: u32) -> bool {
+    fn frames_round_trip(text: String, number: u32) -> bool {
         sample(&text, number).iter().all(|frame| {
             let bytes = encode(frame);
             decode(&bytes).is_ok_and(|decoded| encode(&decoded) == bytes)
         })
     }
 
-    fn a_frame_cut_at_any_byte_is_an_error(text: String, number: u32) -> bool {
+    fn a_truncated_frame_is_an_error(text: String, number: u32) -> bool {
         sample(&text, number).iter().all(|frame| {
             let bytes = encode(frame);
             (0..bytes.len()).all(|length| decode(&bytes[..length]).is_err())
         })
     }
 
-    fn a_flipped_frame_decodes_or_fails(text: String, place: usize, flip: u8) -> TestResult {
+    fn a_corrupt_frame_decodes_or_fails(text: String, place: usize, flip: u8) -> TestResult {
         if flip == 0 {
             return TestResult::discard();
         }
--- a/crates/jobstore/tests/loads.rs
+++ b/crates/jobstore/tests/loads.rs
@@ -12,14 +12,14 @@
 };
 use yokefall_serving::{BackendLife, Fleet, FleetMember, ZoneMap};
 
-/// The life of a back end that tells no start.
-fn life(id: &str) -> BackendLife {
+/// Incarnation of a back end that reports no start time.
+fn incarnation(id: &str) -> BackendLife {
     BackendLife { id: id.into(), started_ms: 0 }
 }
 
 fn report(gateway: usize, counts: &[(usize, u32)]) -> LoadReport {
     let count = |(backend, requests): &(usize, u32)| BackendCount {
-        backend: life(&format!("i-{backend}")),
+        backend: incarnation(&format!("i-{backend}")),
         requests: *requests,
     };
     LoadReport {
@@ -38,7 +38,7 @@
 }
 
 quickcheck! {
-    /// Running sums are what adding the last report of each gateway up gives.
+    /// The incremental totals equal the sum of the last report of each gateway.
     fn totals_are_the_sum_of_the_last_reports(reports: Vec<(u8, Vec<(u8, u8)>)>) -> bool {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
@@ -51,7 +51,7 @@
             let mut known: BTreeMap<u8, BTreeMap<String, (u32, u32)>> = BTreeMap::new();
             for (gateway, counts) in reports {
                 let gateway = gateway % 5;
-                // A report names a back end once, and those with requests.
+                // A report names a back end at most once, and only back ends with requests.
                 let counts: BTreeMap<u8, u32> = counts
                     .into_iter()
                     .filter(|(_, requests)| *requests > 0)
@@ -72,7 +72,7 @@
                 for (id, count) in last.values().flatten() {
                     expected.entry(format!("i-{id}")).or_default().0 += count;
                 }
-                // 20 back ends fit one answer: each gateway that asks knows all of them.
+                // 20 back ends fit into one answer, so each reporting gateway knows all totals.
                 if totals(&loads) != expected || *known != expected {
                     return false;
                 }
@@ -82,13 +82,13 @@
     }
 }
 
-/// The job store to which a gateway reports that has just started.
+/// The job store to which a gateway reports after a start.
 fn aggregator_of<'a>(fleet: &'a Fleet, gateway: &str) -> Option<&'a FleetMember> {
     ReportTarget::new(gateway.to_owned()).choose(fleet)
 }
 
-/// What one report costs does not grow with the gateways, and what all of them cost an aggregator
-/// stays the same from 32 gateways on.
+/// The cost of one report does not grow with the number of gateways, and the load of an aggregator
+/// is constant from 32 gateways on.
 #[tokio::test(start_paused = true)]
 async fn the_work_of_an_aggregator_is_bounded() {
     let back_ends = 168;
@@ -118,22 +118,22 @@
             loads.report(report(*gateway, &[(gateway % back_ends, 1)]), None);
         }
         let steps = (loads.steps() - before) / most.len() as u64;
-        // Every total that is known and every one that was answered is looked at once.
+        // Every known total and every total sent before is examined once.
         assert!(steps <= 2 * back_ends as u64 + 100, "{gateways} gateways: {steps} steps a report");
     }
 }
 
 fn total(backend: usize, online: u32) -> BackendTotal {
-    BackendTotal { backend: life(&format!("i-{backend}")), online, items: 0 }
+    BackendTotal { backend: incarnation(&format!("i-{backend}")), online, items: 0 }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_gateway_that_falls_silent_is_forgotten() {
+async fn a_gateway_that_stops_reporting_expires() {
     let loads = Loads::default();
     loads.report(report(1, &[(1, 4)]), None);
-    assert_eq!(loads.online(&life("i-1")), Some(4));
+    assert_eq!(loads.online(&incarnation("i-1")), Some(4));
     tokio::time::sleep(Duration::from_millis(2_000)).await;
-    assert_eq!(loads.online(&life("i-1")), None);
+    assert_eq!(loads.online(&incarnation("i-1")), None);
     assert!(loads.totals().is_empty());
     assert_eq!(loads.reporters(), 0);
 }
@@ -160,13 +160,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn sums_of_other_job_stores_count_beside_own_reports_and_items() {
+async fn sums_of_other_job_stores_are_added_to_local_reports_and_items() {
     let loads = Loads::default();
     loads.report(report(1, &[(1, 2)]), None);
-    loads.item_started(&life("i-1"));
+    loads.item_started(&incarnation("i-1"));
     let sums = LoadSums {
         from: "store-2".into(),
-        counts: vec![BackendTotal { backend: life("i-1"), online: 3, items: 4 }],
+        counts: vec![BackendTotal { backend: incarnation("i-1"), online: 3, items: 4 }],
         arrivals: vec![ServiceRate { service: "models".into(), per_1000_seconds: 500 }],
         outcomes: vec![],
         gateways: 7,
@@ -174,42 +174,42 @@
     loads.record_sums(sums.clone());
     loads.record_sums(sums);
     assert_eq!(
-        (loads.online(&life("i-1")), loads.items(&life("i-1")), loads.reporters()),
+        (loads.online(&incarnation("i-1")), loads.items(&incarnation("i-1")), loads.reporters()),
         (Some(5), 5, 8)
     );
     let own = loads.local_sums("store-1").expect("sums");
-    assert_eq!(own.counts, [BackendTotal { backend: life("i-1"), online: 2, items: 1 }]);
+    assert_eq!(own.counts, [BackendTotal { backend: incarnation("i-1"), online: 2, items: 1 }]);
     assert_eq!((own.gateways, own.arrivals[0].per_1000_seconds), (1, 1_000));
     let answer = loads.report(report(1, &[(1, 2)]), None);
     assert_eq!(answer.arrivals[0].per_1000_seconds, 1_500);
-    loads.item_ended(&life("i-1"));
-    assert_eq!(loads.items(&life("i-1")), 4);
+    loads.item_ended(&incarnation("i-1"));
+    assert_eq!(loads.items(&incarnation("i-1")), 4);
 }
 
 fn outcome(gateway: usize, failed: u64, answered: u64) -> LoadReport {
-    let outcomes = BackendOutcomes { backend: life("i-1"), failed, answered };
+    let outcomes = BackendOutcomes { backend: incarnation("i-1"), failed, answered };
     LoadReport { outcomes: vec![outcomes], ..report(gateway, &[]) }
 }
 
-/// Found on the grown Trasovka, scale-1: ten back ends reset every request, and each of 53 gateways had
-/// to find that out by itself, three times.
+/// Without shared outcomes, each gateway would have to detect a failing back end itself: with 53
+/// gateways and ten back ends that reset every request, each gateway did so three times.
 #[tokio::test(start_paused = true)]
-async fn a_back_end_that_fails_for_two_gateways_is_known_to_all() {
+async fn a_back_end_failing_for_two_gateways_is_reported_to_all() {
     let loads = Loads::default();
     assert!(loads.report(outcome(1, 1_000, 0), None).failing.is_empty());
-    assert_eq!(loads.report(outcome(2, 900, 0), None).failing, [life("i-1")]);
-    assert_eq!(loads.report(report(3, &[]), None).failing, [life("i-1")]);
-    // Their sums make it known to the gateways of other aggregators.
+    assert_eq!(loads.report(outcome(2, 900, 0), None).failing, [incarnation("i-1")]);
+    assert_eq!(loads.report(report(3, &[]), None).failing, [incarnation("i-1")]);
+    // Sums carry the outcomes to the gateways of other aggregators.
     let other = Loads::default();
     other.record_sums(loads.local_sums("store-1").expect("sums"));
-    assert_eq!(other.report(report(4, &[]), None).failing, [life("i-1")]);
-    // It is forgotten with the reports.
+    assert_eq!(other.report(report(4, &[]), None).failing, [incarnation("i-1")]);
+    // Outcomes expire with the reports.
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     assert!(loads.report(report(3, &[]), None).failing.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_back_end_that_loses_a_few_answers_stays() {
+async fn a_back_end_with_few_failures_is_not_failing() {
     let loads = Loads::default();
     loads.report(outcome(1, 1_000, 2_000), None);
     assert!(loads.report(outcome(2, 1_000, 3_000), None).failing.is_empty());
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn one_aggregator_is_the_leader_and_a_lost_one_moves_only_its_own_gateways() {
+fn a_single_aggregator_is_the_leader_and_losing_one_moves_only_its_gateways() {
     let small = fleet(8, 3);
     let mut target = ReportTarget::new("edge-1".into());
     target.answered("store-0", Some("store-2".into()));
@@ -247,7 +247,7 @@
     let moved =
         (0..250).filter(|gateway| of(&whole, *gateway) != of(&less, *gateway)).collect::<Vec<_>>();
     let own = (0..250).filter(|gateway| of(&whole, *gateway) == lost).count();
-    // Those of the lost one, and those that the one that takes its place is nearest to.
+    // The gateways of the lost aggregator, and those whose highest score is its replacement.
     assert!(moved.len() <= 2 * own + 10, "{} of {own}", moved.len());
 }
 
@@ -255,7 +255,7 @@
     LoadReport { arrivals: vec![], ..report(gateway, &[]) }
 }
 
-/// Slots of 100 that stay free for online requests where `loads` hears some of 6 gateways.
+/// Slots out of 100 that are reserved for online requests if some of 6 gateways report to `loads`.
 fn reserve(loads: &Loads) -> u32 {
     let mut capacity = Capacity::new(Duration::from_millis(24)).with_coverage(loads.coverage(6));
     capacity.add(100, 0);
@@ -266,21 +266,22 @@
 const LISTENING: Duration = Duration::from_millis(1_600);
 
 #[tokio::test(start_paused = true)]
-async fn a_gateway_that_says_it_is_idle_is_heard_until_its_next_report() {
+async fn an_idle_report_lasts_until_the_next_one() {
     let loads = Loads::default();
     (0..6).for_each(|gateway| drop(loads.report(idle(gateway), None)));
     tokio::time::sleep(Duration::from_millis(3_100)).await;
-    assert_eq!((loads.reporters(), loads.online(&life("i-1"))), (6, Some(0)));
-    // All slots but those that a burst fills before items are preempted.
+    assert_eq!((loads.reporters(), loads.online(&incarnation("i-1"))), (6, Some(0)));
+    // All slots except those that a burst fills before items are preempted.
     assert_eq!(reserve(&loads), 8);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    assert_eq!((loads.coverage(6).reporting, loads.online(&life("i-1"))), (0, None));
+    assert_eq!((loads.coverage(6).reporting, loads.online(&incarnation("i-1"))), (0, None));
     assert_eq!(reserve(&loads), 70);
 }
 
-/// Found by reading: one gateway that was heard stood for all, and items took the slots of the others.
+/// Guards against taking one reporting gateway for all of them: items would occupy the slots of the
+/// others.
 #[tokio::test(start_paused = true)]
-async fn slots_of_gateways_that_are_not_heard_stay_free() {
+async fn slots_of_unreported_gateways_stay_free() {
     let loads = Loads::default();
     assert_eq!(reserve(&loads), 70);
     tokio::time::sleep(LISTENING).await;
@@ -292,9 +293,9 @@
     assert_eq!(reserves, [58, 46, 35, 23, 11, 8]);
 }
 
-/// Found by reading: the answer of a job store that hears one gateway was taken for what all have in flight.
+/// Guards against taking the answer of a job store with one reporting gateway for the total load.
 #[tokio::test(start_paused = true)]
-async fn an_answer_says_how_many_gateways_it_is_of() {
+async fn an_answer_states_how_many_gateways_it_covers() {
     let loads = Loads::default();
     let covers = (0..6).map(|gateway| {
         let answer = loads.report(report(gateway, &[(1, 1)]), None);
@@ -304,9 +305,9 @@
     assert_eq!(covers, [(1, false), (2, false), (3, false), (4, true), (5, true), (6, true)]);
 }
 
-/// A process that has just started may know of one gateway, the one that it heard.
+/// A process that has just started may know only the gateway that reported first.
 #[tokio::test(start_paused = true)]
-async fn a_process_that_has_just_started_does_not_take_the_gateways_it_knows_for_all() {
+async fn a_starting_process_assumes_unreported_gateways() {
     let loads = Loads::default();
     let share = || loads.coverage(1).unreported_slot_share();
     loads.report(report(0, &[(1, 1)]), None);
@@ -318,28 +319,27 @@
     assert_eq!(share(), 0.0);
 }
 
-/// Symptom: items waited while traffic went on, and the job store that led heard no gateway for 8 s.
-/// Sequence: the leader was cut off from the other job stores, not from the gateways. Another one took the
-/// lead. All gateways went on to report to the one that was cut off. Cause: its answer, which named no leader,
-/// was taken for a good one, and without a leader every gateway chooses the same job store. What settled it:
-/// 59 of 59 `item-started` of the new leader had `"online":null` until the cut healed.
+/// Guards against gateways that keep reporting to a leader that is cut off from the other job
+/// stores: its answers, which name no leader, were accepted, and without a leader every gateway
+/// chooses the same job store. The new leader then received no report for 8 s and started no
+/// further items.
 #[tokio::test(start_paused = true)]
-async fn a_gateway_leaves_a_job_store_that_does_not_know_who_leads() {
+async fn a_gateway_avoids_a_job_store_that_knows_no_leader() {
     let fleet = fleet(6, 3);
     let cut_off = aggregator_of(&fleet, "edge-1").expect("an aggregator").name.clone();
     let leader = fleet.job_stores().find(|store| store.name != cut_off).expect("another");
     let mut target = ReportTarget::new("edge-1".into());
     for _ in 0..3 {
         let asked = target.choose(&fleet).expect("a job store").name.clone();
-        let told = (asked != cut_off).then(|| leader.name.clone());
-        target.answered(&asked, told);
+        let with_counts = (asked != cut_off).then(|| leader.name.clone());
+        target.answered(&asked, with_counts);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(target.choose(&fleet).expect("a job store").name, leader.name);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_store_that_knows_the_leader_again_gets_reports_again() {
+async fn a_job_store_is_avoided_for_a_limited_time() {
     let fleet = fleet(80, 45);
     let mut target = ReportTarget::new("edge-1".into());
     let own = target.choose(&fleet).expect("a job store").name.clone();
@@ -356,9 +356,9 @@
     assert_eq!(target.choose(&fleet).expect("a job store").name, own);
 }
 
-/// During an election no job store knows a leader: reports go on.
+/// No job store knows a leader during an election; reports must continue.
 #[tokio::test(start_paused = true)]
-async fn reports_go_on_while_nobody_leads() {
+async fn reports_continue_without_a_leader() {
     let fleet = fleet(6, 3);
     let mut target = ReportTarget::new("edge-1".into());
     for _ in 0..10 {
@@ -367,25 +367,25 @@
     }
 }
 
-/// Symptom: 14 and 21 gateways heard where there are 7, and items preempted for requests that were counted
-/// twice; the worth of items fell from 0.84 to 0.78 on a day with stores wiped in turn. Cause: a gateway that
-/// moved to another job store went on counting at the one before until its report expired.
+/// Guards against counting a gateway twice after it moved to another job store, until its old
+/// report expires: 14 and 21 gateways were counted instead of 7, and items were preempted for
+/// requests counted twice (completed item value fell from 0.84 to 0.78).
 #[tokio::test(start_paused = true)]
 async fn a_gateway_that_moves_to_another_job_store_counts_once() {
     let (leader, other) = (Loads::default(), Loads::default());
     other.report(report(1, &[(1, 4)]), None);
     other.report(report(2, &[(1, 1)]), None);
     leader.record_sums(other.local_sums("store-2").expect("sums"));
-    assert_eq!((leader.online(&life("i-1")), leader.reporters()), (Some(5), 2));
-    // Its report at the leader tells where it comes from; that job store forgets it.
+    assert_eq!((leader.online(&incarnation("i-1")), leader.reporters()), (Some(5), 2));
+    // The report to the leader names the previous job store, which then drops the gateway.
     leader.report(report(1, &[(1, 4)]), None);
     other.forget("edge-1");
     leader.record_sums(other.local_sums("store-2").expect("sums"));
-    assert_eq!((leader.online(&life("i-1")), leader.reporters()), (Some(5), 2));
+    assert_eq!((leader.online(&incarnation("i-1")), leader.reporters()), (Some(5), 2));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_store_is_left_after_two_answers_that_did_not_come() {
+async fn a_job_store_is_avoided_after_two_missed_answers() {
     let fleet = fleet(80, 45);
     let mut target = ReportTarget::new("edge-1".into());
     let own = target.choose(&fleet).expect("a job store").name.clone();
@@ -399,32 +399,35 @@
     assert_ne!(target.choose(&fleet).expect("a job store").name, own);
 }
 
-/// Symptom: gateways take an empty back end for full and leave it out. Sequence: it starts again under its id
-/// while one gateway still has requests at its earlier life, and tells of them after the others told of the
-/// new one. Cause: counts, outcomes and items were added up by id.
+/// Guards against summing load by back end id only. A back end restarts under its id while one
+/// gateway still reports requests at its earlier incarnation; the empty new incarnation would be
+/// considered full and be ejected.
 #[tokio::test(start_paused = true)]
-async fn what_is_told_of_an_earlier_life_says_nothing_of_the_new_one() {
+async fn load_of_an_earlier_incarnation_does_not_count_for_the_new_one() {
     let loads = Loads::default();
-    let (before, after) = (life("i-1"), BackendLife { started_ms: 9, ..life("i-1") });
+    let (before, after) = (incarnation("i-1"), BackendLife { started_ms: 9, ..incarnation("i-1") });
     let count =
         |backend: &BackendLife, requests| BackendCount { backend: backend.clone(), requests };
-    let told = |gateway, counts| LoadReport { counts, ..report(gateway, &[]) };
-    loads.report(told(1, vec![count(&after, 2)]), None);
+    let with_counts = |gateway, counts| LoadReport { counts, ..report(gateway, &[]) };
+    loads.report(with_counts(1, vec![count(&after, 2)]), None);
     loads.report(
-        LoadReport { outcomes: outcome(2, 3_000, 0).outcomes, ..told(2, vec![count(&before, 8)]) },
+        LoadReport {
+            outcomes: outcome(2, 3_000, 0).outcomes,
+            ..with_counts(2, vec![count(&before, 8)])
+        },
         None,
     );
     loads.item_started(&before);
     assert_eq!((loads.online(&after), loads.items(&after)), (Some(2), 0));
     assert_eq!((loads.online(&before), loads.items(&before)), (Some(8), 1));
-    let answer = loads.report(told(3, vec![]), None);
+    let answer = loads.report(with_counts(3, vec![]), None);
     assert_eq!(answer.failing, std::slice::from_ref(&before));
     assert_eq!(answer.changes.len(), 2);
     let other = Loads::default();
     other.record_sums(loads.local_sums("store-1").expect("sums"));
     assert_eq!((other.online(&after), other.online(&before)), (Some(2), Some(8)));
-    // The requests of the earlier life end late.
-    loads.report(told(2, vec![]), None);
+    // The requests of the earlier incarnation end late.
+    loads.report(with_counts(2, vec![]), None);
     loads.item_ended(&before);
     assert_eq!((loads.online(&after), loads.online(&before)), (Some(2), Some(0)));
 }
--- a/crates/jobstore/tests/residence.rs
+++ b/crates/jobstore/tests/residence.rs
@@ -1,7 +1,7 @@
-//! Whether a job may be kept, and which job store runs its items.
+//! Where a job may be stored, and which job store runs its items.
 //!
-//! Failures prevented: the bodies of a job that must stay in one region were copied to job stores of all, and
-//! sent to workers of any.
+//! Guards against copying the bodies of a job that is restricted to one region to job stores of all
+//! regions, or sending them to workers there.
 
 use std::collections::BTreeMap;
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_paths_of_all_items_and_the_tenant_bind_a_job() {
+fn a_job_is_restricted_by_its_items_paths_and_tenant() {
     assert_eq!(residency(None, &["/free/x"]), Residency::Anywhere);
     assert_eq!(residency(None, &["/free/x", "/two/x"]), within(&["north", "south"]));
     assert_eq!(residency(None, &["/two/x", "/s/x", "/two/y"]), within(&["south"]));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_member_that_has_ended_counts_where_it_stood_and_one_that_is_unknown_keeps_nothing() {
+fn a_stopped_member_keeps_its_zone_and_an_unknown_one_stores_nothing_restricted() {
     let known = KnownZones::default();
     let all = [job_store("n", "north-a"), job_store("s", "south-a"), job_store("x", "elsewhere")];
     known.record(&Fleet { members: all.to_vec(), ..Fleet::default() });
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_job_store_that_comes_back_elsewhere_counts_there() {
+fn a_job_store_that_returns_in_another_zone_counts_there() {
     let known = KnownZones::default();
     known.record(&Fleet { members: vec![job_store("n", "north-a")], ..Fleet::default() });
     known.record(&Fleet { members: vec![job_store("n", "south-a")], ..Fleet::default() });
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn newcomers_from_outside_the_regions_of_held_jobs_join_only_where_none_from_inside_asks() {
+fn members_outside_the_allowed_regions_join_only_if_no_other_asks() {
     let known = KnownZones::default();
     let members = [job_store("a", "south-a"), job_store("b", "north-a"), job_store("c", "north-b")];
     known.record(&Fleet { members: members.to_vec(), ..Fleet::default() });
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn workers_stand_in_the_zone_else_in_the_region_else_anywhere() {
+fn workers_are_in_the_zone_else_in_the_region_else_anywhere() {
     let members = [
         job_store("1", "north-a"),
         job_store("2", "north-b"),
--- a/crates/jobstore/tests/state.rs
+++ b/crates/jobstore/tests/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine: positions are given once, results stay, text is joined only to the
-//! text that it follows.
+//! The replicated state machine: positions are assigned once, results are immutable, and text is
+//! only appended to the output that it continues.
 
 use yokefall_jobstore::protocol::Submission;
 use yokefall_jobstore::state::{Applied, Command, Jobs, Run};
@@ -42,11 +42,11 @@
     }
 }
 
-fn keep(item: u32, after_event: u64, last_event: u64, text: &str) -> Command {
-    keep_of(Run { number: 1, resume_after: 0 }, item, after_event, last_event, text)
+fn append(item: u32, after_event: u64, last_event: u64, text: &str) -> Command {
+    append_of(Run { number: 1, resume_after: 0 }, item, after_event, last_event, text)
 }
 
-fn keep_of(run: Run, item: u32, after_event: u64, last_event: u64, text: &str) -> Command {
+fn append_of(run: Run, item: u32, after_event: u64, last_event: u64, text: &str) -> Command {
     Command::AppendOutput { job: JOB.into(), item, run, after_event, last_event, text: text.into() }
 }
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_job_is_taken_once() {
+fn a_job_is_accepted_once() {
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a", "b"]));
     jobs.apply(finish(0, 0, Some("x")));
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn positions_follow_the_order_of_ends_and_never_change() {
+fn positions_follow_completion_order_and_never_change() {
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a", "b", "c"]));
     jobs.apply(finish(2, 0, Some("third")));
     jobs.apply(finish(0, 0, Some("first")));
-    // Another end of the same item, as of a run by a former leader.
+    // A second end of the same item, as from a run by a former leader.
     assert_eq!(jobs.apply(finish(2, 0, Some("other"))), Applied::Nothing);
     jobs.apply(finish(1, 0, None));
     assert_eq!(texts(&jobs), ["c=third", "a=first", "b="]);
@@ -81,39 +81,39 @@
 }
 
 #[test]
-fn kept_text_and_what_follows_are_one_text() {
+fn appended_and_final_output_form_one_text() {
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a"]));
-    jobs.apply(keep(0, 0, 2, "1\n2"));
-    jobs.apply(keep(0, 2, 3, ""));
+    jobs.apply(append(0, 0, 2, "1\n2"));
+    jobs.apply(append(0, 2, 3, ""));
     jobs.apply(finish(0, 3, Some("4")));
     assert_eq!(texts(&jobs), ["a=1\n2\n\n4"]);
 }
 
 #[test]
-fn text_that_follows_on_another_event_is_not_joined() {
+fn output_after_another_event_is_not_appended() {
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a"]));
-    jobs.apply(keep(0, 0, 2, "1\n2"));
-    jobs.apply(keep(0, 1, 3, "2\n3"));
+    jobs.apply(append(0, 0, 2, "1\n2"));
+    jobs.apply(append(0, 1, 3, "2\n3"));
     assert_eq!(jobs.apply(finish(0, 0, Some("1\n2\n3"))), Applied::Nothing);
     assert!(texts(&jobs).is_empty());
     jobs.apply(finish(0, 2, Some("3")));
     assert_eq!(texts(&jobs), ["a=1\n2\n3"]);
 }
 
-/// Found by a day of the users' bench: a run began before the text that the run before it gave was
-/// in the log, and came to the same event by itself.
+/// Guards against joining the output of two runs: a run that started before the output of its
+/// predecessor was committed may happen to reach the same event.
 #[test]
-fn a_run_is_joined_only_where_it_was_asked_to_continue() {
+fn output_of_a_run_is_appended_only_where_it_was_asked_to_resume() {
     let (first, second) = (Run { number: 1, resume_after: 0 }, Run { number: 2, resume_after: 0 });
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a"]));
-    jobs.apply(keep_of(first, 0, 0, 2, "1\n2"));
-    jobs.apply(keep_of(second, 0, 0, 2, "one\ntwo"));
-    jobs.apply(keep_of(second, 0, 2, 3, "three"));
+    jobs.apply(append_of(first, 0, 0, 2, "1\n2"));
+    jobs.apply(append_of(second, 0, 0, 2, "one\ntwo"));
+    jobs.apply(append_of(second, 0, 2, 3, "three"));
     let asked = Run { number: 3, resume_after: 2 };
-    jobs.apply(keep_of(asked, 0, 2, 4, "3\n4"));
+    jobs.apply(append_of(asked, 0, 2, 4, "3\n4"));
     let job = JOB.to_owned();
     let state = ItemState::Completed;
     let text = Some("5".to_owned());
@@ -122,10 +122,10 @@
 }
 
 #[test]
-fn an_item_that_was_given_up_has_no_text() {
+fn an_abandoned_item_has_no_text() {
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a"]));
-    jobs.apply(keep(0, 0, 2, "1\n2"));
+    jobs.apply(append(0, 0, 2, "1\n2"));
     let state = ItemState::Abandoned;
     let job = JOB.to_owned();
     jobs.apply(Command::Finish {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn bodies_are_there_until_the_result_or_the_end() {
+fn bodies_are_readable_until_the_result_or_the_end() {
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a", "b"]));
     assert_eq!(jobs.body(JOB, &Requester::Unchecked, "a"), Some(b"a".as_slice()));
@@ -148,7 +148,7 @@
     assert_eq!(jobs.body(JOB, &Requester::Unchecked, "a"), None);
     jobs.apply(Command::End { job: JOB.into() });
     assert_eq!(jobs.body(JOB, &Requester::Unchecked, "b"), None);
-    // What was listed stays.
+    // Existing results remain.
     assert_eq!(texts(&jobs), ["a="]);
     assert_eq!(jobs.apply(finish(1, 0, Some("late"))), Applied::Nothing);
 }
@@ -169,14 +169,14 @@
 fn a_snapshot_is_the_whole_state() {
     let mut jobs = Jobs::default();
     jobs.apply(submit(&["a", "b"]));
-    jobs.apply(keep(0, 0, 1, "1"));
+    jobs.apply(append(0, 0, 1, "1"));
     jobs.apply(finish(1, 0, Some("x")));
     let bytes = borsh::to_vec(&jobs).expect("bytes");
     assert_eq!(borsh::from_slice::<Jobs>(&bytes).expect("the state"), jobs);
 }
 
 #[test]
-fn long_results_are_held_in_less_room_and_read_back_whole() {
+fn long_results_are_compressed_and_read_back_unchanged() {
     let text: String =
         (0..400).map(|n| format!("{n:x}.{:x} north then left\n", n * 7_919)).collect();
     let mut jobs = Jobs::default();
--- a/crates/jobstore/tests/unreadable_command.rs
+++ b/crates/jobstore/tests/unreadable_command.rs
@@ -1,12 +1,13 @@
 //! A command that a later version wrote into the log.
 //!
-//! What would happen: a new leader proposes a command of a new kind, it is replicated, and each job store of the old build
-//! ends in a panic that names no cause, or, were it passed over, holds another state than the others from then on.
+//! Guards against job stores of an older build that panic without a cause when a new leader
+//! replicates a new kind of command, or that skip it and then hold a different state than the
+//! others.
 
 use yokefall_jobstore::state::{Command, UnreadableCommand};
 
 #[test]
-fn it_is_named_and_not_passed_over() {
+fn an_unknown_variant_is_an_error_that_names_it() {
     let end = Command::End { job: "job-1".into() };
     let mut bytes = borsh::to_vec(&end).expect("a command");
     assert_eq!(Command::decode(&bytes), Ok(end));
@@ -14,7 +15,7 @@
     let error = Command::decode(&bytes).expect_err("an unknown variant");
     assert_eq!(error.variant, Some(200));
     assert!(error.to_string().contains("variant 200"), "{error}");
-    // A known variant with a field more is another form as well.
+    // A known variant with an additional field is unreadable as well.
     bytes[0] = 4;
     bytes.push(1);
     assert!(Command::decode(&bytes).is_err());
--- a/crates/jobstore/tests/urgency.rs
+++ b/crates/jobstore/tests/urgency.rs
@@ -1,4 +1,4 @@
-//! In which order items wait.
+//! Order in which waiting items run.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
 }
 
 #[test]
-fn what_is_due_first_goes_first() {
+fn the_earliest_due_item_goes_first() {
     let (soon, later, never) =
         (urgency(10, Some(18), 4), urgency(2, Some(18), 4), urgency(30, None, 4));
     assert_eq!(sorted(vec![never, later, soon]), [soon, later, never]);
 }
 
-/// Found on Qalhat: with more items than room the oldest first has every item done just after it was
-/// due.
+/// Guards against running the oldest item first under overload: every item would complete just
+/// after it was due.
 #[test]
-fn what_cannot_be_in_time_goes_after_what_can() {
+fn late_items_go_last() {
     let (late, in_time) = (urgency(15, Some(18), 4), urgency(3, Some(18), 4));
     assert!(late.is_late());
     assert!(!in_time.is_late());
@@ -35,21 +35,21 @@
 }
 
 #[test]
-fn of_one_job_the_item_that_is_done_first_goes_first() {
+fn within_a_job_the_shortest_item_goes_first() {
     let (long, short) = (urgency(5, Some(18), 6), urgency(5, Some(18), 1));
     assert_eq!(sorted(vec![long, short]), [short, long]);
 }
 
 #[test]
-fn the_pace_is_learnt_from_finished_items() {
+fn durations_are_estimated_from_finished_items() {
     let mut estimator = DurationEstimator::default();
     assert_eq!(estimator.remaining(1_000, 0), Duration::ZERO);
-    // 100 events of 20 ms for 1,000 tokens; one without tokens or output teaches nothing.
+    // 100 events of 20 ms for 1,000 tokens; items without tokens or output are ignored.
     estimator.observe(1_000, 100, 100, Duration::from_secs(2));
     estimator.observe(0, 100, 100, Duration::from_secs(9));
     estimator.observe(1_000, 100, 0, Duration::from_secs(9));
     assert_eq!(estimator.remaining(1_000, 0), Duration::from_secs(2));
     assert_eq!(estimator.remaining(1_000, 50), Duration::from_secs(1));
-    // One that makes more than expected is taken to have a tenth left.
+    // An item with more output than expected is assumed to have a tenth remaining.
     assert_eq!(estimator.remaining(1_000, 120), Duration::from_millis(200));
 }
--- a/crates/jobstore/tests/wal.rs
+++ b/crates/jobstore/tests/wal.rs
@@ -1,4 +1,5 @@
-//! The log on disk: what is synced stays, what is torn ends it, and no former file comes back.
+//! The write-ahead log: synced records are durable, a torn record ends the log, and old files are
+//! ignored.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn an_empty_folder_gets_an_identity_that_stays() {
+fn an_empty_folder_gets_a_permanent_identity() {
     let folder = tempfile::tempdir().expect("a folder");
     let first = open(folder.path());
     assert!(first.was_empty);
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn what_was_synced_is_there_again() {
+fn synced_records_are_recovered() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut wal = open(folder.path()).wal;
     wal.add(&Write::State { term: 3, voted_for: None, settled: 2 });
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn a_torn_record_ends_the_log_wherever_it_is_torn() {
+fn a_record_torn_at_any_byte_ends_the_log() {
     let folder = tempfile::tempdir().expect("a folder");
     with_entries(folder.path(), &[entry(1, 1)]);
     let path = folder.path().join("log-1");
@@ -57,14 +58,14 @@
         let opened = open(folder.path());
         assert_eq!(opened.recovered.entries, [entry(1, 1)], "torn at {length}");
         drop(opened);
-        // What is written after it is found again.
+        // Records written afterwards are recovered.
         with_entries(folder.path(), &[entry(2, 2)]);
         assert_eq!(open(folder.path()).recovered.entries, [entry(1, 1), entry(2, 2)]);
     }
 }
 
 #[test]
-fn a_hole_before_records_that_are_whole_ends_the_log() {
+fn a_corrupt_record_before_valid_ones_ends_the_log() {
     let folder = tempfile::tempdir().expect("a folder");
     with_entries(folder.path(), &[entry(1, 1)]);
     let path = folder.path().join("log-1");
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_rewrite_takes_the_place_of_all_that_was() {
+fn a_rewrite_replaces_the_whole_log() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut wal = open(folder.path()).wal;
     wal.add(&Write::Entries(vec![entry(1, 1), entry(2, 1), entry(3, 1)]));
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn a_former_file_whose_removal_was_lost_does_not_come_back() {
+fn an_old_file_that_reappears_is_ignored() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut wal = open(folder.path()).wal;
     wal.add(&Write::Entries(vec![entry(1, 1)]));
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_rewrite_that_did_not_finish_is_passed_over() {
+fn an_unfinished_rewrite_is_ignored() {
     let folder = tempfile::tempdir().expect("a folder");
     with_entries(folder.path(), &[entry(1, 1)]);
     let mut draft =
