--- a/crates/jobstore/tests/loads.rs
+++ b/crates/jobstore/tests/loads.rs
@@ -321,8 +321,8 @@
 
 /// Guards against gateways that keep reporting to a leader that is cut off from the other job
 /// stores: its answers, which name no leader, were accepted, and without a leader every gateway
-/// chooses the same job store. The new leader then received no report for 8 s and started no
-/// further items.
+/// chooses the same job store. The new leader then received no report for 8 s, and
+/// items waited.
 #[tokio::test(start_paused = true)]
 async fn a_gateway_avoids_a_job_store_that_knows_no_leader() {
     let fleet = fleet(6, 3);
