--- a/crates/jobstore/src/aggregators.rs
+++ b/crates/jobstore/src/aggregators.rs
@@ -109,7 +109,7 @@
     }
 
     /// Sets the zone of the process, which then prefers job stores in its own region.
-    pub fn standing_in(self, zone: String, zones: Arc<ZoneMap>) -> Self {
+    pub fn in_zone(self, zone: String, zones: Arc<ZoneMap>) -> Self {
         Self { zone, zones, ..self }
     }
 
--- a/crates/jobstore/src/backlog.rs
+++ b/crates/jobstore/src/backlog.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::capacity::ServiceSlots;
 
@@ -46,7 +46,7 @@
     /// Items that this leader runs.
     pub running: usize,
     /// Maximum number of items that it runs.
-    pub most_runs: usize,
+    pub max_runs: usize,
     /// Gateways whose load reports are current.
     pub reporting_gateways: u32,
 }
@@ -96,7 +96,7 @@
 }
 
 fn limit(slots: &ServiceSlots, stats: PassStats) -> Limit {
-    if stats.running >= stats.most_runs {
+    if stats.running >= stats.max_runs {
         return Limit::Runs;
     }
     let capacity = slots.capacity();
@@ -112,7 +112,7 @@
 fn log_backlog(service: &str, slots: &ServiceSlots, limit: Limit, stats: PassStats) {
     let capacity = slots.capacity();
     queued_items(service).set(slots.queued as f64);
-    Line::new(EventName::ItemsHeld)
+    LogLine::new(EventName::ItemsHeld)
         .id(service)
         .field("held", slots.queued)
         .field("running", stats.running)
--- a/crates/jobstore/src/client.rs
+++ b/crates/jobstore/src/client.rs
@@ -90,7 +90,7 @@
                 Attempt::Reply(Reply::NotLeader { leader }) => {
                     self.follow_hint(&name, leader).await
                 }
-                Attempt::Reply(Reply::Unsure) => tokio::time::sleep(RETRY_BACKOFF).await,
+                Attempt::Reply(Reply::LeaderNotReady) => tokio::time::sleep(RETRY_BACKOFF).await,
                 Attempt::Reply(Reply::Unknown) => may_be_done = true,
                 Attempt::Reply(reply) => {
                     *self.leader.borrow_mut() = Some(name);
--- a/crates/jobstore/src/connections.rs
+++ b/crates/jobstore/src/connections.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::time::Instant;
 use yokefall_serving::FleetCell;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::addresses::Addresses;
 use crate::protocol::{encode, send_frame, split, Frame, IncomingFrames};
@@ -102,7 +102,7 @@
         if self.is_answered && self.heartbeat_sent_at.elapsed() >= HEARTBEAT_INTERVAL {
             (self.heartbeat_sent_at, self.bytes_since_heartbeat, self.is_answered) =
                 (Instant::now(), 0, false);
-            send_frame(&mut self.writer, encode(&Frame::Renew)).await?;
+            send_frame(&mut self.writer, encode(&Frame::Heartbeat)).await?;
         }
         Ok(())
     }
@@ -154,7 +154,7 @@
             frame = frames.recv() => frame,
             lost = lost => {
                 if matches!(lost, Lost::TimedOut) {
-                    Line::new(EventName::LinkSilent)
+                    LogLine::new(EventName::LinkSilent)
                         .id(&name)
                         .field("after_ms", ANSWER_TIMEOUT.as_millis() as u64)
                         .write();
--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -14,14 +14,14 @@
 use yokefall_quota::QuotaBounds;
 use yokefall_serving::discovery::{self, DiscoveryOptions, PeerPorts};
 use yokefall_serving::eligibility::cold_start;
-use yokefall_serving::fleet::{start_number, Identity, Notices};
+use yokefall_serving::fleet::{new_incarnation, Identity, Notices};
 use yokefall_serving::{
-    empty_catalog, empty_fleet, Balancer, ColdStart, ColdStartOptions, Freshness, PlacementBounds,
-    Platform, Policy, Sender, ZoneMap,
+    empty_catalog, empty_fleet, Balancer, ColdStartLimiter, ColdStartLimiterOptions, Freshness,
+    PlacementBounds, Platform, Policy, SenderId, ZoneMap,
 };
 use yokefall_suspects::Registry;
-use yokefall_telemetry::{version, EventName, Line};
-use yokefall_upstream::Places;
+use yokefall_telemetry::{version, EventName, LogLine};
+use yokefall_upstream::SharedBalancer;
 
 use crate::aggregators::ReportTarget;
 use crate::client::JobClient;
@@ -29,7 +29,7 @@
 use crate::delegation::Delegation;
 use crate::disk::{Disk, Synced};
 use crate::quota::{self, QuotaService};
-use crate::residence::KnownZones;
+use crate::residency::KnownZones;
 use crate::run::ItemRunner;
 use crate::runner::{Runner, RunnerOptions};
 use crate::state::{Applied, UnreadableCommand};
@@ -57,7 +57,7 @@
     /// Address for other processes, TCP and UDP.
     pub peer: SocketAddr,
     /// Address at which other processes request the configuration and the back ends.
-    pub news: SocketAddr,
+    pub exchange: SocketAddr,
     /// Peer addresses of some processes; updated when the settings are reloaded.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
     /// Folder of the log.
@@ -75,7 +75,7 @@
     /// Maximum bytes of results in flight to readers.
     pub page_bytes: usize,
     /// Maximum number of items that run at the same time.
-    pub most_runs: usize,
+    pub max_runs: usize,
     /// Enabled policies.
     pub policy: Policy,
     /// Tolerances beyond the limits of tenants.
@@ -120,8 +120,9 @@
         options.peer = listener.local_addr().map_err(start_error("listen for peers"))?;
         let datagrams =
             UdpSocket::bind(options.peer).await.map_err(start_error("open datagram port"))?;
-        let news = TcpListener::bind(options.news).await.map_err(start_error("listen for news"))?;
-        Ok(Self { options, listener, ports: PeerPorts { datagrams, news } })
+        let exchange =
+            TcpListener::bind(options.exchange).await.map_err(start_error("listen for news"))?;
+        Ok(Self { options, listener, ports: PeerPorts { datagrams, exchange } })
     }
 
     /// The start options, with the ports that are open.
@@ -139,7 +140,7 @@
         let peer = options.peer;
         let opened = Wal::open(&options.folder, rand::random()).map_err(start_error("open log"))?;
         let me = MemberId { name: options.name.clone(), incarnation: opened.incarnation };
-        Line::new(EventName::Started)
+        LogLine::new(EventName::Started)
             .id(&me)
             .text("peer", peer)
             .text("zone", &options.zone)
@@ -157,7 +158,7 @@
             zone: options.zone.clone(),
             region: options.region.clone(),
             job_store: true,
-            incarnation: start_number(),
+            incarnation: new_incarnation(),
         };
         let catalog = empty_catalog();
         let state = opened.recovered.snapshot.state.clone();
@@ -220,18 +221,18 @@
             (fleet.clone(), catalog.clone(), known_zones.clone()),
             voters,
         ));
-        let cold_options = ColdStartOptions {
-            sender: Sender { name: options.name.clone(), job_store: true },
+        let cold_options = ColdStartLimiterOptions {
+            sender: SenderId { name: options.name.clone(), job_store: true },
             bounds: options.placement,
             freshness: freshness.clone(),
             clock: clock(),
         };
-        let cold = ColdStart::new(catalog.clone(), fleet.clone(), cold_options);
+        let cold = ColdStartLimiter::new(catalog.clone(), fleet.clone(), cold_options);
         tokio::task::spawn_local(cold_start::watch(cold.clone()));
         // This balancer ignores regions: otherwise the items of all regions would fill the back
         // ends of the leader's region, although a worker near the back end sends them.
         let balancer = Balancer::new(options.zone.clone(), rand::random(), options.policy);
-        let places = Places::with_cold_start(balancer, clock(), cold.clone());
+        let places = SharedBalancer::with_cold_start(balancer, clock(), cold.clone());
         let suspects = Registry::new(catalog.clone(), clock());
         suspects::load(&options.folder, &suspects);
         tokio::task::spawn_local(suspects::persist_changes(
@@ -240,11 +241,10 @@
         ));
         let client = Rc::new(JobClient::new(fleet.clone()));
         let target = ReportTarget::new(options.name.clone())
-            .standing_in(options.zone.clone(), options.zones.clone());
-        suspects::share(suspects.clone(), client, fleet.clone(), target, port);
+            .in_zone(options.zone.clone(), options.zones.clone());
+        suspects::start_exchange(suspects.clone(), client, fleet.clone(), target, port);
         let items = ItemRunner::new(platform.dialect(), suspects.clone());
-        let worker =
-            Worker::new(catalog.clone(), cold, freshness, items, places, options.most_runs);
+        let worker = Worker::new(catalog.clone(), cold, freshness, items, places, options.max_runs);
         let quota = QuotaService::new(options.name.clone(), options.quota, clock());
         tokio::task::spawn_local(quota::renew_leases(
             quota.clone(),
@@ -261,7 +261,7 @@
             Delegation::new(fleet.clone(), options.zones.clone(), store.clone(), suspects.clone());
         let runner_options = RunnerOptions {
             retention: options.retention,
-            most_runs: options.most_runs,
+            max_runs: options.max_runs,
             policy: options.policy,
         };
         let runner =
@@ -283,10 +283,10 @@
                 break;
             }
         }
-        Line::new(EventName::Stopping).field("leads", store.is_leader()).write();
+        LogLine::new(EventName::Stopping).field("leads", store.is_leader()).write();
         quota::release(&quota, &fleet).await;
         transfer_leadership(&store).await;
-        Line::new(EventName::Stopped).write();
+        LogLine::new(EventName::Stopped).write();
         Ok(())
     }
 }
@@ -322,7 +322,7 @@
         let mut others: Vec<MemberId> =
             core.members().voters.iter().filter(|voter| **voter != me).cloned().collect();
         others.sort_by_key(|other| core.silent_ms(now, other));
-        let done = others.iter().any(|other| core.hand_over(now, other));
+        let done = others.iter().any(|other| core.transfer_leadership(now, other));
         done && core.role() == Role::Leader
     });
     if other {
@@ -337,7 +337,7 @@
 
 impl StoreObserver for LogObserver {
     fn unreadable(&self, index: Index, error: &UnreadableCommand) {
-        Line::new(EventName::LogUnreadable)
+        LogLine::new(EventName::LogUnreadable)
             .field("position", index)
             .text("cause", error)
             .text("build", version::build())
@@ -353,7 +353,7 @@
     fn role(&self, role: Role, term: Term, leader: Option<&MemberId>) {
         let leads = if role == Role::Leader { 1.0 } else { 0.0 };
         metrics::gauge!("job_store_leads").set(leads);
-        Line::new(EventName::RoleChanged)
+        LogLine::new(EventName::RoleChanged)
             .text("role_now", format_args!("{role:?}"))
             .field("term", term)
             .field("leader", leader.map(MemberId::to_string))
@@ -361,7 +361,7 @@
     }
 
     fn members(&self, voters: usize, learners: usize, index: Index) {
-        Line::new(EventName::MembersChanged)
+        LogLine::new(EventName::MembersChanged)
             .field("voters", voters)
             .field("learners", learners)
             .field("position", index)
@@ -369,7 +369,7 @@
     }
 
     fn compacted(&self, state: usize, log: usize, jobs: usize) {
-        Line::new(EventName::LogCompacted)
+        LogLine::new(EventName::LogCompacted)
             .field("state_bytes", state)
             .field("log_bytes", log)
             .field("job_bytes", jobs)
@@ -377,11 +377,11 @@
     }
 
     fn state_sent(&self, member: &MemberId, bytes: usize) {
-        Line::new(EventName::StateSent).id(member).field("bytes", bytes).write();
+        LogLine::new(EventName::StateSent).id(member).field("bytes", bytes).write();
     }
 
     fn state_installed(&self, index: Index, bytes: usize) {
-        Line::new(EventName::StateTaken).field("position", index).field("bytes", bytes).write();
+        LogLine::new(EventName::StateTaken).field("position", index).field("bytes", bytes).write();
     }
 
     fn applied(&self, index: Index, applied: &Applied) {
@@ -392,6 +392,6 @@
             Applied::Forgotten { job } => (job, EventName::JobForgotten),
             Applied::Finished { .. } | Applied::Nothing => return,
         };
-        Line::new(event).id(id).field("position", index).write();
+        LogLine::new(event).id(id).field("position", index).write();
     }
 }
--- a/crates/jobstore/src/disk.rs
+++ b/crates/jobstore/src/disk.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use yokefall_consensus::Write;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::wal::{Rewrite, Wal};
 
@@ -83,7 +83,7 @@
     let mut report_synced = false;
     while let Err(error) = action() {
         if !report_synced {
-            Line::new(EventName::DiskFailed).field("step", step).text("cause", &error).write();
+            LogLine::new(EventName::DiskFailed).field("step", step).text("cause", &error).write();
             report_synced = true;
         }
         std::thread::sleep(RETRY_BACKOFF);
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -6,19 +6,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use yokefall_consensus::policy::{needs_claim, next_step, should_outlive, Step, Wishes};
+use yokefall_consensus::policy::{
+    needs_claim, next_step, should_become_sole_voter, DesiredMembership, Step,
+};
 use yokefall_consensus::{MemberId, Pair, Role, Zones};
-use yokefall_serving::duty::Duty;
 use yokefall_serving::source::Revision;
 use yokefall_serving::watch::{follow, Follow, Sink, Waits};
+use yokefall_serving::watch_role::WatchRole;
 use yokefall_serving::{
     Catalog, CatalogCell, Change, Claim, FleetCell, Listing, Platform, Registry, Retirement,
     SourceError,
 };
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::protocol::Frame;
-use crate::residence::KnownZones;
+use crate::residency::KnownZones;
 use crate::store::Store;
 
 /// Initial interval of join requests: a lost disk should be replaced within seconds.
@@ -90,7 +92,7 @@
 }
 
 fn log_decision(decision: &'static str, about: impl std::fmt::Display) {
-    Line::new(EventName::GroupDecision).id(about).field("decision", decision).write();
+    LogLine::new(EventName::GroupDecision).id(about).field("decision", decision).write();
 }
 
 /// Bootstraps the group if this is the first start of the whole system and no other member was
@@ -102,7 +104,7 @@
         match tokio::time::timeout(CLAIM_TIMEOUT, registry.claim(FOUNDER_KEY, &offer)).await {
             Ok(Ok(Claim::Mine)) => {
                 log_decision("bootstrap the group", &me);
-                store.with_core(|core, now| core.found(now));
+                store.with_core(|core, now| core.bootstrap(now));
                 store.deadline_changed.notify_one();
                 return;
             }
@@ -167,7 +169,7 @@
             let following = Follow {
                 refresh: Rc::default(),
                 others: Vec::new(),
-                duty: Duty::always(),
+                watch_role: WatchRole::always(),
                 waits: Waits::Long,
             };
             let watching = follow(platform.retirements(), sink, following);
@@ -194,17 +196,18 @@
     known_zones.record(&fleet.load());
     let joining = store.joining(JOIN_LIFETIME);
     let joining = prefer_allowed_regions(store, &catalog.load(), known_zones, joining);
-    let wishes = Wishes { joining, leaving: leaving.all(), voters, zones: zones_of(fleet) };
+    let wishes =
+        DesiredMembership { joining, leaving: leaving.all(), voters, zones: zones_of(fleet) };
     let (step, pair) = store.with_core(|core, now| {
         let step = next_step(core, now, &wishes);
         let pair = core.pair().filter(|_| match &step {
             Step::Change(members) => needs_claim(core, members),
-            Step::Rest | Step::HandOver(_) => false,
+            Step::Idle | Step::TransferLeadership(_) => false,
         });
         (step, pair)
     });
     match step {
-        Step::Rest => {}
+        Step::Idle => {}
         Step::Change(members) => {
             if claim_pair(platform, store, pair).await {
                 let description = format!("{members:?}");
@@ -215,9 +218,9 @@
                 log_decision("wait for the claim of a two-member group", format!("{pair:?}"));
             }
         }
-        Step::HandOver(to) => {
+        Step::TransferLeadership(to) => {
             log_decision("transfer leadership", &to);
-            store.with_core(|core, now| core.hand_over(now, &to));
+            store.with_core(|core, now| core.transfer_leadership(now, &to));
         }
     }
     let learners = store.with_core(|core, _| !core.members().learners.is_empty());
@@ -262,14 +265,15 @@
     loop {
         tokio::time::sleep(PAIR_CHECK_INTERVAL).await;
         let joining = store.joining(JOIN_LIFETIME);
-        let pair = store
-            .with_core(|core, now| core.pair().filter(|_| should_outlive(core, now, &joining)));
+        let pair = store.with_core(|core, now| {
+            core.pair().filter(|_| should_become_sole_voter(core, now, &joining))
+        });
         if pair.is_none() || !claim_pair(&platform, &store, pair).await {
             continue;
         }
         let alone = store.with_core(|core, now| {
-            let silent = should_outlive(core, now, &joining);
-            silent && pair.is_some_and(|pair| core.outlive(now, pair))
+            let silent = should_become_sole_voter(core, now, &joining);
+            silent && pair.is_some_and(|pair| core.become_sole_voter(now, pair))
         });
         if alone {
             log_decision(
@@ -286,7 +290,7 @@
     for name in leaving.open() {
         let out = store.with_core(|core, _| {
             let member = core.members().all().any(|member| member.name == name);
-            !member && core.can_change_members() && core.members_are_settled()
+            !member && core.can_change_members() && core.members_durably_committed()
         });
         if !out {
             continue;
--- a/crates/jobstore/src/lib.rs
+++ b/crates/jobstore/src/lib.rs
@@ -31,7 +31,7 @@
 pub mod protocol;
 pub mod quota;
 pub mod reads;
-pub mod residence;
+pub mod residency;
 pub mod run;
 pub mod runner;
 pub mod running;
--- a/crates/jobstore/src/loads.rs
+++ b/crates/jobstore/src/loads.rs
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use yokefall_serving::{BackendLife, InFlight, Outcomes};
+use yokefall_serving::{BackendIncarnation, InFlight, Outcomes};
 
 use crate::protocol::{
     BackendOutcomes, BackendTotal, LoadAnswer, LoadReport, LoadSums, ServiceRate,
 };
 
 /// Maximum interval between two reports of a gateway with load.
-pub const BUSY_INTERVAL: Duration = Duration::from_millis(500);
+pub const MAX_BUSY_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between two reports of an idle gateway. Idle gateways report too: one that sends
 /// nothing may be cut off and have any number of requests.
-pub const IDLE_INTERVAL: Duration = Duration::from_millis(1_500);
+pub const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Lifetime of a report; two of the following reports may be lost.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
 /// Lifetime of a report of an idle gateway.
@@ -35,7 +35,7 @@
 const MAX_CHANGES: usize = 48;
 
 /// Fixed-point scale of reported outcomes: units per request.
-pub const THOUSANDTHS: f64 = 1_000.0;
+pub const OUTCOME_SCALE: f64 = 1_000.0;
 
 /// Report interval per gateway of the fleet; limits an aggregator to 250 reports a second.
 const INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(4);
@@ -75,7 +75,7 @@
     }
 
     fn is_failing(&self) -> bool {
-        let requests = |thousandths: u64| thousandths as f64 / THOUSANDTHS;
+        let requests = |thousandths: u64| thousandths as f64 / OUTCOME_SCALE;
         let outcomes =
             Outcomes { failed: requests(self.failed), answered: requests(self.answered) };
         outcomes.is_failing()
@@ -87,15 +87,15 @@
     gateways: HashMap<String, Source>,
     job_stores: HashMap<String, Source>,
     /// Items that this process runs, by back end.
-    local_items: HashMap<BackendLife, u32>,
-    totals: HashMap<BackendLife, InFlight>,
+    local_items: HashMap<BackendIncarnation, u32>,
+    totals: HashMap<BackendIncarnation, InFlight>,
     /// Requests per 1,000 seconds, by service.
     arrivals: HashMap<String, u64>,
     /// Recent outcomes in thousandths, by back end.
-    outcomes: HashMap<BackendLife, SummedOutcomes>,
+    outcomes: HashMap<BackendIncarnation, SummedOutcomes>,
     reporters: u32,
     /// Totals last sent to each gateway.
-    answered: HashMap<String, HashMap<BackendLife, InFlight>>,
+    answered: HashMap<String, HashMap<BackendIncarnation, InFlight>>,
     expired_at: Option<Instant>,
 }
 
@@ -129,7 +129,7 @@
         let unreported = 1.0 - f64::from(self.reporting) / f64::from(all);
         // A process that has just started may not know all gateways; each of them reports once
         // within the longest interval.
-        let startup_share = 1.0 - self.listening.div_duration_f64(IDLE_INTERVAL);
+        let startup_share = 1.0 - self.listening.div_duration_f64(IDLE_REPORT_INTERVAL);
         unreported.max(startup_share).clamp(0.0, 1.0)
     }
 
@@ -151,7 +151,14 @@
         // An idle gateway reports explicitly. Otherwise it could not be told from one that is cut
         // off, and most slots would be reserved for requests that do not exist.
         let lifetime = if report.is_idle() { IDLE_REPORT_LIFETIME } else { REPORT_LIFETIME };
-        let LoadReport { gateway, counts, arrivals, outcomes, answer_all, moved_from: _ } = report;
+        let LoadReport {
+            gateway,
+            counts,
+            arrivals,
+            outcomes,
+            wants_all_totals,
+            previous_aggregator: _,
+        } = report;
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         let counts = counts.into_iter().map(|count| BackendTotal {
@@ -167,7 +174,7 @@
         if let Some(before) = sums.gateways.insert(gateway.clone(), source) {
             sums.subtract(&before);
         }
-        if answer_all {
+        if wants_all_totals {
             sums.answered.remove(&gateway);
         }
         let arrivals = sums.arrivals.iter();
@@ -198,7 +205,7 @@
         let answered = answered.entry(gateway).or_default();
         self.count_steps(totals.len() + answered.len());
         let mut changes: Vec<(u32, BackendTotal)> = Vec::new();
-        let mut note = |backend: &BackendLife, total: InFlight, before: InFlight| {
+        let mut note = |backend: &BackendIncarnation, total: InFlight, before: InFlight| {
             let difference =
                 total.online.abs_diff(before.online) + total.items.abs_diff(before.items);
             if difference > 0 {
@@ -248,9 +255,9 @@
         if sums.gateways.is_empty() && sums.local_items.is_empty() {
             return None;
         }
-        let mut counts: BTreeMap<&BackendLife, InFlight> = BTreeMap::new();
+        let mut counts: BTreeMap<&BackendIncarnation, InFlight> = BTreeMap::new();
         let mut arrivals: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut outcomes: BTreeMap<&BackendLife, SummedOutcomes> = BTreeMap::new();
+        let mut outcomes: BTreeMap<&BackendIncarnation, SummedOutcomes> = BTreeMap::new();
         for source in sums.gateways.values() {
             for count in &source.counts {
                 counts.entry(&count.backend).or_default().online += count.online;
@@ -270,7 +277,7 @@
             service: service.to_owned(),
             per_1000_seconds: rate,
         };
-        let reported = |(backend, sum): (&BackendLife, SummedOutcomes)| BackendOutcomes {
+        let reported = |(backend, sum): (&BackendIncarnation, SummedOutcomes)| BackendOutcomes {
             backend: backend.clone(),
             failed: sum.failed,
             answered: sum.answered,
@@ -285,14 +292,14 @@
     }
 
     /// Counts an item that starts at a back end.
-    pub fn item_started(&self, backend: &BackendLife) {
+    pub fn item_started(&self, backend: &BackendIncarnation) {
         let sums = &mut *self.sums.borrow_mut();
         *sums.local_items.entry(backend.clone()).or_default() += 1;
         sums.totals.entry(backend.clone()).or_default().items += 1;
     }
 
     /// Removes an item that no longer runs at a back end.
-    pub fn item_ended(&self, backend: &BackendLife) {
+    pub fn item_ended(&self, backend: &BackendIncarnation) {
         let sums = &mut *self.sums.borrow_mut();
         if let Some(count) = sums.local_items.get_mut(backend) {
             *count -= 1;
@@ -304,7 +311,7 @@
     }
 
     /// Number of items at a back end.
-    pub fn items(&self, backend: &BackendLife) -> u32 {
+    pub fn items(&self, backend: &BackendIncarnation) -> u32 {
         self.sums.borrow().totals.get(backend).map_or(0, |total| total.items)
     }
 
@@ -320,7 +327,7 @@
     }
 
     /// Online requests of the reporting gateways at a back end; `None` if no gateway reports.
-    pub fn online(&self, backend: &BackendLife) -> Option<u32> {
+    pub fn online(&self, backend: &BackendIncarnation) -> Option<u32> {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         (sums.reporters > 0).then(|| sums.totals.get(backend).map_or(0, |total| total.online))
@@ -328,12 +335,12 @@
 
     /// Calls `take` with each back end that has online requests of reporting gateways, and their
     /// number.
-    pub fn for_each_online(&self, mut take: impl FnMut(&BackendLife, u32)) {
+    pub fn for_each_online(&self, mut take: impl FnMut(&BackendIncarnation, u32)) {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         if sums.reporters > 0 {
             let totals = sums.totals.iter().filter(|(_, total)| total.online > 0);
-            totals.for_each(|(life, total)| take(life, total.online));
+            totals.for_each(|(incarnation, total)| take(incarnation, total.online));
         }
     }
 
@@ -408,7 +415,7 @@
         self.reporters += source.gateways;
     }
 
-    fn failing(&self) -> Vec<BackendLife> {
+    fn failing(&self) -> Vec<BackendIncarnation> {
         let failing = self.outcomes.iter().filter(|(_, sum)| sum.is_failing());
         failing.map(|(backend, _)| backend.clone()).collect()
     }
@@ -438,7 +445,7 @@
         self.reporters -= source.gateways;
     }
 
-    fn remove_from_total(&mut self, backend: &BackendLife, part: InFlight) {
+    fn remove_from_total(&mut self, backend: &BackendIncarnation, part: InFlight) {
         let Some(total) = self.totals.get_mut(backend) else { return };
         total.online -= part.online;
         total.items -= part.items;
@@ -448,6 +455,6 @@
     }
 }
 
-fn total_of(backend: &BackendLife, total: InFlight) -> BackendTotal {
+fn total_of(backend: &BackendIncarnation, total: InFlight) -> BackendTotal {
     BackendTotal { backend: backend.clone(), online: total.online, items: total.items }
 }
--- a/crates/jobstore/src/pool_slots.rs
+++ b/crates/jobstore/src/pool_slots.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use yokefall_serving::backend_table::BackendTable;
-use yokefall_serving::{Backend, BackendLife};
+use yokefall_serving::{Backend, BackendIncarnation};
 
 use crate::capacity::Capacity;
 
@@ -35,7 +35,7 @@
     }
 
     /// Occupies slots of a back end, if it is in one of the tables.
-    pub fn occupy(&mut self, incarnation: &BackendLife, slots: u32) {
+    pub fn occupy(&mut self, incarnation: &BackendIncarnation, slots: u32) {
         let Some(backend) = self.find(&incarnation.id, incarnation.started_ms) else { return };
         if let Some(occupied) = self.occupied.entry(&backend.id).or_insert(Some(0)) {
             *occupied += slots;
--- a/crates/jobstore/src/preemption.rs
+++ b/crates/jobstore/src/preemption.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use tokio::time::Instant;
-use yokefall_serving::{Backend, BackendLife};
+use yokefall_serving::{Backend, BackendIncarnation};
 
 /// Phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
         let service = services.entry(&run.backend.service).or_default();
         match run.phase {
             Phase::Placed => {
-                service.by_backend.entry(run.backend.life()).or_default().push(position);
+                service.by_backend.entry(run.backend.incarnation()).or_default().push(position);
             }
             Phase::Preempting => service.preempting += 1,
             // An item that waits for its next run has no slot. If it were counted, its back end
@@ -75,7 +75,7 @@
 #[derive(Debug, Default)]
 struct ServiceRuns {
     /// Positions of runs that occupy a slot, by incarnation of the back end.
-    by_backend: BTreeMap<BackendLife, Vec<usize>>,
+    by_backend: BTreeMap<BackendIncarnation, Vec<usize>>,
     /// Runs that were told to release their slot and still occupy it.
     preempting: usize,
 }
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -12,9 +12,11 @@
 use tokio_util::codec::{Framed, FramedRead, LengthDelimitedCodec};
 use yokefall_consensus::message::Body;
 use yokefall_consensus::{Entry, MemberId, Message};
-use yokefall_quota::{Assignment, SlotLease, TokenAsk, TokenGrant};
-use yokefall_serving::{Backend, BackendLife, JobItem, Outcome, Requester, ResultPage, TenantName};
-use yokefall_suspects::{Grant, SuspectNews, SuspectReport};
+use yokefall_quota::{Assignment, SlotLease, TokenGrant, TokenRequest};
+use yokefall_serving::{
+    Backend, BackendIncarnation, JobItem, Outcome, Requester, ResultPage, TenantName,
+};
+use yokefall_suspects::{Grant, SuspectReport, SuspectUpdate};
 
 use crate::run::RunEnd;
 use crate::suspects::SuspectExchange;
@@ -45,7 +47,7 @@
     /// route.
     pub queue: String,
     /// Maximum tokens of items that wait in the queue; `None` for no limit.
-    pub most_queued_tokens: Option<u64>,
+    pub max_queued_tokens: Option<u64>,
     /// The items.
     pub items: Vec<JobItem>,
 }
@@ -61,7 +63,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendCount {
     /// The incarnation of the back end; load of an earlier incarnation does not count for the next.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// Requests that run or wait there.
     pub requests: u32,
 }
@@ -70,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendTotal {
     /// The incarnation of the back end; load of an earlier incarnation does not count for the next.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// Online requests.
     pub online: u32,
     /// Items of jobs.
@@ -91,7 +93,7 @@
 pub struct BackendOutcomes {
     /// The incarnation of the back end; outcomes of an earlier incarnation do not count for the
     /// next.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// Requests that failed.
     pub failed: u64,
     /// Requests that were answered.
@@ -111,9 +113,9 @@
     pub outcomes: Vec<BackendOutcomes>,
     /// Whether all totals are requested, not only changes: the gateway is new to this job store, or
     /// missed an answer.
-    pub answer_all: bool,
+    pub wants_all_totals: bool,
     /// The job store that received the previous report, if it was another one.
-    pub moved_from: Option<String>,
+    pub previous_aggregator: Option<String>,
 }
 
 impl LoadReport {
@@ -131,7 +133,7 @@
     /// Arrival rates at all gateways, by service.
     pub arrivals: Vec<ServiceRate>,
     /// Back ends that fail across gateways.
-    pub failing: Vec<BackendLife>,
+    pub failing: Vec<BackendIncarnation>,
     /// The leading job store, if known.
     pub leader: Option<String>,
     /// Number of gateways whose requests are included.
@@ -141,7 +143,7 @@
 impl LoadAnswer {
     /// Whether the answer covers a majority of a fleet with this many gateways. The answer of a job
     /// store that receives few reports must not be taken for the total load.
-    pub fn covers_most_of(&self, gateways: usize) -> bool {
+    pub fn covers_majority_of(&self, gateways: usize) -> bool {
         self.gateways as usize * 2 > gateways
     }
 }
@@ -163,7 +165,7 @@
 
 /// Request of the leader to run an item at a back end.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct RunOrder {
+pub struct RunRequest {
     /// The back end.
     pub backend: Backend,
     /// Host that the item's job was sent to.
@@ -231,9 +233,9 @@
     /// Reports the load of a gateway and requests the load of all processes.
     Load(LoadReport),
     /// Runs an item on behalf of the leader.
-    Run(RunOrder),
+    Run(RunRequest),
     /// Requests tokens of tenants' limits from an accountant.
-    TakeTokens(Vec<TokenAsk>),
+    TakeTokens(Vec<TokenRequest>),
     /// Requests the assignment of accountants from the leader.
     Accountants,
     /// Exchanges knowledge of suspects.
@@ -241,7 +243,7 @@
     /// Asks the leader whether a suspect may run alone at a back end.
     TrySuspect {
         /// What the requesting process knows of it.
-        news: SuspectNews,
+        update: SuspectUpdate,
         /// Id of the back end.
         backend: String,
     },
@@ -253,7 +255,7 @@
         releases: bool,
     },
     /// Asks whether a job is held, or may still be accepted, without submitting it.
-    IsKept {
+    HasJob {
         /// Id of the job.
         job: String,
         /// Who asks.
@@ -279,7 +281,7 @@
     /// The requester definitely has no such job or item.
     NotFound,
     /// The job id belongs to another tenant; nothing was stored.
-    Taken,
+    JobIdConflict,
     /// The job or the run was rejected for lack of memory; nothing was stored or sent.
     Full,
     /// The job would exceed the token limit of its queue; nothing was stored.
@@ -291,7 +293,7 @@
     /// Knowledge of suspects.
     Suspects(SuspectExchange),
     /// Whether a suspect may run alone.
-    Tried(Grant),
+    TrialGrant(Grant),
     /// Slots leased to the requester.
     Slots(Vec<SlotLease>),
     /// This member is not the leader; nothing was done.
@@ -301,11 +303,11 @@
     },
     /// This member leads but has no valid lease or too few replicas at the moment; nothing was
     /// done.
-    Unsure,
+    LeaderNotReady,
     /// The change may or may not be in force.
     Unknown,
     /// Members of the group stand where the job may not be stored; nothing was stored.
-    OutOfRegions {
+    ResidencyViolation {
         /// Names of these members.
         members: Vec<String>,
     },
@@ -368,7 +370,7 @@
     Suspects(SuspectReport),
     /// Renews the lease of the runs on the connection, or checks that it works; answered with the
     /// same frame.
-    Renew,
+    Heartbeat,
 }
 
 /// A frame to send, with the permit that it holds until it is sent.
--- a/crates/jobstore/src/reads.rs
+++ b/crates/jobstore/src/reads.rs
@@ -8,7 +8,7 @@
 use yokefall_quota::Assignment;
 use yokefall_serving::{Catalog, Requester, Residency, ResultPage};
 
-use crate::residence::residency_of_job;
+use crate::residency::residency_of_job;
 use crate::state::{Job, Jobs};
 use crate::store::Store;
 
@@ -84,8 +84,8 @@
     }
 
     /// The assignment of accountants, as applied on this replica.
-    pub fn accountants(&self) -> Assignment {
-        self.inner.borrow().jobs.accountants().clone()
+    pub fn token_issuers(&self) -> Assignment {
+        self.inner.borrow().jobs.token_issuers().clone()
     }
 
     /// Calls `visit` with a job, if it exists.
--- a/crates/jobstore/src/slots.rs
+++ b/crates/jobstore/src/slots.rs
@@ -4,7 +4,7 @@
 use std::borrow::Cow;
 use std::sync::Arc;
 
-use yokefall_serving::{Backend, Need, Residency, RouteKind};
+use yokefall_serving::{Backend, Requirements, Residency, RouteKind};
 
 use crate::capacity::{Capacity, ServiceSlots, SlotPool};
 use crate::item_worker::ItemWorkers;
@@ -19,13 +19,13 @@
     pub(crate) fn free_slots(&self, pool: &SlotPool) -> ServiceSlots {
         let catalog = self.worker.catalog.load();
         let capacity = self.capacity(pool);
-        let need = Need { service: &pool.service, residency: &pool.residency };
+        let requirements = Requirements { service: &pool.service, residency: &pool.residency };
         let workers = self.item_workers();
-        let backends = self.worker.places.with(|balancer, now| {
-            let drawn = workers.draw(&catalog, &need, balancer.generator());
-            let candidates = match drawn {
-                Some(drawn) => Cow::Owned(drawn.backends),
-                None => workers.candidates(&catalog, &need),
+        let backends = self.worker.balancer.with(|balancer, now| {
+            let sample = workers.sample(&catalog, &requirements, balancer.generator());
+            let candidates = match sample {
+                Some(sample) => Cow::Owned(sample.backends),
+                None => workers.candidates(&catalog, &requirements),
             };
             let is_free = |backend: &&Arc<Backend>| {
                 let items = balancer.in_flight(backend);
@@ -55,27 +55,33 @@
     /// a fifth of its items.
     fn capacity(&self, pool: &SlotPool) -> Capacity {
         let catalog = self.worker.catalog.load();
-        let need = Need { service: &pool.service, residency: &pool.residency };
+        let requirements = Requirements { service: &pool.service, residency: &pool.residency };
         let coverage = self.store.loads.coverage(self.fleet.load().gateways().count());
         let capacity = Capacity::new(self.store.loads.report_interval()).with_coverage(coverage);
-        let Some(closed) = self.item_workers().closed(&need) else {
+        let Some(closed) = self.item_workers().closed(&requirements) else {
             // The data is too old to know any of them as warm.
-            return self
-                .capacity_of_each(capacity, &self.item_workers().candidates(&catalog, &need));
+            return self.capacity_of_each(
+                capacity,
+                &self.item_workers().candidates(&catalog, &requirements),
+            );
         };
-        let tables = self.worker.eligibility.tables(&catalog, &need);
-        self.worker.places.with(|balancer, now| {
+        let tables = self.worker.eligibility.tables(&catalog, &requirements);
+        self.worker.balancer.with(|balancer, now| {
             let mut counted = PoolSlots::new(&tables);
             closed.iter().for_each(|backend| counted.exclude(&backend.id, backend.started_ms));
             balancer.ejected(now).for_each(|(id, started_ms)| counted.exclude(id, started_ms));
-            self.store.loads.for_each_online(|life, requests| counted.occupy(life, requests));
-            balancer.all_in_flight().for_each(|(life, items)| counted.occupy(&life, items));
+            self.store
+                .loads
+                .for_each_online(|incarnation, requests| counted.occupy(incarnation, requests));
+            balancer
+                .all_in_flight()
+                .for_each(|(incarnation, items)| counted.occupy(&incarnation, items));
             counted.add_to(capacity)
         })
     }
 
     fn capacity_of_each(&self, mut capacity: Capacity, candidates: &[Arc<Backend>]) -> Capacity {
-        self.worker.places.with(|balancer, now| {
+        self.worker.balancer.with(|balancer, now| {
             for backend in candidates.iter().filter(|backend| !balancer.is_ejected(now, backend)) {
                 let online = self.reported_online(backend);
                 capacity.add(backend.slots, online + balancer.in_flight(backend));
@@ -98,7 +104,7 @@
     /// Online requests of the reporting gateways at a back end. Those of other gateways are covered
     /// by the reserve of the service (see `Coverage`), since their back ends are not known.
     fn reported_online(&self, backend: &Backend) -> u32 {
-        self.store.loads.online(&backend.life()).unwrap_or(0)
+        self.store.loads.online(&backend.incarnation()).unwrap_or(0)
     }
 
     /// Preempts the newest items if online requests need their slots.
--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -128,7 +128,7 @@
     /// The slot.
     pub slot: SlotId,
     /// Name of the job store.
-    pub accountant: String,
+    pub token_issuer: String,
 }
 
 /// A run of an item at a back end.
@@ -274,7 +274,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Jobs {
     pub(crate) jobs: BTreeMap<String, Job>,
-    pub(crate) accountants: Assignment,
+    pub(crate) token_issuers: Assignment,
 }
 
 impl Jobs {
@@ -284,8 +284,8 @@
     }
 
     /// The assignment of accountants.
-    pub fn accountants(&self) -> &Assignment {
-        &self.accountants
+    pub fn token_issuers(&self) -> &Assignment {
+        &self.token_issuers
     }
 
     /// All jobs with their ids.
@@ -317,8 +317,8 @@
                 Applied::Forgotten { job }
             }
             Command::AssignSlots(slots) => {
-                let changes = slots.into_iter().map(|change| (change.slot, change.accountant));
-                self.accountants.assign(changes.collect());
+                let changes = slots.into_iter().map(|change| (change.slot, change.token_issuer));
+                self.token_issuers.assign(changes.collect());
                 Applied::Nothing
             }
             Command::Batch(commands) => {
@@ -417,7 +417,7 @@
 
     /// A job that the requester may read and end.
     pub fn get_for(&self, id: &str, requester: &Requester) -> Option<&Job> {
-        self.jobs.get(id).filter(|job| requester.may_use(job.tenant.as_ref()))
+        self.jobs.get(id).filter(|job| requester.may_access(job.tenant.as_ref()))
     }
 
     /// Results of a job from a position on; at least one if any exists.
--- a/crates/jobstore/src/store.rs
+++ b/crates/jobstore/src/store.rs
@@ -200,7 +200,7 @@
             if batch.commands > 0 {
                 break;
             }
-            inner.core.persisted(now);
+            inner.core.writes_synced(now);
             let held = inner.batches.pop_front().map(|batch| batch.held).unwrap_or_default();
             self.send(held);
         }
@@ -222,12 +222,18 @@
     fn apply_effects(&self, inner: &mut Inner) {
         loop {
             let effects = inner.core.take_effects();
-            let Effects { writes, messages, messages_after_sync, install, committed, installs } =
-                effects;
+            let Effects {
+                writes,
+                messages,
+                messages_after_sync,
+                install,
+                committed,
+                snapshot_targets,
+            } = effects;
             let idle = writes.is_empty()
                 && install.is_none()
                 && committed.is_empty()
-                && installs.is_empty();
+                && snapshot_targets.is_empty();
             self.send(messages);
             self.enqueue_writes(inner, writes, messages_after_sync);
             if let Some(snapshot) = install {
@@ -236,8 +242,8 @@
             for entry in committed {
                 self.apply(inner, entry);
             }
-            if !installs.is_empty() {
-                self.send_state(inner, &installs);
+            if !snapshot_targets.is_empty() {
+                self.send_state(inner, &snapshot_targets);
             }
             if idle {
                 break;
@@ -272,7 +278,7 @@
             }
             return;
         }
-        inner.core.writing();
+        inner.core.writes_started();
         let mut commands = 0;
         let mut plain = Vec::new();
         for write in writes {
@@ -412,7 +418,7 @@
         submission: &Submission,
     ) -> Result<Reservation<'_>, Rejection> {
         let inner = self.inner.borrow();
-        let limited = submission.most_queued_tokens.is_some();
+        let limited = submission.max_queued_tokens.is_some();
         let usage = Usage {
             bytes: inner.jobs.held_bytes(),
             max_bytes: self.limits.job_bytes,
@@ -470,6 +476,12 @@
 
 fn rewrite_of(core: &Consensus, snapshot: Snapshot) -> Rewrite {
     let entries = core.log().from(snapshot.index + 1, usize::MAX);
-    let (term, settled) = (core.term(), core.settled());
-    Rewrite { term, voted_for: core.voted_for().cloned(), settled, snapshot, entries }
+    let (term, committed_members_index) = (core.term(), core.committed_members_index());
+    Rewrite {
+        term,
+        voted_for: core.voted_for().cloned(),
+        committed_members_index,
+        snapshot,
+        entries,
+    }
 }
--- a/crates/jobstore/src/suspects.rs
+++ b/crates/jobstore/src/suspects.rs
@@ -68,7 +68,7 @@
 }
 
 /// Starts the tasks that synchronize suspects across processes. `target` names this process.
-pub fn share(
+pub fn start_exchange(
     registry: Rc<Registry>,
     client: Rc<JobClient>,
     fleet: FleetCell,
@@ -76,8 +76,8 @@
     port: NoticePort,
 ) {
     let NoticePort { outgoing, incoming } = port;
-    tokio::task::spawn_local(notices::tell(registry.clone(), fleet.clone(), outgoing));
-    tokio::task::spawn_local(notices::hear(registry.clone(), incoming));
+    tokio::task::spawn_local(notices::publish(registry.clone(), fleet.clone(), outgoing));
+    tokio::task::spawn_local(notices::receive(registry.clone(), incoming));
     tokio::task::spawn_local(exchange(registry, client, fleet, target));
 }
 
@@ -94,7 +94,7 @@
     loop {
         rounds = rounds.wrapping_add(1);
         if rounds % ROUNDS_PER_PURGE == 0 {
-            registry.forget();
+            registry.expire();
         }
         let interval = if has_synced { EXCHANGE_INTERVAL } else { INITIAL_EXCHANGE_INTERVAL };
         let wait = interval.mul_f64(rand::random_range(0.5..1.0));
@@ -157,7 +157,7 @@
         if fingerprint == saved {
             continue;
         }
-        let report = registry.report_to_keep();
+        let report = registry.persistent_report();
         if hint_file::save_in_background(folder.clone(), FILE, report).await {
             saved = fingerprint;
         }
--- a/crates/jobstore/src/wal.rs
+++ b/crates/jobstore/src/wal.rs
@@ -28,7 +28,7 @@
     /// Identity of the disk.
     Identity { incarnation: u64 },
     /// Term and vote.
-    State { term: Term, voted_for: Option<MemberId>, settled: Index },
+    State { term: Term, voted_for: Option<MemberId>, committed_members_index: Index },
     /// Entries, replacing any at the same or later positions.
     Entries(Vec<Entry>),
     /// A snapshot, replacing everything before it.
@@ -64,7 +64,7 @@
     /// Vote in this term.
     pub voted_for: Option<MemberId>,
     /// Position of the newest membership that is known to be committed.
-    pub settled: Index,
+    pub committed_members_index: Index,
     /// The snapshot.
     pub snapshot: Snapshot,
     /// Entries after it.
@@ -184,9 +184,11 @@
     /// Adds a write; it is durable once `sync` has succeeded.
     pub fn add(&mut self, write: &Write) {
         let record = match write {
-            Write::State { term, voted_for, settled } => {
-                Record::State { term: *term, voted_for: voted_for.clone(), settled: *settled }
-            }
+            Write::State { term, voted_for, committed_members_index } => Record::State {
+                term: *term,
+                voted_for: voted_for.clone(),
+                committed_members_index: *committed_members_index,
+            },
             Write::Entries(entries) => Record::Entries(entries.clone()),
             // Written by `rewrite`, which also carries over the entries after the snapshot.
             Write::Snapshot { .. } => return,
@@ -230,7 +232,7 @@
             Record::State {
                 term: rewrite.term,
                 voted_for: rewrite.voted_for,
-                settled: rewrite.settled,
+                committed_members_index: rewrite.committed_members_index,
             },
             Record::Snapshot(rewrite.snapshot),
             Record::Entries(rewrite.entries),
@@ -334,10 +336,10 @@
         remaining -= length;
         match record {
             Record::Identity { incarnation: held } => incarnation = Some(held),
-            Record::State { term, voted_for, settled } => {
+            Record::State { term, voted_for, committed_members_index } => {
                 recovered.term = term;
                 recovered.voted_for = voted_for;
-                recovered.settled = settled;
+                recovered.committed_members_index = committed_members_index;
             }
             Record::Entries(entries) => append_entries(&mut recovered, entries),
             Record::Snapshot(snapshot) => {
--- a/crates/jobstore/tests/connections.rs
+++ b/crates/jobstore/tests/connections.rs
@@ -46,7 +46,9 @@
                 while received < 40 {
                     let bytes = frames.next().await.expect("a connection").expect("a frame");
                     match decode(&bytes).expect("a frame") {
-                        Frame::Renew => frames.send(encode(&Frame::Renew)).await.expect("a write"),
+                        Frame::Heartbeat => {
+                            frames.send(encode(&Frame::Heartbeat)).await.expect("a write")
+                        }
                         Frame::Leader(_) => received += 1,
                         _ => panic!("nothing else was sent"),
                     }
--- a/crates/jobstore/tests/loads.rs
+++ b/crates/jobstore/tests/loads.rs
@@ -10,11 +10,11 @@
 use yokefall_jobstore::{
     BackendCount, BackendOutcomes, BackendTotal, LoadReport, LoadSums, ServiceRate,
 };
-use yokefall_serving::{BackendLife, Fleet, FleetMember, ZoneMap};
+use yokefall_serving::{BackendIncarnation, Fleet, FleetMember, ZoneMap};
 
 /// Incarnation of a back end that reports no start time.
-fn incarnation(id: &str) -> BackendLife {
-    BackendLife { id: id.into(), started_ms: 0 }
+fn incarnation(id: &str) -> BackendIncarnation {
+    BackendIncarnation { id: id.into(), started_ms: 0 }
 }
 
 fn report(gateway: usize, counts: &[(usize, u32)]) -> LoadReport {
@@ -27,8 +27,8 @@
         counts: counts.iter().map(count).collect(),
         arrivals: vec![ServiceRate { service: "models".into(), per_1000_seconds: 1_000 }],
         outcomes: vec![],
-        answer_all: false,
-        moved_from: None,
+        wants_all_totals: false,
+        previous_aggregator: None,
     }
 }
 
@@ -155,7 +155,7 @@
     }
     assert_eq!(learnt, 150);
     assert!(loads.report(report(2, &[]), None).changes.is_empty());
-    let again = loads.report(LoadReport { answer_all: true, ..report(2, &[]) }, None);
+    let again = loads.report(LoadReport { wants_all_totals: true, ..report(2, &[]) }, None);
     assert_eq!(again.changes.len(), 48);
 }
 
@@ -299,7 +299,7 @@
     let loads = Loads::default();
     let covers = (0..6).map(|gateway| {
         let answer = loads.report(report(gateway, &[(1, 1)]), None);
-        (answer.gateways, answer.covers_most_of(6))
+        (answer.gateways, answer.covers_majority_of(6))
     });
     let covers: Vec<(u32, bool)> = covers.collect();
     assert_eq!(covers, [(1, false), (2, false), (3, false), (4, true), (5, true), (6, true)]);
@@ -405,9 +405,12 @@
 #[tokio::test(start_paused = true)]
 async fn load_of_an_earlier_incarnation_does_not_count_for_the_new_one() {
     let loads = Loads::default();
-    let (before, after) = (incarnation("i-1"), BackendLife { started_ms: 9, ..incarnation("i-1") });
-    let count =
-        |backend: &BackendLife, requests| BackendCount { backend: backend.clone(), requests };
+    let (before, after) =
+        (incarnation("i-1"), BackendIncarnation { started_ms: 9, ..incarnation("i-1") });
+    let count = |backend: &BackendIncarnation, requests| BackendCount {
+        backend: backend.clone(),
+        requests,
+    };
     let with_counts = |gateway, counts| LoadReport { counts, ..report(gateway, &[]) };
     loads.report(with_counts(1, vec![count(&after, 2)]), None);
     loads.report(
--- a/crates/jobstore/tests/pool_slots.rs
+++ b/crates/jobstore/tests/pool_slots.rs
@@ -8,7 +8,7 @@
 use yokefall_jobstore::capacity::Capacity;
 use yokefall_jobstore::pool_slots::PoolSlots;
 use yokefall_serving::backend_table::BackendTable;
-use yokefall_serving::{Backend, BackendLife, BackendState};
+use yokefall_serving::{Backend, BackendIncarnation, BackendState};
 
 fn backend(index: usize) -> Arc<Backend> {
     Arc::new(Backend {
@@ -23,8 +23,8 @@
     })
 }
 
-fn incarnation(index: u8) -> BackendLife {
-    BackendLife { id: format!("i-{index}"), started_ms: 1 }
+fn incarnation(index: u8) -> BackendIncarnation {
+    BackendIncarnation { id: format!("i-{index}"), started_ms: 1 }
 }
 
 /// Reference: examines every back end. Done up to fifty times a second with 10,000 back ends, this
@@ -56,7 +56,7 @@
         excluded.iter().for_each(|index| counted.exclude(&incarnation(*index).id, 1));
         late.iter().for_each(|(index, slots)| counted.occupy(&incarnation(*index), u32::from(*slots)));
         // Another incarnation of a back end does not affect this one.
-        counted.occupy(&BackendLife { id: "i-0".into(), started_ms: 2 }, 1);
+        counted.occupy(&BackendIncarnation { id: "i-0".into(), started_ms: 2 }, 1);
         counted.exclude("i-0", 2);
         let capacity = counted.add_to(Capacity::new(Duration::from_millis(20)));
         (capacity.slots, capacity.free) == count_each_back_end(count, &excluded, &taken)
