--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -232,7 +232,7 @@
         // This balancer ignores regions: otherwise the items of all regions would fill the back
         // ends of the leader's region, although a worker near the back end sends them.
         let balancer = Balancer::new(options.zone.clone(), rand::random(), options.policy);
-        let places = SharedBalancer::with_cold_start(balancer, clock(), cold.clone());
+        let balancer = SharedBalancer::with_cold_start(balancer, clock(), cold.clone());
         let suspects = Registry::new(catalog.clone(), clock());
         suspects::load(&options.folder, &suspects);
         tokio::task::spawn_local(suspects::persist_changes(
@@ -244,7 +244,8 @@
             .in_zone(options.zone.clone(), options.zones.clone());
         suspects::start_exchange(suspects.clone(), client, fleet.clone(), target, port);
         let items = ItemRunner::new(platform.dialect(), suspects.clone());
-        let worker = Worker::new(catalog.clone(), cold, freshness, items, places, options.max_runs);
+        let worker =
+            Worker::new(catalog.clone(), cold, freshness, items, balancer, options.max_runs);
         let quota = QuotaService::new(options.name.clone(), options.quota, clock());
         tokio::task::spawn_local(quota::renew_leases(
             quota.clone(),
@@ -267,13 +268,13 @@
         let runner =
             Runner::new(store.clone(), worker.clone(), delegation, fleet.clone(), runner_options);
         tokio::task::spawn_local(Rc::new(runner).run());
-        let places = (fleet.clone(), known_zones);
+        let locations = (fleet.clone(), known_zones);
         let serving = server::serve(
             listener,
             store.clone(),
             worker,
             quota.clone(),
-            places,
+            locations,
             options.page_bytes,
         );
         tokio::task::spawn_local(serving);
--- a/crates/jobstore/src/delegation.rs
+++ b/crates/jobstore/src/delegation.rs
@@ -134,7 +134,8 @@
         self.free(&fleet, residency).into_iter().map(|member| member.name.clone()).collect()
     }
 
-    /// Job stores that accept work, have not failed recently and stand where the residency allows.
+    /// Job stores that accept work, have not failed recently and are in a place that the residency
+    /// allows.
     fn free<'a>(&self, fleet: &'a Fleet, residency: &Residency) -> Vec<&'a FleetMember> {
         let mut avoided = self.avoided.borrow_mut();
         let now = Instant::now();
@@ -151,7 +152,7 @@
     pub async fn run(
         &self,
         worker: &FleetMember,
-        order: RunRequest,
+        request: RunRequest,
         slot: &mut BackendSlot,
         progress: &Rc<RefCell<Progress>>,
         preempted: &Notify,
@@ -165,8 +166,8 @@
         link.runs.borrow_mut().insert(call, OpenRun { progress: progress.clone(), report });
         let _cancel = CancelOnDrop { link: &link, call };
         let lost =
-            || RunEnd::Retry { cause: format!("lost the run at worker {name}"), pause: false };
-        if link.frames.send(Frame::Request { call, request: Request::Run(order) }).is_err() {
+            || RunEnd::Retry { cause: format!("lost the run at worker {name}"), backoff: false };
+        if link.frames.send(Frame::Request { call, request: Request::Run(request) }).is_err() {
             return lost();
         }
         tokio::pin!(reported);
@@ -191,7 +192,7 @@
             }
             Some(_) => {
                 self.avoid(name);
-                RunEnd::Retry { cause: format!("worker {name} is full"), pause: false }
+                RunEnd::Retry { cause: format!("worker {name} is full"), backoff: false }
             }
             None if was_preempted => preemption(),
             None => {
@@ -237,7 +238,7 @@
 
 /// The end of a run that was preempted by an online request.
 pub fn preemption() -> RunEnd {
-    RunEnd::Retry { cause: "preempted by online requests".into(), pause: true }
+    RunEnd::Retry { cause: "preempted by online requests".into(), backoff: true }
 }
 
 type Queued = tokio::sync::mpsc::UnboundedReceiver<Frame>;
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -146,7 +146,7 @@
 pub async fn lead<P: Platform>(
     platform: P,
     store: Rc<Store>,
-    places: (FleetCell, CatalogCell, Rc<KnownZones>),
+    locations: (FleetCell, CatalogCell, Rc<KnownZones>),
     voters: usize,
 ) {
     let leaving = RetiringMachines::default();
@@ -175,7 +175,7 @@
             let watching = follow(platform.retirements(), sink, following);
             watch = Some(tokio::task::spawn_local(watching));
         }
-        let busy = change_members(&platform, &store, &places, &leaving, voters).await;
+        let busy = change_members(&platform, &store, &locations, &leaving, voters).await;
         report_retired(&platform, &store, &leaving).await;
         if busy {
             tokio::time::sleep(POLICY_INTERVAL).await;
@@ -196,10 +196,10 @@
     known_zones.record(&fleet.load());
     let joining = store.joining(JOIN_LIFETIME);
     let joining = prefer_allowed_regions(store, &catalog.load(), known_zones, joining);
-    let wishes =
+    let desired =
         DesiredMembership { joining, leaving: leaving.all(), voters, zones: zones_of(fleet) };
     let (step, pair) = store.with_core(|core, now| {
-        let step = next_step(core, now, &wishes);
+        let step = next_step(core, now, &desired);
         let pair = core.pair().filter(|_| match &step {
             Step::Change(members) => needs_claim(core, members),
             Step::Idle | Step::TransferLeadership(_) => false,
@@ -224,7 +224,7 @@
         }
     }
     let learners = store.with_core(|core, _| !core.members().learners.is_empty());
-    !wishes.joining.is_empty() || !leaving.open().is_empty() || learners
+    !desired.joining.is_empty() || !leaving.open().is_empty() || learners
 }
 
 /// Zones of the known job stores.
@@ -233,7 +233,7 @@
     Zones::new(fleet.job_stores().map(|member| (member.name.clone(), member.zone.clone())))
 }
 
-/// Prefers joining members that stand where all current jobs may be stored, if there are any.
+/// Prefers joining members located where all current jobs may be stored, if there are any.
 fn prefer_allowed_regions(
     store: &Store,
     catalog: &Catalog,
--- a/crates/jobstore/src/item_run.rs
+++ b/crates/jobstore/src/item_run.rs
@@ -87,14 +87,14 @@
         let (began, events_before) = (Instant::now(), progress.borrow().last_event);
         let end = match worker {
             Some(worker) => {
-                let order = RunRequest {
+                let request = RunRequest {
                     backend: Backend::clone(&slot.backend),
                     host: sender.host.clone(),
                     tenant: sender.tenant.clone(),
                     item: JobItem::clone(&item),
                     after_event: events_before,
                 };
-                self.delegation.run(&worker, order, &mut slot, &progress, &preempted).await
+                self.delegation.run(&worker, request, &mut slot, &progress, &preempted).await
             }
             None => {
                 let backend = slot.backend.clone();
@@ -185,7 +185,7 @@
                 let _ = recording.await;
             }
             RunEnd::ItemFailed => self.count_failure(job, index, item).await,
-            RunEnd::Retry { cause, pause } => {
+            RunEnd::Retry { cause, backoff } => {
                 LogLine::new(EventName::ItemRetried)
                     .id(&item.id)
                     .text("job", &job)
@@ -199,7 +199,7 @@
                 }
                 let committed_event = progress.borrow().committed_event;
                 self.store.wait_until_applied(&key.0, key.1, committed_event).await;
-                if pause {
+                if backoff {
                     tokio::time::sleep(RETRY_BACKOFF).await;
                 }
             }
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -234,9 +234,9 @@
     Load(LoadReport),
     /// Runs an item on behalf of the leader.
     Run(RunRequest),
-    /// Requests tokens of tenants' limits from an accountant.
+    /// Requests tokens of tenants' limits from a token issuer.
     TakeTokens(Vec<TokenRequest>),
-    /// Requests the assignment of accountants from the leader.
+    /// Requests the assignment of token issuers from the leader.
     Accountants,
     /// Exchanges knowledge of suspects.
     Suspects(SuspectExchange),
@@ -247,7 +247,7 @@
         /// Id of the back end.
         backend: String,
     },
-    /// Sent by an accountant to the leader, to renew or release the leases of its slots.
+    /// Sent by a token issuer to the leader, to renew or release the leases of its slots.
     RenewSlots {
         /// Name of the job store.
         name: String,
@@ -288,7 +288,7 @@
     OverQuota,
     /// Tokens, one answer per request.
     Tokens(Vec<TokenGrant>),
-    /// The assignment of accountants.
+    /// The assignment of token issuers.
     Accountants(Assignment),
     /// Knowledge of suspects.
     Suspects(SuspectExchange),
@@ -306,7 +306,7 @@
     LeaderNotReady,
     /// The change may or may not be in force.
     Unknown,
-    /// Members of the group stand where the job may not be stored; nothing was stored.
+    /// Some members of the group are located where the job may not be stored; nothing was stored.
     ResidencyViolation {
         /// Names of these members.
         members: Vec<String>,
--- a/crates/jobstore/src/quota.rs
+++ b/crates/jobstore/src/quota.rs
@@ -1,5 +1,5 @@
-//! Quota service of a job store: acts as an accountant of tenants' limits and, on the leader,
-//! assigns accountants. The decisions are made by `yokefall_quota`.
+//! Quota service of a job store: acts as a token issuer of tenants' limits and, on the leader,
+//! assigns token issuers. The decisions are made by `yokefall_quota`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,23 +23,23 @@
 
 /// Interval at which leases are renewed.
 const RENEW_INTERVAL: Duration = Duration::from_millis(RENEW_INTERVAL_MS);
-/// Interval at which the leader looks for slots without an accountant. Such a slot costs a
+/// Interval at which the leader looks for slots without a token issuer. Such a slot costs a
 /// sixteenth of the tenants a third of their limits.
 const ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a process checks whether the configuration limits any tenant.
 const UNLIMITED_POLL_INTERVAL: Duration = Duration::from_millis(2_000);
 /// The same while no configuration is known yet.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time limit for releasing leases; a stopping accountant must not wait long.
+/// Time limit for releasing leases; a stopping token issuer must not wait long.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Grants tokens, and on the leader renews the leases of accountants.
+/// Grants tokens, and on the leader renews the leases of token issuers.
 #[derive(Debug)]
 pub struct QuotaService {
     name: String,
     clock: ElapsedClock,
     token_issuer: RefCell<TokenIssuer>,
-    /// The overseer of a term in which this process leads.
+    /// The lease manager of a term in which this process leads.
     ///
     /// Invariant: it is discarded when the term changes, since another leader may have renewed
     /// leases in between.
@@ -62,14 +62,14 @@
     }
 
     /// Grants tokens, one answer per request.
-    pub fn take(&self, asks: &[TokenRequest]) -> Vec<TokenGrant> {
+    pub fn take(&self, requests: &[TokenRequest]) -> Vec<TokenGrant> {
         let now = self.now();
         let mut token_issuer = self.token_issuer.borrow_mut();
-        asks.iter().map(|ask| token_issuer.take(now, ask)).collect()
+        requests.iter().map(|request| token_issuer.take(now, request)).collect()
     }
 
-    /// Renews the leases of an accountant, or takes back its slots. Must only be called on a leader
-    /// that may answer.
+    /// Renews the leases of a token issuer, or takes back its slots. Must only be called on a
+    /// leader that may answer.
     pub fn renew(&self, store: &Store, name: &str, releases: bool) -> Vec<SlotLease> {
         let now = self.now();
         self.with_lease_manager(store, |lease_manager| {
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Calls `step` with the overseer of the current term.
+    /// Calls `step` with the lease manager of the current term.
     fn with_lease_manager<R>(&self, store: &Store, step: impl FnOnce(&mut LeaseManager) -> R) -> R {
         let term = store.term();
         let mut held = self.lease_manager.borrow_mut();
@@ -111,19 +111,19 @@
             tokio::time::sleep(idle_interval).await;
             continue;
         }
-        let asked_at = quota.now();
+        let requested_at = quota.now();
         let request = Request::RenewSlots { name: quota.name.clone(), releases: false };
         let outcome = leader.call(request, Instant::now() + RENEW_INTERVAL).await;
         if let CallOutcome::Answered(Reply::Slots(leases)) = outcome {
             let now = quota.now();
             let mut token_issuer = quota.token_issuer.borrow_mut();
-            if token_issuer.apply_leases(now, asked_at, &leases) {
+            if token_issuer.apply_leases(now, requested_at, &leases) {
                 let held = token_issuer.held_slots(now);
                 metrics::gauge!("quota_slots").set(held as f64);
                 LogLine::new(EventName::QuotaLeaseChanged).field("slots", held).write();
             }
         }
-        let next = asked_at.plus_millis(RENEW_INTERVAL_MS);
+        let next = requested_at.plus_millis(RENEW_INTERVAL_MS);
         tokio::time::sleep(Duration::from_millis(next.millis_since(quota.now()))).await;
     }
 }
--- a/crates/jobstore/src/reads.rs
+++ b/crates/jobstore/src/reads.rs
@@ -83,7 +83,7 @@
         self.inner.borrow().jobs.iter().any(|(_, job)| job.is_open())
     }
 
-    /// The assignment of accountants, as applied on this replica.
+    /// The assignment of token issuers, as applied on this replica.
     pub fn token_issuers(&self) -> Assignment {
         self.inner.borrow().jobs.token_issuers().clone()
     }
--- a/crates/jobstore/src/residency.rs
+++ b/crates/jobstore/src/residency.rs
@@ -1,5 +1,5 @@
 //! Where a job may be stored. Its bodies are copied to every member of the group, so that all
-//! members must stand where the job may be stored.
+//! members must be located where the job may be stored.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/jobstore/src/run.rs
+++ b/crates/jobstore/src/run.rs
@@ -73,7 +73,7 @@
         /// The cause.
         cause: String,
         /// Whether to back off before the retry.
-        pause: bool,
+        backoff: bool,
     },
 }
 
@@ -159,7 +159,7 @@
         permit: impl Fn() -> Result<Permit, PermitDenied>,
     ) -> RunEnd {
         let backend = slot.backend.clone();
-        let again = |cause: String, pause| RunEnd::Retry { cause, pause };
+        let retry = |cause: String, backoff| RunEnd::Retry { cause, backoff };
         let mut connection =
             match self.pool.connect(&backend, CONNECT_TIMEOUT, MAX_CONNECTIONS).await {
                 Ok(connection) => connection,
@@ -168,7 +168,7 @@
                         ConnectFailure::Unreachable { .. } => Outcome::Unreachable,
                         ConnectFailure::Exhausted => Outcome::Full,
                     };
-                    return again(error.to_string(), false);
+                    return retry(error.to_string(), false);
                 }
             };
         let after = progress.borrow().last_event;
@@ -181,7 +181,7 @@
                 slot.outcome = Outcome::Abandoned;
                 self.pool.put_back(connection);
                 let cause = format!("not to be sent when the connection was up: {cause}");
-                return again(cause, is_cold);
+                return retry(cause, is_cold);
             }
         };
         let names = self.dialect.headers();
@@ -201,13 +201,13 @@
                         .record_disconnect(&slot.backend, slot.acquired_at(), digest)
                         .await;
                 }
-                return again(error.to_string(), false);
+                return retry(error.to_string(), false);
             }
             Err(_) => {
                 slot.outcome = Outcome::Failed;
                 self.pool.close_idle(&backend);
                 slot.record_failure();
-                return again(format!("{} gave no answer", backend.id), false);
+                return retry(format!("{} gave no answer", backend.id), false);
             }
         };
         connection.note_keep_alive(answer.headers());
@@ -224,7 +224,7 @@
             }
             StatusCode::MISDIRECTED_REQUEST => {
                 slot.outcome = Outcome::Misdirected;
-                again(format!("{} is another back end now", backend.address), false)
+                retry(format!("{} is another back end now", backend.address), false)
             }
             StatusCode::INTERNAL_SERVER_ERROR if !not_run => {
                 slot.outcome = Outcome::Answered;
@@ -232,7 +232,7 @@
             }
             status => {
                 slot.outcome = if not_run { Outcome::Full } else { Outcome::Failed };
-                again(format!("{} answered {status}", backend.id), true)
+                retry(format!("{} answered {status}", backend.id), true)
             }
         }
     }
@@ -283,7 +283,7 @@
         progress: &Rc<RefCell<Progress>>,
         digest: impl FnOnce() -> RequestDigest,
     ) -> RunEnd {
-        let again = |cause: String| RunEnd::Retry { cause, pause: false };
+        let retry = |cause: String| RunEnd::Retry { cause, backoff: false };
         let signature = &self.dialect.headers().signature;
         let signed = !self.dialect.signs_responses() || answer.headers().contains_key(signature);
         let last = Connection::closes_after(answer.headers());
@@ -298,20 +298,20 @@
                     self.suspects
                         .record_disconnect(&slot.backend, slot.acquired_at(), digest)
                         .await;
-                    return again(format!("read answer of {}: {error}", slot.backend.id));
+                    return retry(format!("read answer of {}: {error}", slot.backend.id));
                 }
                 Err(_) => {
                     slot.outcome = Outcome::Failed;
                     self.pool.close_idle(&slot.backend);
                     slot.record_failure();
-                    return again(format!("{} fell silent", slot.backend.id));
+                    return retry(format!("{} fell silent", slot.backend.id));
                 }
             };
             let mut progress = progress.borrow_mut();
             if event.id.parse() != Ok(progress.last_event + 1) {
                 slot.outcome = Outcome::Failed;
                 let expected = progress.last_event + 1;
-                return again(format!("event {:?} in the place of {expected}", event.id));
+                return retry(format!("event {:?} in the place of {expected}", event.id));
             }
             let event_number = progress.last_event + 1;
             progress.push(event_number, &event.data);
@@ -320,7 +320,7 @@
         slot.outcome = Outcome::Answered;
         if !signed || progress.borrow().last_event == 0 {
             slot.outcome = Outcome::Failed;
-            return again(format!("{} gave no signed events", slot.backend.id));
+            return retry(format!("{} gave no signed events", slot.backend.id));
         }
         if !last {
             self.pool.put_back(connection);
--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -89,7 +89,7 @@
         /// The job.
         submission: Submission,
     },
-    /// Assigns slots of tenants' limits to accountants.
+    /// Assigns slots of tenants' limits to token issuers.
     AssignSlots(Vec<SlotAssignment>),
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// A slot and the name of its next accountant.
+/// A slot and the name of its next token issuer.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SlotAssignment {
     /// The slot.
@@ -270,7 +270,7 @@
     Nothing,
 }
 
-/// The replicated state: all jobs, and the accountants of tenants' limits.
+/// The replicated state: all jobs, and the token issuers of tenants' limits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Jobs {
     pub(crate) jobs: BTreeMap<String, Job>,
@@ -283,7 +283,7 @@
         self.jobs.get(job)
     }
 
-    /// The assignment of accountants.
+    /// The assignment of token issuers.
     pub fn token_issuers(&self) -> &Assignment {
         &self.token_issuers
     }
--- a/crates/jobstore/src/worker.rs
+++ b/crates/jobstore/src/worker.rs
@@ -64,7 +64,7 @@
         sender: &ItemSender,
         item: &JobItem,
     ) -> Result<Permit, PermitDenied> {
-        self.ask(backend, sender, item, |requirements| {
+        self.with_requirements(backend, sender, item, |requirements| {
             self.eligibility.permit(backend, requirements)
         })
     }
@@ -76,32 +76,32 @@
         sender: &ItemSender,
         item: &JobItem,
     ) -> Result<(), PermitDenied> {
-        self.ask(backend, sender, item, |requirements| {
+        self.with_requirements(backend, sender, item, |requirements| {
             self.eligibility.check(backend, requirements)
         })
     }
 
-    fn ask<T>(
+    fn with_requirements<T>(
         &self,
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
-        ask: impl FnOnce(&Requirements) -> Result<T, Ineligible>,
+        with_requirements: impl FnOnce(&Requirements) -> Result<T, Ineligible>,
     ) -> Result<T, PermitDenied> {
         let catalog = self.catalog.load();
         let route = catalog.routes.find(&sender.host, &item.path);
         let route = route.ok_or_else(|| PermitDenied::new("no route has its path"))?;
         let residency = catalog.residency(route, sender.tenant.as_ref());
         let requirements = Requirements { service: &backend.service, residency: &residency };
-        ask(&requirements).map_err(|cause| {
+        with_requirements(&requirements).map_err(|cause| {
             cause.record_rejection(&item.id, backend);
             let is_cold = matches!(cause, Ineligible::Cold { .. });
             PermitDenied { cause: cause.to_string(), is_cold }
         })
     }
 
-    async fn run(&self, order: RunRequest, sink: &OutputSink, cancelled: &Notify) -> RunReport {
-        let RunRequest { backend, host, tenant, item, after_event } = order;
+    async fn run(&self, request: RunRequest, sink: &OutputSink, cancelled: &Notify) -> RunReport {
+        let RunRequest { backend, host, tenant, item, after_event } = request;
         let sender = ItemSender { host, tenant };
         let run = Run { number: 0, resume_after: after_event };
         let progress =
@@ -113,7 +113,7 @@
         if let Err(refused) = self.check(&backend, &sender, &item) {
             let cause =
                 format!("{} takes no work now, as its worker knows: {}", backend.id, refused.cause);
-            let end = RunEnd::Retry { cause, pause: refused.is_cold };
+            let end = RunEnd::Retry { cause, backoff: refused.is_cold };
             return RunReport {
                 end,
                 outcome: Outcome::Abandoned,
@@ -130,7 +130,10 @@
                 tokio::select! {
                     end = &mut running => break end,
                     () = cancelled.notified() => {
-                        break RunEnd::Retry { cause: "cancelled by the leader".into(), pause: true };
+                        break RunEnd::Retry {
+                            cause: "cancelled by the leader".into(),
+                            backoff: true,
+                        };
                     }
                     () = tokio::time::sleep(OUTPUT_INTERVAL) => sink.send_output(&progress),
                 }
@@ -179,7 +182,7 @@
         &self,
         worker: &Rc<Worker>,
         call: u64,
-        order: RunRequest,
+        request: RunRequest,
         replies: UnboundedSender<Outgoing>,
     ) {
         if worker.runs.get() >= worker.max_runs {
@@ -192,7 +195,7 @@
         let cancel_signal = cancelled.clone();
         let task = tokio::task::spawn_local(async move {
             let counted = CountedRun::new(worker.clone());
-            let report = worker.run(order, &sink, &cancel_signal).await;
+            let report = worker.run(request, &sink, &cancel_signal).await;
             drop(counted);
             let suspects = &worker.items.suspects;
             if report.outcome == Outcome::Failed && !suspects.is_empty() {
--- a/crates/jobstore/tests/formats.rs
+++ b/crates/jobstore/tests/formats.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_snapshot_preserves_owners_and_accountants() {
+fn a_snapshot_preserves_owners_and_token_issuers() {
     let mut jobs = Jobs::default();
     let Command::Submit { job, submission } = command(SUBMIT) else { panic!("another command") };
     let tenant = Some(TenantName::new("huka270"));
--- a/crates/jobstore/tests/pool_slots.rs
+++ b/crates/jobstore/tests/pool_slots.rs
@@ -47,14 +47,18 @@
     ) -> bool {
         let all: Vec<Arc<Backend>> = (0..usize::from(count)).map(backend).collect();
         let (left, right) = all.split_at(usize::from(split).min(all.len()));
-        let (left, right): (BackendTable, BackendTable) = (left.iter().collect(), right.iter().collect());
+        let (left, right): (BackendTable, BackendTable) =
+            (left.iter().collect(), right.iter().collect());
         let tables = [&left, &right];
         let mut counted = PoolSlots::new(&tables);
         // Order does not matter: a back end may be excluded before or after its work is counted.
         let (early, late) = taken.split_at(taken.len() / 2);
-        early.iter().for_each(|(index, slots)| counted.occupy(&incarnation(*index), u32::from(*slots)));
+        early
+            .iter()
+            .for_each(|(index, slots)| counted.occupy(&incarnation(*index), u32::from(*slots)));
         excluded.iter().for_each(|index| counted.exclude(&incarnation(*index).id, 1));
-        late.iter().for_each(|(index, slots)| counted.occupy(&incarnation(*index), u32::from(*slots)));
+        late.iter()
+            .for_each(|(index, slots)| counted.occupy(&incarnation(*index), u32::from(*slots)));
         // Another incarnation of a back end does not affect this one.
         counted.occupy(&BackendIncarnation { id: "i-0".into(), started_ms: 2 }, 1);
         counted.exclude("i-0", 2);
