--- a/crates/jobstore/tests/admission.rs
+++ b/crates/jobstore/tests/admission.rs
@@ -28,7 +28,7 @@
 #[test]
 fn concurrent_submissions_count_together() {
     let admission = Admission::default();
-    let first = admission.reserve("job-1", &submission("h/a/", 200), EMPTY).expect("room");
+    let first = admission.reserve("job-1", &submission("h/a/", 200), EMPTY).expect("a reservation");
     let second = admission.reserve("job-2", &submission("h/a/", 100), EMPTY);
     assert_eq!(second.err(), Some(Rejection::OverQuota));
     assert!(admission.reserve("job-3", &submission("h/b/", 100), EMPTY).is_ok());
@@ -48,7 +48,8 @@
 #[test]
 fn a_resubmitted_pending_job_is_reported_as_in_progress() {
     let admission = Admission::default();
-    let _first = admission.reserve("job-1", &submission("h/a/", 200), EMPTY).expect("room");
+    let _first =
+        admission.reserve("job-1", &submission("h/a/", 200), EMPTY).expect("a reservation");
     let again = admission.reserve("job-1", &submission("h/a/", 200), EMPTY);
     assert_eq!(again.err(), Some(Rejection::InProgress));
 }
