--- a/crates/jobstore/src/aggregators.rs
+++ b/crates/jobstore/src/aggregators.rs
@@ -123,20 +123,20 @@
         self.leader.as_deref()
     }
 
-    /// The job store for the next report: an aggregator, preferably in the own region, or any job
-    /// store if all aggregators are avoided.
+    /// The job store for the next report: an aggregator, preferably in the region of the process,
+    /// or any job store if all aggregators are avoided.
     pub fn choose<'a>(&self, fleet: &'a Fleet) -> Option<&'a FleetMember> {
         let now = Instant::now();
         let may_report = |member: &&FleetMember| {
             self.avoided.get(&member.name).is_none_or(|until| *until <= now)
         };
         let highest_score = |members: Vec<&'a FleetMember>| highest_score(members, &self.gateway);
-        let is_own = |member: &&FleetMember| {
+        let is_in_region = |member: &&FleetMember| {
             self.zones.distance(&member.zone, &self.zone) != Distance::OtherRegion
         };
         let aggregators = aggregators(fleet, &self.zones, self.leader());
         let accepting = fleet.job_stores().filter(|member| member.accepting);
-        highest_score(aggregators.iter().copied().filter(is_own).filter(may_report).collect())
+        highest_score(aggregators.iter().copied().filter(is_in_region).filter(may_report).collect())
             .or_else(|| highest_score(aggregators.iter().copied().filter(may_report).collect()))
             .or_else(|| highest_score(accepting.filter(may_report).collect()))
             .or_else(|| highest_score(aggregators))
--- a/crates/jobstore/src/backlog.rs
+++ b/crates/jobstore/src/backlog.rs
@@ -1,4 +1,5 @@
-//! Logs and metrics about items that wait for a slot, and the limit that holds them back.
+//! Logs and metrics about items that wait for a slot, and the limit that prevents them from
+//! starting.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,7 +25,7 @@
     NoFreeSlot,
     /// The free slots are reserved for online requests.
     Reserve,
-    /// This process has reached its limit of concurrent runs.
+    /// This process runs as many items as its memory allows.
     Runs,
 }
 
@@ -35,7 +36,7 @@
             Self::NoBackend => "no back end accepts work",
             Self::NoFreeSlot => "no back end has a free slot",
             Self::Reserve => "free slots are reserved for online requests",
-            Self::Runs => "limit of concurrent runs reached",
+            Self::Runs => "as many items run as memory allows",
         }
     }
 }
@@ -59,23 +60,23 @@
 
 impl Backlog {
     /// Logs the items that a pass left waiting, and updates the metrics.
-    pub fn note<'a>(
+    pub fn record<'a>(
         &self,
         services: impl Iterator<Item = (&'a String, &'a ServiceSlots)>,
         stats: PassStats,
     ) {
         let now = Instant::now();
         let logged = &mut *self.logged.borrow_mut();
-        let held: HashMap<&String, &ServiceSlots> =
+        let waiting: HashMap<&String, &ServiceSlots> =
             services.filter(|(_, slots)| slots.queued > 0).collect();
         logged.retain(|service, _| {
-            let is_held = held.contains_key(service);
-            if !is_held {
+            let is_waiting = waiting.contains_key(service);
+            if !is_waiting {
                 queued_items(service).set(0.0);
             }
-            is_held
+            is_waiting
         });
-        for (service, slots) in held {
+        for (service, slots) in waiting {
             let limit = limit(slots, stats);
             let is_due = logged.get(service).is_none_or(|(before, at)| {
                 let since = now.duration_since(*at);
--- a/crates/jobstore/src/connections.rs
+++ b/crates/jobstore/src/connections.rs
@@ -48,7 +48,7 @@
 }
 
 impl Links {
-    /// Creates a set without connections. Addresses come from the fleet, or from `hints` for
+    /// Creates links without open connections. Addresses come from the fleet, or from `hints` for
     /// members that it does not know.
     pub fn new(fleet: FleetCell, hints: Addresses) -> Self {
         Self { fleet, hints, links: RefCell::default() }
--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -318,15 +318,15 @@
 
 /// Transfers leadership before a planned stop, so that no election is needed.
 async fn transfer_leadership(store: &Store) {
-    let other = store.with_core(|core, now| {
+    let is_transferring = store.with_core(|core, now| {
         let me = core.id().clone();
         let mut others: Vec<MemberId> =
             core.members().voters.iter().filter(|voter| **voter != me).cloned().collect();
         others.sort_by_key(|other| core.silent_ms(now, other));
-        let done = others.iter().any(|other| core.transfer_leadership(now, other));
-        done && core.role() == Role::Leader
+        let has_started = others.iter().any(|other| core.transfer_leadership(now, other));
+        has_started && core.role() == Role::Leader
     });
-    if other {
+    if is_transferring {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
--- a/crates/jobstore/src/disk.rs
+++ b/crates/jobstore/src/disk.rs
@@ -80,11 +80,11 @@
     step: &'static str,
     mut action: impl FnMut() -> Result<(), E>,
 ) {
-    let mut report_synced = false;
+    let mut is_logged = false;
     while let Err(error) = action() {
-        if !report_synced {
+        if !is_logged {
             LogLine::new(EventName::DiskFailed).field("step", step).text("cause", &error).write();
-            report_synced = true;
+            is_logged = true;
         }
         std::thread::sleep(RETRY_BACKOFF);
     }
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -67,19 +67,19 @@
 }
 
 struct RetirementSink {
-    leaving: RetiringMachines,
+    retiring: RetiringMachines,
     store: Rc<Store>,
 }
 
 impl Sink<Retirement> for RetirementSink {
     fn replace(&self, listing: Listing<Retirement>) {
-        self.leaving.names.borrow_mut().clear();
+        self.retiring.names.borrow_mut().clear();
         self.apply(listing.items, listing.revision);
     }
 
     fn apply(&self, changes: Vec<Change<Retirement>>, _revision: Revision) {
         for Change { name, value, .. } in changes {
-            let mut names = self.leaving.names.borrow_mut();
+            let mut names = self.retiring.names.borrow_mut();
             match value {
                 Some(retirement) => names.insert(name, retirement.completed),
                 None => names.remove(&name),
@@ -91,8 +91,8 @@
     fn ended(&self, _error: Option<&SourceError>) {}
 }
 
-fn log_decision(decision: &'static str, about: impl std::fmt::Display) {
-    LogLine::new(EventName::GroupDecision).id(about).field("decision", decision).write();
+fn log_decision(decision: &'static str, subject: impl std::fmt::Display) {
+    LogLine::new(EventName::GroupDecision).id(subject).field("decision", decision).write();
 }
 
 /// Bootstraps the group if this is the first start of the whole system and no other member was
@@ -149,7 +149,7 @@
     locations: (FleetCell, CatalogCell, Rc<KnownZones>),
     voters: usize,
 ) {
-    let leaving = RetiringMachines::default();
+    let retiring = RetiringMachines::default();
     let mut watch: Option<tokio::task::JoinHandle<()>> = None;
     loop {
         if !store.leads() {
@@ -157,15 +157,17 @@
                 watch.abort();
             }
             store.group_changed.notified().await;
-            let settling = store.with_core(|core, _| core.role() == Role::Leader);
-            if settling {
+            // A leader without a valid lease, or that still applies entries of earlier terms,
+            // checks again after `POLICY_INTERVAL`.
+            let is_leader = store.with_core(|core, _| core.role() == Role::Leader);
+            if is_leader {
                 tokio::time::sleep(POLICY_INTERVAL).await;
                 store.group_changed.notify_one();
             }
             continue;
         }
         if watch.is_none() {
-            let sink = RetirementSink { leaving: leaving.clone(), store: store.clone() };
+            let sink = RetirementSink { retiring: retiring.clone(), store: store.clone() };
             let following = Follow {
                 refresh: Rc::default(),
                 others: Vec::new(),
@@ -175,8 +177,8 @@
             let watching = follow(platform.retirements(), sink, following);
             watch = Some(tokio::task::spawn_local(watching));
         }
-        let busy = change_members(&platform, &store, &locations, &leaving, voters).await;
-        report_retired(&platform, &store, &leaving).await;
+        let busy = change_members(&platform, &store, &locations, &retiring, voters).await;
+        report_retired(&platform, &store, &retiring).await;
         if busy {
             tokio::time::sleep(POLICY_INTERVAL).await;
         } else {
@@ -190,14 +192,14 @@
     platform: &P,
     store: &Store,
     (fleet, catalog, known_zones): &(FleetCell, CatalogCell, Rc<KnownZones>),
-    leaving: &RetiringMachines,
+    retiring: &RetiringMachines,
     voters: usize,
 ) -> bool {
     known_zones.record(&fleet.load());
     let joining = store.joining(JOIN_LIFETIME);
     let joining = prefer_allowed_regions(store, &catalog.load(), known_zones, joining);
     let desired =
-        DesiredMembership { joining, leaving: leaving.all(), voters, zones: zones_of(fleet) };
+        DesiredMembership { joining, leaving: retiring.all(), voters, zones: zones_of(fleet) };
     let (step, pair) = store.with_core(|core, now| {
         let step = next_step(core, now, &desired);
         let pair = core.pair().filter(|_| match &step {
@@ -224,7 +226,7 @@
         }
     }
     let learners = store.with_core(|core, _| !core.members().learners.is_empty());
-    !desired.joining.is_empty() || !leaving.open().is_empty() || learners
+    !desired.joining.is_empty() || !retiring.open().is_empty() || learners
 }
 
 /// Zones of the known job stores.
@@ -286,20 +288,20 @@
 }
 
 /// Reports retired machines that no longer hold any data of the group.
-async fn report_retired<P: Platform>(platform: &P, store: &Store, leaving: &RetiringMachines) {
-    for name in leaving.open() {
-        let out = store.with_core(|core, _| {
-            let member = core.members().all().any(|member| member.name == name);
-            !member && core.can_change_members() && core.members_durably_committed()
+async fn report_retired<P: Platform>(platform: &P, store: &Store, retiring: &RetiringMachines) {
+    for name in retiring.open() {
+        let has_left = store.with_core(|core, _| {
+            let is_member = core.members().all().any(|member| member.name == name);
+            !is_member && core.can_change_members() && core.members_durably_committed()
         });
-        if !out {
+        if !has_left {
             continue;
         }
         let mut registry = platform.registry();
         let report = registry.report_retirement(&name, true);
         if let Ok(Ok(())) = tokio::time::timeout(CLAIM_TIMEOUT, report).await {
             log_decision("report a machine as retired", &name);
-            leaving.mark_completed(&name);
+            retiring.mark_completed(&name);
         }
     }
 }
--- a/crates/jobstore/src/item_run.rs
+++ b/crates/jobstore/src/item_run.rs
@@ -217,10 +217,10 @@
     async fn count_failure(&self, job: String, index: u32, item: &JobItem) {
         let counted = Command::CountFailure { job: job.clone(), item: index };
         let _ = self.store.propose(&counted).await;
-        let spent = self.store.with_job(&job, |job| {
+        let is_exhausted = self.store.with_job(&job, |job| {
             job.open.get(&index).is_some_and(|open| open.failures >= job.max_attempts)
         });
-        if spent == Some(true) {
+        if is_exhausted == Some(true) {
             self.log_abandoned(item, &job, "every attempt failed");
             // If leadership is lost, the failures are in the log and the next leader abandons the
             // item.
--- a/crates/jobstore/src/item_worker.rs
+++ b/crates/jobstore/src/item_worker.rs
@@ -1,5 +1,5 @@
 //! Selection of the job store that runs an item. For a back end that is not known to be warm it is
-//! one that has a share of it, so that the item is not refused.
+//! one that has a share of the back end's cold-start limit, so that the item is not refused.
 
 use std::borrow::Cow;
 use std::sync::Arc;
--- a/crates/jobstore/src/loads.rs
+++ b/crates/jobstore/src/loads.rs
@@ -95,7 +95,7 @@
     outcomes: HashMap<BackendIncarnation, SummedOutcomes>,
     reporters: u32,
     /// Totals last sent to each gateway.
-    answered: HashMap<String, HashMap<BackendIncarnation, InFlight>>,
+    sent_totals: HashMap<String, HashMap<BackendIncarnation, InFlight>>,
     expired_at: Option<Instant>,
 }
 
@@ -175,7 +175,7 @@
             sums.subtract(&before);
         }
         if wants_all_totals {
-            sums.answered.remove(&gateway);
+            sums.sent_totals.remove(&gateway);
         }
         let arrivals = sums.arrivals.iter();
         let rate = |(service, rate): (&String, &u64)| ServiceRate {
@@ -193,7 +193,7 @@
     /// until it expired.
     pub fn forget(&self, gateway: &str) {
         let sums = &mut *self.sums.borrow_mut();
-        sums.answered.remove(gateway);
+        sums.sent_totals.remove(gateway);
         if let Some(source) = sums.gateways.remove(gateway) {
             sums.subtract(&source);
         }
@@ -201,9 +201,9 @@
 
     /// Totals that differ from those last sent to a gateway, the largest differences first.
     fn changes(&self, sums: &mut Sums, gateway: String) -> Vec<BackendTotal> {
-        let Sums { totals, answered, .. } = sums;
-        let answered = answered.entry(gateway).or_default();
-        self.count_steps(totals.len() + answered.len());
+        let Sums { totals, sent_totals, .. } = sums;
+        let sent_totals = sent_totals.entry(gateway).or_default();
+        self.count_steps(totals.len() + sent_totals.len());
         let mut changes: Vec<(u32, BackendTotal)> = Vec::new();
         let mut note = |backend: &BackendIncarnation, total: InFlight, before: InFlight| {
             let difference =
@@ -213,9 +213,9 @@
             }
         };
         for (backend, total) in totals.iter() {
-            note(backend, *total, answered.get(backend).copied().unwrap_or_default());
+            note(backend, *total, sent_totals.get(backend).copied().unwrap_or_default());
         }
-        for (backend, before) in answered.iter().filter(|(id, _)| !totals.contains_key(*id)) {
+        for (backend, before) in sent_totals.iter().filter(|(id, _)| !totals.contains_key(*id)) {
             note(backend, InFlight::default(), *before);
         }
         changes.sort_unstable_by(|left, right| {
@@ -225,9 +225,9 @@
         let changes: Vec<BackendTotal> = changes.into_iter().map(|(_, total)| total).collect();
         for BackendTotal { backend, online, items } in &changes {
             if *online == 0 && *items == 0 {
-                answered.remove(backend);
+                sent_totals.remove(backend);
             } else {
-                answered.insert(backend.clone(), InFlight { online: *online, items: *items });
+                sent_totals.insert(backend.clone(), InFlight { online: *online, items: *items });
             }
         }
         changes
@@ -379,7 +379,7 @@
         let gateways = remove_expired(&mut sums.gateways, now);
         let job_stores = remove_expired(&mut sums.job_stores, now);
         for (name, source) in gateways {
-            sums.answered.remove(&name);
+            sums.sent_totals.remove(&name);
             sums.subtract(&source);
         }
         for (_, source) in job_stores {
--- a/crates/jobstore/src/preemption.rs
+++ b/crates/jobstore/src/preemption.rs
@@ -55,15 +55,15 @@
     let mut chosen = Vec::new();
     for (name, service) in services {
         let mut remaining = Vec::new();
-        for mut here in service.by_backend.into_values() {
-            let backend = runs[here[0]].backend;
-            let taken = here.len() as u32 + online(backend);
+        for mut positions in service.by_backend.into_values() {
+            let backend = runs[positions[0]].backend;
+            let taken = positions.len() as u32 + online(backend);
             let over = taken.saturating_sub(backend.slots) as usize;
-            sort(&mut here, runs);
-            remaining.extend(here.split_off(over.min(here.len())));
-            chosen.extend(here);
+            sort_for_preemption(&mut positions, runs);
+            remaining.extend(positions.split_off(over.min(positions.len())));
+            chosen.extend(positions);
         }
-        sort(&mut remaining, runs);
+        sort_for_preemption(&mut remaining, runs);
         // Slots that are already being released are not requested again.
         let shortfall = shortfall(name).saturating_sub(service.preempting);
         chosen.extend(remaining.into_iter().take(shortfall));
@@ -82,7 +82,7 @@
 
 /// Sorts runs in the order of preemption: the newest with output first. A run without output would
 /// have to start over.
-fn sort(positions: &mut [usize], runs: &[PlacedRun<'_>]) {
+fn sort_for_preemption(positions: &mut [usize], runs: &[PlacedRun<'_>]) {
     positions
         .sort_by_key(|position| (!runs[*position].has_output, Reverse(runs[*position].started)));
 }
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -132,7 +132,7 @@
     pub changes: Vec<BackendTotal>,
     /// Arrival rates at all gateways, by service.
     pub arrivals: Vec<ServiceRate>,
-    /// Back ends that fail across gateways.
+    /// Back ends that are failing according to the outcomes at all gateways.
     pub failing: Vec<BackendIncarnation>,
     /// The leading job store, if known.
     pub leader: Option<String>,
@@ -431,14 +431,14 @@
 
 /// Estimated size of an encoded frame, so that the buffer of a large one is not grown by doubling.
 fn size_hint(frame: &Frame) -> usize {
-    let carried = match frame {
+    let payload_bytes = match frame {
         Frame::Consensus(message) => message_bytes(&message.body),
         Frame::Reply { reply: Reply::Page(page), .. } => {
             page.results.iter().map(|result| result.text.len() + RESULT_OVERHEAD_BYTES).sum()
         }
         _ => 0,
     };
-    carried + FRAME_OVERHEAD_BYTES
+    payload_bytes + FRAME_OVERHEAD_BYTES
 }
 
 fn message_bytes(body: &Body) -> usize {
--- a/crates/jobstore/src/quota.rs
+++ b/crates/jobstore/src/quota.rs
@@ -28,7 +28,7 @@
 const ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a process checks whether the configuration limits any tenant.
 const UNLIMITED_POLL_INTERVAL: Duration = Duration::from_millis(2_000);
-/// The same while no configuration is known yet.
+/// Interval of this check while no configuration is known yet.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time limit for releasing leases; a stopping token issuer must not wait long.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -85,7 +85,7 @@
     fn with_lease_manager<R>(&self, store: &Store, step: impl FnOnce(&mut LeaseManager) -> R) -> R {
         let term = store.term();
         let mut held = self.lease_manager.borrow_mut();
-        if held.as_ref().is_none_or(|(held, _)| *held != term) {
+        if held.as_ref().is_none_or(|(held_term, _)| *held_term != term) {
             *held = Some((term, LeaseManager::new(self.now())));
         }
         let (_, lease_manager) = held.get_or_insert_with(|| (term, LeaseManager::new(self.now())));
--- a/crates/jobstore/src/reads.rs
+++ b/crates/jobstore/src/reads.rs
@@ -38,7 +38,7 @@
         self.read(|jobs| jobs.page(job, requester, from))
     }
 
-    /// Notified when the job has further results.
+    /// The `Notify` that is signalled when the job has further results.
     pub fn reader(&self, job: &str) -> Rc<Notify> {
         let mut inner = self.inner.borrow_mut();
         if inner.jobs.get(job).is_none() {
--- a/crates/jobstore/src/residency.rs
+++ b/crates/jobstore/src/residency.rs
@@ -54,9 +54,9 @@
         residency: &Residency,
         map: &ZoneMap,
     ) {
-        let is_inside = |member: &MemberId| self.may_keep(&member.name, residency, map);
-        if joining.iter().any(is_inside) {
-            joining.retain(is_inside);
+        let is_allowed = |member: &MemberId| self.may_keep(&member.name, residency, map);
+        if joining.iter().any(is_allowed) {
+            joining.retain(is_allowed);
         }
     }
 
--- a/crates/jobstore/src/run.rs
+++ b/crates/jobstore/src/run.rs
@@ -95,7 +95,7 @@
 }
 
 impl PermitDenied {
-    /// Creates an error whose cause may not apply to other back ends.
+    /// Creates a denial without a backoff, since its cause may not apply to other back ends.
     pub fn new(cause: impl Into<String>) -> Self {
         Self { cause: cause.into(), is_cold: false }
     }
@@ -119,7 +119,8 @@
     }
 }
 
-/// Digest that identifies all attempts of the same request, as an item or not.
+/// Digest of an item, the same for all attempts of its request, whether sent as an item of a job or
+/// as an online request.
 pub fn item_digest(sender: &ItemSender, item: &JobItem) -> RequestDigest {
     RequestDigest::of(&RequestIdentity {
         method: Method::POST.as_str(),
@@ -171,8 +172,8 @@
                     return retry(error.to_string(), false);
                 }
             };
-        let after = progress.borrow().last_event;
-        let Some(request) = self.request(sender, item, &backend, after) else {
+        let after_event = progress.borrow().last_event;
+        let Some(request) = self.request(sender, item, &backend, after_event) else {
             return RunEnd::Unprocessable;
         };
         let permit = match permit() {
@@ -264,7 +265,8 @@
             let name = HeaderName::try_from(header.name.as_str()).ok()?;
             headers.append(name, HeaderValue::try_from(header.value.as_str()).ok()?);
         }
-        // Replaces the tenant headers of the submission, which are not meant for back ends.
+        // Removes the API key and replaces the tenant header of the submission, which are not meant
+        // for back ends.
         set_tenant_header(sender.tenant.as_ref(), &names.tenant, headers);
         headers.insert(header::HOST, HeaderValue::try_from(&sender.host).ok()?);
         headers.insert(&names.request_id, HeaderValue::try_from(item.id.as_str()).ok()?);
@@ -286,7 +288,7 @@
         let retry = |cause: String| RunEnd::Retry { cause, backoff: false };
         let signature = &self.dialect.headers().signature;
         let signed = !self.dialect.signs_responses() || answer.headers().contains_key(signature);
-        let last = Connection::closes_after(answer.headers());
+        let closes = Connection::closes_after(answer.headers());
         let mut events = answer.into_body().into_data_stream().eventsource();
         loop {
             let event = match tokio::time::timeout(SILENCE_TIMEOUT, events.next()).await {
@@ -322,7 +324,7 @@
             slot.outcome = Outcome::Failed;
             return retry(format!("{} gave no signed events", slot.backend.id));
         }
-        if !last {
+        if !closes {
             self.pool.put_back(connection);
         }
         RunEnd::Completed
--- a/crates/jobstore/src/runner.rs
+++ b/crates/jobstore/src/runner.rs
@@ -176,7 +176,7 @@
             max_runs: self.options.max_runs,
             reporting_gateways: self.store.loads.reporters(),
         };
-        self.backlog.note(services.services(), stats);
+        self.backlog.record(services.services(), stats);
     }
 
     /// Jobs that are still open. Items that have waited longer than their route allows are
@@ -205,7 +205,7 @@
     /// cannot.
     fn start_items_of(self: &Rc<Self>, job: &WaitingJob, late: bool, services: &mut FreeSlots) {
         let estimator = self.estimator.get();
-        let waiting = self.store.with_job(&job.id, |held| {
+        let waiting = self.store.with_job(&job.id, |stored| {
             let running = self.running.borrow();
             let is_waiting =
                 |(index, _): &(&u32, &OpenItem)| !running.contains_key(&(job.id.clone(), **index));
@@ -213,7 +213,7 @@
                 let remaining = estimator.remaining(open.item.tokens, open.partial.last_event);
                 WaitingItem { index: *index, remaining }
             };
-            held.open.iter().filter(is_waiting).map(remaining).collect::<Vec<WaitingItem>>()
+            stored.open.iter().filter(is_waiting).map(remaining).collect::<Vec<WaitingItem>>()
         });
         let mut waiting = waiting.unwrap_or_default();
         waiting.retain(|item| job.is_late(item.remaining) == late);
@@ -293,14 +293,14 @@
     }
 
     fn purge_jobs(&self) {
-        let mut over = Vec::new();
+        let mut removals = Vec::new();
         self.store.for_each_job(|id, job, age| {
             if age > self.options.retention && !job.is_open() {
-                over.push(Command::Forget { job: id.clone() });
+                removals.push(Command::Forget { job: id.clone() });
             }
         });
-        if !over.is_empty() {
-            self.store.propose_detached(&Command::Batch(over));
+        if !removals.is_empty() {
+            self.store.propose_detached(&Command::Batch(removals));
         }
         self.held.retain(|(job, item)| {
             self.store.with_job(job, |job| job.open.contains_key(item)) == Some(true)
--- a/crates/jobstore/src/server.rs
+++ b/crates/jobstore/src/server.rs
@@ -106,8 +106,8 @@
                 store.loads_changed.notify_one();
                 store.work_changed.notify_one();
             }
-            Frame::Request { call, request: Request::Run(order) } => {
-                runs.start(&server.worker, call, order, replies.clone());
+            Frame::Request { call, request: Request::Run(run) } => {
+                runs.start(&server.worker, call, run, replies.clone());
             }
             Frame::Cancel { call } => runs.cancel(call),
             Frame::Heartbeat => {
@@ -168,8 +168,8 @@
         store.work_changed.notify_one();
         return Reply::Load(answer);
     }
-    if let Request::TakeTokens(asks) = request {
-        return Reply::Tokens(quota.take(&asks));
+    if let Request::TakeTokens(token_requests) = request {
+        return Reply::Tokens(quota.take(&token_requests));
     }
     // Knowledge of suspects is not part of the log either.
     if let Request::Suspects(exchange) = request {
--- a/crates/jobstore/src/slots.rs
+++ b/crates/jobstore/src/slots.rs
@@ -59,7 +59,7 @@
         let coverage = self.store.loads.coverage(self.fleet.load().gateways().count());
         let capacity = Capacity::new(self.store.loads.report_interval()).with_coverage(coverage);
         let Some(closed) = self.item_workers().closed(&requirements) else {
-            // The data is too old to know any of them as warm.
+            // The platform data is too old to consider any back end warm.
             return self.capacity_of_each(
                 capacity,
                 &self.item_workers().candidates(&catalog, &requirements),
--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -158,9 +158,9 @@
     /// A run that was asked to resume elsewhere may happen to be at the same event if the output of
     /// an earlier run is committed late.
     fn accepts(&self, run: Run, after_event: u64) -> bool {
-        let goes_on = self.run == run.number;
-        let was_asked = run.resume_after == after_event;
-        self.last_event == after_event && (goes_on || was_asked)
+        let is_same_run = self.run == run.number;
+        let resumes_here = run.resume_after == after_event;
+        self.last_event == after_event && (is_same_run || resumes_here)
     }
 }
 
@@ -203,7 +203,7 @@
     pub max_queue_ms: u64,
     /// Time in milliseconds after which the results are due; 0 if the route has no target.
     pub completion_target_ms: u64,
-    /// Queue of the route: its host and path prefix.
+    /// Queue in which its items wait: the tenant, and the host and path prefix of the route.
     pub queue: String,
     /// Number of items.
     pub total: u32,
@@ -385,14 +385,14 @@
             return Applied::Nothing;
         }
         let Some(open) = job.open.remove(&item) else { return Applied::Nothing };
-        let mut whole = String::new();
+        let mut output = String::new();
         if completed {
-            whole = open.partial.text;
+            output = open.partial.text;
             if let Some(text) = text {
-                append_events(&mut whole, after_event, text);
+                append_events(&mut output, after_event, text);
             }
         }
-        let text = PackedText::pack(whole);
+        let text = PackedText::pack(output);
         job.results.push(StoredResult { id: open.item.id.clone(), state, text });
         Applied::Finished { job: id, item }
     }
@@ -455,9 +455,9 @@
 }
 
 /// Appends the data of the events after `after_event`; 0 means from the beginning.
-fn append_events(whole: &mut String, after_event: u64, text: &str) {
+fn append_events(output: &mut String, after_event: u64, text: &str) {
     if after_event > 0 {
-        whole.push('\n');
+        output.push('\n');
     }
-    whole.push_str(text);
+    output.push_str(text);
 }
--- a/crates/jobstore/src/store.rs
+++ b/crates/jobstore/src/store.rs
@@ -42,7 +42,7 @@
 /// Disk commands that belong together, and the messages to send once they are synced.
 struct Batch {
     commands: usize,
-    held: Vec<Message>,
+    messages: Vec<Message>,
 }
 
 struct Proposal {
@@ -201,8 +201,9 @@
                 break;
             }
             inner.core.writes_synced(now);
-            let held = inner.batches.pop_front().map(|batch| batch.held).unwrap_or_default();
-            self.send(held);
+            let messages =
+                inner.batches.pop_front().map(|batch| batch.messages).unwrap_or_default();
+            self.send(messages);
         }
         self.apply_effects(inner);
     }
@@ -270,32 +271,32 @@
         }
     }
 
-    fn enqueue_writes(&self, inner: &mut Inner, writes: Vec<Write>, held: Vec<Message>) {
+    fn enqueue_writes(&self, inner: &mut Inner, writes: Vec<Write>, messages: Vec<Message>) {
         if writes.is_empty() {
             match inner.batches.back_mut() {
-                Some(batch) => batch.held.extend(held),
-                None => self.send(held),
+                Some(batch) => batch.messages.extend(messages),
+                None => self.send(messages),
             }
             return;
         }
         inner.core.writes_started();
         let mut commands = 0;
-        let mut plain = Vec::new();
+        let mut appends = Vec::new();
         for write in writes {
             if let Write::Snapshot { snapshot, .. } = write {
-                self.disk.enqueue(DiskCommand::Append(std::mem::take(&mut plain)));
+                self.disk.enqueue(DiskCommand::Append(std::mem::take(&mut appends)));
                 let rewrite = rewrite_of(&inner.core, snapshot);
                 self.disk.enqueue(DiskCommand::Replace(Box::new(rewrite)));
                 commands += 2;
             } else {
-                plain.push(write);
+                appends.push(write);
             }
         }
-        if !plain.is_empty() {
-            self.disk.enqueue(DiskCommand::Append(plain));
+        if !appends.is_empty() {
+            self.disk.enqueue(DiskCommand::Append(appends));
             commands += 1;
         }
-        inner.batches.push_back(Batch { commands, held });
+        inner.batches.push_back(Batch { commands, messages });
     }
 
     fn install(&self, inner: &mut Inner, snapshot: &Snapshot) {
--- a/crates/jobstore/src/suspects.rs
+++ b/crates/jobstore/src/suspects.rs
@@ -21,11 +21,11 @@
 use crate::hint_file;
 use crate::protocol::{Reply, Request};
 
-/// Maximum interval between two exchanges; three fit into the time within which all processes must
-/// know.
+/// Maximum interval between two exchanges; three fit into the time within which a suspect must be
+/// known to all processes.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same until the first exchange succeeds: a process that has just started sends requests that
-/// others hold back.
+/// Maximum interval between two exchanges until the first one succeeds. A process that has just
+/// started does not know the suspects and sends requests that others hold back.
 const INITIAL_EXCHANGE_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of exchanges, about a minute, after which finished suspects are purged.
 const ROUNDS_PER_PURGE: u32 = 64;
@@ -81,8 +81,8 @@
     tokio::task::spawn_local(exchange(registry, client, fleet, target));
 }
 
-/// Exchanges knowledge with job stores, preferably in the own region like load reports. Never
-/// returns.
+/// Exchanges knowledge with job stores, preferably in the region of this process, as with load
+/// reports. Never returns.
 async fn exchange(
     registry: Rc<Registry>,
     client: Rc<JobClient>,
--- a/crates/jobstore/src/wal.rs
+++ b/crates/jobstore/src/wal.rs
@@ -103,7 +103,7 @@
         let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
         std::fs::create_dir_all(folder).map_err(at("create folder"))?;
         let mut numbers = list(folder).map_err(at("list folder"))?;
-        numbers.sort_unstable_by(|remaining, right| right.cmp(remaining));
+        numbers.sort_unstable_by(|left, right| right.cmp(left));
         let highest = numbers.first().copied().unwrap_or(0);
         for number in numbers {
             let path = file_path(folder, number);
@@ -251,7 +251,7 @@
 pub fn peek_members(folder: &Path) -> Result<Members, WalError> {
     let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
     let mut numbers = list(folder).map_err(at("list folder"))?;
-    numbers.sort_unstable_by(|remaining, right| right.cmp(remaining));
+    numbers.sort_unstable_by(|left, right| right.cmp(left));
     for number in numbers {
         let file = File::open(file_path(folder, number)).map_err(at("read log in"))?;
         if let Some(scan) = scan(&file).map_err(at("read log in"))? {
--- a/crates/jobstore/src/worker.rs
+++ b/crates/jobstore/src/worker.rs
@@ -86,14 +86,14 @@
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
-        with_requirements: impl FnOnce(&Requirements) -> Result<T, Ineligible>,
+        evaluate: impl FnOnce(&Requirements) -> Result<T, Ineligible>,
     ) -> Result<T, PermitDenied> {
         let catalog = self.catalog.load();
         let route = catalog.routes.find(&sender.host, &item.path);
         let route = route.ok_or_else(|| PermitDenied::new("no route has its path"))?;
         let residency = catalog.residency(route, sender.tenant.as_ref());
         let requirements = Requirements { service: &backend.service, residency: &residency };
-        with_requirements(&requirements).map_err(|cause| {
+        evaluate(&requirements).map_err(|cause| {
             cause.record_rejection(&item.id, backend);
             let is_cold = matches!(cause, Ineligible::Cold { .. });
             PermitDenied { cause: cause.to_string(), is_cold }
@@ -110,10 +110,10 @@
         let (backend, item): (Arc<Backend>, Arc<JobItem>) = (backend.into(), item.into());
         // Checked before connecting as well, since connecting to a back end that has left may take
         // long.
-        if let Err(refused) = self.check(&backend, &sender, &item) {
+        if let Err(denied) = self.check(&backend, &sender, &item) {
             let cause =
-                format!("{} takes no work now, as its worker knows: {}", backend.id, refused.cause);
-            let end = RunEnd::Retry { cause, backoff: refused.is_cold };
+                format!("{} takes no work now, as its worker knows: {}", backend.id, denied.cause);
+            let end = RunEnd::Retry { cause, backoff: denied.is_cold };
             return RunReport {
                 end,
                 outcome: Outcome::Abandoned,
--- a/crates/jobstore/tests/addresses.rs
+++ b/crates/jobstore/tests/addresses.rs
@@ -33,6 +33,6 @@
         let mut corrupt = whole.clone();
         corrupt[position] ^= 1;
         std::fs::write(&file, &corrupt).expect("written");
-        assert!(load(folder.path()).is_empty(), "spoilt at {position}");
+        assert!(load(folder.path()).is_empty(), "corrupt at {position}");
     }
 }
--- a/crates/jobstore/tests/frames.rs
+++ b/crates/jobstore/tests/frames.rs
@@ -48,14 +48,14 @@
         })
     }
 
-    fn a_corrupt_frame_decodes_or_fails(text: String, place: usize, flip: u8) -> TestResult {
+    fn a_corrupt_frame_decodes_or_fails(text: String, position: usize, flip: u8) -> TestResult {
         if flip == 0 {
             return TestResult::discard();
         }
         for frame in sample(&text, 7) {
             let mut bytes = encode(&frame).to_vec();
-            let place = place % bytes.len();
-            bytes[place] ^= flip;
+            let position = position % bytes.len();
+            bytes[position] ^= flip;
             let _ = decode(&bytes);
         }
         TestResult::passed()
--- a/crates/jobstore/tests/loads.rs
+++ b/crates/jobstore/tests/loads.rs
@@ -143,17 +143,17 @@
     let loads = Loads::default();
     let counts: Vec<(usize, u32)> = (0..150).map(|id| (id, 1 + id as u32)).collect();
     loads.report(report(1, &counts), None);
-    let mut learnt = 0;
+    let mut received = 0;
     let mut largest_first = u32::MAX;
     for _ in 0..4 {
         let answer = loads.report(report(2, &[]), None);
         assert!(answer.changes.len() <= 48);
-        learnt += answer.changes.len();
+        received += answer.changes.len();
         let largest = answer.changes.iter().map(|change| change.online).max().unwrap_or(0);
         assert!(largest < largest_first);
         largest_first = largest;
     }
-    assert_eq!(learnt, 150);
+    assert_eq!(received, 150);
     assert!(loads.report(report(2, &[]), None).changes.is_empty());
     let again = loads.report(LoadReport { wants_all_totals: true, ..report(2, &[]) }, None);
     assert_eq!(again.changes.len(), 48);
@@ -321,8 +321,7 @@
 
 /// Guards against gateways that keep reporting to a leader that is cut off from the other job
 /// stores: its answers, which name no leader, were accepted, and without a leader every gateway
-/// chooses the same job store. The new leader then received no report for 8 s, and
-/// items waited.
+/// chooses the same job store. The new leader then received no report for 8 s, and items waited.
 #[tokio::test(start_paused = true)]
 async fn a_gateway_avoids_a_job_store_that_knows_no_leader() {
     let fleet = fleet(6, 3);
@@ -331,8 +330,8 @@
     let mut target = ReportTarget::new("edge-1".into());
     for _ in 0..3 {
         let asked = target.choose(&fleet).expect("a job store").name.clone();
-        let with_counts = (asked != cut_off).then(|| leader.name.clone());
-        target.answered(&asked, with_counts);
+        let named_leader = (asked != cut_off).then(|| leader.name.clone());
+        target.answered(&asked, named_leader);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(target.choose(&fleet).expect("a job store").name, leader.name);
@@ -399,9 +398,9 @@
     assert_ne!(target.choose(&fleet).expect("a job store").name, own);
 }
 
-/// Guards against summing load by back end id only. A back end restarts under its id while one
-/// gateway still reports requests at its earlier incarnation; the empty new incarnation would be
-/// considered full and be ejected.
+/// Guards against summing counts, outcomes and items by back end id only. A back end restarts under
+/// its id while one gateway still reports requests at its earlier incarnation; the empty new
+/// incarnation would be considered full, and no requests would be sent to it.
 #[tokio::test(start_paused = true)]
 async fn load_of_an_earlier_incarnation_does_not_count_for_the_new_one() {
     let loads = Loads::default();
--- a/crates/jobstore/tests/preemption.rs
+++ b/crates/jobstore/tests/preemption.rs
@@ -31,8 +31,8 @@
 /// Guards against counting an item that waits for its next run at its back end. After one short
 /// online request the back end then appeared to have 9 runs for 8 slots, and 1 or 2 items were
 /// preempted in every pass, some 150 a second (515 and 757 preempted runs where 0 to 24 are usual):
-/// a preempted item waits 150 ms, the request ends and another item takes the slot, which was then
-/// preempted in turn.
+/// while a preempted item waited its 150 ms, the request ended, another item took the slot, and
+/// that item was preempted next.
 #[tokio::test(start_paused = true)]
 async fn one_short_request_preempts_one_item() {
     let backend = backend(1);
--- a/crates/jobstore/tests/wal.rs
+++ b/crates/jobstore/tests/wal.rs
@@ -74,7 +74,7 @@
     with_entries(folder.path(), &[entry(3, 1)]);
     let mut bytes = std::fs::read(&path).expect("the file");
     bytes[start + 12] ^= 0xff;
-    std::fs::write(&path, &bytes).expect("a spoilt file");
+    std::fs::write(&path, &bytes).expect("a corrupt file");
     assert_eq!(open(folder.path()).recovered.entries, [entry(1, 1)]);
 }
 
