--- a/crates/jobstore/src/backlog.rs
+++ b/crates/jobstore/src/backlog.rs
@@ -1,4 +1,5 @@
-//! Tells which items wait for a slot, and what keeps them from one.
+//! Logs and metrics about items that wait for a slot, and the limit that prevents them from
+//! starting.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,119 +8,119 @@
 use tokio::time::Instant;
 use yokefall_telemetry::{EventName, LogLine};
 
-use crate::room::ServiceSlots;
+use crate::capacity::ServiceSlots;
 
-/// Least interval between two lines about the items of one service: a limit changes many times a second
-/// where online requests come and go.
-const LEAST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Interval at which a limit that lasts is told again.
-const REPEAT_INTERVAL: Duration = Duration::from_millis(5_000);
+/// Minimum interval between two log lines about one service: the limit changes many times a second
+/// under fluctuating online load.
+const MIN_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval at which an unchanged limit is logged again.
+const RELOG_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// What keeps items of a service from running.
+/// What prevents the items of a service from starting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    /// No back end of the service takes work.
+    /// No back end of the service accepts work.
     NoBackend,
-    /// Each back end is full, or left out for its failures.
+    /// Every back end is full or ejected after failures.
     NoFreeSlot,
-    /// The free slots are kept for online requests.
+    /// The free slots are reserved for online requests.
     Reserve,
     /// This process runs as many items as its memory allows.
     Runs,
 }
 
 impl Limit {
-    /// As it stands in lines.
+    /// Text of the limit in log lines.
     fn text(self) -> &'static str {
         match self {
-            Self::NoBackend => "no back end takes work",
+            Self::NoBackend => "no back end accepts work",
             Self::NoFreeSlot => "no back end has a free slot",
-            Self::Reserve => "free slots are kept for online requests",
+            Self::Reserve => "free slots are reserved for online requests",
             Self::Runs => "as many items run as memory allows",
         }
     }
 }
 
-/// Runs and reports that a scheduling pass found.
+/// Statistics of a scheduling pass.
 #[derive(Clone, Copy, Debug)]
-pub struct PassFigures {
+pub struct PassStats {
     /// Items that this leader runs.
     pub running: usize,
-    /// Items that it runs at most.
+    /// Maximum number of items that it runs.
     pub max_runs: usize,
-    /// Gateways whose reports count.
-    pub gateways_heard: u32,
+    /// Gateways whose load reports are current.
+    pub reporting_gateways: u32,
 }
 
-/// What was told last, by service.
+/// The last limit logged for each service, and when.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    told: RefCell<HashMap<String, (Limit, Instant)>>,
+    logged: RefCell<HashMap<String, (Limit, Instant)>>,
 }
 
 impl Backlog {
-    /// Tells of the items that a pass left waiting.
-    pub fn note<'a>(
+    /// Logs the items that a pass left waiting, and updates the metrics.
+    pub fn record<'a>(
         &self,
         services: impl Iterator<Item = (&'a String, &'a ServiceSlots)>,
-        figures: PassFigures,
+        stats: PassStats,
     ) {
         let now = Instant::now();
-        let told = &mut *self.told.borrow_mut();
-        let held: HashMap<&String, &ServiceSlots> =
-            services.filter(|(_, slots)| slots.held > 0).collect();
-        told.retain(|service, _| {
-            let is_held = held.contains_key(service);
-            if !is_held {
-                held_items(service).set(0.0);
+        let logged = &mut *self.logged.borrow_mut();
+        let waiting: HashMap<&String, &ServiceSlots> =
+            services.filter(|(_, slots)| slots.queued > 0).collect();
+        logged.retain(|service, _| {
+            let is_waiting = waiting.contains_key(service);
+            if !is_waiting {
+                queued_items(service).set(0.0);
             }
-            is_held
+            is_waiting
         });
-        for (service, slots) in held {
-            let limit = limit(slots, figures);
-            let is_due = told.get(service).is_none_or(|(before, at)| {
+        for (service, slots) in waiting {
+            let limit = limit(slots, stats);
+            let is_due = logged.get(service).is_none_or(|(before, at)| {
                 let since = now.duration_since(*at);
-                since >= REPEAT_INTERVAL || (*before != limit && since >= LEAST_INTERVAL)
+                since >= RELOG_INTERVAL || (*before != limit && since >= MIN_LOG_INTERVAL)
             });
             if is_due {
-                told.insert(service.clone(), (limit, now));
-                tell(service, slots, limit, figures);
+                logged.insert(service.clone(), (limit, now));
+                log_backlog(service, slots, limit, stats);
             }
         }
-        metrics::gauge!("job_store_gateways_heard").set(f64::from(figures.gateways_heard));
-        metrics::gauge!("job_store_items_running").set(figures.running as f64);
+        metrics::gauge!("job_store_gateways_heard").set(f64::from(stats.reporting_gateways));
+        metrics::gauge!("job_store_items_running").set(stats.running as f64);
     }
 }
 
-fn held_items(service: &str) -> metrics::Gauge {
+fn queued_items(service: &str) -> metrics::Gauge {
     metrics::gauge!("job_store_items_held", "service" => service.to_owned())
 }
 
-fn limit(slots: &ServiceSlots, figures: PassFigures) -> Limit {
-    if figures.running >= figures.max_runs {
+fn limit(slots: &ServiceSlots, stats: PassStats) -> Limit {
+    if stats.running >= stats.max_runs {
         return Limit::Runs;
     }
-    let room = slots.room();
-    if room.slots == 0 {
+    let capacity = slots.capacity();
+    if capacity.slots == 0 {
         return Limit::NoBackend;
     }
-    match room.items() == 0 && room.free > 0 {
+    match capacity.startable_items() == 0 && capacity.free > 0 {
         true => Limit::Reserve,
         false => Limit::NoFreeSlot,
     }
 }
 
-fn tell(service: &str, slots: &ServiceSlots, limit: Limit, figures: PassFigures) {
-    let room = slots.room();
-    held_items(service).set(slots.held as f64);
+fn log_backlog(service: &str, slots: &ServiceSlots, limit: Limit, stats: PassStats) {
+    let capacity = slots.capacity();
+    queued_items(service).set(slots.queued as f64);
     LogLine::new(EventName::ItemsHeld)
         .id(service)
-        .field("held", slots.held)
-        .field("running", figures.running)
-        .field("slots", room.slots)
-        .field("free", room.free)
-        .field("reserve", room.reserve())
-        .field("gateways_heard", figures.gateways_heard)
+        .field("held", slots.queued)
+        .field("running", stats.running)
+        .field("slots", capacity.slots)
+        .field("free", capacity.free)
+        .field("reserve", capacity.reserve())
+        .field("gateways_heard", stats.reporting_gateways)
         .field("limit", limit.text())
         .write();
 }
--- a/crates/jobstore/src/client.rs
+++ b/crates/jobstore/src/client.rs
@@ -1,5 +1,5 @@
-//! The gateways' side: finds the leader through any job store, and tells what is known of the
-//! outcome of a call.
+//! Client of the job stores: finds the leader through any job store, and reports what is known
+//! about the outcome of a call.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,21 +16,22 @@
 
 use crate::protocol::{decode, encode, framed, Frame, Reply, Request};
 
-/// Time for a connection to come up.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time after which another job store is asked, beside what a held read may take.
+/// Time to wait for a reply before another job store is tried, in addition to the wait of a
+/// long-polling read.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause before the job stores are asked again.
-const ROUND_PAUSE: Duration = Duration::from_millis(60);
-/// Time without acknowledgement of sent bytes after which a connection is given up.
+/// Backoff before the job stores are tried again.
+const RETRY_BACKOFF: Duration = Duration::from_millis(60);
+/// TCP user timeout: a connection is closed when sent bytes stay unacknowledged for this long.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// The leader answered.
     Answered(Reply),
-    /// No leader answered; nothing was done.
+    /// No leader answered; the request was not executed.
     NotDone,
     /// No leader answered; the change may be in force.
     Unknown,
@@ -44,7 +45,7 @@
     open: Rc<Cell<bool>>,
 }
 
-/// Calls job stores.
+/// Client that calls the job stores.
 pub struct JobClient {
     fleet: FleetCell,
     links: RefCell<HashMap<SocketAddr, Rc<Link>>>,
@@ -53,14 +54,14 @@
     next_member: Cell<usize>,
 }
 
-enum Try {
+enum Attempt {
     Reply(Reply),
     NotSent,
     NoReply,
 }
 
 impl JobClient {
-    /// A client that finds job stores in the fleet.
+    /// Creates a client that finds the job stores in `fleet`.
     pub fn new(fleet: FleetCell) -> Self {
         Self {
             fleet,
@@ -71,34 +72,36 @@
         }
     }
 
-    /// Calls the leader until it answers or `deadline` has come.
+    /// Calls the leader until it answers or `deadline` is reached.
     pub async fn call(&self, request: Request, deadline: Instant) -> CallOutcome {
         let wait = match &request {
             Request::Results { wait_ms, .. } => Duration::from_millis(*wait_ms),
             _ => Duration::ZERO,
         };
-        let changes = matches!(request, Request::Submit { .. } | Request::End { .. });
+        let is_write = matches!(request, Request::Submit { .. } | Request::End { .. });
         let mut may_be_done = false;
         while Instant::now() < deadline {
             let Some((name, address)) = self.candidate() else {
-                tokio::time::sleep(ROUND_PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
                 continue;
             };
             let limit = (Instant::now() + REPLY_TIMEOUT + wait).min(deadline);
             match self.call_one(address, request.clone(), limit).await {
-                Try::Reply(Reply::NotLeader { leader }) => self.follow_hint(&name, leader).await,
-                Try::Reply(Reply::LeaderNotReady) => tokio::time::sleep(ROUND_PAUSE).await,
-                Try::Reply(Reply::Unknown) => may_be_done = true,
-                Try::Reply(reply) => {
+                Attempt::Reply(Reply::NotLeader { leader }) => {
+                    self.follow_hint(&name, leader).await
+                }
+                Attempt::Reply(Reply::LeaderNotReady) => tokio::time::sleep(RETRY_BACKOFF).await,
+                Attempt::Reply(Reply::Unknown) => may_be_done = true,
+                Attempt::Reply(reply) => {
                     *self.leader.borrow_mut() = Some(name);
                     return CallOutcome::Answered(reply);
                 }
-                Try::NotSent => {
+                Attempt::NotSent => {
                     self.forget(&name);
-                    tokio::time::sleep(ROUND_PAUSE / 4).await;
+                    tokio::time::sleep(RETRY_BACKOFF / 4).await;
                 }
-                Try::NoReply => {
-                    may_be_done |= changes;
+                Attempt::NoReply => {
+                    may_be_done |= is_write;
                     self.forget(&name);
                 }
             }
@@ -109,7 +112,7 @@
         CallOutcome::NotDone
     }
 
-    /// Calls one job store, whether it leads or not; `None` where it gave no reply by `limit`.
+    /// Calls one job store, whether it leads or not; `None` if it did not reply by `limit`.
     pub async fn call_member(
         &self,
         address: SocketAddr,
@@ -117,12 +120,12 @@
         limit: Instant,
     ) -> Option<Reply> {
         match self.call_one(address, request, limit).await {
-            Try::Reply(reply) => Some(reply),
-            Try::NotSent | Try::NoReply => None,
+            Attempt::Reply(reply) => Some(reply),
+            Attempt::NotSent | Attempt::NoReply => None,
         }
     }
 
-    /// The leader as far as known, else each job store in turn.
+    /// The leader if known, otherwise the next job store in turn.
     fn candidate(&self) -> Option<(String, SocketAddr)> {
         let fleet = self.fleet.load();
         let leader = self.leader.borrow();
@@ -143,7 +146,7 @@
         let pause = known.is_none();
         *self.leader.borrow_mut() = known;
         if pause {
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(RETRY_BACKOFF).await;
         }
     }
 
@@ -154,24 +157,24 @@
         }
     }
 
-    async fn call_one(&self, address: SocketAddr, request: Request, limit: Instant) -> Try {
-        let Some(link) = self.link(address).await else { return Try::NotSent };
+    async fn call_one(&self, address: SocketAddr, request: Request, limit: Instant) -> Attempt {
+        let Some(link) = self.link(address).await else { return Attempt::NotSent };
         let call = self.next_call.get();
         self.next_call.set(call + 1);
         let (sender, reply) = oneshot::channel();
         link.waiting.borrow_mut().insert(call, sender);
         if link.frames.send(Frame::Request { call, request }).is_err() {
             link.waiting.borrow_mut().remove(&call);
-            return Try::NotSent;
+            return Attempt::NotSent;
         }
         match tokio::time::timeout_at(limit, reply).await {
-            Ok(Ok(reply)) => Try::Reply(reply),
-            Ok(Err(_)) => Try::NoReply,
+            Ok(Ok(reply)) => Attempt::Reply(reply),
+            Ok(Err(_)) => Attempt::NoReply,
             Err(_) => {
                 link.waiting.borrow_mut().remove(&call);
-                // A silent connection may never speak again; the next call makes a new one.
+                // An unresponsive connection may never recover; the next call opens a new one.
                 link.open.set(false);
-                Try::NoReply
+                Attempt::NoReply
             }
         }
     }
@@ -215,7 +218,7 @@
             }
         }
         open.set(false);
-        // Whoever waits hears that there will be no reply.
+        // Dropping the senders tells all callers that no reply will come.
         waiting.borrow_mut().clear();
     });
     link
--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The job store process: one thread for the group, the jobs and the runs; one for the disk.
+//! The job store process: one thread for consensus, jobs and runs, and one for the disk.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -38,49 +38,49 @@
 use crate::worker::Worker;
 use crate::{addresses, aggregators, group, server, suspects};
 
-/// Parts in which replicas differ in when they rewrite their disks.
+/// Number of steps over which the replicas spread their disk rewrites.
 const STAGGER_PARTS: u64 = 64;
 
-/// What a job store is told at its start.
+/// Start options of a job store.
 #[derive(Clone, Debug)]
 pub struct JobStoreOptions {
     /// Name, unique in the fleet.
     pub name: String,
-    /// Zone in which it stands.
+    /// Zone of the process.
     pub zone: String,
     /// Region of the zone.
     pub region: String,
-    /// Regions of all zones.
+    /// Region of each zone.
     pub zones: Arc<ZoneMap>,
-    /// What is promised of zones, and of back ends that are not warm yet.
+    /// Bounds for the evacuation of zones and for back ends that are still cold.
     pub placement: PlacementBounds,
     /// Address for other processes, TCP and UDP.
     pub peer: SocketAddr,
-    /// Address at which other processes ask for configuration and back ends.
+    /// Address at which other processes request the configuration and the back ends.
     pub exchange: SocketAddr,
-    /// Peer addresses of some processes; they change when settings are read again.
+    /// Peer addresses of some processes; updated when the settings are reloaded.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// Folder for the log.
+    /// Folder of the log.
     pub folder: PathBuf,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at the same time.
     pub tolerated_losses: usize,
-    /// Time for which jobs that are over are kept.
+    /// How long finished jobs are retained.
     pub retention: Duration,
-    /// Bytes of log that are held in memory, and on disk beside the state.
+    /// Bytes of log held in memory, and on disk in addition to the snapshot.
     pub log_bytes: usize,
-    /// Bytes of jobs above which no further one is taken.
+    /// Bytes of jobs above which submissions are rejected.
     pub job_bytes: usize,
-    /// Bytes of results that may be on their way to readers.
+    /// Maximum bytes of results in flight to readers.
     pub page_bytes: usize,
-    /// Items that run at once at most.
+    /// Maximum number of items that run at the same time.
     pub max_runs: usize,
-    /// Decisions that are switched on.
+    /// Enabled policies.
     pub policy: Policy,
-    /// What is tolerated beyond tenants' limits.
+    /// Tolerances beyond the limits of tenants.
     pub quota: QuotaBounds,
-    /// Where it is known from that the machine was suspended.
+    /// Source that tells when the machine was suspended.
     pub suspension: SuspensionSource,
 }
 
@@ -91,10 +91,10 @@
     ports: PeerPorts,
 }
 
-/// Why a job store did not start.
+/// Why a job store failed to start.
 #[derive(Debug)]
 pub struct StartError {
-    /// The step.
+    /// The step that failed.
     pub step: &'static str,
     /// The cause.
     pub cause: String,
@@ -108,26 +108,29 @@
 
 impl std::error::Error for StartError {}
 
-fn at<E: std::fmt::Display>(step: &'static str) -> impl FnOnce(E) -> StartError {
+fn start_error<E: std::fmt::Display>(step: &'static str) -> impl FnOnce(E) -> StartError {
     move |cause| StartError { step, cause: cause.to_string() }
 }
 
 impl JobStore {
-    /// Opens the ports. A port 0 is replaced by the one that the system chose.
+    /// Opens the ports. Port 0 is replaced by the port that the system assigned.
     pub async fn bind(mut options: JobStoreOptions) -> Result<Self, StartError> {
-        let listener = TcpListener::bind(options.peer).await.map_err(at("listen for peers"))?;
-        options.peer = listener.local_addr().map_err(at("listen for peers"))?;
-        let datagrams = UdpSocket::bind(options.peer).await.map_err(at("open datagram port"))?;
-        let exchange = TcpListener::bind(options.exchange).await.map_err(at("listen for news"))?;
+        let listener =
+            TcpListener::bind(options.peer).await.map_err(start_error("listen for peers"))?;
+        options.peer = listener.local_addr().map_err(start_error("listen for peers"))?;
+        let datagrams =
+            UdpSocket::bind(options.peer).await.map_err(start_error("open datagram port"))?;
+        let exchange =
+            TcpListener::bind(options.exchange).await.map_err(start_error("listen for news"))?;
         Ok(Self { options, listener, ports: PeerPorts { datagrams, exchange } })
     }
 
-    /// What it was told, with the ports that are open.
+    /// The start options, with the ports that are open.
     pub fn options(&self) -> &JobStoreOptions {
         &self.options
     }
 
-    /// Runs until `stop` turns true. To be called within a `tokio::task::LocalSet`.
+    /// Runs until `stop` becomes true. Must be called within a `tokio::task::LocalSet`.
     pub async fn run<P: Platform>(
         self,
         platform: P,
@@ -135,7 +138,7 @@
     ) -> Result<(), StartError> {
         let Self { options, listener, ports } = self;
         let peer = options.peer;
-        let opened = Wal::open(&options.folder, rand::random()).map_err(at("open log"))?;
+        let opened = Wal::open(&options.folder, rand::random()).map_err(start_error("open log"))?;
         let me = MemberId { name: options.name.clone(), incarnation: opened.incarnation };
         LogLine::new(EventName::Started)
             .id(&me)
@@ -146,7 +149,7 @@
             .field("empty_disk", opened.was_empty)
             .field("last_position", opened.recovered.last_index())
             .write();
-        let (disk, synced) = Disk::start(opened.wal).map_err(at("start disk thread"))?;
+        let (disk, synced) = Disk::start(opened.wal).map_err(start_error("start disk thread"))?;
 
         let fleet = empty_fleet();
         let identity = Identity {
@@ -161,7 +164,7 @@
         let state = opened.recovered.snapshot.state.clone();
         let core = Consensus::new(me.clone(), opened.recovered, 0, rand::random());
         let links = Links::new(fleet.clone(), addresses::load(&options.folder));
-        tokio::task::spawn_local(addresses::keep(options.folder.clone(), fleet.clone()));
+        tokio::task::spawn_local(addresses::persist_changes(options.folder.clone(), fleet.clone()));
         let limits = StoreLimits {
             copies: options.tolerated_losses + 1,
             log_bytes: staggered(options.log_bytes, &options.name),
@@ -170,7 +173,7 @@
         let observer = Box::new(LogObserver);
         let clock = || ElapsedClock::new(options.suspension.clone());
         let store = Rc::new(Store::new(core, state, disk, links, observer, limits, clock()));
-        tokio::task::spawn_local(take_synced(store.clone(), synced));
+        tokio::task::spawn_local(forward_synced(store.clone(), synced));
         tokio::task::spawn_local(tick(store.clone()));
 
         let freshness = Freshness::new(options.suspension.clone());
@@ -203,7 +206,7 @@
             tokio::task::spawn_local(group::bootstrap(platform.clone(), store.clone(), me.clone()));
         }
         tokio::task::spawn_local(group::join(store.clone(), fleet.clone(), me));
-        tokio::task::spawn_local(group::become_sole_voter(platform.clone(), store.clone()));
+        tokio::task::spawn_local(group::continue_alone(platform.clone(), store.clone()));
         tokio::task::spawn_local(aggregators::exchange(
             store.clone(),
             fleet.clone(),
@@ -226,26 +229,30 @@
         };
         let cold = ColdStartLimiter::new(catalog.clone(), fleet.clone(), cold_options);
         tokio::task::spawn_local(cold_start::watch(cold.clone()));
-        // It knows no regions: items of all would fill the back ends of the leader's region, though a worker near
-        // the back end sends them.
+        // This balancer ignores regions: otherwise the items of all regions would fill the back
+        // ends of the leader's region, although a worker near the back end sends them.
         let balancer = Balancer::new(options.zone.clone(), rand::random(), options.policy);
-        let places = SharedBalancer::with_cold_start(balancer, clock(), cold.clone());
+        let balancer = SharedBalancer::with_cold_start(balancer, clock(), cold.clone());
         let suspects = Registry::new(catalog.clone(), clock());
         suspects::load(&options.folder, &suspects);
-        tokio::task::spawn_local(suspects::keep(options.folder.clone(), suspects.clone()));
+        tokio::task::spawn_local(suspects::persist_changes(
+            options.folder.clone(),
+            suspects.clone(),
+        ));
         let client = Rc::new(JobClient::new(fleet.clone()));
         let target = ReportTarget::new(options.name.clone())
             .in_zone(options.zone.clone(), options.zones.clone());
         suspects::start_exchange(suspects.clone(), client, fleet.clone(), target, port);
         let items = ItemRunner::new(platform.dialect(), suspects.clone());
-        let worker = Worker::new(catalog.clone(), cold, freshness, items, places, options.max_runs);
+        let worker =
+            Worker::new(catalog.clone(), cold, freshness, items, balancer, options.max_runs);
         let quota = QuotaService::new(options.name.clone(), options.quota, clock());
         tokio::task::spawn_local(quota::renew_leases(
             quota.clone(),
             catalog.clone(),
             fleet.clone(),
         ));
-        tokio::task::spawn_local(quota::oversee(
+        tokio::task::spawn_local(quota::assign_slots(
             quota.clone(),
             store.clone(),
             catalog.clone(),
@@ -261,13 +268,13 @@
         let runner =
             Runner::new(store.clone(), worker.clone(), delegation, fleet.clone(), runner_options);
         tokio::task::spawn_local(Rc::new(runner).run());
-        let places = (fleet.clone(), known_zones);
+        let locations = (fleet.clone(), known_zones);
         let serving = server::serve(
             listener,
             store.clone(),
             worker,
             quota.clone(),
-            places,
+            locations,
             options.page_bytes,
         );
         tokio::task::spawn_local(serving);
@@ -285,14 +292,15 @@
     }
 }
 
-/// A bound on the log that differs among replicas by up to a third: all of them would rewrite their
-/// disks at the same moment, and nothing could be committed meanwhile.
+/// The log limit of a replica, lowered by up to a third depending on its name. With equal limits
+/// all replicas would rewrite their disks at the same time, and nothing could be committed
+/// meanwhile.
 fn staggered(log_bytes: usize, name: &str) -> usize {
     let part = xxh3_64(name.as_bytes()) % STAGGER_PARTS;
     log_bytes - log_bytes / 3 * part as usize / STAGGER_PARTS as usize
 }
 
-async fn take_synced(store: Rc<Store>, mut synced: Synced) {
+async fn forward_synced(store: Rc<Store>, mut synced: Synced) {
     while let Some(orders) = synced.recv().await {
         store.synced(orders);
     }
@@ -308,24 +316,24 @@
     }
 }
 
-/// Before a planned stop the lead goes to another member, so that nobody waits for an election.
+/// Transfers leadership before a planned stop, so that no election is needed.
 async fn transfer_leadership(store: &Store) {
-    let other = store.with_core(|core, now| {
+    let is_transferring = store.with_core(|core, now| {
         let me = core.id().clone();
         let mut others: Vec<MemberId> =
             core.members().voters.iter().filter(|voter| **voter != me).cloned().collect();
         others.sort_by_key(|other| core.silent_ms(now, other));
-        let done = others.iter().any(|other| core.transfer_leadership(now, other));
-        done && core.role() == Role::Leader
+        let has_started = others.iter().any(|other| core.transfer_leadership(now, other));
+        has_started && core.role() == Role::Leader
     });
-    if other {
+    if is_transferring {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
 struct LogObserver;
 
-/// Exit code of a process whose log holds what it can't read: that of a data folder that failed.
+/// Exit code if the log holds an unreadable command; the same as for a failed data folder.
 const EXIT_UNREADABLE_LOG: i32 = 4;
 
 impl StoreObserver for LogObserver {
@@ -336,9 +344,10 @@
             .text("build", version::build())
             .field("formats", version::FORMAT_VERSION)
             .write();
-        // Lines are written by a thread of their own, which may not come to this one any more.
-        eprintln!("yokefall: position {index} of the log: {error}");
-        // Nothing is lost: what is synced stays, and a program that knows the command goes on from here.
+        // The process may exit before the logging thread has written the line above.
+        eprintln!("yokefall: log position {index}: {error}");
+        // No data is lost: what is synced stays, and a build that knows the command can continue
+        // from here.
         std::process::exit(EXIT_UNREADABLE_LOG);
     }
 
@@ -372,7 +381,7 @@
         LogLine::new(EventName::StateSent).id(member).field("bytes", bytes).write();
     }
 
-    fn state_taken(&self, index: Index, bytes: usize) {
+    fn state_installed(&self, index: Index, bytes: usize) {
         LogLine::new(EventName::StateTaken).field("position", index).field("bytes", bytes).write();
     }
 
--- a/crates/jobstore/src/disk.rs
+++ b/crates/jobstore/src/disk.rs
@@ -1,4 +1,5 @@
-//! The thread that writes: nothing that waits for the disk holds up the thread that answers peers.
+//! The disk thread. Writing on a thread of its own keeps a slow disk from blocking the thread that
+//! answers peers.
 
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
@@ -9,77 +10,82 @@
 
 use crate::wal::{Rewrite, Wal};
 
-/// Pause after a failed write before it is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Backoff after a failed write.
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What the disk thread is asked to do, in order.
+/// A command to the disk thread; commands are executed in order.
 #[derive(Debug)]
-pub enum DiskOrder {
-    /// Write these.
+pub enum DiskCommand {
+    /// Appends records to the log.
     Append(Vec<Write>),
-    /// Put this in the place of everything.
+    /// Replaces the whole log.
     Replace(Box<Rewrite>),
 }
 
-/// The control thread's side of the disk thread.
+/// Handle to the disk thread.
 #[derive(Debug)]
 pub struct Disk {
-    orders: Sender<DiskOrder>,
+    commands: Sender<DiskCommand>,
 }
 
-/// Tells how many orders were synced since it last told.
+/// Receives the number of commands synced since the previous message.
 pub type Synced = UnboundedReceiver<usize>;
 
 impl Disk {
     /// Starts the thread.
     pub fn start(wal: Wal) -> std::io::Result<(Self, Synced)> {
-        let (orders, received) = channel();
-        let (told, synced) = unbounded_channel();
-        std::thread::Builder::new().name("disk".into()).spawn(move || run(wal, received, told))?;
-        Ok((Self { orders }, synced))
+        let (commands, received) = channel();
+        let (report_synced, synced) = unbounded_channel();
+        std::thread::Builder::new()
+            .name("disk".into())
+            .spawn(move || run(wal, received, report_synced))?;
+        Ok((Self { commands }, synced))
     }
 
-    /// Queues an order.
-    pub fn order(&self, order: DiskOrder) {
-        // The thread ends with the process.
-        let _ = self.orders.send(order);
+    /// Enqueues a command.
+    pub fn enqueue(&self, command: DiskCommand) {
+        // The thread lives as long as the process.
+        let _ = self.commands.send(command);
     }
 }
 
-/// Writes everything that waits, syncs once, tells.
-fn run(mut wal: Wal, orders: Receiver<DiskOrder>, told: UnboundedSender<usize>) {
-    while let Ok(first) = orders.recv() {
+/// Executes all pending commands, syncs once and reports the number of commands.
+fn run(mut wal: Wal, commands: Receiver<DiskCommand>, report_synced: UnboundedSender<usize>) {
+    while let Ok(first) = commands.recv() {
         let mut count = 0;
         let mut next = Some(first);
-        while let Some(order) = next {
+        while let Some(command) = next {
             count += 1;
-            match order {
-                DiskOrder::Append(writes) => writes.iter().for_each(|write| wal.add(write)),
-                DiskOrder::Replace(rewrite) => replace(&mut wal, &rewrite),
+            match command {
+                DiskCommand::Append(writes) => writes.iter().for_each(|write| wal.add(write)),
+                DiskCommand::Replace(rewrite) => replace(&mut wal, &rewrite),
             }
-            next = orders.try_recv().ok();
+            next = commands.try_recv().ok();
         }
-        until_done("sync", || wal.sync());
-        if told.send(count).is_err() {
+        retry_until_done("sync", || wal.sync());
+        if report_synced.send(count).is_err() {
             return;
         }
     }
 }
 
 fn replace(wal: &mut Wal, rewrite: &Rewrite) {
-    until_done("sync", || wal.sync());
-    until_done("rewrite", || wal.rewrite(rewrite.clone()));
+    retry_until_done("sync", || wal.sync());
+    retry_until_done("rewrite", || wal.rewrite(rewrite.clone()));
 }
 
-/// Repeats a step until it is done: a disk that refuses writes may take them later, and until then
-/// nothing is acknowledged.
-fn until_done<E: std::fmt::Display>(step: &'static str, mut action: impl FnMut() -> Result<(), E>) {
-    let mut told = false;
+/// Retries a step until it succeeds. A failing disk may recover; until then nothing is
+/// acknowledged.
+fn retry_until_done<E: std::fmt::Display>(
+    step: &'static str,
+    mut action: impl FnMut() -> Result<(), E>,
+) {
+    let mut is_logged = false;
     while let Err(error) = action() {
-        if !told {
+        if !is_logged {
             LogLine::new(EventName::DiskFailed).field("step", step).text("cause", &error).write();
-            told = true;
+            is_logged = true;
         }
-        std::thread::sleep(RETRY_PAUSE);
+        std::thread::sleep(RETRY_BACKOFF);
     }
 }
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -1,5 +1,5 @@
-//! The group's members from outside the log: founding, joining, and the machines that an operator
-//! wants to empty.
+//! Changes to the group's members that originate outside the log: bootstrap, joining, and the
+//! retirement of machines by an operator.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,63 +23,63 @@
 use crate::residency::KnownZones;
 use crate::store::Store;
 
-/// Interval at which a member that is outside asks to join, at first: a lost disk is to be replaced
-/// within seconds.
+/// Initial interval of join requests: a lost disk should be replaced within seconds.
 const JOIN_INTERVAL: Duration = Duration::from_millis(250);
-/// The same once it has asked for a while: it stands by.
+/// Interval of join requests after `FAST_JOIN_ATTEMPTS`, for a member on standby.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Askings at the first interval.
-const EAGER_JOINS: u32 = 20;
-/// Time for which an asking counts.
+/// Number of join requests at the initial interval.
+const FAST_JOIN_ATTEMPTS: u32 = 20;
+/// Time for which a join request is valid.
 const JOIN_LIFETIME: Duration = Duration::from_millis(2_300);
-/// Interval at which the leader looks at members while a change is wanted.
+/// Interval at which the leader evaluates the membership policy while a change is pending.
 const POLICY_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a call to the platform's store that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Key of the claim to found the group.
+/// Backoff after a failed call to the platform's store.
+const RETRY_BACKOFF: Duration = Duration::from_millis(300);
+/// Key of the claim that elects the founder of the group.
 const FOUNDER_KEY: &str = "jobs";
-/// Interval at which a member of a pair looks whether the other one is gone.
-const OUTLIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for the store's answer about the founder.
-const FOUND_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval at which a member of a two-member group checks whether the other one is gone.
+const PAIR_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit for a claim or report to the platform's store.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Machines that are to be emptied, as far as the platform's store told.
+/// Machines that are being retired according to the platform's store, with whether that is
+/// completed.
 #[derive(Clone, Default)]
-pub struct Leaving {
+pub struct RetiringMachines {
     names: Rc<RefCell<HashMap<String, bool>>>,
 }
 
-impl Leaving {
-    /// Names of machines whose emptying is not reported as done.
+impl RetiringMachines {
+    /// Machines whose retirement has not been reported as completed.
     fn open(&self) -> Vec<String> {
         let names = self.names.borrow();
         names.iter().filter(|(_, completed)| !**completed).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Names of all machines that must take nothing.
+    /// All machines that must not be given any role.
     fn all(&self) -> Vec<String> {
         self.names.borrow().keys().cloned().collect()
     }
 
-    fn note_completed(&self, name: &str) {
+    fn mark_completed(&self, name: &str) {
         self.names.borrow_mut().insert(name.to_owned(), true);
     }
 }
 
-struct LeavingSink {
-    leaving: Leaving,
+struct RetirementSink {
+    retiring: RetiringMachines,
     store: Rc<Store>,
 }
 
-impl Sink<Retirement> for LeavingSink {
+impl Sink<Retirement> for RetirementSink {
     fn replace(&self, listing: Listing<Retirement>) {
-        self.leaving.names.borrow_mut().clear();
+        self.retiring.names.borrow_mut().clear();
         self.apply(listing.items, listing.revision);
     }
 
     fn apply(&self, changes: Vec<Change<Retirement>>, _revision: Revision) {
         for Change { name, value, .. } in changes {
-            let mut names = self.leaving.names.borrow_mut();
+            let mut names = self.retiring.names.borrow_mut();
             match value {
                 Some(retirement) => names.insert(name, retirement.completed),
                 None => names.remove(&name),
@@ -91,19 +91,19 @@
     fn ended(&self, _error: Option<&SourceError>) {}
 }
 
-fn decided(decision: &'static str, about: impl std::fmt::Display) {
-    LogLine::new(EventName::GroupDecision).id(about).field("decision", decision).write();
+fn log_decision(decision: &'static str, subject: impl std::fmt::Display) {
+    LogLine::new(EventName::GroupDecision).id(subject).field("decision", decision).write();
 }
 
-/// Founds the group, where this is the first start of the whole system and no other member was
-/// faster. The platform's store decides which one: its record is made once.
+/// Bootstraps the group if this is the first start of the whole system and no other member was
+/// first. A claim in the platform's store, which can be made only once, decides.
 pub async fn bootstrap<P: Platform>(platform: P, store: Rc<Store>, me: MemberId) {
     let mut registry = platform.registry();
     let offer = me.to_string();
     loop {
-        match tokio::time::timeout(FOUND_TIMEOUT, registry.claim(FOUNDER_KEY, &offer)).await {
+        match tokio::time::timeout(CLAIM_TIMEOUT, registry.claim(FOUNDER_KEY, &offer)).await {
             Ok(Ok(Claim::Mine)) => {
-                decided("found the group", &me);
+                log_decision("bootstrap the group", &me);
                 store.with_core(|core, now| core.bootstrap(now));
                 store.deadline_changed.notify_one();
                 return;
@@ -111,26 +111,27 @@
             Ok(Ok(Claim::Another)) => return,
             Ok(Err(_)) | Err(_) => registry.reset(),
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_BACKOFF).await;
     }
 }
 
-/// Asks to join for as long as this member is outside of the group.
+/// Sends join requests while this member is not in the group. Never returns.
 pub async fn join(store: Rc<Store>, fleet: FleetCell, me: MemberId) {
-    let mut asked = 0;
+    let mut attempts = 0;
     loop {
         let outside = store.with_core(|core, _| !core.members().contains(&me));
         if outside {
             for member in fleet.load().job_stores().filter(|member| member.name != me.name) {
                 store.send_frame(&member.name, &Frame::Join(me.clone()));
             }
-            asked += 1;
-            let interval = if asked < EAGER_JOINS { JOIN_INTERVAL } else { STANDBY_INTERVAL };
+            attempts += 1;
+            let interval =
+                if attempts < FAST_JOIN_ATTEMPTS { JOIN_INTERVAL } else { STANDBY_INTERVAL };
             tokio::time::sleep(interval).await;
             continue;
         }
-        asked = 0;
-        // A member that was removed while it was away learns it from nobody: look now and then.
+        attempts = 0;
+        // A member that was removed while it was down is not notified, so it checks for a leader.
         tokio::time::sleep(JOIN_INTERVAL * 4).await;
         let leaderless = store.with_core(|core, _| core.leader().is_none());
         if leaderless {
@@ -141,14 +142,14 @@
     }
 }
 
-/// Changes members while this member leads.
+/// Manages the members of the group while this member leads.
 pub async fn lead<P: Platform>(
     platform: P,
     store: Rc<Store>,
-    places: (FleetCell, CatalogCell, Rc<KnownZones>),
+    locations: (FleetCell, CatalogCell, Rc<KnownZones>),
     voters: usize,
 ) {
-    let leaving = Leaving::default();
+    let retiring = RetiringMachines::default();
     let mut watch: Option<tokio::task::JoinHandle<()>> = None;
     loop {
         if !store.leads() {
@@ -156,15 +157,17 @@
                 watch.abort();
             }
             store.group_changed.notified().await;
-            let settling = store.with_core(|core, _| core.role() == Role::Leader);
-            if settling {
+            // A leader without a valid lease, or that still applies entries of earlier terms,
+            // checks again after `POLICY_INTERVAL`.
+            let is_leader = store.with_core(|core, _| core.role() == Role::Leader);
+            if is_leader {
                 tokio::time::sleep(POLICY_INTERVAL).await;
                 store.group_changed.notify_one();
             }
             continue;
         }
         if watch.is_none() {
-            let sink = LeavingSink { leaving: leaving.clone(), store: store.clone() };
+            let sink = RetirementSink { retiring: retiring.clone(), store: store.clone() };
             let following = Follow {
                 refresh: Rc::default(),
                 others: Vec::new(),
@@ -174,8 +177,8 @@
             let watching = follow(platform.retirements(), sink, following);
             watch = Some(tokio::task::spawn_local(watching));
         }
-        let busy = change_members(&platform, &store, &places, &leaving, voters).await;
-        report_emptied(&platform, &store, &leaving).await;
+        let busy = change_members(&platform, &store, &locations, &retiring, voters).await;
+        report_retired(&platform, &store, &retiring).await;
         if busy {
             tokio::time::sleep(POLICY_INTERVAL).await;
         } else {
@@ -184,21 +187,21 @@
     }
 }
 
-/// One step. Returns whether another look is wanted soon.
+/// Executes one step of the membership policy. Returns whether it should be evaluated again soon.
 async fn change_members<P: Platform>(
     platform: &P,
     store: &Store,
     (fleet, catalog, known_zones): &(FleetCell, CatalogCell, Rc<KnownZones>),
-    leaving: &Leaving,
+    retiring: &RetiringMachines,
     voters: usize,
 ) -> bool {
-    known_zones.note(&fleet.load());
+    known_zones.record(&fleet.load());
     let joining = store.joining(JOIN_LIFETIME);
-    let joining = from_inside(store, &catalog.load(), known_zones, joining);
-    let wishes =
-        DesiredMembership { joining, leaving: leaving.all(), voters, zones: zones_of(fleet) };
+    let joining = prefer_allowed_regions(store, &catalog.load(), known_zones, joining);
+    let desired =
+        DesiredMembership { joining, leaving: retiring.all(), voters, zones: zones_of(fleet) };
     let (step, pair) = store.with_core(|core, now| {
-        let step = next_step(core, now, &wishes);
+        let step = next_step(core, now, &desired);
         let pair = core.pair().filter(|_| match &step {
             Step::Change(members) => needs_claim(core, members),
             Step::Idle | Step::TransferLeadership(_) => false,
@@ -209,31 +212,31 @@
         Step::Idle => {}
         Step::Change(members) => {
             if claim_pair(platform, store, pair).await {
-                let told = format!("{members:?}");
+                let description = format!("{members:?}");
                 if store.with_core(|core, now| core.change_members(now, members)) {
-                    decided("change members", told);
+                    log_decision("change members", description);
                 }
             } else {
-                decided("wait for the claim on a pair", format!("{pair:?}"));
+                log_decision("wait for the claim of a two-member group", format!("{pair:?}"));
             }
         }
         Step::TransferLeadership(to) => {
-            decided("hand the lead over", &to);
+            log_decision("transfer leadership", &to);
             store.with_core(|core, now| core.transfer_leadership(now, &to));
         }
     }
     let learners = store.with_core(|core, _| !core.members().learners.is_empty());
-    !wishes.joining.is_empty() || !leaving.open().is_empty() || learners
+    !desired.joining.is_empty() || !retiring.open().is_empty() || learners
 }
 
-/// Zones of the job stores that are known.
+/// Zones of the known job stores.
 fn zones_of(fleet: &FleetCell) -> Zones {
     let fleet = fleet.load();
     Zones::new(fleet.job_stores().map(|member| (member.name.clone(), member.zone.clone())))
 }
 
-/// Those who ask from where all jobs may be kept that are held now, where there are any.
-fn from_inside(
+/// Prefers joining members located where all current jobs may be stored, if there are any.
+fn prefer_allowed_regions(
     store: &Store,
     catalog: &Catalog,
     known_zones: &KnownZones,
@@ -243,25 +246,26 @@
         return joining;
     }
     let residency = store.residency(catalog);
-    known_zones.prefer_inside(&mut joining, &residency, &catalog.zones);
+    known_zones.prefer_allowed(&mut joining, &residency, &catalog.zones);
     joining
 }
 
-/// Claims a pair for this member; where there is none, nothing needs a claim.
+/// Claims, in the platform's store, the exclusive right of this member to act for a two-member
+/// group. Without a pair no claim is needed.
 async fn claim_pair<P: Platform>(platform: &P, store: &Store, pair: Option<Pair>) -> bool {
     let Some(Pair { epoch }) = pair else { return true };
     let me = store.with_core(|core, _| core.id().to_string());
     let key = format!("pair-{epoch}");
     let mut registry = platform.registry();
-    let claimed = tokio::time::timeout(FOUND_TIMEOUT, registry.claim(&key, &me)).await;
+    let claimed = tokio::time::timeout(CLAIM_TIMEOUT, registry.claim(&key, &me)).await;
     matches!(claimed, Ok(Ok(Claim::Mine)))
 }
 
-/// Where the group is a pair and the other one is silent: goes on alone, if this one's claim is the
-/// first.
-pub async fn become_sole_voter<P: Platform>(platform: P, store: Rc<Store>) {
+/// In a two-member group whose other member is unresponsive, continues alone if this member's claim
+/// is the first. Never returns.
+pub async fn continue_alone<P: Platform>(platform: P, store: Rc<Store>) {
     loop {
-        tokio::time::sleep(OUTLIVE_INTERVAL).await;
+        tokio::time::sleep(PAIR_CHECK_INTERVAL).await;
         let joining = store.joining(JOIN_LIFETIME);
         let pair = store.with_core(|core, now| {
             core.pair().filter(|_| should_become_sole_voter(core, now, &joining))
@@ -274,8 +278,8 @@
             silent && pair.is_some_and(|pair| core.become_sole_voter(now, pair))
         });
         if alone {
-            decided(
-                "go on alone after the other of a pair",
+            log_decision(
+                "continue alone in a two-member group",
                 store.with_core(|c, _| c.id().clone()),
             );
             store.deadline_changed.notify_one();
@@ -283,21 +287,21 @@
     }
 }
 
-/// Reports machines that hold nothing of the group any more.
-async fn report_emptied<P: Platform>(platform: &P, store: &Store, leaving: &Leaving) {
-    for name in leaving.open() {
-        let out = store.with_core(|core, _| {
-            let member = core.members().all().any(|member| member.name == name);
-            !member && core.can_change_members() && core.members_durably_committed()
+/// Reports retired machines that no longer hold any data of the group.
+async fn report_retired<P: Platform>(platform: &P, store: &Store, retiring: &RetiringMachines) {
+    for name in retiring.open() {
+        let has_left = store.with_core(|core, _| {
+            let is_member = core.members().all().any(|member| member.name == name);
+            !is_member && core.can_change_members() && core.members_durably_committed()
         });
-        if !out {
+        if !has_left {
             continue;
         }
         let mut registry = platform.registry();
         let report = registry.report_retirement(&name, true);
-        if let Ok(Ok(())) = tokio::time::timeout(FOUND_TIMEOUT, report).await {
-            decided("report a machine as emptied", &name);
-            leaving.note_completed(&name);
+        if let Ok(Ok(())) = tokio::time::timeout(CLAIM_TIMEOUT, report).await {
+            log_decision("report a machine as retired", &name);
+            retiring.mark_completed(&name);
         }
     }
 }
--- a/crates/jobstore/src/item_run.rs
+++ b/crates/jobstore/src/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of an item as its leader sees it: from the slot that it got to what is recorded of its end.
+//! A run of an item from the leader's point of view: from occupying a slot to recording the result.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,15 +20,15 @@
 use crate::running::{take_output, CountedItem, ItemKey, Running};
 use crate::state::{Command, Run};
 
-/// Pause before an item that could not run is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Backoff before an item that could not run is retried.
+const RETRY_BACKOFF: Duration = Duration::from_millis(150);
 
-/// The slot of an item that starts.
+/// The slot, worker and state of an item that starts.
 struct PlacedItem {
     slot: BackendSlot,
     worker: ItemWorker,
     phase: Rc<Cell<Phase>>,
-    /// Tells it to give its slot to an online request.
+    /// Notified when the item must release its slot to an online request.
     preempted: Rc<Notify>,
 }
 
@@ -41,8 +41,8 @@
         }) else {
             return;
         };
-        let run = Run { number: rand::random(), asked_after: partial };
-        let progress = Progress { run, kept_event: partial, last_event: partial, text: None };
+        let run = Run { number: rand::random(), resume_after: partial };
+        let progress = Progress { run, committed_event: partial, last_event: partial, text: None };
         let progress = Rc::new(RefCell::new(progress));
         let slot = self.worker.balancer.take(backend.clone());
         let preempted = Rc::new(Notify::new());
@@ -87,14 +87,14 @@
         let (began, events_before) = (Instant::now(), progress.borrow().last_event);
         let end = match worker {
             Some(worker) => {
-                let order = RunRequest {
+                let request = RunRequest {
                     backend: Backend::clone(&slot.backend),
                     host: sender.host.clone(),
                     tenant: sender.tenant.clone(),
                     item: JobItem::clone(&item),
                     after_event: events_before,
                 };
-                self.delegation.run(&worker, order, &mut slot, &progress, &preempted).await
+                self.delegation.run(&worker, request, &mut slot, &progress, &preempted).await
             }
             None => {
                 let backend = slot.backend.clone();
@@ -115,7 +115,7 @@
             match end.is_whole_answer() {
                 true => suspects.record_answer(&digest),
                 false => {
-                    // One that gave no event may have waited in the back end's queue.
+                    // Without any event it may have waited in the back end's queue.
                     let gave_events = progress.borrow().last_event > events_before;
                     let worked = if gave_events { began.elapsed() } else { Duration::ZERO };
                     suspects.record_inconclusive_run(&digest, worked);
@@ -124,16 +124,16 @@
         }
         if end == RunEnd::Completed {
             let events = progress.borrow().last_event;
-            let mut pace = self.pace.get();
-            pace.finished(item.tokens, events, events - events_before, began.elapsed());
-            self.pace.set(pace);
+            let mut estimator = self.estimator.get();
+            estimator.observe(item.tokens, events, events - events_before, began.elapsed());
+            self.estimator.set(estimator);
         }
         self.finish(&key, &item, &progress, end).await;
         self.running.borrow_mut().remove(&key);
         self.store.work_changed.notify_one();
     }
 
-    /// The right to send an item that is still wanted to a back end; else the cause.
+    /// Permission to send an item that is still open to a back end, otherwise the cause.
     fn permit(
         &self,
         (job, index): &ItemKey,
@@ -158,7 +158,7 @@
         let (job, index) = key.clone();
         match end {
             RunEnd::Completed => {
-                let Progress { run, kept_event, text, .. } = progress.borrow().clone();
+                let Progress { run, committed_event, text, .. } = progress.borrow().clone();
                 LogLine::new(EventName::ItemFinished)
                     .id(&item.id)
                     .text("job", &job)
@@ -169,42 +169,44 @@
                     item: index,
                     state: ItemState::Completed,
                     run,
-                    after_event: kept_event,
+                    after_event: committed_event,
                     text,
                 };
                 let _ = self.store.propose(&command).await;
             }
-            RunEnd::Impossible => {
-                self.tell_abandoned(item, &job, "a back end told that it can never be done");
-                // In a task of its own: those of a leader end with its lead.
+            RunEnd::Unprocessable => {
+                self.log_abandoned(item, &job, "a back end told that it can never be done");
+                // Spawned separately, because the leader's tasks are aborted when leadership is
+                // lost.
                 let store = self.store.clone();
                 let recording = tokio::task::spawn_local(async move {
-                    store.abandon_impossible(&job, index).await;
+                    store.abandon_unprocessable(&job, index).await;
                 });
                 let _ = recording.await;
             }
             RunEnd::ItemFailed => self.count_failure(job, index, item).await,
-            RunEnd::Retry { cause, pause } => {
+            RunEnd::Retry { cause, backoff } => {
                 LogLine::new(EventName::ItemRetried)
                     .id(&item.id)
                     .text("job", &job)
                     .field("after_event", progress.borrow().last_event)
                     .field("cause", cause)
                     .write();
-                // The next run asks for what follows the text in the log: it must be there first.
+                // The next run resumes after the output in the log, which must therefore be
+                // committed first.
                 if let Some(command) = take_output(key, progress) {
                     let _ = self.store.propose(&command).await;
                 }
-                let kept_event = progress.borrow().kept_event;
-                self.store.kept(&key.0, key.1, kept_event).await;
-                if pause {
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                let committed_event = progress.borrow().committed_event;
+                self.store.wait_until_applied(&key.0, key.1, committed_event).await;
+                if backoff {
+                    tokio::time::sleep(RETRY_BACKOFF).await;
                 }
             }
         }
     }
 
-    fn tell_abandoned(&self, item: &JobItem, job: &str, cause: &'static str) {
+    fn log_abandoned(&self, item: &JobItem, job: &str, cause: &'static str) {
         LogLine::new(EventName::ItemAbandoned)
             .id(&item.id)
             .field("job", job)
@@ -215,15 +217,16 @@
     async fn count_failure(&self, job: String, index: u32, item: &JobItem) {
         let counted = Command::CountFailure { job: job.clone(), item: index };
         let _ = self.store.propose(&counted).await;
-        let spent = self.store.with_job(&job, |job| {
+        let is_exhausted = self.store.with_job(&job, |job| {
             job.open.get(&index).is_some_and(|open| open.failures >= job.max_attempts)
         });
-        if spent == Some(true) {
-            self.tell_abandoned(item, &job, "every attempt failed");
-            // Where the lead is lost, the failures are in the log, and the next leader gives it up.
+        if is_exhausted == Some(true) {
+            self.log_abandoned(item, &job, "every attempt failed");
+            // If leadership is lost, the failures are in the log and the next leader abandons the
+            // item.
             let _ = self.store.abandon(&job, index).await;
             return;
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_BACKOFF).await;
     }
 }
--- a/crates/jobstore/src/preemption.rs
+++ b/crates/jobstore/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Which items give their slots to online requests.
+//! Selection of the items that are preempted by online requests.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,36 +6,37 @@
 use tokio::time::Instant;
 use yokefall_serving::{Backend, BackendIncarnation};
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has a slot.
+    /// It occupies a slot.
     Placed,
-    /// It was told to give its slot back and still has it.
-    Leaving,
-    /// It has given its slot back: its end is recorded, or its item rests before the next run.
+    /// It was told to release its slot and still occupies it.
+    Preempting,
+    /// It has released its slot: its end is being recorded, or its item waits for the next run.
     Ended,
 }
 
-/// A run of an item as preemption sees it.
+/// A run of an item as seen by preemption.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacedRun<'a> {
     /// Its back end.
     pub backend: &'a Backend,
-    /// Whether it has given any output.
+    /// Whether it has produced any output.
     pub has_output: bool,
     /// When it started.
     pub started: Instant,
-    /// Where it stands.
+    /// Its phase.
     pub phase: Phase,
 }
 
-/// Positions of the runs to be preempted. `online` gives the online requests at a back end, `lacking`
-/// the slots that the items of a service should give back beside those of full back ends.
+/// Positions of the runs to preempt. `online` returns the online requests at a back end,
+/// `shortfall` the slots that the items of a service should release in addition to those of
+/// overfull back ends.
 pub fn preempted(
     runs: &[PlacedRun<'_>],
     online: impl Fn(&Backend) -> u32,
-    lacking: impl Fn(&str) -> usize,
+    shortfall: impl Fn(&str) -> usize,
 ) -> Vec<usize> {
     let mut services: BTreeMap<&str, ServiceRuns> = BTreeMap::new();
     for (position, run) in runs.iter().enumerate() {
@@ -44,27 +45,28 @@
             Phase::Placed => {
                 service.by_backend.entry(run.backend.incarnation()).or_default().push(position);
             }
-            Phase::Leaving => service.leaving += 1,
-            // An item that rests has no slot: if it counted, its back end would stay full, and another
-            // item would be preempted in each pass (97 for one request of 60 ms in the test).
+            Phase::Preempting => service.preempting += 1,
+            // An item that waits for its next run has no slot. If it were counted, its back end
+            // would still appear full and another item would be preempted in each pass (97 for one
+            // request of 60 ms in the test).
             Phase::Ended => {}
         }
     }
     let mut chosen = Vec::new();
     for (name, service) in services {
-        let mut rest = Vec::new();
-        for mut here in service.by_backend.into_values() {
-            let backend = runs[here[0]].backend;
-            let taken = here.len() as u32 + online(backend);
+        let mut remaining = Vec::new();
+        for mut positions in service.by_backend.into_values() {
+            let backend = runs[positions[0]].backend;
+            let taken = positions.len() as u32 + online(backend);
             let over = taken.saturating_sub(backend.slots) as usize;
-            sort(&mut here, runs);
-            rest.extend(here.split_off(over.min(here.len())));
-            chosen.extend(here);
+            sort_for_preemption(&mut positions, runs);
+            remaining.extend(positions.split_off(over.min(positions.len())));
+            chosen.extend(positions);
         }
-        sort(&mut rest, runs);
-        // Slots that are on their way back are not asked for again.
-        let lacking = lacking(name).saturating_sub(service.leaving);
-        chosen.extend(rest.into_iter().take(lacking));
+        sort_for_preemption(&mut remaining, runs);
+        // Slots that are already being released are not requested again.
+        let shortfall = shortfall(name).saturating_sub(service.preempting);
+        chosen.extend(remaining.into_iter().take(shortfall));
     }
     chosen
 }
@@ -72,14 +74,15 @@
 /// Runs of one service.
 #[derive(Debug, Default)]
 struct ServiceRuns {
-    /// Positions of those that have a slot and may lose it, by the life at which it is.
+    /// Positions of runs that occupy a slot, by incarnation of the back end.
     by_backend: BTreeMap<BackendIncarnation, Vec<usize>>,
-    /// Runs that were told to give their slot back and still have it.
-    leaving: usize,
+    /// Runs that were told to release their slot and still occupy it.
+    preempting: usize,
 }
 
-/// The run that is preempted first is the newest one with output: one without any would begin anew.
-fn sort(positions: &mut [usize], runs: &[PlacedRun<'_>]) {
+/// Sorts runs in the order of preemption: the newest with output first. A run without output would
+/// have to start over.
+fn sort_for_preemption(positions: &mut [usize], runs: &[PlacedRun<'_>]) {
     positions
         .sort_by_key(|position| (!runs[*position].has_output, Reverse(runs[*position].started)));
 }
--- a/crates/jobstore/src/quota.rs
+++ b/crates/jobstore/src/quota.rs
@@ -1,5 +1,5 @@
-//! A job store as an accountant of tenants' limits, and as the one that assigns accountants where it
-//! leads. The decisions are `yokefall_quota`'s.
+//! Quota service of a job store: acts as a token issuer of tenants' limits and, on the leader,
+//! assigns token issuers. The decisions are made by `yokefall_quota`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,29 +23,31 @@
 
 /// Interval at which leases are renewed.
 const RENEW_INTERVAL: Duration = Duration::from_millis(RENEW_INTERVAL_MS);
-/// Interval at which the leader looks for slots that nobody holds. A slot without an accountant costs
-/// a third of the limits of a sixteenth of the tenants.
-const OVERSEE_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval at which a process looks whether the configuration limits any tenant.
-const IDLE_INTERVAL: Duration = Duration::from_millis(2_000);
-/// The same while no configuration is known yet.
-const START_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for the leader to answer; an accountant that stops must not wait long for it.
+/// Interval at which the leader looks for slots without a token issuer. Such a slot costs a
+/// sixteenth of the tenants a third of their limits.
+const ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a process checks whether the configuration limits any tenant.
+const UNLIMITED_POLL_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Interval of this check while no configuration is known yet.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time limit for releasing leases; a stopping token issuer must not wait long.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Grants tokens, and renews the leases of others where this process leads.
+/// Grants tokens, and on the leader renews the leases of token issuers.
 #[derive(Debug)]
 pub struct QuotaService {
     name: String,
     clock: ElapsedClock,
     token_issuer: RefCell<TokenIssuer>,
-    /// What this process knows of leases as the leader of a term. Invariant: what it knew in another
-    /// term is dropped, since another leader may have renewed leases in between.
+    /// The lease manager of a term in which this process leads.
+    ///
+    /// Invariant: it is discarded when the term changes, since another leader may have renewed
+    /// leases in between.
     lease_manager: RefCell<Option<(Term, LeaseManager)>>,
 }
 
 impl QuotaService {
-    /// The service of the job store of this name.
+    /// Creates the service of the job store with this name.
     pub fn new(name: String, bounds: QuotaBounds, clock: ElapsedClock) -> Rc<Self> {
         Rc::new(Self {
             name,
@@ -59,15 +61,15 @@
         self.clock.now()
     }
 
-    /// Grants tokens, one answer for each ask.
-    pub fn take(&self, asks: &[TokenRequest]) -> Vec<TokenGrant> {
+    /// Grants tokens, one answer per request.
+    pub fn take(&self, requests: &[TokenRequest]) -> Vec<TokenGrant> {
         let now = self.now();
         let mut token_issuer = self.token_issuer.borrow_mut();
-        asks.iter().map(|ask| token_issuer.take(now, ask)).collect()
+        requests.iter().map(|request| token_issuer.take(now, request)).collect()
     }
 
-    /// Renews the leases of an accountant, or takes its slots back. To be called where this process
-    /// leads and may answer.
+    /// Renews the leases of a token issuer, or takes back its slots. Must only be called on a
+    /// leader that may answer.
     pub fn renew(&self, store: &Store, name: &str, releases: bool) -> Vec<SlotLease> {
         let now = self.now();
         self.with_lease_manager(store, |lease_manager| {
@@ -79,11 +81,11 @@
         })
     }
 
-    /// The overseer of the present term.
+    /// Calls `step` with the lease manager of the current term.
     fn with_lease_manager<R>(&self, store: &Store, step: impl FnOnce(&mut LeaseManager) -> R) -> R {
         let term = store.term();
         let mut held = self.lease_manager.borrow_mut();
-        if held.as_ref().is_none_or(|(held, _)| *held != term) {
+        if held.as_ref().is_none_or(|(held_term, _)| *held_term != term) {
             *held = Some((term, LeaseManager::new(self.now())));
         }
         let (_, lease_manager) = held.get_or_insert_with(|| (term, LeaseManager::new(self.now())));
@@ -91,57 +93,57 @@
     }
 }
 
-/// How long to wait before the next look whether the configuration limits any tenant; `None` where it
+/// Time to wait before checking again whether the configuration limits any tenant; `None` if it
 /// does.
-fn pause(catalog: &CatalogCell) -> Option<Duration> {
+fn idle_interval(catalog: &CatalogCell) -> Option<Duration> {
     match &catalog.load().configuration {
-        None => Some(START_INTERVAL),
+        None => Some(STARTUP_POLL_INTERVAL),
         Some(configuration) if configuration.has_limits() => None,
-        Some(_) => Some(IDLE_INTERVAL),
+        Some(_) => Some(UNLIMITED_POLL_INTERVAL),
     }
 }
 
-/// Renews the leases of this process's slots until it gives them back.
+/// Renews the leases of this process until they are released.
 pub async fn renew_leases(quota: Rc<QuotaService>, catalog: CatalogCell, fleet: FleetCell) {
     let leader = JobClient::new(fleet);
     while !quota.token_issuer.borrow().is_released() {
-        if let Some(pause) = pause(&catalog) {
-            tokio::time::sleep(pause).await;
+        if let Some(idle_interval) = idle_interval(&catalog) {
+            tokio::time::sleep(idle_interval).await;
             continue;
         }
-        let asked_at = quota.now();
+        let requested_at = quota.now();
         let request = Request::RenewSlots { name: quota.name.clone(), releases: false };
         let outcome = leader.call(request, Instant::now() + RENEW_INTERVAL).await;
         if let CallOutcome::Answered(Reply::Slots(leases)) = outcome {
             let now = quota.now();
             let mut token_issuer = quota.token_issuer.borrow_mut();
-            if token_issuer.apply_leases(now, asked_at, &leases) {
+            if token_issuer.apply_leases(now, requested_at, &leases) {
                 let held = token_issuer.held_slots(now);
                 metrics::gauge!("quota_slots").set(held as f64);
                 LogLine::new(EventName::QuotaLeaseChanged).field("slots", held).write();
             }
         }
-        let next = asked_at.plus_millis(RENEW_INTERVAL_MS);
+        let next = requested_at.plus_millis(RENEW_INTERVAL_MS);
         tokio::time::sleep(Duration::from_millis(next.millis_since(quota.now()))).await;
     }
 }
 
-/// Assigns slots while this process leads, for ever.
-pub async fn oversee(
+/// Assigns slots while this process leads. Never returns.
+pub async fn assign_slots(
     quota: Rc<QuotaService>,
     store: Rc<Store>,
     catalog: CatalogCell,
     fleet: FleetCell,
 ) {
     loop {
-        if let Some(pause) = pause(&catalog) {
-            tokio::time::sleep(pause).await;
+        if let Some(idle_interval) = idle_interval(&catalog) {
+            tokio::time::sleep(idle_interval).await;
             continue;
         }
         if store.serves() {
             assign(&quota, &store, &fleet).await;
         }
-        tokio::time::sleep(OVERSEE_INTERVAL).await;
+        tokio::time::sleep(ASSIGN_INTERVAL).await;
     }
 }
 
@@ -165,11 +167,12 @@
         .write();
     let slots =
         changes.into_iter().map(|(slot, token_issuer)| SlotAssignment { slot, token_issuer });
-    // Where the lead is lost, the next leader finds the slots without an accountant as well.
+    // If leadership is lost, the next leader finds the unassigned slots as well.
     let _ = store.propose(&Command::AssignSlots(slots.collect())).await;
 }
 
-/// Gives this process's slots back before a planned stop, so that nobody waits for leases to end.
+/// Releases this process's slots before a planned stop, so that nobody has to wait for the leases
+/// to expire.
 pub async fn release(quota: &QuotaService, fleet: &FleetCell) {
     let held = quota.token_issuer.borrow().held_slots(quota.now());
     quota.token_issuer.borrow_mut().release();
@@ -178,6 +181,6 @@
     }
     let leader = JobClient::new(fleet.clone());
     let request = Request::RenewSlots { name: quota.name.clone(), releases: true };
-    // Where no leader answers in time, the leases end by themselves.
+    // If no leader answers in time, the leases expire.
     let _ = leader.call(request, Instant::now() + RELEASE_TIMEOUT).await;
 }
--- a/crates/jobstore/src/reads.rs
+++ b/crates/jobstore/src/reads.rs
@@ -1,4 +1,4 @@
-//! What is read from a replica: jobs, their results, and what to wait on for further ones.
+//! Reads from a replica: jobs, their results, and notification of further results.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,43 +12,43 @@
 use crate::state::{Job, Jobs};
 use crate::store::Store;
 
-/// What a read found.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found<T> {
-    /// It is there.
-    Yes(T),
-    /// It is not there, for certain.
-    No,
-    /// This replica cannot be sure.
-    LeaderNotReady,
+pub enum ReadResult<T> {
+    /// The value exists.
+    Found(T),
+    /// The value definitely does not exist.
+    NotFound,
+    /// This replica may not answer reads at the moment.
+    NotReady,
 }
 
 impl Store {
-    /// Reads the jobs where this replica may answer reads.
-    pub fn read<R>(&self, read: impl FnOnce(&Jobs) -> Option<R>) -> Found<R> {
+    /// Reads the jobs if this replica may answer reads.
+    pub fn read<R>(&self, read: impl FnOnce(&Jobs) -> Option<R>) -> ReadResult<R> {
         if !self.serves() {
-            return Found::LeaderNotReady;
+            return ReadResult::NotReady;
         }
         let inner = self.inner.borrow();
-        read(&inner.jobs).map_or(Found::No, Found::Yes)
+        read(&inner.jobs).map_or(ReadResult::NotFound, ReadResult::Found)
     }
 
     /// Results of a job from a position on.
-    pub fn page(&self, job: &str, requester: &Requester, from: u64) -> Found<ResultPage> {
+    pub fn page(&self, job: &str, requester: &Requester, from: u64) -> ReadResult<ResultPage> {
         self.read(|jobs| jobs.page(job, requester, from))
     }
 
-    /// What to wait on for further results of a job.
+    /// The `Notify` that is signalled when the job has further results.
     pub fn reader(&self, job: &str) -> Rc<Notify> {
         let mut inner = self.inner.borrow_mut();
         if inner.jobs.get(job).is_none() {
-            // Nobody would ever forget it again.
+            // An entry for an unknown job would never be removed.
             return Rc::default();
         }
         inner.readers.entry(job.to_owned()).or_default().clone()
     }
 
-    /// Where everything may be kept that is held: the regions that the bodies of all open items allow.
+    /// Where all current jobs may be stored: the intersection of what their open items allow.
     pub fn residency(&self, catalog: &Catalog) -> Residency {
         let inner = self.inner.borrow();
         let open = inner.jobs.iter().filter(|(_, job)| job.is_open());
@@ -59,21 +59,21 @@
         each.fold(Residency::Anywhere, |all, one| all.and(&one))
     }
 
-    /// Looks at every job with the time since this replica took it.
-    pub fn each_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
+    /// Calls `visit` with each job and the time since this replica applied its submission.
+    pub fn for_each_job(&self, mut visit: impl FnMut(&String, &Job, Duration)) {
         let inner = self.inner.borrow();
         let now = Instant::now();
         for (id, job) in inner.jobs.iter() {
             let accepted = inner.accepted_at.get(id).copied().unwrap_or(now);
-            look(id, job, now.duration_since(accepted));
+            visit(id, job, now.duration_since(accepted));
         }
     }
 
-    /// Looks at every job that is open, with the time since this replica took it.
-    pub fn each_open_job(&self, mut look: impl FnMut(&String, &Job, Duration)) {
-        self.each_job(|id, job, age| {
+    /// Calls `visit` with each open job and the time since this replica applied its submission.
+    pub fn for_each_open_job(&self, mut visit: impl FnMut(&String, &Job, Duration)) {
+        self.for_each_job(|id, job, age| {
             if job.is_open() {
-                look(id, job, age);
+                visit(id, job, age);
             }
         });
     }
@@ -83,13 +83,13 @@
         self.inner.borrow().jobs.iter().any(|(_, job)| job.is_open())
     }
 
-    /// Who the accountants of tenants' limits are, as far as this replica has applied.
+    /// The assignment of token issuers, as applied on this replica.
     pub fn token_issuers(&self) -> Assignment {
         self.inner.borrow().jobs.token_issuers().clone()
     }
 
-    /// Looks at one job.
-    pub fn with_job<R>(&self, id: &str, look: impl FnOnce(&Job) -> R) -> Option<R> {
-        self.inner.borrow().jobs.get(id).map(look)
+    /// Calls `visit` with a job, if it exists.
+    pub fn with_job<R>(&self, id: &str, visit: impl FnOnce(&Job) -> R) -> Option<R> {
+        self.inner.borrow().jobs.get(id).map(visit)
     }
 }
--- a/crates/jobstore/src/run.rs
+++ b/crates/jobstore/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of an item at a back end.
+//! A run of an item at a back end.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,23 +18,23 @@
 
 use crate::state::Run;
 
-/// Time for a connection to come up.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time without any byte after which a run is continued elsewhere.
-const SILENCE_LIMIT: Duration = Duration::from_millis(3_000);
-/// Connections of this process to one back end.
-const CONNECTIONS: usize = 32;
+/// Time without any received byte after which a run is continued elsewhere.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Maximum number of connections from this process to one back end.
+const MAX_CONNECTIONS: usize = 32;
 
-/// Output of an item since it was last made durable.
+/// Output of an item since it was last committed.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// The run that gives it.
+    /// The run that produces it.
     pub run: Run,
     /// Last event that is in the log.
-    pub kept_event: u64,
-    /// Last event seen.
+    pub committed_event: u64,
+    /// Last event received.
     pub last_event: u64,
-    /// Data of the events between.
+    /// Data of the events in between.
     pub text: Option<String>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Adds the data of all events up to one, which another process read.
+    /// Adds the data of all events up to `last_event`, which another process received.
     pub fn extend(&mut self, last_event: u64, data: Option<String>) {
         if let Some(data) = data.filter(|_| last_event > self.last_event) {
             self.push(last_event, &data);
@@ -62,23 +62,23 @@
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RunEnd {
-    /// The whole output is there.
+    /// The output is complete.
     Completed,
-    /// The item can never be done.
-    Impossible,
-    /// The item failed by its own fault.
+    /// The back end reported that the item can never be processed.
+    Unprocessable,
+    /// The item itself failed.
     ItemFailed,
-    /// It did not run, or broke off: try again.
+    /// The run did not start or was interrupted; to be retried.
     Retry {
         /// The cause.
         cause: String,
-        /// Whether a pause should come first.
-        pause: bool,
+        /// Whether to back off before the retry.
+        backoff: bool,
     },
 }
 
 impl RunEnd {
-    /// Whether the back end gave a whole answer, of whatever kind: it outlived the item.
+    /// Whether the back end sent a complete answer of any kind, that is, it did not crash.
     pub fn is_whole_answer(&self) -> bool {
         !matches!(self, RunEnd::Retry { .. })
     }
@@ -87,20 +87,21 @@
 /// Why an item may not be sent to a back end now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitDenied {
-    /// The cause, as text.
+    /// The cause.
     pub cause: String,
-    /// Whether the back end is cold and this process has no share left: trying again at once is in vain.
+    /// Whether the back end is cold and the share of this process is used up; an immediate retry
+    /// would fail again.
     pub is_cold: bool,
 }
 
 impl PermitDenied {
-    /// A cause that another back end may not have.
+    /// Creates a denial without a backoff, since its cause may not apply to other back ends.
     pub fn new(cause: impl Into<String>) -> Self {
         Self { cause: cause.into(), is_cold: false }
     }
 }
 
-/// What a back end is told of whose item it runs.
+/// On whose behalf an item is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemSender {
     /// Host that the item's job was sent to.
@@ -109,7 +110,7 @@
     pub tenant: Option<TenantName>,
 }
 
-/// The body of an item, shared with the state.
+/// The body of an item, shared with the replicated state.
 struct SharedBody(Arc<JobItem>);
 
 impl AsRef<[u8]> for SharedBody {
@@ -118,7 +119,8 @@
     }
 }
 
-/// What an item has in common with every other attempt of the same request, items or not.
+/// Digest of an item, the same for all attempts of its request, whether sent as an item of a job or
+/// as an online request.
 pub fn item_digest(sender: &ItemSender, item: &JobItem) -> RequestDigest {
     RequestDigest::of(&RequestIdentity {
         method: Method::POST.as_str(),
@@ -131,23 +133,24 @@
 
 /// Runs items at back ends.
 pub struct ItemRunner {
-    /// Connections.
+    /// Connections to back ends.
     pub pool: Pool,
-    /// Requests under which back ends ended.
+    /// Requests that are suspected of crashing back ends.
     pub suspects: Rc<Registry>,
     dialect: Arc<dyn Dialect>,
 }
 
 impl ItemRunner {
-    /// A runner without connections yet.
+    /// Creates a runner without connections.
     pub fn new(dialect: Arc<dyn Dialect>, suspects: Rc<Registry>) -> Self {
         Self { pool: Pool::default(), suspects, dialect }
     }
 
-    /// Runs an item at the back end of a place, from where its output stands. Invariant: `permit` is asked for
-    /// at the last moment before the item is sent. A connection may take long to come up, and a process
-    /// without processor time may take longer; meanwhile the job may have been cancelled, the lead lost, or
-    /// the back end have begun to drain.
+    /// Runs an item at a back end, resuming after the output so far.
+    ///
+    /// Invariant: `permit` is requested immediately before the item is sent. Connecting may take
+    /// long, and longer if the process gets no processor time; meanwhile the job may have been
+    /// cancelled, leadership lost, or the back end begun to drain.
     pub async fn run_at(
         &self,
         slot: &mut BackendSlot,
@@ -157,20 +160,21 @@
         permit: impl Fn() -> Result<Permit, PermitDenied>,
     ) -> RunEnd {
         let backend = slot.backend.clone();
-        let again = |cause: String, pause| RunEnd::Retry { cause, pause };
-        let mut connection = match self.pool.connect(&backend, CONNECT_TIMEOUT, CONNECTIONS).await {
-            Ok(connection) => connection,
-            Err(error) => {
-                slot.outcome = match error {
-                    ConnectFailure::Unreachable { .. } => Outcome::Unreachable,
-                    ConnectFailure::Exhausted => Outcome::Full,
-                };
-                return again(error.to_string(), false);
-            }
-        };
-        let after = progress.borrow().last_event;
-        let Some(request) = self.request(sender, item, &backend, after) else {
-            return RunEnd::Impossible;
+        let retry = |cause: String, backoff| RunEnd::Retry { cause, backoff };
+        let mut connection =
+            match self.pool.connect(&backend, CONNECT_TIMEOUT, MAX_CONNECTIONS).await {
+                Ok(connection) => connection,
+                Err(error) => {
+                    slot.outcome = match error {
+                        ConnectFailure::Unreachable { .. } => Outcome::Unreachable,
+                        ConnectFailure::Exhausted => Outcome::Full,
+                    };
+                    return retry(error.to_string(), false);
+                }
+            };
+        let after_event = progress.borrow().last_event;
+        let Some(request) = self.request(sender, item, &backend, after_event) else {
+            return RunEnd::Unprocessable;
         };
         let permit = match permit() {
             Ok(permit) => permit,
@@ -178,13 +182,13 @@
                 slot.outcome = Outcome::Abandoned;
                 self.pool.put_back(connection);
                 let cause = format!("not to be sent when the connection was up: {cause}");
-                return again(cause, is_cold);
+                return retry(cause, is_cold);
             }
         };
         let names = self.dialect.headers();
         let id_header = self.dialect.signs_responses().then_some(&names.request_id);
         let sent = exchange(&mut connection, request, id_header, permit);
-        let answer = match tokio::time::timeout(SILENCE_LIMIT, sent).await {
+        let answer = match tokio::time::timeout(SILENCE_TIMEOUT, sent).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
                 slot.outcome = match error {
@@ -198,17 +202,17 @@
                         .record_disconnect(&slot.backend, slot.acquired_at(), digest)
                         .await;
                 }
-                return again(error.to_string(), false);
+                return retry(error.to_string(), false);
             }
             Err(_) => {
                 slot.outcome = Outcome::Failed;
                 self.pool.close_idle(&backend);
                 slot.record_failure();
-                return again(format!("{} gave no answer", backend.id), false);
+                return retry(format!("{} gave no answer", backend.id), false);
             }
         };
         connection.note_keep_alive(answer.headers());
-        self.note_told(slot, answer.headers());
+        self.record_backend_headers(slot, answer.headers());
         let not_run = answer.headers().contains_key(&self.dialect.headers().not_run);
         match answer.status() {
             StatusCode::OK => {
@@ -217,11 +221,11 @@
             }
             StatusCode::UNPROCESSABLE_ENTITY => {
                 slot.outcome = Outcome::Answered;
-                RunEnd::Impossible
+                RunEnd::Unprocessable
             }
             StatusCode::MISDIRECTED_REQUEST => {
                 slot.outcome = Outcome::Misdirected;
-                again(format!("{} is another back end now", backend.address), false)
+                retry(format!("{} is another back end now", backend.address), false)
             }
             StatusCode::INTERNAL_SERVER_ERROR if !not_run => {
                 slot.outcome = Outcome::Answered;
@@ -229,13 +233,14 @@
             }
             status => {
                 slot.outcome = if not_run { Outcome::Full } else { Outcome::Failed };
-                again(format!("{} answered {status}", backend.id), true)
+                retry(format!("{} answered {status}", backend.id), true)
             }
         }
     }
 
-    /// Takes what a back end tells of itself with its answer.
-    fn note_told(&self, slot: &BackendSlot, headers: &http::HeaderMap) {
+    /// Records the load and the remaining warm-up time that a back end reports in its response
+    /// headers.
+    fn record_backend_headers(&self, slot: &BackendSlot, headers: &http::HeaderMap) {
         let load = headers.get(&self.dialect.headers().load);
         if let Some(load) = load.and_then(|value| self.dialect.parse_load(value)) {
             slot.record_report(load);
@@ -260,7 +265,8 @@
             let name = HeaderName::try_from(header.name.as_str()).ok()?;
             headers.append(name, HeaderValue::try_from(header.value.as_str()).ok()?);
         }
-        // What the submission named of keys and tenants is no back end's business.
+        // Removes the API key and replaces the tenant header of the submission, which are not meant
+        // for back ends.
         set_tenant_header(sender.tenant.as_ref(), &names.tenant, headers);
         headers.insert(header::HOST, HeaderValue::try_from(&sender.host).ok()?);
         headers.insert(&names.request_id, HeaderValue::try_from(item.id.as_str()).ok()?);
@@ -279,13 +285,13 @@
         progress: &Rc<RefCell<Progress>>,
         digest: impl FnOnce() -> RequestDigest,
     ) -> RunEnd {
-        let again = |cause: String| RunEnd::Retry { cause, pause: false };
+        let retry = |cause: String| RunEnd::Retry { cause, backoff: false };
         let signature = &self.dialect.headers().signature;
         let signed = !self.dialect.signs_responses() || answer.headers().contains_key(signature);
-        let last = Connection::closes_after(answer.headers());
+        let closes = Connection::closes_after(answer.headers());
         let mut events = answer.into_body().into_data_stream().eventsource();
         loop {
-            let event = match tokio::time::timeout(SILENCE_LIMIT, events.next()).await {
+            let event = match tokio::time::timeout(SILENCE_TIMEOUT, events.next()).await {
                 Ok(Some(Ok(event))) => event,
                 Ok(None) => break,
                 Ok(Some(Err(error))) => {
@@ -294,20 +300,20 @@
                     self.suspects
                         .record_disconnect(&slot.backend, slot.acquired_at(), digest)
                         .await;
-                    return again(format!("read answer of {}: {error}", slot.backend.id));
+                    return retry(format!("read answer of {}: {error}", slot.backend.id));
                 }
                 Err(_) => {
                     slot.outcome = Outcome::Failed;
                     self.pool.close_idle(&slot.backend);
                     slot.record_failure();
-                    return again(format!("{} fell silent", slot.backend.id));
+                    return retry(format!("{} fell silent", slot.backend.id));
                 }
             };
             let mut progress = progress.borrow_mut();
             if event.id.parse() != Ok(progress.last_event + 1) {
                 slot.outcome = Outcome::Failed;
                 let expected = progress.last_event + 1;
-                return again(format!("event {:?} in the place of {expected}", event.id));
+                return retry(format!("event {:?} in the place of {expected}", event.id));
             }
             let event_number = progress.last_event + 1;
             progress.push(event_number, &event.data);
@@ -316,9 +322,9 @@
         slot.outcome = Outcome::Answered;
         if !signed || progress.borrow().last_event == 0 {
             slot.outcome = Outcome::Failed;
-            return again(format!("{} gave no signed events", slot.backend.id));
+            return retry(format!("{} gave no signed events", slot.backend.id));
         }
-        if !last {
+        if !closes {
             self.pool.put_back(connection);
         }
         RunEnd::Completed
--- a/crates/jobstore/src/runner.rs
+++ b/crates/jobstore/src/runner.rs
@@ -1,6 +1,7 @@
-//! Decides which item runs at which back end while this replica leads. Online requests go first: an
-//! item gets a slot only where online requests leave some free (`slots`). One run of an item, from its start to what is
-//! recorded of it, is in `item_run`; who reads the events is `delegation`'s.
+//! Decides which item runs at which back end while this replica leads. Online requests take
+//! precedence: an item gets a slot only if enough slots stay free for them (`slots`). `item_run`
+//! handles a single run from its start to the recorded result, and `delegation` the runs at other
+//! job stores.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,55 +13,57 @@
 use yokefall_suspects::RequestDigest;
 use yokefall_telemetry::{EventName, LogLine};
 
-use crate::backlog::{Backlog, PassFigures};
+use crate::backlog::{Backlog, PassStats};
+use crate::capacity::FreeSlots;
 use crate::delegation::Delegation;
 use crate::held_items::HeldItems;
 use crate::preemption::Phase;
-use crate::room::FreeSlots;
 use crate::run::{item_digest, ItemSender};
 use crate::running::{take_output, ItemKey, Running};
 use crate::state::{Command, OpenItem};
 use crate::store::Store;
-use crate::urgency::{Pace, WaitingItem, WaitingJob};
+use crate::urgency::{DurationEstimator, WaitingItem, WaitingJob};
 use crate::worker::Worker;
 
-/// Interval at which the output of running items is made durable.
-const KEEP_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Least interval between two scheduling passes; load reports come as often where gateways are few.
-const LEAST_PASS_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest interval between two scheduling passes.
-const PASS_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval between two searches for jobs that are over.
-const FORGET_INTERVAL: Duration = Duration::from_millis(5_000);
+/// Interval at which the output of running items is committed.
+const COMMIT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Minimum interval between two scheduling passes; load reports arrive this often if there are few
+/// gateways.
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum interval between two scheduling passes.
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two searches for finished jobs.
+const PURGE_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// The runner's state, shared between its tasks.
+/// State of the runner, shared by its tasks.
 pub struct Runner {
     pub(crate) store: Rc<Store>,
     pub(crate) worker: Rc<Worker>,
     pub(crate) delegation: Delegation,
     pub(crate) fleet: FleetCell,
     pub(crate) running: RefCell<HashMap<ItemKey, Running>>,
-    /// How fast items are done.
-    pub(crate) pace: Cell<Pace>,
+    /// Estimates how long items take.
+    pub(crate) estimator: Cell<DurationEstimator>,
     backlog: Backlog,
-    /// Items that wait because back ends ended under them.
+    /// Items that are held back because back ends crashed while running them.
     held: HeldItems,
     pub(crate) options: RunnerOptions,
 }
 
-/// What a runner is given at its start.
+/// Options of a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct RunnerOptions {
-    /// Time for which jobs that are over are kept.
+    /// How long finished jobs are retained.
     pub retention: Duration,
-    /// Items that run at once at most; each takes memory for its connection and its output.
+    /// Maximum number of items that run at the same time; each needs memory for its connection and
+    /// output.
     pub max_runs: usize,
-    /// Decisions that are switched on.
+    /// Enabled policies.
     pub policy: Policy,
 }
 
 impl Runner {
-    /// A runner that gives items to `worker`, and through `delegation` to other job stores.
+    /// Creates a runner that runs items with `worker`, or at other job stores through `delegation`.
     pub fn new(
         store: Rc<Store>,
         worker: Rc<Worker>,
@@ -68,17 +71,17 @@
         fleet: FleetCell,
         options: RunnerOptions,
     ) -> Self {
-        let (running, pace) = (RefCell::default(), Cell::default());
+        let (running, estimator) = (RefCell::default(), Cell::default());
         let (backlog, held) = (Backlog::default(), HeldItems::default());
-        Self { store, worker, delegation, fleet, running, pace, backlog, held, options }
+        Self { store, worker, delegation, fleet, running, estimator, backlog, held, options }
     }
 
-    /// Runs for ever: waits for the lead, then runs items until it is lost.
+    /// Waits for leadership, runs items until it is lost, and repeats. Never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
             while !self.store.serves() {
                 let woken = self.store.work_changed.notified();
-                let _ = tokio::time::timeout(PASS_INTERVAL, woken).await;
+                let _ = tokio::time::timeout(MAX_PASS_INTERVAL, woken).await;
                 if self.store.with_core(|core, _| core.role() != yokefall_consensus::Role::Leader) {
                     self.store.work_changed.notified().await;
                 }
@@ -95,39 +98,39 @@
     }
 
     async fn lead(self: Rc<Self>) {
-        let mut keep_at = Instant::now() + KEEP_INTERVAL;
-        let mut forget_at = Instant::now() + FORGET_INTERVAL;
-        // What runs goes on through a moment without a lease; nothing starts in it.
+        let mut commit_at = Instant::now() + COMMIT_INTERVAL;
+        let mut purge_at = Instant::now() + PURGE_INTERVAL;
+        // Items keep running while the leader has no valid lease, but none is started.
         while self.store.is_leader() {
             self.stop_closed();
             self.preempt();
             if self.store.serves() {
-                self.take_loads();
+                self.apply_load_reports();
                 self.start_items();
             }
             let now = Instant::now();
-            if now >= keep_at {
-                self.keep_output();
-                keep_at = now + KEEP_INTERVAL;
+            if now >= commit_at {
+                self.commit_output();
+                commit_at = now + COMMIT_INTERVAL;
             }
-            if now >= forget_at {
-                self.forget_jobs();
-                forget_at = now + FORGET_INTERVAL;
+            if now >= purge_at {
+                self.purge_jobs();
+                purge_at = now + PURGE_INTERVAL;
             }
-            self.rest(keep_at).await;
+            self.wait_for_work(commit_at).await;
         }
     }
 
-    async fn rest(&self, keep_at: Instant) {
-        // Loads are reported many times a second; one pass serves what came meanwhile.
-        tokio::time::sleep(LEAST_PASS_INTERVAL).await;
+    async fn wait_for_work(&self, commit_at: Instant) {
+        // Load is reported many times a second; one pass handles all that arrived in the meantime.
+        tokio::time::sleep(MIN_PASS_INTERVAL).await;
         let woken = self.store.work_changed.notified();
         let busy = !self.running.borrow().is_empty() || self.store.has_open_jobs();
-        let until = if busy { keep_at } else { Instant::now() + FORGET_INTERVAL };
+        let until = if busy { commit_at } else { Instant::now() + PURGE_INTERVAL };
         let _ = tokio::time::timeout_at(until, woken).await;
     }
 
-    /// Stops runs of items that have a result, or whose job was ended.
+    /// Stops runs of items that have a result or whose job was ended.
     fn stop_closed(&self) {
         self.running.borrow_mut().retain(|(job, item), running| {
             let is_open = self.store.with_job(job, |job| job.open.contains_key(item));
@@ -146,8 +149,8 @@
         });
     }
 
-    /// Takes over what gateways reported of their requests.
-    fn take_loads(&self) {
+    /// Applies the load totals to the balancer.
+    fn apply_load_reports(&self) {
         let totals = self.store.loads.totals();
         let totals = totals
             .iter()
@@ -156,8 +159,8 @@
         self.worker.balancer.with(|balancer, now| balancer.update_totals(now, totals, items));
     }
 
-    /// Starts what waits, in its order, as far as there are free slots. The work of a pass grows with
-    /// the jobs that are open and the items that start, not with the items that wait.
+    /// Starts waiting items in order while slots are free. The cost of a pass depends on the open
+    /// jobs and the started items, not on the waiting items.
     fn start_items(self: &Rc<Self>) {
         let jobs = self.waiting_jobs();
         let mut services = FreeSlots::default();
@@ -168,20 +171,20 @@
                 self.start_items_of(job, late, &mut services);
             }
         }
-        let figures = PassFigures {
+        let stats = PassStats {
             running: self.running.borrow().len(),
             max_runs: self.options.max_runs,
-            gateways_heard: self.store.loads.reporters(),
+            reporting_gateways: self.store.loads.reporters(),
         };
-        self.backlog.note(services.services(), figures);
+        self.backlog.record(services.services(), stats);
     }
 
-    /// Jobs with items that do not run yet. Items that have waited for longer than their route allows
-    /// are given up.
+    /// Jobs that are still open. Items that have waited longer than their route allows are
+    /// abandoned.
     fn waiting_jobs(self: &Rc<Self>) -> Vec<WaitingJob> {
         let mut jobs = Vec::new();
         let mut expired = Vec::new();
-        self.store.each_open_job(|id, job, age| {
+        self.store.for_each_open_job(|id, job, age| {
             if age.as_millis() as u64 > job.max_queue_ms {
                 expired.extend(job.open.keys().map(|item| (id.clone(), *item)));
                 return;
@@ -192,40 +195,42 @@
         });
         for key in expired {
             if !self.running.borrow().contains_key(&key) {
-                self.give_up(key);
+                self.abandon_expired(key);
             }
         }
         jobs
     }
 
-    /// Starts the items of a job that can be done in time, or those that cannot.
+    /// Starts the items of a job that can meet their target, or, if `late` is set, those that
+    /// cannot.
     fn start_items_of(self: &Rc<Self>, job: &WaitingJob, late: bool, services: &mut FreeSlots) {
-        let pace = self.pace.get();
-        let waiting = self.store.with_job(&job.id, |held| {
+        let estimator = self.estimator.get();
+        let waiting = self.store.with_job(&job.id, |stored| {
             let running = self.running.borrow();
             let is_waiting =
                 |(index, _): &(&u32, &OpenItem)| !running.contains_key(&(job.id.clone(), **index));
-            let left = |(index, open): (&u32, &OpenItem)| {
-                let left = pace.left(open.item.tokens, open.partial.last_event);
-                WaitingItem { index: *index, left }
+            let remaining = |(index, open): (&u32, &OpenItem)| {
+                let remaining = estimator.remaining(open.item.tokens, open.partial.last_event);
+                WaitingItem { index: *index, remaining }
             };
-            held.open.iter().filter(is_waiting).map(left).collect::<Vec<WaitingItem>>()
+            stored.open.iter().filter(is_waiting).map(remaining).collect::<Vec<WaitingItem>>()
         });
         let mut waiting = waiting.unwrap_or_default();
-        waiting.retain(|item| job.is_late(item.left) == late);
-        waiting.sort_unstable_by_key(|item| (item.left, item.index));
+        waiting.retain(|item| job.is_late(item.remaining) == late);
+        waiting.sort_unstable_by_key(|item| (item.remaining, item.index));
         for (started, item) in waiting.iter().enumerate() {
             let key = (job.id.clone(), item.index);
             if self.held.contains(&key) {
                 continue;
             }
-            // An item whose route is unknown must not hold up the items of others.
+            // An item without a route must not block other items.
             let Some(pool) = self.pool_of(&key) else { continue };
             let free = services.of(&pool, || self.free_slots(&pool));
-            let may_start = free.items() > 0 && self.running.borrow().len() < self.options.max_runs;
+            let may_start =
+                free.startable_items() > 0 && self.running.borrow().len() < self.options.max_runs;
             let choose = || self.worker.balancer.with(|balancer, now| free.choose(balancer, now));
             let Some(backend) = may_start.then(choose).flatten() else {
-                free.held += waiting.len() - started;
+                free.queued += waiting.len() - started;
                 return;
             };
             let suspects = &self.worker.items.suspects;
@@ -243,7 +248,7 @@
         }
     }
 
-    /// The digest of an item; `None` where its job or the item is gone.
+    /// The digest of an item; `None` if the job or the item no longer exists.
     fn digest_of(&self, (job, index): &ItemKey) -> Option<RequestDigest> {
         self.store.with_job(job, |job| {
             let item = job.open.get(index)?.item.clone();
@@ -252,16 +257,16 @@
         })?
     }
 
-    /// Gives up an item that waited too long; it counts as running until that is in the log.
-    fn give_up(self: &Rc<Self>, key: ItemKey) {
+    /// Abandons an item that waited too long. It counts as running until this is committed.
+    fn abandon_expired(self: &Rc<Self>, key: ItemKey) {
         let (runner, item) = (self.clone(), key.clone());
         let task = tokio::task::spawn_local(async move {
             LogLine::new(EventName::ItemAbandoned)
                 .id(format_args!("{} item {}", item.0, item.1))
                 .text("job", &item.0)
-                .field("cause", "it waited longer than its route allows")
+                .field("cause", "queued for longer than its route allows")
                 .write();
-            // Where the lead is lost, the next leader finds that it waited too long as well.
+            // If leadership is lost, the next leader finds that the item waited too long as well.
             let _ = runner.store.abandon(&item.0, item.1).await;
             runner.running.borrow_mut().remove(&item);
             runner.store.work_changed.notify_one();
@@ -277,25 +282,25 @@
         self.running.borrow_mut().insert(key, running);
     }
 
-    /// Makes the output of running items durable, so that another leader goes on from there.
-    fn keep_output(&self) {
+    /// Commits the output of running items, so that another leader can resume them.
+    fn commit_output(&self) {
         let running = self.running.borrow();
         let commands: Vec<Command> =
             running.iter().filter_map(|(key, run)| take_output(key, &run.progress)).collect();
         if !commands.is_empty() {
-            self.store.propose_only(&Command::Several(commands));
+            self.store.propose_detached(&Command::Batch(commands));
         }
     }
 
-    fn forget_jobs(&self) {
-        let mut over = Vec::new();
-        self.store.each_job(|id, job, age| {
+    fn purge_jobs(&self) {
+        let mut removals = Vec::new();
+        self.store.for_each_job(|id, job, age| {
             if age > self.options.retention && !job.is_open() {
-                over.push(Command::Forget { job: id.clone() });
+                removals.push(Command::Forget { job: id.clone() });
             }
         });
-        if !over.is_empty() {
-            self.store.propose_only(&Command::Several(over));
+        if !removals.is_empty() {
+            self.store.propose_detached(&Command::Batch(removals));
         }
         self.held.retain(|(job, item)| {
             self.store.with_job(job, |job| job.open.contains_key(item)) == Some(true)
--- a/crates/jobstore/src/server.rs
+++ b/crates/jobstore/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers gateways and takes messages of other members.
+//! Serves gateways and the other members of the group.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,27 +14,27 @@
 use yokefall_serving::{FleetCell, Requester, Residency};
 use yokefall_suspects::{RequestSource, SuspectReport};
 
+use crate::admission::Rejection;
 use crate::delegation::RUN_LEASE;
-use crate::intake::NotTaken;
 use crate::protocol::{
     decode, encode, send_frame, split, Frame, IncomingFrames, Outgoing, Reply, Request, Submission,
 };
 use crate::quota::QuotaService;
-use crate::reads::Found;
+use crate::reads::ReadResult;
 use crate::residency::{residency_of_job, KnownZones};
 use crate::state::{Command, PAGE_BYTES};
 use crate::store::{ProposeError, Store};
 use crate::worker::{ConnectionRuns, Worker};
 
-/// Longest time for which a read is held, whatever its caller asks.
+/// Maximum wait of a read, whatever the client requests.
 const MAX_READ_WAIT: Duration = Duration::from_millis(2_000);
-/// Pause after a connection could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Memory that a page takes while it is on its way, in parts of its text: as results, and encoded.
+/// Memory of a page in flight as a multiple of its text: the results and their encoding.
 const PAGE_COPIES: usize = 2;
 
-/// What the tasks of a server share.
+/// State shared by the tasks of a server.
 #[derive(Clone)]
 struct Server {
     store: Rc<Store>,
@@ -42,11 +42,11 @@
     quota: Rc<QuotaService>,
     fleet: FleetCell,
     known_zones: Rc<KnownZones>,
-    /// Pages that may be on their way at once.
+    /// Limits the pages in flight.
     pages: Arc<Semaphore>,
 }
 
-/// Serves a listener for ever. Pages of results that are on their way take `page_bytes` at most.
+/// Serves a listener. Never returns. Pages of results in flight use at most `page_bytes`.
 pub async fn serve(
     listener: TcpListener,
     store: Rc<Store>,
@@ -63,7 +63,7 @@
             Ok((stream, _)) => {
                 tokio::task::spawn_local(serve_connection(stream, server.clone()));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
@@ -73,7 +73,7 @@
     let (mut frames, mut socket) = split(stream);
     let (replies, mut queued) = unbounded_channel::<Outgoing>();
     let writer = tokio::task::spawn_local(async move {
-        while let Some(Outgoing { frame, room: _room }) = queued.recv().await {
+        while let Some(Outgoing { frame, permit: _permit }) = queued.recv().await {
             let bytes = encode(&frame);
             drop(frame);
             if send_frame(&mut socket, bytes).await.is_err() {
@@ -82,23 +82,23 @@
         }
     });
     let runs = ConnectionRuns::default();
-    let mut heard_at = store.now();
+    let mut received_at = store.now();
     while let Some(bytes) = next_frame(&mut frames, &runs).await {
-        let silent_ms = store.now() - heard_at;
-        heard_at = store.now();
+        let silent_ms = store.now() - received_at;
+        received_at = store.now();
         if !runs.is_empty() && silent_ms > RUN_LEASE.as_millis() as u64 {
-            // This machine was suspended: its timer did not see that the lease ended, and another process
-            // has the runs.
+            // The machine was suspended, so the timer missed the end of the lease, and another
+            // process may have taken over the runs.
             break;
         }
         let Ok(frame) = decode(&bytes) else { break };
         match frame {
             Frame::Consensus(message) => store.receive(message),
-            Frame::Join(member) => take_join(store, member),
-            Frame::Leader(name) => store.note_leader(name),
-            Frame::Impossible { job, item } => store.abandon_only(&job, item),
+            Frame::Join(member) => handle_join(store, member),
+            Frame::Leader(name) => store.set_leader_hint(name),
+            Frame::Unprocessable { job, item } => store.abandon_detached(&job, item),
             Frame::Sums(sums) => {
-                store.loads.take_sums(sums);
+                store.loads.record_sums(sums);
                 store.work_changed.notify_one();
             }
             Frame::GatewayMoved { gateway } => {
@@ -106,12 +106,12 @@
                 store.loads_changed.notify_one();
                 store.work_changed.notify_one();
             }
-            Frame::Request { call, request: Request::Run(order) } => {
-                runs.start(&server.worker, call, order, replies.clone());
+            Frame::Request { call, request: Request::Run(run) } => {
+                runs.start(&server.worker, call, run, replies.clone());
             }
             Frame::Cancel { call } => runs.cancel(call),
             Frame::Heartbeat => {
-                // A writer that has ended ends the connection as well.
+                // If the writer has ended, so does the connection.
                 let _ = replies.send(Outgoing::new(Frame::Heartbeat));
             }
             Frame::Request { call, request } => {
@@ -124,8 +124,8 @@
     writer.abort();
 }
 
-/// The next frame; `None` where the connection has ended, or where the leader of runs on it has not
-/// renewed them.
+/// The next frame; `None` if the connection has ended, or the leader has not renewed the lease of
+/// its runs.
 async fn next_frame(frames: &mut IncomingFrames, runs: &ConnectionRuns) -> Option<BytesMut> {
     let frame = match runs.is_empty() {
         true => frames.next().await,
@@ -134,49 +134,49 @@
     frame?.ok()
 }
 
-/// A member asks to join; the leader tells it who leads, whether it is admitted or not.
-fn take_join(store: &Store, member: MemberId) {
+/// Handles a join request. A leader answers that it leads, whether or not it admits the member.
+fn handle_join(store: &Store, member: MemberId) {
     if store.is_leader() {
         let me = store.with_core(|core, _| core.id().name.clone());
         store.send_frame(&member.name, &Frame::Leader(me));
     }
-    store.note_joining(member);
+    store.record_join_request(member);
 }
 
 async fn answer(server: Server, call: u64, request: Request, replies: UnboundedSender<Outgoing>) {
-    let mut room = None;
+    let mut permit = None;
     if let Request::Results { job, from, wait_ms, .. } = &request {
         let wait = Duration::from_millis(*wait_ms).min(MAX_READ_WAIT);
-        until_readable(&server.store, job, *from, Instant::now() + wait).await;
-        room = server.pages.clone().acquire_owned().await.ok();
+        wait_until_readable(&server.store, job, *from, Instant::now() + wait).await;
+        permit = server.pages.clone().acquire_owned().await.ok();
     }
-    let reply = carry_out(&server, request).await;
-    let _ = replies.send(Outgoing { frame: Frame::Reply { call, reply }, room });
+    let reply = handle_request(&server, request).await;
+    let _ = replies.send(Outgoing { frame: Frame::Reply { call, reply }, permit });
 }
 
-async fn carry_out(server: &Server, request: Request) -> Reply {
+async fn handle_request(server: &Server, request: Request) -> Reply {
     let (store, quota) = (&server.store, &server.quota);
     let suspects = &server.worker.items.suspects;
-    // Loads are no part of the log: any job store adds them up, so that they stay known while
-    // nobody leads.
+    // Load is not part of the log. Any job store aggregates it, so that it stays known while there
+    // is no leader.
     if let Request::Load(report) = request {
         if let Some(before) = &report.previous_aggregator {
             store.send_frame(before, &Frame::GatewayMoved { gateway: report.gateway.clone() });
         }
-        let answer = store.loads.report(report, store.leader_in_touch());
+        let answer = store.loads.report(report, store.confirmed_leader());
         store.loads_changed.notify_one();
         store.work_changed.notify_one();
         return Reply::Load(answer);
     }
-    if let Request::TakeTokens(asks) = request {
-        return Reply::Tokens(quota.take(&asks));
+    if let Request::TakeTokens(token_requests) = request {
+        return Reply::Tokens(quota.take(&token_requests));
     }
-    // What is known of suspects is no part of the log either.
+    // Knowledge of suspects is not part of the log either.
     if let Request::Suspects(exchange) = request {
         return Reply::Suspects(exchange.answer(suspects));
     }
     if !store.serves() {
-        return not_sure(store);
+        return not_ready(store);
     }
     match request {
         Request::TrySuspect { update, backend } => {
@@ -196,22 +196,22 @@
             if !members.is_empty() {
                 return Reply::ResidencyViolation { members };
             }
-            let _room = match store.reserve(&job, &submission) {
-                Ok(room) => room,
-                Err(NotTaken::UnderWay) => return Reply::Unknown,
-                Err(NotTaken::Full) => return Reply::Full,
-                Err(NotTaken::OverQuota) => return Reply::OverQuota,
+            let _permit = match store.reserve(&job, &submission) {
+                Ok(permit) => permit,
+                Err(Rejection::InProgress) => return Reply::Unknown,
+                Err(Rejection::Full) => return Reply::Full,
+                Err(Rejection::OverQuota) => return Reply::OverQuota,
             };
             let command = Command::SubmitFor { job, tenant: requester.owner(), submission };
-            changed(store, command, Reply::Accepted).await
+            commit(store, command, Reply::Accepted).await
         }
         Request::End { job, requester } => {
             let may_access =
                 store.with_job(&job, |held| requester.may_access(held.tenant.as_ref()));
             if may_access != Some(true) {
-                return found(store, Found::No, |()| Reply::Ended);
+                return found(store, ReadResult::NotFound, |()| Reply::Ended);
             }
-            changed(store, Command::End { job }, Reply::Ended).await
+            commit(store, Command::End { job }, Reply::Ended).await
         }
         Request::Body { job, requester, item } => {
             let body = store.read(|jobs| jobs.body(&job, &requester, &item).map(<[u8]>::to_vec));
@@ -221,7 +221,7 @@
             match store.with_job(&job, |held| requester.may_access(held.tenant.as_ref())) {
                 Some(true) => Reply::Accepted,
                 Some(false) => Reply::JobIdConflict,
-                None if store.is_under_way(&job) => Reply::Unknown,
+                None if store.is_pending(&job) => Reply::Unknown,
                 None => Reply::NotFound,
             }
         }
@@ -236,8 +236,8 @@
     }
 }
 
-/// Members of the group to which a job would go though it may not be kept there. A gateway looks at all job
-/// stores that it knows before it sends a job; this process knows who is a member.
+/// Members of the group that may not store the job. Gateways check all job stores that they know
+/// before they send a job; this process knows the actual members.
 fn forbidden_members(
     server: &Server,
     requester: &Requester,
@@ -253,35 +253,36 @@
     let names: Vec<String> = server
         .store
         .with_core(|core, _| core.members().all().map(|member| member.name.clone()).collect());
-    server.known_zones.note(&server.fleet.load());
+    server.known_zones.record(&server.fleet.load());
     server.known_zones.forbidden(names.iter().map(String::as_str), &residency, &catalog.zones)
 }
 
-fn not_sure(store: &Store) -> Reply {
+fn not_ready(store: &Store) -> Reply {
     if store.is_leader() {
         return Reply::LeaderNotReady;
     }
     Reply::NotLeader { leader: store.leader() }
 }
 
-async fn changed(store: &Store, command: Command, done: Reply) -> Reply {
+async fn commit(store: &Store, command: Command, done: Reply) -> Reply {
     match store.propose(&command).await {
         Ok(()) => done,
-        Err(ProposeError::NotLeader) => not_sure(store),
+        Err(ProposeError::NotLeader) => not_ready(store),
         Err(ProposeError::Unknown) => Reply::Unknown,
     }
 }
 
-fn found<T>(store: &Store, found: Found<T>, reply: impl FnOnce(T) -> Reply) -> Reply {
+fn found<T>(store: &Store, found: ReadResult<T>, reply: impl FnOnce(T) -> Reply) -> Reply {
     match found {
-        Found::Yes(value) => reply(value),
-        Found::No => Reply::NotFound,
-        Found::LeaderNotReady => not_sure(store),
+        ReadResult::Found(value) => reply(value),
+        ReadResult::NotFound => Reply::NotFound,
+        ReadResult::NotReady => not_ready(store),
     }
 }
 
-/// Waits until a result exists from a position on, or nothing more will come, or until a time.
-async fn until_readable(store: &Store, job: &str, from: u64, until: Instant) {
+/// Waits until there is a result at or after a position, no more results will come, or the deadline
+/// is reached.
+async fn wait_until_readable(store: &Store, job: &str, from: u64, until: Instant) {
     loop {
         let reader = store.reader(job);
         let woken = reader.notified();
--- a/crates/jobstore/src/slots.rs
+++ b/crates/jobstore/src/slots.rs
@@ -1,15 +1,15 @@
-//! Slots that items may have: those that online requests leave free at back ends where an item may be served, and
-//! those that online requests get back.
+//! Slots for items: those that online requests leave free at back ends where an item may be served,
+//! and those that are returned to online requests.
 
 use std::borrow::Cow;
 use std::sync::Arc;
 
 use yokefall_serving::{Backend, Requirements, Residency, RouteKind};
 
+use crate::capacity::{Capacity, ServiceSlots, SlotPool};
 use crate::item_worker::ItemWorkers;
 use crate::pool_slots::PoolSlots;
 use crate::preemption::{preempted, PlacedRun};
-use crate::room::{Room, ServiceSlots, SlotPool};
 use crate::run::ItemSender;
 use crate::runner::Runner;
 use crate::running::{ItemKey, Running};
@@ -18,7 +18,7 @@
     /// Back ends of a pool with a free slot, and how many items may start there.
     pub(crate) fn free_slots(&self, pool: &SlotPool) -> ServiceSlots {
         let catalog = self.worker.catalog.load();
-        let room = self.room(pool);
+        let capacity = self.capacity(pool);
         let requirements = Requirements { service: &pool.service, residency: &pool.residency };
         let workers = self.item_workers();
         let backends = self.worker.balancer.with(|balancer, now| {
@@ -33,10 +33,10 @@
             };
             candidates.iter().filter(is_free).cloned().collect()
         });
-        ServiceSlots::new(room, backends)
+        ServiceSlots::new(capacity, backends)
     }
 
-    /// The slots that the configuration in force gives an item.
+    /// The slot pool that the current configuration assigns to an item.
     pub(crate) fn pool_of(&self, key: &ItemKey) -> Option<SlotPool> {
         let catalog = self.worker.catalog.load();
         let (sender, path) = self.store.with_job(&key.0, |job| {
@@ -50,44 +50,47 @@
         (route.kind == RouteKind::Batch).then_some(SlotPool { service, residency })
     }
 
-    /// The slots of a pool. Of back ends that may take an item only those are looked at that have work: a pass comes up to
-    /// fifty times a second, and before 10,000 back ends a leader that looked at all of them had a fifth of its items done.
-    fn room(&self, pool: &SlotPool) -> Room {
+    /// Capacity of a pool. Only back ends with work are examined one by one: there are up to fifty
+    /// passes a second, and with 10,000 back ends a leader that examined all of them completed only
+    /// a fifth of its items.
+    fn capacity(&self, pool: &SlotPool) -> Capacity {
         let catalog = self.worker.catalog.load();
         let requirements = Requirements { service: &pool.service, residency: &pool.residency };
         let coverage = self.store.loads.coverage(self.fleet.load().gateways().count());
-        let room = Room::new(self.store.loads.report_interval()).heard(coverage);
+        let capacity = Capacity::new(self.store.loads.report_interval()).with_coverage(coverage);
         let Some(closed) = self.item_workers().closed(&requirements) else {
-            // What is known is too old to tell that any of them is warm.
-            return self
-                .room_of_each(room, &self.item_workers().candidates(&catalog, &requirements));
+            // The platform data is too old to consider any back end warm.
+            return self.capacity_of_each(
+                capacity,
+                &self.item_workers().candidates(&catalog, &requirements),
+            );
         };
         let tables = self.worker.eligibility.tables(&catalog, &requirements);
         self.worker.balancer.with(|balancer, now| {
             let mut counted = PoolSlots::new(&tables);
-            closed.iter().for_each(|backend| counted.leave_out(&backend.id, backend.started_ms));
-            balancer.ejected(now).for_each(|(id, started_ms)| counted.leave_out(id, started_ms));
+            closed.iter().for_each(|backend| counted.exclude(&backend.id, backend.started_ms));
+            balancer.ejected(now).for_each(|(id, started_ms)| counted.exclude(id, started_ms));
             self.store
                 .loads
-                .each_online(|incarnation, requests| counted.take(incarnation, requests));
+                .for_each_online(|incarnation, requests| counted.occupy(incarnation, requests));
             balancer
                 .all_in_flight()
-                .for_each(|(incarnation, items)| counted.take(&incarnation, items));
-            counted.add_to(room)
+                .for_each(|(incarnation, items)| counted.occupy(&incarnation, items));
+            counted.add_to(capacity)
         })
     }
 
-    fn room_of_each(&self, mut room: Room, candidates: &[Arc<Backend>]) -> Room {
+    fn capacity_of_each(&self, mut capacity: Capacity, candidates: &[Arc<Backend>]) -> Capacity {
         self.worker.balancer.with(|balancer, now| {
             for backend in candidates.iter().filter(|backend| !balancer.is_ejected(now, backend)) {
                 let online = self.reported_online(backend);
-                room.add(backend.slots, online + balancer.in_flight(backend));
+                capacity.add(backend.slots, online + balancer.in_flight(backend));
             }
         });
-        room
+        capacity
     }
 
-    /// Who may run items.
+    /// The workers that may run items.
     pub(crate) fn item_workers(&self) -> ItemWorkers<'_> {
         let leader = self.store.with_core(|core, _| core.id().name.clone());
         ItemWorkers { worker: &self.worker, delegation: &self.delegation, leader }
@@ -98,13 +101,13 @@
         self.reported_online(backend) + items < backend.slots
     }
 
-    /// Online requests at a back end of the gateways that are heard. Those of the others are in the
-    /// reserve of the service (`Coverage`), at which back end is not known.
+    /// Online requests of the reporting gateways at a back end. Those of other gateways are covered
+    /// by the reserve of the service (see `Coverage`), since their back ends are not known.
     fn reported_online(&self, backend: &Backend) -> u32 {
         self.store.loads.online(&backend.incarnation()).unwrap_or(0)
     }
 
-    /// Where online requests need the slots of items, the newest items are preempted.
+    /// Preempts the newest items if online requests need their slots.
     pub(crate) fn preempt(&self) {
         if !self.options.policy.give_way {
             return;
@@ -116,11 +119,11 @@
             .collect();
         let runs: Vec<PlacedRun> = placed.iter().map(|(run, backend)| run.at(backend)).collect();
         let online = |backend: &Backend| self.reported_online(backend);
-        let lacking = |service: &str| {
+        let shortfall = |service: &str| {
             let pool = SlotPool { service: service.to_owned(), residency: Residency::Anywhere };
-            self.room(&pool).lacking() as usize
+            self.capacity(&pool).shortfall() as usize
         };
-        for position in preempted(&runs, online, lacking) {
+        for position in preempted(&runs, online, shortfall) {
             placed[position].0.preempt();
         }
     }
--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -1,5 +1,5 @@
-//! Jobs, their items and results: the replicated state machine. Every replica applies the same
-//! commands in the same order and holds the same state.
+//! The replicated state machine: jobs, their items and results. All replicas apply the same
+//! commands in the same order and hold the same state.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,24 +12,26 @@
 use crate::packed::PackedText;
 use crate::protocol::Submission;
 
-/// Most bytes of results in one page.
+/// Maximum bytes of results in one page.
 pub const PAGE_BYTES: usize = 256 * 1024;
 
-/// Bytes of a result beside its text.
+/// Memory of a result in addition to its text.
 const RECORD_BYTES: usize = 96;
 
-/// A change of the state. Invariant: variants are only ever added at the end, and none changes its
-/// form, so that a log that an earlier version wrote can be read.
+/// A change of the state.
+///
+/// Invariant: variants are only appended and never changed, so that logs of earlier versions can be
+/// read.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Command {
-    /// Takes a job of nobody; earlier versions, which knew no tenants, wrote it.
+    /// Submits a job without a tenant; written by versions without tenants.
     Submit {
         /// Id of the job.
         job: String,
         /// The job.
         submission: Submission,
     },
-    /// Records the end of an item; the first end of an item counts, and gets the next position.
+    /// Records the end of an item. Only the first end counts; it is assigned the next position.
     Finish {
         /// Id of the job.
         job: String,
@@ -37,29 +39,29 @@
         item: u32,
         /// How it ended.
         state: ItemState,
-        /// The run that gave the text.
+        /// The run that produced the text.
         run: Run,
-        /// The last event kept before; the command is void where another one is.
+        /// The last event stored before; the command has no effect if it differs.
         after_event: u64,
-        /// Data of the events after it; none where there are no further events.
+        /// Data of the events after it; `None` if there are none.
         text: Option<String>,
     },
-    /// Keeps the output of an item so far, so that its run goes on elsewhere.
-    Keep {
+    /// Appends to the stored output of an item, so that its run can be resumed elsewhere.
+    AppendOutput {
         /// Id of the job.
         job: String,
         /// Index of the item.
         item: u32,
-        /// The run that gave the text.
+        /// The run that produced the text.
         run: Run,
-        /// The last event kept before; the command is void where another one is.
+        /// The last event stored before; the command has no effect if it differs.
         after_event: u64,
         /// The last event in the text.
         last_event: u64,
-        /// Data of the events after the ones kept before.
+        /// Data of the events after `after_event`.
         text: String,
     },
-    /// Counts a run that failed by the item's own fault.
+    /// Counts a run that failed because of the item itself.
     CountFailure {
         /// Id of the job.
         job: String,
@@ -71,14 +73,14 @@
         /// Id of the job.
         job: String,
     },
-    /// Forgets a job that is over.
+    /// Removes a finished job.
     Forget {
         /// Id of the job.
         job: String,
     },
-    /// Several commands that nobody waits for, in one entry.
-    Several(Vec<Command>),
-    /// Takes a job of a tenant.
+    /// Several commands in one entry; nobody waits for their outcome.
+    Batch(Vec<Command>),
+    /// Submits a job of a tenant.
     SubmitFor {
         /// Id of the job.
         job: String,
@@ -87,28 +89,24 @@
         /// The job.
         submission: Submission,
     },
-    /// Makes job stores the accountants of slots of tenants' limits.
+    /// Assigns slots of tenants' limits to token issuers.
     AssignSlots(Vec<SlotAssignment>),
 }
 
-/// A command of the log that this program cannot read: a later version wrote it. Whoever passed it over would hold
-/// another state than the others from then on.
+/// A command in the log that this build cannot read, written by a later version. Skipping it would
+/// make the state differ from that of other replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableCommand {
-    /// Its variant; `None` for a command without any bytes.
+    /// Its variant; `None` for an empty command.
     pub variant: Option<u8>,
-    /// What was wrong with it.
+    /// Why it could not be decoded.
     pub cause: String,
 }
 
 impl fmt::Display for UnreadableCommand {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let variant = self.variant.map_or("none".to_owned(), |variant| variant.to_string());
-        write!(
-            formatter,
-            "a command of variant {variant} that this program cannot read: {}",
-            self.cause
-        )
+        write!(formatter, "unreadable command of variant {variant}: {}", self.cause)
     }
 }
 
@@ -124,7 +122,7 @@
     }
 }
 
-/// A slot and the name of its next accountant.
+/// A slot and the name of its next token issuer.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SlotAssignment {
     /// The slot.
@@ -136,57 +134,59 @@
 /// A run of an item at a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Run {
-    /// Drawn for each run.
+    /// Random number of the run.
     pub number: u64,
-    /// The event after which the run was asked to continue; 0 for a run from the beginning.
-    pub asked_after: u64,
+    /// The event after which the run was asked to resume; 0 for a run from the beginning.
+    pub resume_after: u64,
 }
 
 /// Output of an item that has not ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Partial {
-    /// The last event in the text; 0 for none.
+pub struct PartialOutput {
+    /// The last event in the text; 0 if there is none.
     pub last_event: u64,
     /// Data of the events so far.
     pub text: String,
-    /// Number of the run that gave the last of them.
+    /// Number of the run that produced the last event.
     pub run: u64,
 }
 
-impl Partial {
-    /// Whether text of a run after an event may be joined to this one. Invariant: a text is joined
-    /// of runs only where the next one was asked to continue. A run that was asked for another event
-    /// may come to the same one by itself, when what an earlier run gave is kept late.
-    fn may_join(&self, run: Run, after_event: u64) -> bool {
-        let goes_on = self.run == run.number;
-        let was_asked = run.asked_after == after_event;
-        self.last_event == after_event && (goes_on || was_asked)
+impl PartialOutput {
+    /// Whether output of a run after an event may be appended.
+    ///
+    /// Invariant: output of different runs is only joined where the later run was asked to resume.
+    /// A run that was asked to resume elsewhere may happen to be at the same event if the output of
+    /// an earlier run is committed late.
+    fn accepts(&self, run: Run, after_event: u64) -> bool {
+        let is_same_run = self.run == run.number;
+        let resumes_here = run.resume_after == after_event;
+        self.last_event == after_event && (is_same_run || resumes_here)
     }
 }
 
 /// An item without a result.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct OpenItem {
-    /// What to run; runs share it.
+    /// The item; shared with its runs.
     pub item: Arc<JobItem>,
-    /// Runs that failed by the item's own fault.
+    /// Runs that failed because of the item itself.
     pub failures: u32,
     /// Output so far.
-    pub partial: Partial,
+    pub partial: PartialOutput,
 }
 
 /// The result of an item at its position.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct HeldResult {
+pub struct StoredResult {
     /// Id of the item.
     pub id: String,
     /// How it ended.
     pub state: ItemState,
-    /// Its whole output.
+    /// Its complete output.
     pub text: PackedText,
 }
 
-impl HeldResult {
+impl StoredResult {
     fn positioned(&self) -> PositionedResult {
         PositionedResult { id: self.id.clone(), state: self.state, text: self.text.unpack() }
     }
@@ -197,53 +197,54 @@
 pub struct Job {
     /// Host that it was sent to.
     pub host: String,
-    /// Attempts of an item that fails by itself.
+    /// Number of failed attempts after which an item is abandoned.
     pub max_attempts: u32,
-    /// Time after which an item may be given up, in milliseconds.
+    /// Time in milliseconds after which a waiting item may be abandoned.
     pub max_queue_ms: u64,
-    /// Time after which its results are due, in milliseconds; 0 where the route tells none.
+    /// Time in milliseconds after which the results are due; 0 if the route has no target.
     pub completion_target_ms: u64,
-    /// Queue of the route that took it: its host and path prefix.
+    /// Queue in which its items wait: the tenant, and the host and path prefix of the route.
     pub queue: String,
     /// Number of items.
     pub total: u32,
     /// Items without a result, by index.
     pub open: BTreeMap<u32, OpenItem>,
-    /// Results by position. Invariant: only ever added to; a caller that read a position reads the
-    /// same there later.
-    pub results: Vec<HeldResult>,
-    /// Whether its caller ended it.
+    /// Results by position.
+    ///
+    /// Invariant: results are only appended, so that a position always yields the same result.
+    pub results: Vec<StoredResult>,
+    /// Whether its client ended it.
     pub ended: bool,
-    /// Tenant that it belongs to; any of the tenant's keys reads and ends it.
+    /// Tenant that it belongs to; all keys of the tenant may read and end it.
     pub tenant: Option<TenantName>,
 }
 
 impl Job {
-    /// Whether anything remains to be done for it.
+    /// Whether it has unfinished items and was not ended.
     pub fn is_open(&self) -> bool {
         !self.ended && !self.open.is_empty()
     }
 
     fn held_bytes(&self) -> usize {
         let open = |open: &OpenItem| open.item.held_bytes() + open.partial.text.len();
-        let result = |result: &HeldResult| RECORD_BYTES + result.text.held_bytes();
+        let result = |result: &StoredResult| RECORD_BYTES + result.text.held_bytes();
         let open: usize = self.open.values().map(open).sum();
         open + self.results.iter().map(result).sum::<usize>()
     }
 }
 
-/// Text to be joined to what an item gave before.
-struct KeptText<'a> {
+/// Output to append to that of an item.
+struct OutputChunk<'a> {
     run: Run,
     after_event: u64,
     last_event: u64,
     text: &'a str,
 }
 
-/// What applying a command changed.
+/// The effect of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// A job was taken.
+    /// A job was accepted.
     Accepted {
         /// Id of the job.
         job: String,
@@ -260,16 +261,16 @@
         /// Id of the job.
         job: String,
     },
-    /// A job was forgotten.
+    /// A job was removed.
     Forgotten {
         /// Id of the job.
         job: String,
     },
-    /// Nothing that others wait for.
+    /// No effect that anyone waits for.
     Nothing,
 }
 
-/// The replicated state: all jobs, and the accountants of tenants' limits.
+/// The replicated state: all jobs, and the token issuers of tenants' limits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Jobs {
     pub(crate) jobs: BTreeMap<String, Job>,
@@ -277,17 +278,17 @@
 }
 
 impl Jobs {
-    /// A job.
+    /// A job by its id.
     pub fn get(&self, job: &str) -> Option<&Job> {
         self.jobs.get(job)
     }
 
-    /// Who the accountants of tenants' limits are.
+    /// The assignment of token issuers.
     pub fn token_issuers(&self) -> &Assignment {
         &self.token_issuers
     }
 
-    /// Every job with its id.
+    /// All jobs with their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Job)> {
         self.jobs.iter()
     }
@@ -300,9 +301,9 @@
             Command::Finish { job, item, state, run, after_event, text } => {
                 self.finish(job, item, state, run, after_event, text.as_deref())
             }
-            Command::Keep { job, item, run, after_event, last_event, text } => {
-                let text = KeptText { run, after_event, last_event, text: &text };
-                self.keep(&job, item, &text)
+            Command::AppendOutput { job, item, run, after_event, last_event, text } => {
+                let text = OutputChunk { run, after_event, last_event, text: &text };
+                self.append_output(&job, item, &text)
             }
             Command::CountFailure { job, item } => {
                 if let Some(open) = self.open_item(&job, item) {
@@ -320,7 +321,7 @@
                 self.token_issuers.assign(changes.collect());
                 Applied::Nothing
             }
-            Command::Several(commands) => {
+            Command::Batch(commands) => {
                 for command in commands {
                     self.apply(command);
                 }
@@ -341,7 +342,7 @@
         let open_item = |item: JobItem| OpenItem {
             item: Arc::new(item),
             failures: 0,
-            partial: Partial::default(),
+            partial: PartialOutput::default(),
         };
         let open: BTreeMap<u32, OpenItem> =
             (0..).zip(submission.items.into_iter().map(open_item)).collect();
@@ -365,8 +366,9 @@
         self.jobs.get_mut(job)?.open.get_mut(&item)
     }
 
-    /// Invariant: an item gets one result. The first end in the log counts; a second one, of a run
-    /// by a former leader, finds no open item. Text is joined only to the text that it follows.
+    /// Invariant: an item gets exactly one result. The first end in the log counts; for a second
+    /// one, from a run of a former leader, the item is no longer open. Text is only appended to the
+    /// output that it continues.
     fn finish(
         &mut self,
         id: String,
@@ -379,28 +381,29 @@
         let Some(job) = self.jobs.get_mut(&id) else { return Applied::Nothing };
         let Some(open) = job.open.get(&item) else { return Applied::Nothing };
         let completed = state == ItemState::Completed;
-        if completed && !open.partial.may_join(run, after_event) {
+        if completed && !open.partial.accepts(run, after_event) {
             return Applied::Nothing;
         }
         let Some(open) = job.open.remove(&item) else { return Applied::Nothing };
-        let mut whole = String::new();
+        let mut output = String::new();
         if completed {
-            whole = open.partial.text;
+            output = open.partial.text;
             if let Some(text) = text {
-                join(&mut whole, after_event, text);
+                append_events(&mut output, after_event, text);
             }
         }
-        let text = PackedText::pack(whole);
-        job.results.push(HeldResult { id: open.item.id.clone(), state, text });
+        let text = PackedText::pack(output);
+        job.results.push(StoredResult { id: open.item.id.clone(), state, text });
         Applied::Finished { job: id, item }
     }
 
-    fn keep(&mut self, job: &str, item: u32, kept: &KeptText) -> Applied {
-        let joins = |open: &&mut OpenItem| open.partial.may_join(kept.run, kept.after_event);
-        if let Some(open) = self.open_item(job, item).filter(joins) {
-            join(&mut open.partial.text, kept.after_event, kept.text);
-            open.partial.last_event = kept.last_event;
-            open.partial.run = kept.run.number;
+    fn append_output(&mut self, job: &str, item: u32, chunk: &OutputChunk) -> Applied {
+        let accepts_chunk =
+            |open: &&mut OpenItem| open.partial.accepts(chunk.run, chunk.after_event);
+        if let Some(open) = self.open_item(job, item).filter(accepts_chunk) {
+            append_events(&mut open.partial.text, chunk.after_event, chunk.text);
+            open.partial.last_event = chunk.last_event;
+            open.partial.run = chunk.run.number;
         }
         Applied::Nothing
     }
@@ -412,14 +415,14 @@
         Applied::Ended { job: id }
     }
 
-    /// A job that a requester may read and end.
-    pub fn of(&self, id: &str, requester: &Requester) -> Option<&Job> {
+    /// A job that the requester may read and end.
+    pub fn get_for(&self, id: &str, requester: &Requester) -> Option<&Job> {
         self.jobs.get(id).filter(|job| requester.may_access(job.tenant.as_ref()))
     }
 
-    /// Results of a job from a position on; one at least where one exists.
+    /// Results of a job from a position on; at least one if any exists.
     pub fn page(&self, id: &str, requester: &Requester, from: u64) -> Option<ResultPage> {
-        let job = self.of(id, requester)?;
+        let job = self.get_for(id, requester)?;
         let mut page = ResultPage { total: u64::from(job.total), results: Vec::new(), next: from };
         let mut bytes = 0;
         for result in job.results.iter().skip(from as usize) {
@@ -433,7 +436,7 @@
         Some(page)
     }
 
-    /// About the bytes that the jobs take.
+    /// Approximate memory used by the jobs.
     pub fn held_bytes(&self) -> usize {
         self.jobs.values().map(Job::held_bytes).sum()
     }
@@ -446,15 +449,15 @@
 
     /// Body of an item without a result.
     pub fn body(&self, id: &str, requester: &Requester, item: &str) -> Option<&[u8]> {
-        let open = self.of(id, requester)?.open.values().find(|open| open.item.id == item)?;
+        let open = self.get_for(id, requester)?.open.values().find(|open| open.item.id == item)?;
         Some(&open.item.body)
     }
 }
 
-/// Adds the data of the events after an event; 0 stands before the first.
-fn join(whole: &mut String, after_event: u64, text: &str) {
+/// Appends the data of the events after `after_event`; 0 means from the beginning.
+fn append_events(output: &mut String, after_event: u64, text: &str) {
     if after_event > 0 {
-        whole.push('\n');
+        output.push('\n');
     }
-    whole.push_str(text);
+    output.push_str(text);
 }
--- a/crates/jobstore/src/suspects.rs
+++ b/crates/jobstore/src/suspects.rs
@@ -1,8 +1,10 @@
-//! What keeps knowledge of suspects alike in all processes, and on the disks of the job stores.
+//! Synchronizes knowledge of suspects across all processes, and persists it on the disks of the job
+//! stores.
 //!
-//! Notices bring an observation to all within a round trip; this is for what they miss: a lost datagram, a
-//! cut that has healed, a process that has just started. Each process compares a fingerprint with a job
-//! store, so that two that know the same pay some 100 bytes a second for it.
+//! Notices spread an observation to all processes within a round trip. This exchange covers what
+//! they miss: lost datagrams, healed partitions, and processes that have just started. Each process
+//! compares a fingerprint with a job store, so that two processes with the same knowledge spend
+//! about 100 bytes a second.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -16,30 +18,32 @@
 
 use crate::aggregators::ReportTarget;
 use crate::client::JobClient;
-use crate::kept_file;
+use crate::hint_file;
 use crate::protocol::{Reply, Request};
 
-/// Longest pause between two exchanges: three of them fall into the time within which all must know.
+/// Maximum interval between two exchanges; three fit into the time within which a suspect must be
+/// known to all processes.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same until the first has succeeded: a process that has just started sends what others hold back.
-const FIRST_INTERVAL: Duration = Duration::from_millis(200);
-/// Exchanges after which what is over is dropped, about a minute.
-const ROUNDS_TO_FORGET: u32 = 64;
-/// Pause before what this process learnt by itself is exchanged.
-const OBSERVED_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for an answer.
+/// Maximum interval between two exchanges until the first one succeeds. A process that has just
+/// started does not know the suspects and sends requests that others hold back.
+const INITIAL_EXCHANGE_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of exchanges, about a minute, after which finished suspects are purged.
+const ROUNDS_PER_PURGE: u32 = 64;
+/// Delay before a local observation is exchanged.
+const OBSERVATION_DELAY: Duration = Duration::from_millis(50);
+/// Time limit for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Least pause between two writes to the disk.
-const SAVE_PAUSE: Duration = Duration::from_millis(50);
-/// Name of the file.
+/// Minimum interval between two writes to the disk.
+const MIN_SAVE_INTERVAL: Duration = Duration::from_millis(50);
+/// File name in the data folder.
 const FILE: &str = "suspects";
 
-/// What a process knows, as it asks another.
+/// Knowledge of suspects, as exchanged between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, borsh::BorshSerialize, borsh::BorshDeserialize)]
 pub struct SuspectExchange {
-    /// A number that differs where two processes would tell different news.
+    /// Fingerprint of the knowledge; differs if two processes know different suspects.
     pub fingerprint: u64,
-    /// All of it, where the other side is known to lack some.
+    /// The complete knowledge, if the other side is known to lack some of it.
     pub report: SuspectReport,
 }
 
@@ -52,7 +56,8 @@
         Self { fingerprint: registry.fingerprint(), report: registry.report() }
     }
 
-    /// The answer to it, after its report was taken: a report where the two sides still differ.
+    /// Merges the received report and returns the answer, with a report if the two sides still
+    /// differ.
     pub fn answer(self, registry: &Registry) -> Self {
         registry.take(self.report);
         match self.fingerprint == registry.fingerprint() {
@@ -62,7 +67,7 @@
     }
 }
 
-/// Starts what keeps knowledge of suspects alike in all processes. `target` names this process.
+/// Starts the tasks that synchronize suspects across processes. `target` names this process.
 pub fn start_exchange(
     registry: Rc<Registry>,
     client: Rc<JobClient>,
@@ -76,7 +81,8 @@
     tokio::task::spawn_local(exchange(registry, client, fleet, target));
 }
 
-/// Exchanges with job stores, for ever: with those of this process's own region, as load reports.
+/// Exchanges knowledge with job stores, preferably in the region of this process, as with load
+/// reports. Never returns.
 async fn exchange(
     registry: Rc<Registry>,
     client: Rc<JobClient>,
@@ -84,16 +90,16 @@
     mut target: ReportTarget,
 ) {
     let mut rounds: u32 = 0;
-    let mut has_learnt = false;
+    let mut has_synced = false;
     loop {
         rounds = rounds.wrapping_add(1);
-        if rounds % ROUNDS_TO_FORGET == 0 {
+        if rounds % ROUNDS_PER_PURGE == 0 {
             registry.expire();
         }
-        let interval = if has_learnt { EXCHANGE_INTERVAL } else { FIRST_INTERVAL };
+        let interval = if has_synced { EXCHANGE_INTERVAL } else { INITIAL_EXCHANGE_INTERVAL };
         let wait = interval.mul_f64(rand::random_range(0.5..1.0));
         if tokio::time::timeout(wait, registry.observed.notified()).await.is_ok() {
-            tokio::time::sleep(OBSERVED_PAUSE).await;
+            tokio::time::sleep(OBSERVATION_DELAY).await;
         }
         let Some(peer) = peer(&fleet.load(), &target) else { continue };
         let first = SuspectExchange::without_report(&registry);
@@ -102,7 +108,7 @@
             continue;
         };
         target.answered(&peer.name, Some(peer.name.clone()));
-        has_learnt = true;
+        has_synced = true;
         registry.take(answer.report);
         if answer.fingerprint != registry.fingerprint() {
             let second = SuspectExchange::with_report(&registry);
@@ -113,8 +119,8 @@
     }
 }
 
-/// The job store to exchange with: one of those that add up loads, to which gateways have connections anyway;
-/// for such a one any other, so that all of them hear of each other.
+/// The job store to exchange with: an aggregator, to which gateways are connected anyway; for an
+/// aggregator, any other job store, so that knowledge spreads among all of them.
 fn peer(fleet: &Fleet, target: &ReportTarget) -> Option<FleetMember> {
     let me = target.gateway();
     let is_other = |member: &&FleetMember| member.accepting && member.name != me;
@@ -122,7 +128,7 @@
     chosen.or_else(|| fleet.job_stores().filter(is_other).choose(&mut rand::rng())).cloned()
 }
 
-/// What a job store answers; `None` where it gave no answer, and another one is asked the next time.
+/// Sends an exchange to a job store; `None` if it did not answer.
 async fn ask(
     client: &JobClient,
     address: std::net::SocketAddr,
@@ -135,25 +141,26 @@
     }
 }
 
-/// Takes what was kept before this process started. Ages are those of the moment when it was kept: a
-/// suspect may be held back for longer than it would have been, never for less.
+/// Loads the suspects stored before this process started. Their ages are those at the time of
+/// storing, so that a suspect may be held back for longer, but never for less time.
 pub fn load(folder: &Path, registry: &Registry) {
-    registry.take(kept_file::load(folder, FILE));
+    registry.take(hint_file::load(folder, FILE));
 }
 
-/// Keeps suspects that do not run freely on the disk, for ever: all processes may be killed at once.
-pub async fn keep(folder: PathBuf, registry: Rc<Registry>) {
-    let mut kept = registry.fingerprint();
+/// Stores restricted suspects on disk when they change, since all processes may be killed at once.
+/// Never returns.
+pub async fn persist_changes(folder: PathBuf, registry: Rc<Registry>) {
+    let mut saved = registry.fingerprint();
     loop {
         registry.changed.notified().await;
         let fingerprint = registry.fingerprint();
-        if fingerprint == kept {
+        if fingerprint == saved {
             continue;
         }
         let report = registry.persistent_report();
-        if kept_file::save_aside(folder.clone(), FILE, report).await {
-            kept = fingerprint;
+        if hint_file::save_in_background(folder.clone(), FILE, report).await {
+            saved = fingerprint;
         }
-        tokio::time::sleep(SAVE_PAUSE).await;
+        tokio::time::sleep(MIN_SAVE_INTERVAL).await;
     }
 }
--- a/crates/jobstore/src/wal.rs
+++ b/crates/jobstore/src/wal.rs
@@ -1,9 +1,10 @@
-//! The log on disk: checksummed records in one file, appended and synced.
+//! The write-ahead log: checksummed records in one file, appended and synced.
 //!
 //! Files are named `log-N`. A file begins with the identity of the disk and whatever a compaction
-//! carried over, and counts from its `Sealed` record on. A compaction writes file N + 1 whole, syncs
-//! it and its folder, and removes file N after that: the highest sealed file is the log, whichever
-//! names a loss of power kept. A torn record ends the file: nothing after it was synced.
+//! carried over, and is valid once it contains a `Sealed` record. A compaction writes file N + 1
+//! completely, syncs it and its folder, and then removes file N; after a power failure the sealed
+//! file with the highest number is the log, whichever directory entries survived. A torn record
+//! ends the log, since nothing after it was synced.
 
 use std::fmt;
 use std::fs::{File, OpenOptions};
@@ -15,31 +16,31 @@
 use yokefall_consensus::{Entry, Index, MemberId, Members, Recovered, Snapshot, Term, Write};
 
 /// Bytes of a record's length and checksum.
-const HEAD_BYTES: usize = 8;
-/// Bytes of the length that stands before a snapshot's state, which ends its record.
+const HEADER_BYTES: usize = 8;
+/// Bytes of the length that precedes a snapshot's state at the end of its record.
 const LENGTH_BYTES: usize = 4;
-/// Largest record believed, in bytes.
+/// Maximum plausible size of a record, in bytes.
 const MAX_RECORD_BYTES: u32 = 512 * 1024 * 1024;
 
-/// One record.
+/// A record.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 enum Record {
     /// Identity of the disk.
     Identity { incarnation: u64 },
     /// Term and vote.
     State { term: Term, voted_for: Option<MemberId>, committed_members_index: Index },
-    /// Entries, in the place of any at their positions and after.
+    /// Entries, replacing any at the same or later positions.
     Entries(Vec<Entry>),
-    /// A snapshot, in the place of everything before.
+    /// A snapshot, replacing everything before it.
     Snapshot(Snapshot),
-    /// The file counts from here on.
+    /// Marks the file as valid.
     Sealed,
 }
 
-/// A step on the disk that failed.
+/// A failed disk operation.
 #[derive(Debug)]
 pub struct WalError {
-    /// The step.
+    /// The operation.
     pub step: &'static str,
     /// File or folder.
     pub path: PathBuf,
@@ -55,14 +56,14 @@
 
 impl std::error::Error for WalError {}
 
-/// What a compaction puts in the place of all that was written.
+/// The content that replaces the whole log in a compaction.
 #[derive(Clone, Debug)]
 pub struct Rewrite {
     /// Term.
     pub term: Term,
-    /// Vote in it.
+    /// Vote in this term.
     pub voted_for: Option<MemberId>,
-    /// Position of the newest members that are known to be committed.
+    /// Position of the newest membership that is known to be committed.
     pub committed_members_index: Index,
     /// The snapshot.
     pub snapshot: Snapshot,
@@ -70,7 +71,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// The open log of one disk.
+/// The open log of a disk.
 #[derive(Debug)]
 pub struct Wal {
     folder: PathBuf,
@@ -83,24 +84,24 @@
     pending: Vec<u8>,
 }
 
-/// A log and what it held.
+/// A log and its recovered content.
 pub struct Opened {
     /// The log.
     pub wal: Wal,
     /// Identity of the disk.
     pub incarnation: u64,
-    /// What it held.
+    /// The recovered content.
     pub recovered: Recovered,
-    /// Whether the disk held nothing.
+    /// Whether the disk was empty.
     pub was_empty: bool,
 }
 
 impl Wal {
-    /// Opens the log in a folder. A folder without one gets `fresh_incarnation` as its identity,
-    /// which is synced before this returns.
+    /// Opens the log in a folder. An empty folder gets `fresh_incarnation` as its identity, which
+    /// is synced before this returns.
     pub fn open(folder: &Path, fresh_incarnation: u64) -> Result<Opened, WalError> {
         let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
-        std::fs::create_dir_all(folder).map_err(at("make folder"))?;
+        std::fs::create_dir_all(folder).map_err(at("create folder"))?;
         let mut numbers = list(folder).map_err(at("list folder"))?;
         numbers.sort_unstable_by(|left, right| right.cmp(left));
         let highest = numbers.first().copied().unwrap_or(0);
@@ -125,7 +126,7 @@
         Ok(Opened { wal, incarnation: fresh_incarnation, recovered, was_empty: true })
     }
 
-    /// Goes on after the last whole record.
+    /// Continues after the last complete record.
     fn resume(
         folder: &Path,
         number: u64,
@@ -141,7 +142,7 @@
             synced: valid,
             pending: Vec::new(),
         };
-        wal.rewind()?;
+        wal.truncate_to_synced()?;
         wal.file.sync_all().map_err(|cause| wal.error("sync", cause))?;
         Ok(wal)
     }
@@ -161,7 +162,7 @@
         let options = options.read(true).write(true).create(true).truncate(true);
         let mut file = options.open(&path).map_err(at("create"))?;
         let mut synced = 0;
-        // Record by record: a snapshot is large, and no copy of it is made.
+        // Records are written one by one to avoid a copy of the large snapshot.
         for record in start {
             synced += write_record(&mut file, record).map_err(at("write"))?;
         }
@@ -180,7 +181,7 @@
         self.synced + self.pending.len() as u64
     }
 
-    /// Adds a write; it lasts when `sync` has returned well.
+    /// Adds a write; it is durable once `sync` has succeeded.
     pub fn add(&mut self, write: &Write) {
         let record = match write {
             Write::State { term, voted_for, committed_members_index } => Record::State {
@@ -189,19 +190,19 @@
                 committed_members_index: *committed_members_index,
             },
             Write::Entries(entries) => Record::Entries(entries.clone()),
-            // Written by `rewrite`, which also carries over what stays.
+            // Written by `rewrite`, which also carries over the entries after the snapshot.
             Write::Snapshot { .. } => return,
         };
         encode(&record, &mut self.pending);
     }
 
-    /// Writes and syncs what was added. After an error it may be called again: everything that is
-    /// not synced is written anew, since a failed sync may have dropped what was written.
+    /// Writes and syncs the added records. May be called again after an error: everything that is
+    /// not synced is rewritten, since a failed sync may have dropped written data.
     pub fn sync(&mut self) -> Result<(), WalError> {
         if self.pending.is_empty() {
             return Ok(());
         }
-        self.rewind()?;
+        self.truncate_to_synced()?;
         let pending = std::mem::take(&mut self.pending);
         let written = self.file.write_all(&pending).and_then(|()| self.file.sync_data());
         if let Err(cause) = written {
@@ -212,9 +213,10 @@
         Ok(())
     }
 
-    /// Cuts off whatever stands after the synced bytes.
-    fn rewind(&mut self) -> Result<(), WalError> {
-        let length = self.file.metadata().map_err(|cause| self.error("look at", cause))?.len();
+    /// Truncates the file to the synced bytes.
+    fn truncate_to_synced(&mut self) -> Result<(), WalError> {
+        let length =
+            self.file.metadata().map_err(|cause| self.error("read metadata of", cause))?.len();
         if length > self.synced {
             self.file.set_len(self.synced).map_err(|cause| self.error("cut", cause))?;
         }
@@ -223,7 +225,7 @@
         Ok(())
     }
 
-    /// Puts a snapshot and what follows it in the place of the whole log.
+    /// Replaces the whole log by a snapshot and the entries after it.
     pub fn rewrite(&mut self, rewrite: Rewrite) -> Result<(), WalError> {
         let start = [
             Record::Identity { incarnation: self.incarnation },
@@ -238,15 +240,14 @@
         ];
         let former = file_path(&self.folder, self.number);
         *self = Self::create(&self.folder, self.number + 1, self.incarnation, &start)?;
-        // A former file that stays is passed over: the new one has a higher number.
+        // A remaining old file is ignored, since the new one has a higher number.
         let _ = std::fs::remove_file(former);
         let _ = sync_folder(&self.folder);
         Ok(())
     }
 }
 
-/// The members that the newest entry in a folder's log tells. For tools and tests: reads, and
-/// changes nothing.
+/// The members according to the newest entry of a folder's log. Read-only; for tools and tests.
 pub fn peek_members(folder: &Path) -> Result<Members, WalError> {
     let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
     let mut numbers = list(folder).map_err(at("list folder"))?;
@@ -281,16 +282,16 @@
 
 fn encode(record: &Record, bytes: &mut Vec<u8>) {
     let head = bytes.len();
-    bytes.extend_from_slice(&[0; HEAD_BYTES]);
-    // Encoding into memory fails for no value of this type.
+    bytes.extend_from_slice(&[0; HEADER_BYTES]);
+    // Encoding into memory cannot fail for this type.
     let _ = borsh::to_writer(&mut *bytes, record);
-    let content = &bytes[head + HEAD_BYTES..];
+    let content = &bytes[head + HEADER_BYTES..];
     let (length, checksum) = (content.len() as u32, crc32fast::hash(content));
     bytes[head..head + 4].copy_from_slice(&length.to_le_bytes());
-    bytes[head + 4..head + HEAD_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    bytes[head + 4..head + HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Writes one record; the state of a snapshot goes out as it lies in memory.
+/// Writes one record; the state of a snapshot is written from memory without a copy.
 fn write_record(file: &mut File, record: &Record) -> std::io::Result<u64> {
     let Record::Snapshot(snapshot) = record else {
         let mut bytes = Vec::new();
@@ -299,7 +300,7 @@
         return Ok(bytes.len() as u64);
     };
     let state = &snapshot.state;
-    // The same record with an empty state, whose length is then put right.
+    // Encodes the record with an empty state and then corrects the length.
     let mut content = borsh::to_vec(&Record::Snapshot(snapshot.position()))?;
     content.truncate(content.len() - LENGTH_BYTES);
     content.extend_from_slice(&(state.len() as u32).to_le_bytes());
@@ -311,28 +312,28 @@
     file.write_all(&checksum.finalize().to_le_bytes())?;
     file.write_all(&content)?;
     file.write_all(state)?;
-    Ok((HEAD_BYTES + length) as u64)
+    Ok((HEADER_BYTES + length) as u64)
 }
 
 struct Scan {
     incarnation: u64,
     recovered: Recovered,
-    /// Bytes up to the end of the last whole record.
+    /// Bytes up to the end of the last complete record.
     valid: u64,
 }
 
-/// Reads a file up to the first record that is not whole; `None` where it is not sealed. One record
-/// at a time is in memory beside what was recovered.
+/// Reads a file up to the first incomplete record; `None` if it is not sealed. Holds only one
+/// record in memory in addition to the recovered content.
 fn scan(file: &File) -> std::io::Result<Option<Scan>> {
-    let mut left = file.metadata()?.len();
+    let mut remaining = file.metadata()?.len();
     let mut reader = BufReader::new(file);
     let mut recovered = Recovered::default();
     let mut incarnation = None;
     let mut sealed = false;
     let mut valid = 0;
-    while let Some((record, length)) = next_record(&mut reader, left)? {
+    while let Some((record, length)) = next_record(&mut reader, remaining)? {
         valid += length;
-        left -= length;
+        remaining -= length;
         match record {
             Record::Identity { incarnation: held } => incarnation = Some(held),
             Record::State { term, voted_for, committed_members_index } => {
@@ -340,7 +341,7 @@
                 recovered.voted_for = voted_for;
                 recovered.committed_members_index = committed_members_index;
             }
-            Record::Entries(entries) => take_entries(&mut recovered, entries),
+            Record::Entries(entries) => append_entries(&mut recovered, entries),
             Record::Snapshot(snapshot) => {
                 recovered.snapshot = snapshot;
                 recovered.entries.clear();
@@ -352,7 +353,7 @@
     Ok(incarnation.map(|incarnation| Scan { incarnation, recovered, valid }))
 }
 
-fn take_entries(recovered: &mut Recovered, entries: Vec<Entry>) {
+fn append_entries(recovered: &mut Recovered, entries: Vec<Entry>) {
     let Some(first) = entries.first().map(|entry| entry.index) else { return };
     while recovered.entries.last().is_some_and(|entry| entry.index >= first) {
         recovered.entries.pop();
@@ -360,18 +361,18 @@
     recovered.entries.extend(entries);
 }
 
-/// The next record of a file of which `left` bytes remain, and its bytes; `None` where it is torn.
-fn next_record(reader: &mut impl Read, left: u64) -> std::io::Result<Option<(Record, u64)>> {
-    if left < HEAD_BYTES as u64 {
+/// The next record of a file with `remaining` bytes remaining, and its size; `None` if it is torn.
+fn next_record(reader: &mut impl Read, remaining: u64) -> std::io::Result<Option<(Record, u64)>> {
+    if remaining < HEADER_BYTES as u64 {
         return Ok(None);
     }
-    let mut head = [0; HEAD_BYTES];
+    let mut head = [0; HEADER_BYTES];
     reader.read_exact(&mut head)?;
     let [l0, l1, l2, l3, c0, c1, c2, c3] = head;
     let length = u32::from_le_bytes([l0, l1, l2, l3]);
     let checksum = u32::from_le_bytes([c0, c1, c2, c3]);
-    let whole = HEAD_BYTES as u64 + u64::from(length);
-    if length > MAX_RECORD_BYTES || whole > left {
+    let total = HEADER_BYTES as u64 + u64::from(length);
+    if length > MAX_RECORD_BYTES || total > remaining {
         return Ok(None);
     }
     let mut content = vec![0; length as usize];
@@ -379,5 +380,5 @@
     if crc32fast::hash(&content) != checksum {
         return Ok(None);
     }
-    Ok(borsh::from_slice(&content).ok().map(|record| (record, whole)))
+    Ok(borsh::from_slice(&content).ok().map(|record| (record, total)))
 }
--- a/crates/jobstore/src/worker.rs
+++ b/crates/jobstore/src/worker.rs
@@ -1,6 +1,6 @@
-//! Runs items at back ends, for this process where it leads or for the leader. Many job stores have
-//! nothing to do while one leads: the leader decides which item runs where and keeps what comes of it,
-//! and others read the events.
+//! Runs items at back ends, for this process when it leads or on behalf of the leader. The leader
+//! decides which item runs where and stores the results; the other job stores, otherwise idle,
+//! receive the events.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,30 +20,30 @@
 use crate::run::{ItemRunner, ItemSender, PermitDenied, Progress, RunEnd};
 use crate::state::Run;
 
-/// Interval at which the output of a run is sent to the leader, which makes it durable as often.
+/// Interval at which the output of a run is sent to the leader, which commits it as often.
 const OUTPUT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What runs items.
+/// Runs items.
 pub struct Worker {
-    /// Back ends that are known here.
+    /// The known back ends.
     pub catalog: CatalogCell,
-    /// Which of them may take an item.
+    /// Decides which back ends may take an item.
     pub eligibility: Eligibility,
-    /// What may be sent to those that are not known to be warm.
+    /// Limits what may be sent to back ends that are not known to be warm.
     pub cold: Rc<ColdStartLimiter>,
-    /// How old what is known of the platform's objects is.
+    /// Age of the data from the platform.
     pub freshness: Freshness,
-    /// Runs of this process.
+    /// Runner of items.
     pub items: ItemRunner,
-    /// Load and health of back ends as this process sees them.
+    /// Load and health of back ends as seen by this process.
     pub balancer: Rc<SharedBalancer>,
-    /// Runs for a leader at once at most.
+    /// Maximum number of concurrent runs for a leader.
     pub max_runs: usize,
     runs: Cell<usize>,
 }
 
 impl Worker {
-    /// A worker without runs yet.
+    /// Creates a worker without runs.
     pub fn new(
         catalog: CatalogCell,
         cold: Rc<ColdStartLimiter>,
@@ -57,62 +57,63 @@
         Rc::new(Self { catalog, eligibility, cold, freshness, items, balancer, max_runs, runs })
     }
 
-    /// The right to send an item to a back end now, as this process knows it; else the cause.
+    /// Permission to send an item to a back end now, as known to this process; otherwise the cause.
     pub fn permit(
         &self,
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
     ) -> Result<Permit, PermitDenied> {
-        self.ask(backend, sender, item, |requirements| {
+        self.with_requirements(backend, sender, item, |requirements| {
             self.eligibility.permit(backend, requirements)
         })
     }
 
-    /// Whether `permit` would give it.
+    /// Whether `permit` would succeed.
     fn check(
         &self,
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
     ) -> Result<(), PermitDenied> {
-        self.ask(backend, sender, item, |requirements| {
+        self.with_requirements(backend, sender, item, |requirements| {
             self.eligibility.check(backend, requirements)
         })
     }
 
-    fn ask<T>(
+    fn with_requirements<T>(
         &self,
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
-        ask: impl FnOnce(&Requirements) -> Result<T, Ineligible>,
+        evaluate: impl FnOnce(&Requirements) -> Result<T, Ineligible>,
     ) -> Result<T, PermitDenied> {
         let catalog = self.catalog.load();
         let route = catalog.routes.find(&sender.host, &item.path);
         let route = route.ok_or_else(|| PermitDenied::new("no route has its path"))?;
         let residency = catalog.residency(route, sender.tenant.as_ref());
         let requirements = Requirements { service: &backend.service, residency: &residency };
-        ask(&requirements).map_err(|cause| {
+        evaluate(&requirements).map_err(|cause| {
             cause.record_rejection(&item.id, backend);
             let is_cold = matches!(cause, Ineligible::Cold { .. });
             PermitDenied { cause: cause.to_string(), is_cold }
         })
     }
 
-    async fn run(&self, order: RunRequest, sink: &OutputSink, cancelled: &Notify) -> RunReport {
-        let RunRequest { backend, host, tenant, item, after_event } = order;
+    async fn run(&self, request: RunRequest, sink: &OutputSink, cancelled: &Notify) -> RunReport {
+        let RunRequest { backend, host, tenant, item, after_event } = request;
         let sender = ItemSender { host, tenant };
-        let run = Run { number: 0, asked_after: after_event };
+        let run = Run { number: 0, resume_after: after_event };
         let progress =
-            Progress { run, kept_event: after_event, last_event: after_event, text: None };
+            Progress { run, committed_event: after_event, last_event: after_event, text: None };
         let progress = Rc::new(RefCell::new(progress));
         let (backend, item): (Arc<Backend>, Arc<JobItem>) = (backend.into(), item.into());
-        // Before a connection is made as well: one to a back end that left would not come up for a while.
-        if let Err(refused) = self.check(&backend, &sender, &item) {
+        // Checked before connecting as well, since connecting to a back end that has left may take
+        // long.
+        if let Err(denied) = self.check(&backend, &sender, &item) {
             let cause =
-                format!("{} takes no work now, as its worker knows: {}", backend.id, refused.cause);
-            let end = RunEnd::Retry { cause, pause: refused.is_cold };
+                format!("{} takes no work now, as its worker knows: {}", backend.id, denied.cause);
+            let end = RunEnd::Retry { cause, backoff: denied.is_cold };
             return RunReport {
                 end,
                 outcome: Outcome::Abandoned,
@@ -129,7 +130,10 @@
                 tokio::select! {
                     end = &mut running => break end,
                     () = cancelled.notified() => {
-                        break RunEnd::Retry { cause: "cancelled by the leader".into(), pause: true };
+                        break RunEnd::Retry {
+                            cause: "cancelled by the leader".into(),
+                            backoff: true,
+                        };
                     }
                     () = tokio::time::sleep(OUTPUT_INTERVAL) => sink.send_output(&progress),
                 }
@@ -142,7 +146,7 @@
     }
 }
 
-/// Where the output of a run goes.
+/// Receiver of the output of a run.
 struct OutputSink {
     call: u64,
     replies: UnboundedSender<Outgoing>,
@@ -154,13 +158,14 @@
         let Some(text) = progress.text.take() else { return };
         let last_event = progress.last_event;
         let frame = Frame::Output { call: self.call, last_event, text };
-        // A leader that is gone ends the run by its connection.
+        // If the leader is gone, the closed connection ends the run.
         let _ = self.replies.send(Outgoing::new(frame));
     }
 }
 
-/// Runs that a leader asked for on one connection. Invariant: they end with the connection, so that
-/// a leader that is replaced leaves no runs behind.
+/// Runs that a leader requested on one connection.
+///
+/// Invariant: they end with the connection, so that a replaced leader leaves no runs behind.
 #[derive(Default)]
 pub struct ConnectionRuns {
     runs: Rc<RefCell<HashMap<u64, OpenRun>>>,
@@ -177,7 +182,7 @@
         &self,
         worker: &Rc<Worker>,
         call: u64,
-        order: RunRequest,
+        request: RunRequest,
         replies: UnboundedSender<Outgoing>,
     ) {
         if worker.runs.get() >= worker.max_runs {
@@ -187,10 +192,10 @@
         let cancelled = Rc::new(Notify::new());
         let (worker, runs) = (worker.clone(), self.runs.clone());
         let sink = OutputSink { call, replies };
-        let told = cancelled.clone();
+        let cancel_signal = cancelled.clone();
         let task = tokio::task::spawn_local(async move {
             let counted = CountedRun::new(worker.clone());
-            let report = worker.run(order, &sink, &told).await;
+            let report = worker.run(request, &sink, &cancel_signal).await;
             drop(counted);
             let suspects = &worker.items.suspects;
             if report.outcome == Outcome::Failed && !suspects.is_empty() {
@@ -204,14 +209,14 @@
         self.runs.borrow_mut().insert(call, OpenRun { task, cancelled });
     }
 
-    /// Ends a run; its report tells how far it came.
+    /// Cancels a run; its report contains the progress so far.
     pub fn cancel(&self, call: u64) {
         if let Some(run) = self.runs.borrow().get(&call) {
             run.cancelled.notify_one();
         }
     }
 
-    /// Whether nothing runs.
+    /// Whether there are no runs.
     pub fn is_empty(&self) -> bool {
         self.runs.borrow().is_empty()
     }
--- /dev/null
+++ b/crates/jobstore/tests/capacity.rs
@@ -0,0 +1,47 @@
+//! Capacity for items beside online requests.
+
+use std::time::Duration;
+
+use yokefall_jobstore::capacity::Capacity;
+use yokefall_jobstore::loads::report_interval;
+
+fn capacity(back_ends: u32, taken: u32, interval_ms: u64) -> Capacity {
+    let mut capacity = Capacity::new(Duration::from_millis(interval_ms));
+    for _ in 0..back_ends {
+        capacity.add(10, taken);
+    }
+    capacity
+}
+
+#[test]
+fn the_reserve_covers_a_burst_until_items_are_preempted() {
+    // 20 ms to report and 70 ms to preempt are 0.075 of the time in which a burst fills all slots.
+    assert_eq!(capacity(10, 0, 20).startable_items(), 100 - 8);
+    // The later load is reported, the larger the reserve.
+    assert_eq!(capacity(10, 0, 100).startable_items(), 100 - 15);
+}
+
+#[test]
+fn items_are_preempted_only_below_half_of_the_reserve() {
+    // 10 of 100 slots are free, and the reserve is 8.
+    assert_eq!((capacity(10, 9, 20).startable_items(), capacity(10, 9, 20).shortfall()), (2, 0));
+    // No slot is free.
+    assert_eq!((capacity(10, 10, 20).startable_items(), capacity(10, 10, 20).shortfall()), (0, 4));
+    // There are more requests than slots.
+    assert_eq!((capacity(10, 14, 20).startable_items(), capacity(10, 14, 20).shortfall()), (0, 4));
+}
+
+#[test]
+fn a_service_of_one_back_end_keeps_a_slot_free() {
+    assert_eq!(capacity(1, 0, 20).startable_items(), 9);
+    assert_eq!(capacity(1, 9, 20).startable_items(), 0);
+}
+
+#[test]
+fn report_rate_of_a_job_store_is_bounded() {
+    for gateways in [1, 6, 25, 80, 550] {
+        let interval = report_interval(gateways);
+        assert!((20..=100).contains(&interval.as_millis()), "{gateways}: {interval:?}");
+    }
+    assert_eq!(report_interval(6), Duration::from_millis(24));
+}
