--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -1,54 +1,55 @@
-//! Which request goes to a back end next where there is room for few: requests that can still be
-//! answered in time, the newest first, then late ones, the oldest first.
+//! Order in which queued requests are sent to back ends while capacity is short: first those that
+//! can still be answered in time, newest first, then late ones, oldest first.
 //!
-//! A back end serves what it has in the order of arrival. What is beyond its room is therefore held
-//! here, where the order can still change. After "Flow control for Latency-Critical RPCs" (Kogias
-//! and Bugnion, 2018) the room at back ends follows from a bound on the time that a request may wait
-//! there, and from the time that requests were observed to take.
+//! A back end serves its requests in order of arrival. Requests beyond its capacity are therefore
+//! queued here, where the order can still change. Following "Flow control for Latency-Critical
+//! RPCs" (Kogias and Bugnion, 2018), the capacity of a back end is derived from a bound on the time
+//! that a request may wait there and from observed service times.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
 use yokefall_core::Timestamp;
 
-/// Part of a route's target for latency for which a request may wait at a back end. The rest is for
-/// the way and for the work before the first byte.
+/// Share of a route's target latency that a request may wait at a back end. The rest is for the
+/// network and for the work before the first byte.
 const BACKEND_WAIT_SHARE: f64 = 0.25;
-/// Part of a route's target for which a request may be held and still be answered in time.
+/// Share of a route's target latency that a request may be queued and still be answered in time.
 const IN_TIME_SHARE: f64 = 0.4;
-/// Longest time for which a request is held, in parts of its route's target. Callers of streams
-/// leave when nothing comes for some multiples of it.
+/// Longest time in the queue, in multiples of the route's target latency. Callers of streams leave
+/// when nothing arrives for a few multiples of it.
 const HOLD_TARGETS: f64 = 6.0;
-/// The same in parts of the time that its caller gives: what is refused can still be tried again.
+/// Longest time in the queue as a share of the request's timeout: the caller of a rejected request
+/// can then still retry.
 const HOLD_SHARE: f64 = 0.35;
-/// A request that is held.
+/// A request waiting in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// Number of the request, unique in its queue.
+    /// Id of the request, unique in its queue.
     pub ticket: u64,
-    /// Rank of its route, 0 the highest.
+    /// Rank of its route; 0 is the highest.
     pub rank: u32,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Timestamp,
-    /// Until when it can be sent and be answered in time.
+    /// Latest time at which it can be sent and still be answered in time.
     pub in_time_until: Timestamp,
-    /// When it is given up.
+    /// Time at which it is removed from the queue without having been sent.
     pub give_up_at: Timestamp,
 }
 
-/// What decides for how long a request may be held.
+/// Parameters that bound the time in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Rank of its route, 0 the highest.
+    /// Rank of its route; 0 is the highest.
     pub rank: u32,
-    /// Target for latency of its route.
+    /// Target latency of its route.
     pub target: Duration,
-    /// Time that its caller, or its route, gives it.
+    /// Timeout set by its caller or its route.
     pub time: Duration,
 }
 
 impl Held {
-    /// A request that arrived now.
+    /// A request that arrived at `arrived`.
     pub fn new(ticket: u64, arrived: Timestamp, terms: Terms) -> Self {
         let after = |time: Duration| arrived.plus_millis(time.as_millis() as u64);
         let longest = terms.target.mul_f64(HOLD_TARGETS).min(terms.time.mul_f64(HOLD_SHARE));
@@ -70,66 +71,66 @@
     }
 }
 
-/// How soon a request of its rank is sent; the first is sent first.
+/// Order of requests of equal rank; the smallest is sent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It can be answered in time. The newest is sent first: where there is room for few, the oldest
-    /// first would send each of them at the last moment, and any further wait makes it late.
+    /// Can still be answered in time. The newest is sent first: with little capacity, oldest first
+    /// would send each request at the last moment, and any further wait would make it late.
     InTime(Reverse<Timestamp>),
-    /// It cannot be answered in time. The oldest is sent first, whose caller leaves first.
+    /// Can no longer be answered in time. The oldest is sent first because its caller leaves first.
     Late(Timestamp),
 }
 
-/// Requests of one service that are held.
+/// Queued requests of one service.
 #[derive(Clone, Debug, Default)]
 pub struct HoldQueue {
     held: Vec<Held>,
 }
 
 impl HoldQueue {
-    /// Holds a request.
+    /// Adds a request.
     pub fn hold(&mut self, request: Held) {
         self.held.push(request);
     }
 
-    /// The request that is sent next. Invariant: none of a lower rank comes before one of a higher
-    /// rank.
+    /// The request to send next. Invariant: no request precedes one of a higher rank.
     pub fn next(&self, now: Timestamp) -> Option<Held> {
         let order = |held: &&Held| (held.rank, held.urgency(now), held.ticket);
         self.held.iter().min_by_key(order).copied()
     }
 
-    /// Removes a request; `None` where it is not held.
+    /// Removes a request; `None` if it is not queued.
     pub fn remove(&mut self, ticket: u64) -> Option<Held> {
         let position = self.held.iter().position(|held| held.ticket == ticket)?;
         Some(self.held.swap_remove(position))
     }
 
-    /// Removes the requests that are given up.
+    /// Removes and returns the expired requests.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Held> {
         let (expired, held) = self.held.iter().partition(|held| held.give_up_at <= now);
         self.held = held;
         expired
     }
 
-    /// When the first request is given up.
+    /// Time at which the first request expires.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         self.held.iter().map(|held| held.give_up_at).min()
     }
 
-    /// Requests that are held.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 }
 
-/// Load of a back end, in parts of its slots, up to which it gets requests with a target, where
-/// requests take `service_ms` there: those beyond its slots wait for a bounded part of the target.
+/// Load, as a fraction of its slots, up to which a back end is sent requests with this target
+/// latency and a service time of `service_ms`. Requests beyond its slots wait there for at most a
+/// bounded share of the target.
 pub fn load_limit(target: Duration, service_ms: f64) -> f64 {
     let wait_ms = target.as_secs_f64() * 1_000.0 * BACKEND_WAIT_SHARE;
     1.0 + wait_ms / service_ms.max(1.0)
--- a/crates/serving/src/affinity.rs
+++ b/crates/serving/src/affinity.rs
@@ -1,4 +1,5 @@
-//! Which back end gets requests that begin with the same prompt, so that it holds that in memory.
+//! Prefix affinity: sends requests that begin with the same prompt to the same back ends, which
+//! have the prefix in memory.
 
 use std::sync::Arc;
 
@@ -6,17 +7,17 @@
 
 use crate::model::Backend;
 
-/// Load, in parts of its slots, above which a back end loses requests that prefer it.
+/// Load, as a fraction of its slots, above which a back end gets no more requests by affinity.
 const AFFINITY_LOAD_LIMIT: f64 = 0.75;
-/// Back ends that a prefix prefers.
+/// Number of back ends preferred for a prefix.
 const AFFINITY_CANDIDATES: usize = 2;
 
-/// Whether a back end with a cost keeps the requests that prefer it.
+/// Whether a back end with this cost still gets requests by affinity.
 pub(crate) fn has_room(cost: f64) -> bool {
     cost < AFFINITY_LOAD_LIMIT
 }
 
-/// The first of the back ends that a key prefers that has room.
+/// The first of the back ends preferred for `key` that has capacity.
 pub(crate) fn preferred<'a>(
     open: &[(f64, &'a Arc<Backend>)],
     key: u64,
--- a/crates/serving/src/arrivals.rs
+++ b/crates/serving/src/arrivals.rs
@@ -1,33 +1,34 @@
-//! How many requests arrive at a service.
+//! Arrival rates of requests to a service.
 
 use yokefall_core::Timestamp;
 
-/// Time over which the rate of own arrivals is averaged, in milliseconds: well below the length of a
-/// wave. Reports add the rates of all gateways up, so that the sum is exact where each is not.
+/// Averaging time of this process's own arrival rate, in milliseconds: well below the length of a
+/// burst. Load reports sum the rates of all gateways, so the sum is accurate where each rate is
+/// not.
 const RATE_MS: f64 = 500.0;
-/// The same where arrivals at others are only inferred from this process's own: an average over a
-/// shorter time takes two requests in a row for a wave.
+/// Averaging time, in milliseconds, of the rate from which arrivals at other processes are
+/// inferred: a shorter average takes two requests in a row for a burst.
 const INFERRED_RATE_MS: f64 = 2_000.0;
-/// Time for which the reported arrivals of all processes count, in milliseconds; load reports repeat
-/// them each half second.
+/// Time for which a reported rate is valid, in milliseconds. Load reports repeat it every half
+/// second.
 const REPORTED_RATE_LIFETIME_MS: u64 = 1_500;
 
-/// Rate of own requests to a service.
+/// Rate of this process's own requests to a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Arrivals {
     at: Timestamp,
     per_ms: f64,
-    /// The same, averaged over a longer time.
+    /// The rate averaged over `INFERRED_RATE_MS`.
     pub(crate) steady_per_ms: f64,
 }
 
 impl Arrivals {
-    /// None yet.
+    /// A rate of zero, measured from `at` on.
     pub(crate) fn since(at: Timestamp) -> Self {
         Self { at, ..Self::default() }
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub(crate) fn note(&mut self, now: Timestamp) {
         let elapsed = now.millis_since(self.at) as f64;
         self.per_ms = self.per_ms(now) + 1.0 / RATE_MS;
@@ -36,7 +37,7 @@
         self.at = now;
     }
 
-    /// Requests in a millisecond.
+    /// Requests per millisecond.
     pub(crate) fn per_ms(&self, now: Timestamp) -> f64 {
         self.per_ms * (-(now.millis_since(self.at) as f64) / RATE_MS).exp()
     }
@@ -50,7 +51,7 @@
 }
 
 impl ReportedRate {
-    /// Whether it still counts.
+    /// Whether the reported rate is still valid.
     pub(crate) fn is_recent(&self, now: Timestamp) -> bool {
         now.millis_since(self.at) < REPORTED_RATE_LIFETIME_MS
     }
--- a/crates/serving/src/backend_table.rs
+++ b/crates/serving/src/backend_table.rs
@@ -1,8 +1,8 @@
-//! Back ends by id, in versions that share what did not change.
+//! Persistent map of back ends by id, whose versions share unchanged shards.
 //!
-//! One thread changes the table while others read older versions of it. A change copies one part of the table and
-//! the list of parts, so that its cost hardly depends on how many back ends there are; two versions are compared
-//! part by part, and parts that both share are passed over.
+//! One thread changes the table while others read older versions. A change copies one shard and the
+//! list of shards, so that its cost hardly depends on the number of back ends. Two versions are
+//! compared shard by shard, and shards that both share are skipped.
 
 use std::cmp::Reverse;
 use std::sync::{Arc, OnceLock};
@@ -13,12 +13,12 @@
 use crate::model::Backend;
 use crate::objects::Changed;
 
-/// Parts of a table: a change copies so many pointers and those of one part, 39 at 10,000 back ends and 78 at
-/// 20,000. With fewer parts, copying one would grow with the fleet; with more, copying the list would cost more than
-/// a part at any size that is planned for.
+/// Number of shards. A change copies this many pointers and those of one shard: 39 at 10,000 back
+/// ends and 78 at 20,000. With fewer shards, the copy of one would grow with the fleet; with more,
+/// copying the list would cost more than a shard at every supported fleet size.
 const PARTS: usize = 256;
 
-/// Back ends of one part, in the order of their ids; `None` where it has none.
+/// Back ends of one shard, ordered by id; `None` if it has none.
 type Part = Option<Arc<Vec<Arc<Backend>>>>;
 
 /// Back ends by id.
@@ -26,9 +26,9 @@
 pub struct BackendTable {
     parts: Vec<Part>,
     count: usize,
-    /// Slots of all of them.
+    /// Total slots of all back ends.
     slots: u64,
-    /// Most back ends in one part.
+    /// Size of the largest shard.
     longest: usize,
 }
 
@@ -39,38 +39,38 @@
 }
 
 impl BackendTable {
-    /// How many there are.
+    /// Number of back ends.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there is none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Slots of all of them together.
+    /// Total slots of all back ends.
     pub fn slots(&self) -> u64 {
         self.slots
     }
 
-    /// A back end by its id.
+    /// The back end with this id.
     pub fn get(&self, id: &str) -> Option<&Arc<Backend>> {
         let part = self.parts[part_of(id)].as_ref()?;
         position(part, id).ok().map(|position| &part[position])
     }
 
-    /// Whether a back end is in the table.
+    /// Whether the table contains this id.
     pub fn contains(&self, id: &str) -> bool {
         self.get(id).is_some()
     }
 
-    /// All of them.
+    /// All back ends.
     pub fn values(&self) -> impl Iterator<Item = &Arc<Backend>> {
         self.parts.iter().flatten().flat_map(|part| part.iter())
     }
 
-    /// Puts a back end in the place of the one with its id, if there is one.
+    /// Inserts a back end, replacing the one with the same id.
     pub fn insert(&mut self, backend: Arc<Backend>) {
         let part = self.parts[part_of(&backend.id)].get_or_insert_default();
         let part = Arc::make_mut(part);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes a back end out.
+    /// Removes a back end.
     pub fn remove(&mut self, id: &str) {
         let slot = &mut self.parts[part_of(id)];
         let Some(part) = slot.as_mut() else { return };
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Back ends that differ from those of another version. One whose record was read again counts as changed, also
-    /// where it says the same.
+    /// Back ends that differ from those of another version. A back end whose record was read again
+    /// counts as changed even if the record is equal.
     pub fn changes_since<'a>(
         &'a self,
         before: &'a BackendTable,
@@ -117,20 +117,21 @@
         pairs.filter(|(before, after)| !is_shared(before, after)).flat_map(part_changes)
     }
 
-    /// Pointers that were copied to make this version from another one.
+    /// Number of pointers copied to derive this version from another one.
     pub fn copied_since(&self, before: &BackendTable) -> usize {
         let pairs = before.parts.iter().zip(&self.parts);
         let changed = pairs.filter(|(before, after)| !is_shared(before, after));
         self.parts.len() + changed.map(|(_, after)| length(after)).sum::<usize>()
     }
 
-    /// One of them by chance, each as likely as any other.
+    /// A back end chosen uniformly at random.
     pub fn draw(&self, generator: &mut impl Rng) -> Option<&Arc<Backend>> {
         if self.count == 0 {
             return None;
         }
-        // A draw that finds no back end in its place is made again, so that those of short parts are not
-        // drawn more often. A part has 1.5 times the mean at 10,000 back ends at most, so that few are.
+        // Rejection sampling: an empty position is drawn again, so that back ends in small shards
+        // are not drawn more often. The largest shard has at most 1.5 times the mean size at 10,000
+        // back ends, so few draws are rejected.
         loop {
             let part = generator.random_range(0..self.parts.len());
             let place = generator.random_range(0..self.longest);
@@ -140,8 +141,9 @@
         }
     }
 
-    /// Back ends that a key prefers, the first one most. Each key has its own order, which changes by the loss of
-    /// a preferred one only behind it: first the parts are ranked, then those within a part.
+    /// The `count` back ends preferred for a key, best first. Each key has its own order by
+    /// rendezvous hashing, first of the shards, then within a shard; the loss of a preferred back
+    /// end changes only the order behind it.
     pub fn preferred(&self, key: u64, count: usize) -> Vec<&Arc<Backend>> {
         let score = |part: usize| xxh3_64_with_seed(&part.to_le_bytes(), key);
         let filled =
@@ -166,7 +168,7 @@
     }
 }
 
-/// Back ends of one kind, as a table and as a list that is made when it is asked for first.
+/// Back ends of one kind, as a table and as a list that is built on first use.
 #[derive(Debug, Default)]
 pub struct BackendList {
     table: BackendTable,
@@ -179,8 +181,8 @@
         &self.table
     }
 
-    /// All of them in one piece. Made once for each version, in as many steps as there are back ends: callers that
-    /// ask for each request do so where there are few.
+    /// All back ends as a slice. Built once for each version, in time linear in the number of back
+    /// ends; callers that use it for every request do so only where there are few.
     pub fn all(&self) -> &[Arc<Backend>] {
         self.all.get_or_init(|| self.table.values().cloned().collect())
     }
@@ -212,7 +214,7 @@
     }
 }
 
-/// What changed in one part, by a walk through both versions in the order of ids.
+/// Changes within one shard, by merging both versions in the order of ids.
 fn part_changes((before, after): (&Part, &Part)) -> Vec<Changed<Backend>> {
     let mut before = before.iter().flat_map(|part| part.iter()).peekable();
     let mut after = after.iter().flat_map(|part| part.iter()).peekable();
--- a/crates/serving/src/backlog.rs
+++ b/crates/serving/src/backlog.rs
@@ -1,27 +1,29 @@
-//! Whether datagrams may have waited for this process before it read them. A process that was frozen, or without
-//! processor time, finds what was sent to it long ago, with nothing in it that tells when.
+//! Detects whether received datagrams may have waited in the socket buffer. A process that was
+//! frozen or starved of processor time reads datagrams that were sent long ago, and nothing in them
+//! tells when.
 
 use yokefall_core::Timestamp;
 
-/// Time beyond which a process that is woken late may find old datagrams, in milliseconds: longer than the pauses
-/// of a process that has an eighth of a core (90 of each 100 ms), and short beside the age of what is known.
+/// Wake-up delay, in milliseconds, beyond which datagrams may be old: longer than the pauses of a
+/// process with an eighth of a core (90 of every 100 ms), and short compared with the age limits of
+/// platform state.
 const STALL_MS: u64 = 150;
 
-/// Time for which a datagram counts as under way where nobody was held up, in milliseconds: the way between two
-/// regions (8 ms), and the pauses of two processes.
+/// Assumed transit time of a datagram if no process was stalled, in milliseconds: the network delay
+/// between two regions (8 ms) and the scheduling pauses of two processes.
 const WAY_MS: u64 = 25;
 
-/// Watches over the loop that reads datagrams.
+/// Monitors the loop that reads datagrams.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    /// When the loop is next to run, at the latest.
+    /// Latest time at which the loop should run next.
     due: Option<Timestamp>,
-    /// Whether it was held up, and has not read all that came meanwhile.
+    /// Whether the loop was stalled and has not yet read everything that arrived meanwhile.
     may_be_old: bool,
 }
 
 impl Backlog {
-    /// The loop waits from now on, for so many milliseconds at most.
+    /// The loop starts a wait of at most `wait_ms`.
     pub fn waits(&mut self, now: Timestamp, wait_ms: u64) {
         self.due = Some(now.plus_millis(wait_ms));
     }
@@ -30,16 +32,16 @@
     pub fn woken(&mut self, now: Timestamp) {
         let late_ms = self.due.map_or(0, |due| now.millis_since(due));
         self.may_be_old |= late_ms > STALL_MS;
-        // Work that takes long between two waits holds it up as well.
+        // Long work between two waits stalls the loop as well.
         self.due = Some(now);
     }
 
-    /// Nothing waits to be read any more.
+    /// The socket buffer is empty.
     pub fn drained(&mut self) {
         self.may_be_old = false;
     }
 
-    /// For how long a datagram has been under way, in milliseconds; `None` where nobody can tell.
+    /// Assumed transit time of a datagram, in milliseconds; `None` if it may have waited for long.
     pub fn delay_ms(&self) -> Option<u64> {
         (!self.may_be_old).then_some(WAY_MS)
     }
--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -1,4 +1,4 @@
-//! Choice of the back end for a request: one of the least loaded, with failing ones left out.
+//! Load balancing: chooses one of the least loaded back ends for a request and ejects failing ones.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,46 +20,46 @@
 use crate::spread::{draw, surface, Level};
 use yokefall_types::Policy;
 
-/// Failed requests in a row after which a back end is left out.
+/// Consecutive failures after which a back end is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// Time for which a back end that refused for want of a slot is left out, in milliseconds.
+/// Ejection of a back end that rejected a request for lack of a free slot, in milliseconds.
 const FULL_EJECTION_MS: u64 = 60;
-/// Time for which a back end that fell silent gets nothing new, in milliseconds. It is noted again
-/// for as long as the silence lasts.
+/// Ejection of a back end from which nothing is received, in milliseconds. It is renewed for as
+/// long as the silence lasts.
 const SILENT_EJECTION_MS: u64 = 500;
-/// Cost of standing in another zone, in parts of a back end's slots.
+/// Cost of another zone, as a fraction of a back end's slots.
 const OTHER_ZONE_COST: f64 = 0.1;
-/// Cost of standing in another region: bytes between regions are priced four times those between zones, and take
-/// 8 ms each way rather than 1.4.
+/// Cost of another region: traffic between regions is priced four times that between zones, and
+/// takes 8 ms each way instead of 1.4 ms.
 const OTHER_REGION_COST: f64 = 4.0 * OTHER_ZONE_COST;
-/// Time that what everybody has in flight takes to be told and heard, beside the pause between two
-/// tellings, in milliseconds.
+/// Time that a load report and its answer take, in milliseconds, on top of the interval between
+/// reports.
 const TELLING_MS: u64 = 50;
-/// Pause between two tellings until it is known, in milliseconds.
+/// Interval between load reports until the actual one is known, in milliseconds.
 const FIRST_TELLING_INTERVAL_MS: u64 = 100;
-/// Longest time over which arrivals at other processes are reckoned with, in milliseconds.
+/// Longest time over which unreported arrivals at other processes are estimated, in milliseconds.
 const LONGEST_BLIND_MS: u64 = 800;
-/// Weight of one request in the mean time that requests take.
+/// Weight of one request in the mean service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
 
-/// How a request to a back end ended, as far as the back end's health goes.
+/// Outcome of a request as far as it concerns the back end's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Outcome {
-    /// It answered.
+    /// The back end answered.
     Answered,
-    /// It could not be reached: nothing was sent.
+    /// The back end could not be reached; nothing was sent.
     Unreachable,
-    /// It failed after the request was sent, or answered with a failure of its own.
+    /// The request failed after it was sent, or the back end answered with a server error.
     Failed,
-    /// It refused because it is full.
+    /// The back end rejected the request because it is full.
     Full,
-    /// Another process has its address.
+    /// Another process listens on the back end's address.
     Misdirected,
-    /// The caller left, or its time ended.
+    /// The caller left, or the request timed out.
     Abandoned,
 }
 
-/// What all processes have at a back end.
+/// Requests in flight of all processes at a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InFlight {
     /// Online requests.
@@ -68,30 +68,29 @@
     pub items: u32,
 }
 
-/// What this process knows of the load and health of back ends.
+/// Load and health of back ends as known to this process.
 #[derive(Debug)]
 pub struct Balancer {
     generator: SmallRng,
     policy: Policy,
     zone: String,
-    /// Regions of zones.
     zones: Arc<ZoneMap>,
     records: ByLife<BackendRecord>,
-    /// Processes that choose as this one does, itself included.
+    /// Processes that balance over the same back ends, this one included.
     choosers: usize,
-    /// Pause between two tellings of what a process has in flight, in milliseconds.
+    /// Interval between load reports of a process, in milliseconds.
     telling_interval_ms: u64,
-    /// When everybody's requests were last heard.
+    /// When the requests in flight of all processes were last received.
     heard_at: Option<Timestamp>,
     arrivals: HashMap<String, Arrivals>,
-    /// Arrivals at all processes, as they were reported.
+    /// Reported arrival rates of all processes, by service.
     arrivals_of_all: HashMap<String, ReportedRate>,
-    /// Mean time that requests take at back ends of a service, in milliseconds.
+    /// Mean service time at the back ends of a service, in milliseconds.
     service_ms: HashMap<String, f64>,
 }
 
 impl Balancer {
-    /// A balancer for a process in `zone`, whose draws follow from `seed`.
+    /// A balancer for a process in `zone` with a random generator seeded by `seed`.
     pub fn new(zone: String, seed: u64, policy: Policy) -> Self {
         Self {
             policy,
@@ -108,14 +107,14 @@
         }
     }
 
-    /// The same that knows the regions of zones.
+    /// Sets the regions of zones.
     pub fn with_zones(self, zones: Arc<ZoneMap>) -> Self {
         Self { zones, ..self }
     }
 
-    /// Chooses a back end that is not in `tried`. `affinity` is a hash of what back ends may hold
-    /// in memory: requests with the same one go to the same few back ends while these have room.
-    /// Back ends that are left out for failures are chosen only when no other remains.
+    /// Chooses a back end that is not in `tried`. `affinity` is a hash of the prompt prefix:
+    /// requests with the same one go to the same few back ends while these have capacity. Ejected
+    /// back ends are chosen only if no other remains.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -133,7 +132,7 @@
         least.or(ejected).cloned()
     }
 
-    /// The same among back ends that were drawn out of many; `None` where all of them are left out.
+    /// Chooses from a random sample of many back ends; `None` if all of them are ejected.
     pub fn choose_drawn(
         &mut self,
         now: Timestamp,
@@ -151,7 +150,7 @@
         self.least(now, &open, part * drawn.part).cloned()
     }
 
-    /// Candidates that are not left out, each with its cost, and of the others the one that is back first.
+    /// Candidates that are not ejected, each with its cost, and the ejected one that returns first.
     fn open<'a>(
         &self,
         now: Timestamp,
@@ -173,14 +172,15 @@
         Open { open, ejected: ejected.map(|(_, backend)| backend) }
     }
 
-    /// Draws of this balancer.
+    /// The random generator.
     pub fn generator(&mut self) -> &mut SmallRng {
         &mut self.generator
     }
 
-    /// Those of the own region where they can take what comes meanwhile, with the part of all requests that is
-    /// meant for them; else all. Prefixes stay in the region with them: what each region holds in memory is read
-    /// there once more, but prompts and answers that cross regions cost more.
+    /// Candidates of the local region if they can take the requests expected until the next report,
+    /// with the fraction of all requests that belongs to them; otherwise all candidates. Prefix
+    /// affinity stays within the region as well: each region reads a prefix into memory once more,
+    /// but prompts and answers that cross regions cost more.
     fn nearby<'a>(
         &self,
         now: Timestamp,
@@ -192,7 +192,7 @@
         let Some((_, first)) = open.iter().find(|(_, backend)| is_far(backend)) else {
             return (1.0, open);
         };
-        // What takes longer to be told than to be done has ended by then.
+        // Requests that end before they are reported no longer occupy a slot.
         let blind_ms = self.blind_ms(now);
         let lasting_ms = self.service_ms(&first.service).unwrap_or(blind_ms).min(blind_ms);
         let expected = self.others_per_ms(now, &first.service) * lasting_ms;
@@ -204,14 +204,14 @@
         }
     }
 
-    /// How many processes choose as this one does, itself included, and how often each of them
-    /// tells what it has in flight, in milliseconds.
+    /// Sets how many processes balance over the same back ends, this one included, and the interval
+    /// between load reports of each, in milliseconds.
     pub fn set_choosers(&mut self, choosers: usize, telling_interval_ms: u64) {
         self.choosers = choosers.max(1);
         self.telling_interval_ms = telling_interval_ms;
     }
 
-    /// Notes a request of this process to a service.
+    /// Records a request of this process to a service.
     fn note_arrival(&mut self, now: Timestamp, service: &str) {
         if !self.arrivals.contains_key(service) {
             self.arrivals.insert(service.to_owned(), Arrivals::since(now));
@@ -221,23 +221,23 @@
         }
     }
 
-    /// Own requests to each service in a millisecond.
+    /// This process's requests per millisecond to each service.
     pub fn own_arrivals(&self, now: Timestamp) -> impl Iterator<Item = (&str, f64)> {
         self.arrivals.iter().map(move |(service, own)| (service.as_str(), own.per_ms(now)))
     }
 
-    /// Requests of all processes to a service in a millisecond became known.
+    /// Sets the reported requests per millisecond of all processes to a service.
     pub fn set_arrivals_of_all(&mut self, now: Timestamp, service: String, per_ms: f64) {
         self.arrivals_of_all.insert(service, ReportedRate { at: now, per_ms });
     }
 
-    /// Requests that other processes probably place at a service without this one knowing it yet.
+    /// Estimated requests of other processes to a service that have not been reported yet.
     fn unseen_arrivals(&self, now: Timestamp, service: &str) -> f64 {
         self.others_per_ms(now, service) * self.blind_ms(now)
     }
 
-    /// Requests to a service of other processes in a millisecond: as reported, else as many of each
-    /// as of this one.
+    /// Requests per millisecond of other processes to a service: the reported rate, or else this
+    /// process's own rate for each of them.
     fn others_per_ms(&self, now: Timestamp, service: &str) -> f64 {
         let own = self.arrivals.get(service);
         let reported = self.arrivals_of_all.get(service);
@@ -247,15 +247,16 @@
         own.map_or(0.0, |own| own.steady_per_ms * (self.choosers - 1) as f64)
     }
 
-    /// Time over which the requests of others are not known, in milliseconds.
+    /// Time for which requests of other processes are not known yet, in milliseconds.
     fn blind_ms(&self, now: Timestamp) -> f64 {
         let telling = self.telling_interval_ms + TELLING_MS;
         let age = self.heard_at.map_or(LONGEST_BLIND_MS, |at| now.millis_since(at) + telling);
         age.min(LONGEST_BLIND_MS) as f64
     }
 
-    /// One of the cheapest: the more others choose meanwhile, the more are drawn from. `part` of all requests is
-    /// meant for them.
+    /// One of the least loaded candidates, out of more of them the more requests other processes
+    /// are expected to send meanwhile. `part` is the fraction of all requests that belongs to these
+    /// candidates.
     fn least<'a>(
         &mut self,
         now: Timestamp,
@@ -269,13 +270,13 @@
         open.get(position).map(|(_, backend)| *backend)
     }
 
-    /// Load that the emptiest back ends have with one more online request, in parts of their slots;
-    /// `None` where all are left out. Items do not count, since they are preempted.
+    /// Load of the least loaded back ends after one more online request, as a fraction of their
+    /// slots; `None` if all are ejected. Items do not count because they are preempted.
     pub fn online_level(&self, now: Timestamp, candidates: &[Arc<Backend>]) -> Option<f64> {
         self.online_level_of_part(now, candidates, 1.0)
     }
 
-    /// The same by back ends that are a part of all, drawn by chance.
+    /// The same for a random sample that is the fraction `part` of all back ends.
     pub fn online_level_of_part(
         &self,
         now: Timestamp,
@@ -284,7 +285,7 @@
     ) -> Option<f64> {
         let service = &candidates.first()?.service;
         let age = self.blind_ms(now);
-        // What is older than a request takes has ended, whether it was seen or not.
+        // Requests older than the service time have ended, reported or not.
         let service_ms = self.service_ms(service).unwrap_or(age).max(1.0);
         let remaining = (1.0 - age / service_ms).max(0.0);
         let open = candidates.iter().filter(|backend| !self.is_ejected(now, backend));
@@ -293,27 +294,28 @@
             slots: f64::from(backend.slots.max(1)),
         };
         let levels: Vec<Level> = open.map(level).collect();
-        // A guess from own requests holds requests before free slots where this process gets more
-        // than its share of the clients: without reports only what it has itself counts.
+        // Extrapolating from own requests would queue requests despite free slots wherever this
+        // process gets more than its share of the clients. Without reports only its own requests
+        // count.
         let is_informed = self.heard_at.is_some_and(|at| now.millis_since(at) < LOAD_LIFETIME_MS);
         let unseen =
             if is_informed { self.others_per_ms(now, service) * age.min(service_ms) } else { 0.0 };
         surface(&levels, unseen * part + 1.0)
     }
 
-    /// `remaining` is the part of others' requests that has not ended since they were told.
+    /// `remaining` is the fraction of the reported requests of others that has not ended since.
     fn online_load(&self, now: Timestamp, backend: &Backend, remaining: f64) -> f64 {
         let Some(record) = self.records.get(backend) else { return 0.0 };
         let foreign = (record.foreign - record.items) * remaining * record.weight(now);
         (f64::from(record.in_flight) + foreign) / f64::from(backend.slots.max(1))
     }
 
-    /// Mean time that requests take at back ends of a service, in milliseconds, as far as observed.
+    /// Mean service time at the back ends of a service, in milliseconds, once observed.
     pub fn service_ms(&self, service: &str) -> Option<f64> {
         self.service_ms.get(service).copied()
     }
 
-    /// A request to a service was answered whole after a time in milliseconds.
+    /// Records the service time of a completely answered request, in milliseconds.
     pub fn took(&mut self, service: &str, milliseconds: f64) {
         match self.service_ms.get_mut(service) {
             Some(mean) => *mean += (milliseconds - *mean) * SERVICE_TIME_WEIGHT,
@@ -323,13 +325,13 @@
         }
     }
 
-    /// Whether a back end is left out for a while.
+    /// Whether a back end is ejected.
     pub fn is_ejected(&self, now: Timestamp, backend: &Backend) -> bool {
         let record = self.records.get(backend);
         record.is_some_and(|record| self.ejected_until(now, record).is_some())
     }
 
-    /// Back ends that are left out for a while, each by its id and the start of its life.
+    /// Ejected back ends by id and start time.
     pub fn ejected(&self, now: Timestamp) -> impl Iterator<Item = (&str, u64)> {
         let ejected = move |record: &BackendRecord| self.ejected_until(now, record).is_some();
         let records = self.records.iter().filter(move |(_, _, record)| ejected(record));
@@ -341,7 +343,7 @@
         (until > now).then_some(until)
     }
 
-    /// Load of a back end in parts of its slots.
+    /// Load of a back end as a fraction of its slots.
     pub fn load(&self, now: Timestamp, backend: &Backend) -> f64 {
         load(now, backend, self.records.get(backend))
     }
@@ -356,22 +358,22 @@
             Distance::SameRegion => OTHER_ZONE_COST,
             Distance::OtherRegion => OTHER_REGION_COST,
         };
-        // A free slot elsewhere is better than none here: the cost fades as slots fill.
+        // A free slot elsewhere is better than none here, so the cost fades as slots fill.
         load + cost * (1.0 - load).clamp(0.0, 1.0)
     }
 
-    /// Requests that this process has at a back end.
+    /// Requests of this process in flight at a back end.
     pub fn in_flight(&self, backend: &Backend) -> u32 {
         self.records.get(backend).map_or(0, |record| record.in_flight)
     }
 
-    /// A request goes to a back end.
+    /// Records that a request is sent to a back end.
     pub fn started(&mut self, backend: &Backend) {
         self.records.entry(backend.life()).in_flight += 1;
     }
 
-    /// A request that went to a back end has ended. It was counted at the life to which it went, and is taken
-    /// off there: a later life under the same id never had it.
+    /// Records the end of a request. It counts for the incarnation to which it was sent: a later
+    /// one under the same id never had it.
     pub fn ended(&mut self, now: Timestamp, backend: &Backend, outcome: Outcome) {
         let Some(record) = self.records.get_mut(backend) else { return };
         record.in_flight = record.in_flight.saturating_sub(1);
@@ -398,7 +400,7 @@
         }
     }
 
-    /// Requests that this process has in flight, by life of a back end.
+    /// Requests of this process in flight, by incarnation of a back end.
     pub fn all_in_flight(&self) -> impl Iterator<Item = (BackendLife, u32)> + '_ {
         let busy = self.records.iter().filter(|(_, _, record)| record.in_flight > 0);
         busy.map(|(id, started_ms, record)| {
@@ -406,7 +408,7 @@
         })
     }
 
-    /// Recent outcomes of this process's requests, by life of a back end.
+    /// Recent outcomes of this process's requests, by incarnation of a back end.
     pub fn outcomes(&self, now: Timestamp) -> impl Iterator<Item = (BackendLife, Outcomes)> + '_ {
         self.records.iter().filter_map(move |(id, started_ms, record)| {
             let sums = record.outcomes.sums(now);
@@ -415,8 +417,8 @@
         })
     }
 
-    /// Back ends fail for all processes, as their reports say: they are left out as if this process
-    /// had found it out. One that dies is else found out by each process by itself.
+    /// Ejects back ends that fail for all processes according to load reports. Without it each
+    /// process would have to detect a dead back end by itself.
     pub fn fail_for_all<'a>(&mut self, now: Timestamp, failing: impl Iterator<Item = &'a Backend>) {
         for backend in failing {
             if !self.is_ejected(now, backend) {
@@ -425,16 +427,16 @@
         }
     }
 
-    /// Something came from a back end.
+    /// Records that something was received from a back end.
     pub fn heard(&mut self, now: Timestamp, backend: &Backend) {
         if let Some(record) = self.records.get_mut(backend) {
             record.heard_at = Some(now);
         }
     }
 
-    /// A back end has said nothing for `silence_ms` on a request that it has. It may be dark, unless
-    /// something came on another request: then the request waits there for a slot. Returns whether
-    /// it is left out.
+    /// Records that nothing was received from a back end for `silence_ms` on a request in flight.
+    /// Unless something was received on another request, the back end is ejected; otherwise the
+    /// request is only waiting there for a slot. Returns whether the back end is ejected.
     pub fn fell_silent(&mut self, now: Timestamp, backend: &Backend, silence_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(backend).filter(|_| self.policy.silence) else {
             return false;
@@ -450,8 +452,8 @@
         true
     }
 
-    /// Everybody's requests became known; back ends that `totals` does not name have none. `own` is
-    /// what this process had in them when they were added up.
+    /// Takes over the requests in flight of all processes; back ends missing in `totals` have none.
+    /// `own` is what this process had reported when the totals were summed.
     pub fn heard_totals<'a>(
         &mut self,
         now: Timestamp,
@@ -468,7 +470,8 @@
             record.told_at = Some(now);
         }
         for (life, total) in totals {
-            // One that this process has never used counts as well: it would look empty else.
+            // Back ends that this process has never used count as well: they would look empty
+            // otherwise.
             let record = match self.records.of_life_mut(life) {
                 Some(record) => record,
                 None => self.records.entry(life.clone()),
@@ -480,7 +483,7 @@
         }
     }
 
-    /// A back end told its load.
+    /// Takes over the load that a back end reported itself.
     pub fn told(&mut self, now: Timestamp, backend: &Backend, load: BackendLoad) {
         let Some(record) = self.records.get_mut(backend) else { return };
         let all = f64::from(load.running + load.waiting);
@@ -489,12 +492,13 @@
         record.told_at = Some(now);
     }
 
-    /// Forgets lives that nobody knows any more and that have nothing in flight.
+    /// Drops incarnations that are no longer known and have nothing in flight.
     pub fn retain(&mut self, known: impl Fn(&BackendLife) -> bool) {
         self.records.retain(|life, record| record.in_flight > 0 || known(life));
     }
 
-    /// Forgets what no choice would go by any more: each report of loads walks over all that is held.
+    /// Drops records that no longer influence a choice; every load report iterates over all of
+    /// them.
     pub fn forget_idle(&mut self, now: Timestamp) {
         self.records.retain(|_, record| record.in_flight > 0 || record.says_something(now));
     }
@@ -502,9 +506,9 @@
 
 /// Candidates of a choice.
 struct Open<'a> {
-    /// Those that are not left out, each with its cost.
+    /// Those that are not ejected, each with its cost.
     open: Vec<(f64, &'a Arc<Backend>)>,
-    /// The one that is left out for the shortest time.
+    /// The ejected one that returns first.
     ejected: Option<&'a Arc<Backend>>,
 }
 
--- a/crates/serving/src/duty.rs
+++ b/crates/serving/src/duty.rs
@@ -1,8 +1,9 @@
 //! Which processes watch the platform's store, and which learn from them.
 //!
-//! In each zone the members are ranked by rendezvous score. The first `WATCHERS` watch. They
-//! say so to the next `STANDBYS`, who take over while they hear of too few. A process that knows no
-//! configuration, or to whom peers cannot give what they know, reads the store for itself.
+//! In each zone members are ranked by rendezvous hashing. The first `WATCHERS` of them watch the
+//! store and send heartbeats to the next `STANDBYS`, which take over while heartbeats of watchers
+//! are missing. A process without a configuration, or whose peers cannot supply what they know,
+//! reads the store itself.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -13,46 +14,48 @@
 
 use crate::fleet::FleetMember;
 
-/// Key by which every process ranks the members of a zone the same way.
+/// Hash key by which all processes rank the members of a zone alike.
 const WATCHER_KEY: &[u8] = b"platform-watchers";
-/// Members of a zone that watch: one may be lost at any moment.
+/// Members of a zone that watch the store: one may fail at any time.
 pub const WATCHERS: usize = 2;
-/// Members of a zone that hear of watchers and take over.
+/// Members of a zone that receive heartbeats of watchers and take over from them.
 pub const STANDBYS: usize = 2;
-/// Interval at which a watcher says that the store answers it, in milliseconds.
+/// Interval at which a watcher sends heartbeats while the store answers it, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
-/// Time without a heartbeat after which a watcher counts as lost, in milliseconds: three heartbeats,
-/// and below the second within which a watcher is to be replaced.
+/// Time without a heartbeat after which a watcher counts as lost, in milliseconds: three
+/// heartbeats, and below the second within which a watcher must be replaced.
 const HEARTBEAT_LIFETIME_MS: u64 = 950;
-/// Time from a start until ranks count, in milliseconds: the members are not known before.
+/// Time after a start before ranks are used, in milliseconds: the members are not known earlier.
 const START_GRACE_MS: u64 = 1_000;
-/// Shortest time that a process without a configuration waits for one from peers, in milliseconds: a
-/// seed answers in some milliseconds, and some tens where many processes start at once.
+/// Shortest time that a process without a configuration waits for one from peers, in milliseconds:
+/// a seed answers within a few milliseconds, or a few tens when many processes start at once.
 const PATIENCE_MS: u64 = 100;
-/// Spread of that time among processes: those that ask first tell the others.
+/// Jitter of that wait, in milliseconds: the processes that read the store first inform the others.
 const PATIENCE_SPREAD_MS: u64 = 300;
-/// The same where the whole system starts for the first time, before there are callers.
+/// Wait and jitter at the first start of the whole system, before there are callers.
 const FIRST_START_PATIENCE_MS: u64 = 1_500;
 const FIRST_START_SPREAD_MS: u64 = 3_000;
-/// Time for which a rank must stand before a process reads back ends by it, in milliseconds: lists of members are
-/// compared every 100 ms after a start, and each comparison that tells of more changes the rank of those who are first
-/// by mistake. Of 986 processes that started again none knew a back end 24 s later, since most of them read.
+/// Time for which a rank must be stable before a process reads back ends because of it, in
+/// milliseconds. After a start member lists are compared every 100 ms, and each comparison that
+/// reveals members changes the rank of those that wrongly ranked first. Without the delay most of
+/// 986 restarting processes read the list, and none knew a back end after 24 s.
 const RANK_SETTLED_MS: u64 = 350;
-/// Time from its start for which a process waits for back ends from peers where others read them, in
-/// milliseconds, and the spread of it: a list of 3,000 takes a reader under a second, and its way to 300
-/// members five exchanges.
+/// Time after its start for which a process waits for back ends from peers, in milliseconds, and
+/// its jitter: a reader needs under a second for a list of 3,000, which reaches 300 members within
+/// five exchanges.
 const BACKENDS_PATIENCE_MS: u64 = 2_500;
 const BACKENDS_SPREAD_MS: u64 = 1_500;
-/// Time after which a process reads back ends itself though peers know them, in milliseconds from when it first heard
-/// so: after a first start nobody does for some seconds. These tell
-/// two whole lists at once each, so that 1,000 members know 10,000 back ends after some 6 s. Where all read them that
-/// had waited for 4 s, 986 processes made 28,000 calls in a minute and a half, and 1,000 with this.
+/// Longest time that a process waits for back ends after it first heard from a peer that knows
+/// them, in milliseconds. After a first start no peer knows them for some seconds; then each of
+/// these sends the whole list to two others at a time, and 1,000 members know 10,000 back ends
+/// after about 6 s. With a limit of 4 s, 986 processes made 28,000 calls in 90 s; with this one
+/// they made 1,000.
 const LONGEST_BACKENDS_PATIENCE_MS: u64 = 8_000;
-/// Time for which a process reads the store after peers could not give what they know, in
-/// milliseconds: a list and what follows it.
+/// Time for which a process reads the store after peers could not supply what they know, in
+/// milliseconds: enough for a list and the changes that follow it.
 const CATCH_UP_MS: u64 = 2_000;
 
-/// Whether this process watches, as the watching tasks see it.
+/// Whether this process watches the store, as seen by the watching tasks.
 #[derive(Clone, Debug)]
 pub struct Duty {
     /// `None` for a process that always watches.
@@ -60,28 +63,28 @@
 }
 
 impl Duty {
-    /// The duty of a process that always watches.
+    /// The role of a process that always watches.
     pub fn always() -> Self {
         Self { receiver: None }
     }
 
-    /// A duty that begins and ends as its sender says.
+    /// A role that its sender switches on and off.
     pub fn told() -> (watch::Sender<bool>, Self) {
         let (sender, receiver) = watch::channel(false);
         (sender, Self { receiver: Some(receiver) })
     }
 
-    /// Waits until the duty has begun.
+    /// Waits until the role is active.
     pub async fn begun(&mut self) {
         self.becomes(true).await;
     }
 
-    /// Whether it has begun and not ended.
+    /// Whether the role is active.
     pub fn holds(&self) -> bool {
         self.receiver.as_ref().is_none_or(|receiver| *receiver.borrow())
     }
 
-    /// Waits until the duty has ended.
+    /// Waits until the role is no longer active.
     pub async fn ended(&mut self) {
         match self.receiver {
             Some(_) => self.becomes(false).await,
@@ -91,24 +94,24 @@
 
     async fn becomes(&mut self, wanted: bool) {
         let Some(receiver) = &mut self.receiver else { return };
-        // A sender that is gone belongs to a process that ends.
+        // The sender is dropped only when the process ends.
         if receiver.wait_for(|duty| *duty == wanted).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Position of a member among the live members of its zone, and who comes after the watchers.
+/// Rank of a member among the live members of its zone, and the standbys behind it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ranking {
-    /// Position of this process, 0 the first.
+    /// Rank of this process; 0 is the first.
     pub rank: usize,
-    /// Names of the members after this process that hear of watchers.
+    /// Names of the members behind this process that receive heartbeats of watchers.
     pub standbys: Vec<String>,
 }
 
 impl Ranking {
-    /// Ranks the members of a zone, `me` among them.
+    /// Ranks the members of a zone, including the one named `me`.
     pub fn new(members: &[FleetMember], zone: &str, me: &str) -> Self {
         let in_zone = members.iter().filter(|member| member.zone == zone);
         let live = in_zone.filter(|member| member.accepting || member.name == me);
@@ -116,36 +119,37 @@
         let score = rendezvous_score(WATCHER_KEY);
         names.sort_by_cached_key(|name| Reverse(score(name)));
         let rank = names.iter().position(|name| *name == me).unwrap_or(0);
-        // Two standbys that heard each other would give up together, and begin together again.
+        // A standby sends no heartbeats to those before it: two standbys that received each other's
+        // heartbeats would stop together and start again together.
         let last = WATCHERS + STANDBYS;
         let standbys = names.iter().take(last).skip(WATCHERS.max(rank + 1));
         Self { rank, standbys: standbys.map(|name| (*name).to_owned()).collect() }
     }
 }
 
-/// Decides whether this process watches. Invariant: where the store answers any of the first
-/// `WATCHERS + STANDBYS` members of a zone, the zone has a watcher within a second of the loss of the
-/// one before; otherwise its members hear of changes from other zones alone.
+/// Decides whether this process watches the store. Invariant: if the store answers any of the first
+/// `WATCHERS + STANDBYS` members of a zone, the zone has a watcher within a second of the loss of
+/// the previous one; otherwise its members learn of changes only from other zones.
 #[derive(Debug)]
 pub struct Roster {
     started: Timestamp,
-    /// When this process asks the store itself if it knows no configuration until then.
+    /// When this process reads the store itself unless it has a configuration by then.
     ask_at: Timestamp,
-    /// The same for back ends, where others are to read them.
+    /// The same for back ends while others are expected to read them.
     ask_backends_at: Timestamp,
     /// When a peer that knows back ends was first heard.
     backends_heard_at: Option<Timestamp>,
-    /// By how much later than others this process asks, in milliseconds.
+    /// Jitter of this process's wait for back ends, in milliseconds.
     backends_spread_ms: u64,
     ranking: Ranking,
     ranked_at: Timestamp,
-    /// When watchers were last heard, by name.
+    /// Last heartbeat of each watcher, by name.
     heard: HashMap<String, Timestamp>,
     catch_up_until: Option<Timestamp>,
 }
 
 impl Roster {
-    /// The roster of a process that starts now. `spread` is drawn from 0 to 1 for each start.
+    /// State at the start of a process. `spread` is drawn from 0 to 1 at each start.
     pub fn new(now: Timestamp, is_first_start: bool, spread: f64) -> Self {
         let (patience, range) = match is_first_start {
             true => (FIRST_START_PATIENCE_MS, FIRST_START_SPREAD_MS),
@@ -166,7 +170,7 @@
         }
     }
 
-    /// The live members changed.
+    /// Sets the rank after the live members changed.
     pub fn rank(&mut self, now: Timestamp, ranking: Ranking) {
         if self.ranking != ranking {
             self.ranking = ranking;
@@ -174,12 +178,12 @@
         }
     }
 
-    /// A watcher says that the store answers it.
+    /// Records a heartbeat of a watcher that the store answers.
     pub fn heard_watcher(&mut self, now: Timestamp, name: &str) {
         self.heard.insert(name.to_owned(), now);
     }
 
-    /// A peer knows back ends, so that they come from there.
+    /// Records that a peer knows back ends, which postpones reading them from the store.
     pub fn heard_of_backends(&mut self, now: Timestamp) {
         let since = *self.backends_heard_at.get_or_insert(now);
         let latest = since.plus_millis(LONGEST_BACKENDS_PATIENCE_MS + self.backends_spread_ms);
@@ -187,12 +191,12 @@
         self.ask_backends_at = self.ask_backends_at.max(put_off);
     }
 
-    /// Peers know more and could not tell it.
+    /// Watches the store for a while because peers could not supply what they know.
     pub fn catch_up(&mut self, now: Timestamp) {
         self.catch_up_until = Some(now.plus_millis(CATCH_UP_MS));
     }
 
-    /// Whether this process watches now.
+    /// Whether this process watches the store now.
     pub fn watches(&mut self, now: Timestamp, knows_configuration: bool) -> bool {
         if self.catch_up_until.is_some_and(|until| now < until) {
             return true;
@@ -210,8 +214,9 @@
         }
     }
 
-    /// Whether this process reads back ends now. Unlike the configuration they take many calls: after a
-    /// start of all, those read them that watch, and the others learn them from these.
+    /// Whether this process reads back ends now. Unlike the configuration they take many calls:
+    /// after a start of all processes only the watchers read them, and the others learn them from
+    /// these.
     pub fn reads_backends(&mut self, now: Timestamp, knows_backends: bool) -> bool {
         if self.watches(now, true) {
             return true;
@@ -219,30 +224,30 @@
         if knows_backends {
             return false;
         }
-        // A process that knows few members yet is the first of them.
+        // A process that knows only a few members yet ranks first among them.
         let is_settled = now.millis_since(self.ranked_at) >= RANK_SETTLED_MS;
         let is_first = self.ranking.rank < WATCHERS && is_settled && now >= self.ask_at;
         is_first || now >= self.ask_backends_at
     }
 
-    /// Whether a standby hears of too few watchers.
+    /// Whether a standby is missing heartbeats of watchers.
     fn lacks_watchers(&mut self, now: Timestamp) -> bool {
         self.heard.retain(|_, at| now.millis_since(*at) < HEARTBEAT_LIFETIME_MS);
         let is_settled = now.millis_since(self.ranked_at) >= HEARTBEAT_LIFETIME_MS;
         is_settled && self.heard.len() < WATCHERS
     }
 
-    /// Position of this process among the members of its zone, 0 the first.
+    /// Rank of this process among the members of its zone; 0 is the first.
     pub fn rank_of_this(&self) -> usize {
         self.ranking.rank
     }
 
-    /// Names of the members to which a watcher says that the store answers it.
+    /// Names of the members to which a watcher sends heartbeats.
     pub fn standbys(&self) -> &[String] {
         &self.ranking.standbys
     }
 
-    /// When `watches` may change without news.
+    /// When the result of `watches` may change without an event.
     pub fn next_look(
         &self,
         now: Timestamp,
@@ -262,7 +267,7 @@
             Some(until) if now < until => until,
             _ if is_standby => regular,
             _ if !knows_backends => regular,
-            // Ranks change with the members, which wake the process by themselves.
+            // Ranks change with the members, and a change of the members wakes the process.
             _ => now.plus_millis(3_600_000),
         }
     }
--- a/crates/serving/src/eligibility/cold_share.rs
+++ b/crates/serving/src/eligibility/cold_share.rs
@@ -1,8 +1,9 @@
-//! How much each process may send to a back end that is not known to be warm.
+//! Per-process quotas for requests to a back end that is not known to be warm.
 //!
-//! No message is exchanged: the sum over all processes is bounded, because each works out from the same names which
-//! few may send, and each of these sends one request in any second. What processes see differently costs at most
-//! one request a second for each difference, which the margin is for.
+//! No messages are exchanged. The sum over all processes is bounded because each of them derives
+//! from the same member names which few may send, and each of these sends one request in any
+//! second. Differing views cost at most one request a second per difference, which the unused
+//! margin covers.
 
 use std::collections::VecDeque;
 
@@ -12,30 +13,31 @@
 use crate::model::WarmUp;
 use crate::names::KnownNames;
 
-/// Part of what is allowed that nobody uses. It bears processes whose views differ: of 27 requests a second, five.
-/// From the model (`tests/cold.rs`).
+/// Share of the allowance that stays unused to absorb differing views of processes: five of 27
+/// requests a second, by the simulation in `tests/cold.rs`.
 const MARGIN: f64 = 0.18;
-/// Requests a second to one back end of a process that is lost: it may not know that the back end is cold, and sends
-/// what it sends to a warm one.
+/// Requests a second of a lost process to one back end: it may not know that the back end is cold
+/// and sends what it sends to a warm one.
 const OF_LOST: f64 = 0.25;
-/// Part of what is allowed that is used however many are lost: after a restart of most they aren't cut off.
+/// Share of the allowance that stays usable however many processes are lost, so that the rest are
+/// not cut off after a restart of most processes.
 const LEAST_USED: f64 = 0.4;
-/// Part of the rest that is for items of jobs, which the few job stores send.
+/// Share of the usable allowance that is reserved for items of jobs, sent by the few job stores.
 const ITEM_SHARE: f64 = 0.18;
-/// Time in which a process sends its part, in milliseconds: a second, and 100 ms by which one that is short of
-/// processor time may write a request later than it was permitted to.
+/// Interval of a quota, in milliseconds: a second, plus 100 ms by which a process short of
+/// processor time may write a request after it was permitted.
 pub const SHARE_INTERVAL_MS: u64 = 1_100;
 
-/// Who is asked about.
+/// Identity of a sending process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sender {
     /// Name of the process.
     pub name: String,
-    /// Whether it keeps jobs.
+    /// Whether it is a job store.
     pub job_store: bool,
 }
 
-/// Requests that may go to one back end in one second, by who sends them.
+/// Requests that may be sent to one back end per second, by kind of sender.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowance {
     /// Requests of all gateways.
@@ -45,7 +47,7 @@
 }
 
 impl Allowance {
-    /// What a cold back end of a service may get. Where there are no job stores, gateways have it all.
+    /// The allowance of a cold back end of a service. Without job stores, gateways get all of it.
     pub fn of(bounds: &PlacementBounds, warm_up: &WarmUp, names: &KnownNames) -> Self {
         let per_second = warm_up.per_1000_seconds as f64 / 1_000.0;
         let allowed = (per_second * bounds.cold_overage + bounds.cold_slack).floor();
@@ -60,7 +62,7 @@
     }
 }
 
-/// Requests that a process may send to a back end in `SHARE_INTERVAL_MS`.
+/// Requests that a process may send to a back end per `SHARE_INTERVAL_MS`.
 pub fn quota(allowance: Allowance, names: &KnownNames, backend: &str, sender: &Sender) -> u32 {
     let part = match sender.job_store {
         true => allowance.job_stores,
@@ -71,21 +73,21 @@
     let others = || names.of_kind(sender.job_store).filter(|name| *name != sender.name);
     let processes = others().count() as u32 + 1;
     if processes < part {
-        // As if there were one more: one that is not known here yet has its part as well.
+        // Reserves a share for one process that is not known here yet.
         return (part / (processes + 1)).max(1);
     }
     let before = others().filter(|name| (score(name), *name) > own).count() as u32;
     u32::from(before < part)
 }
 
-/// Last sends to one back end.
+/// Times of the last requests to one back end.
 #[derive(Clone, Debug, Default)]
 pub struct Sends {
     times: VecDeque<Timestamp>,
 }
 
 impl Sends {
-    /// Milliseconds until a process that may send `quota` in an interval may send the next; 0 for now and `None`
+    /// Milliseconds until a process with this quota may send its next request; 0 for now and `None`
     /// for never.
     pub fn wait_ms(&self, now: Timestamp, quota: u32) -> Option<u64> {
         if quota == 0 {
@@ -98,7 +100,7 @@
         Some(oldest.plus_millis(SHARE_INTERVAL_MS).millis_since(now))
     }
 
-    /// A request is sent.
+    /// Records a request.
     pub fn note(&mut self, now: Timestamp) {
         self.times.retain(|at| now.millis_since(*at) < SHARE_INTERVAL_MS);
         self.times.push_back(now);
--- a/crates/serving/src/eligibility/cold_start.rs
+++ b/crates/serving/src/eligibility/cold_start.rs
@@ -1,4 +1,5 @@
-//! Keeps the state of cold back ends current and tells of it: the clock, the cells and the lines round `ColdState`.
+//! Applies quotas for cold back ends: keeps `ColdState` up to date, and emits its metrics and log
+//! lines.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,23 +21,23 @@
 use crate::fleet::{Fleet, FleetCell};
 use crate::model::Backend;
 
-/// Interval at which a process without traffic takes over what changed, and at which changes are told. An evacuation
-/// that begins and ends within it is not seen, and none is obeyed as fast.
+/// Interval at which a process without traffic takes over changes, and at which changes are logged.
+/// An evacuation that begins and ends within it is not seen, and none is followed that fast.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a process needs beside what it knows.
+/// Settings and dependencies of the limiter.
 pub struct ColdStartOptions {
-    /// Who sends.
+    /// Identity of this process.
     pub sender: Sender,
-    /// What is promised.
+    /// Bounds that the deployment guarantees.
     pub bounds: PlacementBounds,
-    /// Age of news of the platform.
+    /// Age of the platform state.
     pub freshness: Freshness,
-    /// Time of sends; it counts suspension.
+    /// Clock for send times; it includes suspension.
     pub clock: ElapsedClock,
 }
 
-/// What the sending thread of a process may send to back ends that are not known to be warm.
+/// Limits what the sending thread of a process sends to back ends that are not known to be warm.
 #[derive(Debug)]
 pub struct ColdStart {
     catalog: CatalogCell,
@@ -49,16 +50,16 @@
 #[derive(Debug)]
 struct Inner {
     state: ColdState,
-    /// What the state has taken over.
+    /// Catalog that the state has taken over.
     catalog: Option<Arc<Catalog>>,
     fleet: Option<Arc<Fleet>>,
-    /// Back ends that were told of as cold, and since when.
+    /// Back ends logged as cold, and since when.
     told: HashMap<String, Timestamp>,
     told_old_news: bool,
 }
 
 impl ColdStart {
-    /// Nothing known yet.
+    /// A limiter that knows no back ends yet.
     pub fn new(catalog: CatalogCell, fleet: FleetCell, options: ColdStartOptions) -> Rc<Self> {
         let ColdStartOptions { sender, bounds, freshness, clock } = options;
         let inner = Inner {
@@ -71,7 +72,7 @@
         Rc::new(Self { catalog, fleet, freshness, clock, inner: RefCell::new(inner) })
     }
 
-    /// Asks the present state; `None` where no service has a warm-up.
+    /// Runs `ask` on the current state; `None` if no service has a warm-up.
     fn with<R>(&self, ask: impl FnOnce(&mut ColdState, Timestamp, Option<u64>) -> R) -> Option<R> {
         let inner = &mut *self.inner.borrow_mut();
         inner.take_over(&self.clock, &self.catalog, &self.fleet);
@@ -81,7 +82,7 @@
         Some(ask(&mut inner.state, self.clock.now(), self.freshness.age_ms()))
     }
 
-    /// Those of a service's back ends that this process may send to now; `None` for all of them.
+    /// The back ends to which this process may send now; `None` if it may send to all of them.
     pub fn open(&self, service: &str, backends: &[Arc<Backend>]) -> Option<Vec<Arc<Backend>>> {
         self.with(|state, now, age| {
             if !state.concerns(service) || state.is_free_of_doubt(now, age) {
@@ -89,7 +90,8 @@
             }
             let open: Vec<Arc<Backend>> = match state.closed(now, age, service) {
                 Some(closed) if closed.is_empty() => return None,
-                // A record that has just changed is another one than the candidate: its permit is not given then.
+                // Matches by pointer: a record that has changed since differs from the candidate,
+                // which then gets no permit.
                 Some(closed) => {
                     let is_open = |backend: &&Arc<Backend>| {
                         closed.binary_search(&Arc::as_ptr(backend)).is_err()
@@ -106,7 +108,8 @@
         })?
     }
 
-    /// Back ends of a service that are not known to be warm; `None` where what is known is too old to tell.
+    /// Back ends of a service that are not known to be warm; `None` if the platform state is too
+    /// old to tell.
     pub fn doubted(&self, service: &str) -> Option<Vec<Arc<Backend>>> {
         self.with(|state, now, age| {
             if !state.concerns(service) {
@@ -117,8 +120,8 @@
         .unwrap_or_else(|| Some(Vec::new()))
     }
 
-    /// Milliseconds until this process may send to the first of these back ends; `None` where it may now, or where
-    /// there are none.
+    /// Milliseconds until this process may send to the first of these back ends; `None` if it may
+    /// send now or if there are none.
     pub fn wait_ms(&self, backends: &[Arc<Backend>]) -> Option<u64> {
         self.with(|state, now, age| {
             let wait = |backend: &Arc<Backend>| match state.standing(now, age, backend) {
@@ -140,7 +143,7 @@
         }
     }
 
-    /// The same at the last moment before it is sent, which takes it from this process's share.
+    /// Checks right before a request is sent, and takes it from this process's quota.
     pub fn spend(&self, backend: &Backend) -> Result<(), Ineligible> {
         let standing = self.with(|state, now, age| {
             let standing = state.standing(now, age, backend);
@@ -172,37 +175,38 @@
         standing.is_none_or(|standing| standing == Standing::Warm)
     }
 
-    /// The job store that the leader may give an item for a back end that is not known to be warm.
+    /// The job store to which the leader may assign an item for a back end that is not known to be
+    /// warm.
     pub fn item_sender(&self, backend: &Backend, usable: impl Fn(&str) -> bool) -> Option<String> {
         self.with(|state, now, _| state.item_sender(now, backend, usable))?
     }
 
-    /// The leader gave a job store an item for a back end that is not known to be warm.
+    /// Records that the leader assigned an item for such a back end to a job store.
     pub fn gave_item(&self, backend: &Backend, to: &str) {
         self.with(|state, now, _| state.gave_item(now, &backend.id, to.to_owned()));
     }
 
-    /// A back end could not be reached, broke off or fell silent here.
+    /// Records that a back end was unreachable, broke a connection or fell silent here.
     pub fn failed(&self, id: &str) {
         self.with(|state, now, _| state.failed(now, id));
     }
 
-    /// Something came from a back end.
+    /// Records that something was received from a back end.
     pub fn heard(&self, id: &str) {
         self.with(|state, now, _| state.heard(now, id));
     }
 
-    /// Back ends fail for most, as their reports say.
+    /// Records that back ends fail for most processes according to load reports.
     pub fn failed_for_all<'a>(&self, ids: impl Iterator<Item = &'a str>) {
         self.with(|state, now, _| ids.for_each(|id| state.failed_for_all(now, id)));
     }
 
-    /// A back end told in an answer for how much longer it is cold.
+    /// Records for how much longer a back end is cold, as it reported in an answer.
     pub fn told(&self, backend: &Backend, remaining_ms: u64) {
         self.with(|state, now, _| state.told(now, &backend.id, backend.started_ms, remaining_ms));
     }
 
-    /// Takes over what changed, and tells what came of it.
+    /// Takes over changes, and logs the back ends that became cold or warm.
     pub fn look(&self) {
         let doubts = self.with(|state, now, age| {
             let ids = state.ids();
@@ -221,7 +225,7 @@
     }
 }
 
-/// Looks for ever. To be run on the thread that sends.
+/// Refreshes the state for ever. Must run on the sending thread.
 pub async fn watch(cold: Rc<ColdStart>) {
     loop {
         cold.look();
--- a/crates/serving/src/eligibility/cold_state.rs
+++ b/crates/serving/src/eligibility/cold_state.rs
@@ -1,4 +1,4 @@
-//! What one process may send to back ends that are not known to be warm, at this moment.
+//! What one process may send now to back ends that are not known to be warm.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,24 +12,25 @@
 use crate::model::Backend;
 use crate::names::KnownNames;
 
-/// Time from its start in which a process uses no share, in milliseconds. Others have to know its name, so that
-/// they leave it its place, and it theirs; news reach 300 processes within 4 s of a start. What it sent before a
-/// restart under the same name is over by then as well.
+/// Time after its start in which a process uses no quota, in milliseconds. The others must know its
+/// name to leave it its share, and it must know theirs; updates reach 300 processes within 4 s of a
+/// start. Requests sent before a restart under the same name have left the quota interval by then
+/// as well.
 pub const ENTRY_MS: u64 = 5_000;
-/// Age of news of the platform from which nothing is known to be warm, in milliseconds, where operators evacuate
-/// no zones: longer than a watch that tells nothing takes.
+/// Age of the platform state beyond which no back end counts as warm, in milliseconds, where
+/// operators evacuate no zones: longer than a watch without events takes.
 const OLD_NEWS_MS: u64 = 15_000;
-/// When to look again where it is not known when a back end will be warm, in milliseconds.
+/// When to check again if it is not known when a back end will be warm, in milliseconds.
 const UNKNOWN_WAIT_MS: u64 = 1_000;
 
-/// What a process may send to a back end now.
+/// Whether a process may send to a back end now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It is known to be warm.
+    /// The back end is known to be warm.
     Warm,
-    /// It is not.
+    /// The back end is not known to be warm.
     Cold {
-        /// Why.
+        /// The reason.
         cause: ColdCause,
         /// Milliseconds until this process may send a request; 0 for now.
         wait_ms: u64,
@@ -43,15 +44,15 @@
     }
 }
 
-/// What this process sent to a back end, and may.
+/// Quota of this process for one back end, and its use.
 #[derive(Debug, Default)]
 struct Share {
-    /// Requests in an interval; `None` until it is worked out for the present names.
+    /// Requests per interval; `None` until computed for the current names.
     quota: Option<u32>,
     sends: Sends,
-    /// Job stores that the leader gave items for it.
+    /// Job stores to which the leader assigned items for this back end.
     given: Vec<(String, Timestamp)>,
-    /// Job stores that have a share; `None` until they are worked out for the present names.
+    /// Job stores that have a quota; `None` until computed for the current names.
     holders: Option<Vec<String>>,
 }
 
@@ -67,13 +68,13 @@
 }
 
 impl ColdState {
-    /// A process that starts now.
+    /// The state of a process that starts now.
     pub fn new(now: Timestamp, sender: Sender, bounds: PlacementBounds) -> Self {
         let (warmth, names) = (Warmth::default(), Arc::default());
         Self { sender, bounds, began: now, warmth, names, shares: HashMap::new() }
     }
 
-    /// Takes what a catalog says of back ends.
+    /// Takes over the back ends of a catalog.
     pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) {
         let observed = self.warmth.observe(now, catalog);
         for id in observed.forgotten {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Takes the names of all processes.
+    /// Sets the names of all processes.
     pub fn set_names(&mut self, names: Arc<KnownNames>) {
         self.names = names;
         self.forget_quotas();
@@ -97,22 +98,22 @@
         }
     }
 
-    /// A back end could not be reached, broke off or fell silent.
+    /// Records that a back end was unreachable, broke a connection or fell silent.
     pub fn failed(&mut self, now: Timestamp, id: &str) {
         self.warmth.failed(now, id);
     }
 
-    /// Something came from a back end.
+    /// Records that something was received from a back end.
     pub fn heard(&mut self, now: Timestamp, id: &str) {
         self.warmth.heard(now, id);
     }
 
-    /// A back end fails for most, as their reports say.
+    /// Records that a back end fails for most processes according to load reports.
     pub fn failed_for_all(&mut self, now: Timestamp, id: &str) {
         self.warmth.failed_for_all(now, id);
     }
 
-    /// A back end told for how much longer it is cold.
+    /// Records for how much longer a back end is cold, as it reported itself.
     pub fn told(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
         self.warmth.told(now, id, started_ms, remaining_ms);
     }
@@ -127,8 +128,8 @@
         self.warmth.is_unused()
     }
 
-    /// Why a back end is not known to be warm, and until when as far as known; `None` where it is.
-    /// `news_age_ms` is how old what is known of the platform is, where that is kept.
+    /// Why a back end is not known to be warm, and until when if known; `None` if it is.
+    /// `news_age_ms` is the age of the platform state, if tracked.
     pub fn doubt(
         &self,
         now: Timestamp,
@@ -141,13 +142,13 @@
         self.warmth.doubt(now, id).map(|doubt| (doubt.cause, Some(doubt.until)))
     }
 
-    /// Whether what is known of the platform is too old to tell that a back end is warm.
+    /// Whether the platform state is too old to tell that a back end is warm.
     pub fn has_old_news(&self, news_age_ms: Option<u64>) -> bool {
         let bound = self.bounds.evacuation_ms.unwrap_or(OLD_NEWS_MS);
         news_age_ms.is_some_and(|age| age > bound)
     }
 
-    /// Whether every back end is known to be warm, so that none has to be looked at.
+    /// Whether every back end is known to be warm, so that none needs a check.
     pub fn is_free_of_doubt(&self, now: Timestamp, news_age_ms: Option<u64>) -> bool {
         self.warmth.is_free_of_doubt(now) && !self.has_old_news(news_age_ms)
     }
@@ -157,7 +158,8 @@
         self.warmth.ids()
     }
 
-    /// Back ends of a service that are not known to be warm; `None` where what is known of the platform is too old.
+    /// Back ends of a service that are not known to be warm; `None` if the platform state is too
+    /// old to tell.
     pub fn doubted(
         &self,
         now: Timestamp,
@@ -168,8 +170,8 @@
         is_known.then(|| self.warmth.doubted(now, service).cloned().collect())
     }
 
-    /// Back ends of a service that this process may not send to now, in the order of their addresses in memory;
-    /// `None` where what is known of the platform is too old, and each has to be looked at.
+    /// Back ends of a service to which this process may not send now, ordered by their addresses in
+    /// memory; `None` if the platform state is too old and each back end must be checked.
     pub fn closed(
         &mut self,
         now: Timestamp,
@@ -185,7 +187,7 @@
         Some(closed)
     }
 
-    /// What this process may send to a back end now.
+    /// Whether this process may send to a back end now.
     pub fn standing(
         &mut self,
         now: Timestamp,
@@ -203,7 +205,7 @@
         Standing::Cold { cause, wait_ms }
     }
 
-    /// Milliseconds until this process may use its share; `None` where it has none.
+    /// Milliseconds until this process may use its quota; `None` if it has none.
     fn share_wait_ms(&mut self, now: Timestamp, backend: &Backend) -> Option<u64> {
         if !self.names.joined {
             return None;
@@ -225,9 +227,10 @@
         warm_up.map(of).unwrap_or_default()
     }
 
-    /// A request is sent to a back end. Where it is not known to be warm, that is taken from this process's share.
+    /// Records a request to a back end, which uses up quota if the back end is not known to be
+    /// warm.
     pub fn sent(&mut self, now: Timestamp, id: &str) {
-        // What goes to a warm back end counts as well: it may turn cold the next moment.
+        // Requests to a warm back end are recorded as well, because it may turn cold right after.
         if let Some(share) = self.shares.get_mut(id) {
             share.sends.note(now);
         } else if self.warmth.holds(id) {
@@ -237,8 +240,8 @@
         }
     }
 
-    /// The job store that the leader gives an item for a back end that is not known to be warm: one of those that
-    /// have a share there, are `usable`, and got none in this interval.
+    /// The job store to which the leader assigns an item for a back end that is not known to be
+    /// warm: one with a quota there that is `usable` and got no item in this interval.
     pub fn item_sender(
         &mut self,
         now: Timestamp,
@@ -253,7 +256,7 @@
         };
         let worked_out = || names.job_stores.iter().filter(has_share).cloned().collect();
         let share = self.shares.entry(backend.id.clone()).or_default();
-        // Worked out once for the present names: it takes a hash for each pair of job stores.
+        // Computed once for the current names, because it takes a hash for each pair of job stores.
         let holders = share.holders.get_or_insert_with(worked_out);
         let is_free = |name: &str| {
             let mut given = share.given.iter();
@@ -262,7 +265,8 @@
         holders.iter().find(|name| usable(name) && is_free(name)).cloned()
     }
 
-    /// The leader gave a job store an item for a back end that is not known to be warm.
+    /// Records that the leader assigned a job store an item for a back end that is not known to be
+    /// warm.
     pub fn gave_item(&mut self, now: Timestamp, id: &str, to: String) {
         let share = self.shares.entry(id.to_owned()).or_default();
         share.given.retain(|(_, at)| now.millis_since(*at) < SHARE_INTERVAL_MS);
--- a/crates/serving/src/eligibility/drawn.rs
+++ b/crates/serving/src/eligibility/drawn.rs
@@ -1,8 +1,9 @@
-//! Some back ends out of many, drawn by chance for one request.
+//! Random samples of candidates for one request.
 //!
-//! The choice of a back end looks at each candidate. Where a service has thousands, a few drawn by chance do as well:
-//! of 128, one is among the emptiest 2.3 % of all in 95 of 100 draws, and all processes together still use every back
-//! end alike, since each draw is as likely to name one as any other.
+//! Choosing a back end looks at each candidate. Where a service has thousands, a small random
+//! sample does as well: the best of 128 is among the least loaded 2.3 % of all in 95 of 100
+//! samples. All processes together still use every back end alike, because each is sampled with
+//! equal probability.
 
 use std::sync::Arc;
 
@@ -11,27 +12,28 @@
 use crate::backend_table::BackendTable;
 use crate::model::Backend;
 
-/// Most back ends that are all looked at: for so many that costs what drawing does.
+/// Largest number of back ends that are not sampled: up to here, looking at all costs as much as
+/// sampling.
 const MOST_LOOKED_AT: usize = 256;
-/// Back ends that are drawn out of more than that. Drawing and choosing takes 35 us of a core before 1,000 and 20,000 back
-/// ends alike; a choice among all of 10,000 takes 1 ms, with nothing known of any.
+/// Sample size. Sampling and choosing takes 35 us of a core with 1,000 as with 20,000 back ends,
+/// compared with 1 ms for a choice among all of 10,000 without load data.
 const DRAWN: usize = 128;
-/// Back ends that requests with the same prefix prefer: the second takes them while the first has no room.
+/// Back ends preferred by a prompt prefix: the second is used while the first has no capacity.
 const PREFERRED: usize = 2;
 
-/// Back ends that were drawn for one request.
+/// Back ends sampled for one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Drawn {
-    /// The back ends, each once.
+    /// The sampled back ends, without duplicates.
     pub backends: Vec<Arc<Backend>>,
-    /// Those that hold the request's prefix if any does, the first choice first.
+    /// Back ends that hold the request's prefix if any does, first choice first.
     pub preferred: Vec<Arc<Backend>>,
-    /// Part that the drawn ones are of all.
+    /// Sampled back ends as a fraction of all.
     pub part: f64,
 }
 
 impl Drawn {
-    /// Draws from tables that have no back end in common; `None` where there are so few that all can be looked at.
+    /// Samples from disjoint tables; `None` if there are few enough back ends to look at all.
     pub fn of(
         tables: &[&BackendTable],
         affinity: Option<u64>,
@@ -54,7 +56,7 @@
         Some(Self { backends, preferred: preferred.into_iter().cloned().collect(), part })
     }
 
-    /// The same without those that `open` leaves out; it gives `None` where it leaves out none.
+    /// Keeps the back ends that `open` returns; `None` from `open` keeps all.
     pub(super) fn filtered(
         mut self,
         open: impl Fn(&[Arc<Backend>]) -> Option<Vec<Arc<Backend>>>,
@@ -69,7 +71,8 @@
     }
 }
 
-/// The table to which a place in all of them together belongs: large ones are drawn from more often.
+/// The table that contains a position in the concatenation of all tables: large tables are sampled
+/// more often.
 fn table_at<'a>(tables: &[&'a BackendTable], place: usize) -> Option<&'a BackendTable> {
     let mut left = place;
     tables.iter().copied().find(|table| {
--- a/crates/serving/src/eligibility/mod.rs
+++ b/crates/serving/src/eligibility/mod.rs
@@ -1,10 +1,10 @@
-//! Which back ends may take a request now, and why not the others.
+//! Which back ends may be sent a request now, and why the others may not.
 //!
-//! One place answers this for everything that sends to a back end: first tries, retries, resumed streams, items
-//! of jobs at whichever process runs them. The answer is asked for twice: `Eligibility::candidates` before one is
-//! chosen, and `Eligibility::permit` at the last moment before the request is written, since what is known may
-//! have changed while a connection came up. Only `permit` makes a `Permit`, and nothing is sent without one
-//! (`yokefall_upstream::exchange`), so that a new sender can't forget to ask.
+//! This module decides it for everything that sends to a back end: first attempts, retries, resumed
+//! streams, and items of jobs at any process. It is asked twice: `Eligibility::candidates` before
+//! the choice, and `Eligibility::permit` right before the request is written, because the state may
+//! have changed while a connection was established. Only `permit` creates a `Permit`, and nothing
+//! is sent without one (`yokefall_upstream::exchange`), so that no sender can skip the check.
 
 pub mod cold_share;
 pub mod cold_start;
@@ -36,22 +36,22 @@
 use crate::catalog::{Catalog, CatalogCell};
 use crate::model::{Backend, BackendLife, BackendState};
 
-/// Why a back end may not take a request.
+/// Why a back end may not be sent a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ineligible {
-    /// Nobody knows it any more.
+    /// The back end is no longer known.
     Unknown,
-    /// Another life of it is running by now.
+    /// Another incarnation of the back end is running.
     AnotherLife,
-    /// It is leaving.
+    /// The back end is draining.
     Draining,
-    /// An operator has its zone evacuated.
+    /// An operator evacuated the back end's zone.
     Evacuated,
-    /// Nobody has told this process yet which zones are evacuated.
+    /// This process does not know yet which zones are evacuated.
     EvacuationsUnknown,
-    /// The request may not be served in its region.
+    /// The request may not be served in the back end's region.
     OtherRegion,
-    /// It is cold, or may be, and this process has sent it as much as it may.
+    /// The back end is not known to be warm, and this process has used up its quota.
     Cold {
         /// Milliseconds until this process may send it a request, as far as known.
         wait_ms: u64,
@@ -59,7 +59,7 @@
 }
 
 impl Ineligible {
-    /// The reason's name, for lines and metrics.
+    /// Name of the reason in log lines and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Ineligible::Unknown => "unknown",
@@ -74,7 +74,8 @@
 }
 
 impl Ineligible {
-    /// Tells that a request or item, by its id, was kept from a back end that was chosen for it.
+    /// Counts that a request or item was rejected by the back end's permit check, and logs
+    /// evacuations that are followed.
     pub fn tell_kept_from(&self, id: &str, backend: &Backend) {
         metrics::counter!("permits_refused_total", "cause" => self.name()).increment(1);
         if *self == Ineligible::Evacuated {
@@ -107,55 +108,55 @@
     }
 }
 
-/// What a request asks of a back end.
+/// What a request requires of a back end.
 #[derive(Clone, Copy, Debug)]
 pub struct Need<'a> {
-    /// Service that is to run it.
+    /// Service that serves it.
     pub service: &'a str,
-    /// Where it may be served.
+    /// Regions in which it may be served.
     pub residency: &'a Residency,
 }
 
-/// The right to send one request to a back end, right now.
+/// Permission to send one request to a back end now.
 #[derive(Debug)]
 pub struct Permit {
     life: BackendLife,
 }
 
 impl Permit {
-    /// Where the request may be sent.
+    /// The incarnation to which the request may be sent.
     pub fn life(&self) -> &BackendLife {
         &self.life
     }
 }
 
-/// Which back ends may take a request, as this process knows it.
+/// Eligibility of back ends by this process's view.
 #[derive(Clone, Debug)]
 pub struct Eligibility {
     catalog: CatalogCell,
-    /// What may be sent to back ends that are not known to be warm; `None` where nobody keeps that.
+    /// Limits for back ends that are not known to be warm; `None` if not tracked.
     cold: Option<Rc<ColdStart>>,
 }
 
 impl Eligibility {
-    /// Asks the newest catalog in a cell.
+    /// Checks against the latest catalog in a cell.
     pub fn new(catalog: CatalogCell) -> Self {
         Self { catalog, cold: None }
     }
 
-    /// The same for a process that keeps what it sends to back ends that are not known to be warm.
+    /// Also limits requests to back ends that are not known to be warm.
     pub fn with_cold_start(catalog: CatalogCell, cold: Rc<ColdStart>) -> Self {
         Self { catalog, cold: Some(cold) }
     }
 
-    /// Back ends that may take a request of this process, by the facts of one catalog.
+    /// Back ends that may be sent a request of this process, by one catalog.
     pub fn candidates<'a>(&self, catalog: &'a Catalog, need: &Need) -> Cow<'a, [Arc<Backend>]> {
         let placed = self.placed(catalog, need);
         let open = self.cold.as_ref().and_then(|cold| cold.open(need.service, &placed));
         open.map_or(placed, Cow::Owned)
     }
 
-    /// The same as tables, with those that this process may not use now still in them.
+    /// The candidates as tables, including those to which this process may not send now.
     pub fn tables<'a>(&self, catalog: &'a Catalog, need: &'a Need) -> Vec<&'a BackendTable> {
         match need.residency {
             Residency::Anywhere => catalog.ready_table(need.service).into_iter().collect(),
@@ -165,8 +166,8 @@
         }
     }
 
-    /// Back ends out of many for one request, by chance, with those that its `affinity` prefers; `None` where there
-    /// are so few that all are looked at, or where this process may use none of them.
+    /// A random sample of many candidates, with those preferred by `affinity`; `None` if there are
+    /// few enough to look at all, or if this process may send to none of the sampled ones.
     pub fn draw(
         &self,
         catalog: &Catalog,
@@ -197,8 +198,8 @@
         (!drawn.backends.is_empty()).then_some(drawn)
     }
 
-    /// Back ends of a service that may not take an item now because they are not known to be warm; `None` where
-    /// what is known is too old, so that each is to be looked at.
+    /// Back ends of a service that may not be sent an item now because they are not known to be
+    /// warm; `None` if the platform state is too old and each back end must be checked.
     pub fn closed_to_items(
         &self,
         service: &str,
@@ -222,8 +223,8 @@
         backends.iter().filter(may_go).cloned().collect()
     }
 
-    /// Back ends that may take an item: of those that are not known to be warm the ones for which a job store that
-    /// is `usable` has a share left, as far as the leader who gave them items knows.
+    /// Back ends that may be sent an item. One that is not known to be warm is included only if a
+    /// `usable` job store has quota left for it, as far as the assigning leader knows.
     pub fn item_candidates<'a>(
         &self,
         catalog: &'a Catalog,
@@ -238,14 +239,14 @@
         Cow::Owned(self.usable_for_items(cold, &placed, usable))
     }
 
-    /// Where every back end that might take a request is cold and this process has no share left: milliseconds
-    /// until its next one.
+    /// Milliseconds until this process may send next, if every candidate is cold and its quota is
+    /// used up.
     pub fn cold_wait_ms(&self, catalog: &Catalog, need: &Need) -> Option<u64> {
         let cold = self.cold.as_ref()?;
         cold.wait_ms(&self.placed(catalog, need))
     }
 
-    /// Back ends that take work where the request may be served.
+    /// Ready back ends in the regions where the request may be served.
     fn placed<'a>(&self, catalog: &'a Catalog, need: &Need) -> Cow<'a, [Arc<Backend>]> {
         match need.residency {
             Residency::Anywhere => Cow::Borrowed(catalog.ready(need.service)),
@@ -253,8 +254,9 @@
         }
     }
 
-    /// The right to send a request to a back end now, by the newest catalog. To be asked for right before the
-    /// request is written: where the back end is not known to be warm, it takes this process's share.
+    /// Permission to send a request to a back end now, by the latest catalog. Must be requested
+    /// right before the request is written: if the back end is not known to be warm, it uses up
+    /// quota.
     pub fn permit(&self, backend: &Backend, need: &Need) -> Result<Permit, Ineligible> {
         self.check_placement(backend, need)?;
         if let Some(cold) = &self.cold {
@@ -263,7 +265,7 @@
         Ok(Permit { life: backend.life() })
     }
 
-    /// Whether `permit` would be given now.
+    /// Whether `permit` would succeed now.
     pub fn check(&self, backend: &Backend, need: &Need) -> Result<(), Ineligible> {
         self.check_placement(backend, need)?;
         match &self.cold {
--- a/crates/serving/src/eligibility/residency.rs
+++ b/crates/serving/src/eligibility/residency.rs
@@ -1,25 +1,26 @@
-//! The regions in which a request may be served, kept and passed on.
+//! Regions in which a request may be served, stored and forwarded.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Where a request may be served.
+/// Regions in which a request may be served.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
 pub enum Residency {
-    /// In every region.
+    /// Every region.
     #[default]
     Anywhere,
-    /// In these regions alone; in none where the set is empty.
+    /// Only these regions; none if the set is empty.
     Within(BTreeSet<String>),
 }
 
 impl Residency {
-    /// Cuts together the regions that a route allows and those that a tenant allows. A list without entries
-    /// allows every region. Where the two lists have nothing in common, the request may be served nowhere.
+    /// Intersection of the regions allowed by a route and those allowed by a tenant. An empty list
+    /// allows every region. If the two lists have no region in common, the request may not be
+    /// served anywhere.
     pub fn of(route: &[String], tenant: &[String]) -> Self {
         let all = |regions: &[String]| regions.iter().cloned().collect::<BTreeSet<String>>();
         match (route.is_empty(), tenant.is_empty()) {
@@ -32,13 +33,13 @@
         }
     }
 
-    /// In no region.
+    /// No region.
     pub fn nowhere() -> Self {
         Residency::Within(BTreeSet::new())
     }
 
-    /// Whether a request may be served in a region. A zone whose region is not known is in none that a
-    /// restricted request may use.
+    /// Whether a request may be served in a region. A zone of unknown region is not allowed for any
+    /// restricted request.
     pub fn allows(&self, region: Option<&str>) -> bool {
         match self {
             Residency::Anywhere => true,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Cut with another residency: where both allow it.
+    /// Intersection with another residency.
     pub fn and(&self, other: &Residency) -> Residency {
         match (self, other) {
             (Residency::Anywhere, only) | (only, Residency::Anywhere) => only.clone(),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether the request may be served nowhere.
+    /// Whether no region is allowed.
     pub fn is_nowhere(&self) -> bool {
         matches!(self, Residency::Within(regions) if regions.is_empty())
     }
--- a/crates/serving/src/eligibility/unknown_regions.rs
+++ b/crates/serving/src/eligibility/unknown_regions.rs
@@ -1,9 +1,10 @@
-//! Regions that a configuration names and no zone has: a slip of the pen, by which requests would be refused.
+//! Configured regions that no zone has: a typing error that would cause requests to be rejected.
 
 use super::ZoneMap;
 use crate::model::Configuration;
 
-/// Each route and tenant with a region that no zone has, as `route NAME: REGION`, in the configuration's order.
+/// Each route and tenant with such a region, as `route NAME: REGION`, in the order of the
+/// configuration.
 pub fn unknown_regions(configuration: &Configuration, zones: &ZoneMap) -> Vec<String> {
     let unknown = |kind: &str, name: &str, regions: &[String]| -> Vec<String> {
         let unknown = regions.iter().filter(|region| !zones.has_region(region));
--- a/crates/serving/src/eligibility/warmth.rs
+++ b/crates/serving/src/eligibility/warmth.rs
@@ -1,7 +1,8 @@
-//! What is known of whether back ends are warm.
+//! Tracks which back ends are known to be warm.
 //!
-//! A back end that is not known to be warm is not left out: it gets little (`cold_share`). Invariant: whatever
-//! says that one may be cold is outweighed only by time, or by the back end's own word that came later.
+//! A back end that is not known to be warm is not excluded but gets few requests (`cold_share`).
+//! Invariant: evidence that a back end may be cold is overridden only by time, or by a later report
+//! of the back end itself.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,18 +13,20 @@
 use crate::catalog::Catalog;
 use crate::model::{Backend, WarmUp};
 
-/// Time that a back end's record takes from the back end to whoever reads it, in milliseconds: a write to the
-/// platform's store, a watch that gathers for 200 ms, and three tellings from process to process.
+/// Time that a back end's record takes to reach its readers, in milliseconds: a write to the
+/// platform's store, a watch that batches events for 200 ms, and three gossip hops.
 pub const RECORD_DELAY_MS: u64 = 1_000;
-/// Time for which a back end is remembered that is not known any more, in milliseconds: the store may lose one
-/// for a moment, and what was sent to it counts on. Far longer than the second in which sends are counted.
+/// Time for which a back end that is no longer known is remembered, in milliseconds: the store may
+/// lose a record for a moment, and requests sent to it still count. Far longer than the second in
+/// which requests are counted.
 const REMEMBERED_MS: u64 = 60_000;
 
-/// Time for which failures are reported, in milliseconds: those of the life before are still told then.
+/// Time for which failures are reported, in milliseconds: those of the previous incarnation are
+/// still reported then.
 const REPORTED_MS: u64 = 3_500;
 
-/// Time for which a back end that was heard counts as alive, in milliseconds: as long as one is waited for until it
-/// counts as silent.
+/// Time for which a back end counts as alive after something was received from it, in milliseconds:
+/// the silence after which a back end counts as silent.
 const HEARD_MS: u64 = 450;
 
 /// Why a back end is not known to be warm.
@@ -31,20 +34,21 @@
 pub enum ColdCause {
     /// Its record says that it is cold.
     Recorded,
-    /// It told so itself, in an answer.
+    /// It reported so itself in an answer.
     Told,
-    /// It has come while this process was running, and its record does not say for how long it is cold.
+    /// It appeared while this process was running, and its record does not say for how long it is
+    /// cold.
     Appeared,
-    /// It could not be reached, broke off or fell silent: it may have started again.
+    /// It was unreachable, broke a connection or fell silent: it may have restarted.
     Failed,
-    /// Its zone is not evacuated any more.
+    /// The evacuation of its zone has ended.
     ZoneReturned,
-    /// What this process knows of the platform is too old.
+    /// This process's view of the platform state is too old.
     OldNews,
 }
 
 impl ColdCause {
-    /// The cause's name, for lines.
+    /// Name of the cause in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ColdCause::Recorded => "recorded",
@@ -60,61 +64,65 @@
 /// Until when a back end is not known to be warm, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Doubt {
-    /// Its end.
+    /// End of the period.
     pub until: Timestamp,
-    /// Its cause.
+    /// Cause of the period.
     pub cause: ColdCause,
 }
 
-/// A back end as it is known here.
+/// A tracked back end.
 #[derive(Clone, Debug)]
 struct Known {
     service: Arc<str>,
-    /// When something last came from it here.
+    /// When something was last received from it here.
     heard_at: Option<Timestamp>,
-    /// When this life of it came; `None` where it was known at the start of this process.
+    /// When this incarnation appeared; `None` if it was known at the start of this process.
     appeared_at: Option<Timestamp>,
-    /// Its record: another one says anew for how long it is cold, also where it says the same.
+    /// Its record. A new one restarts the cold period that it states, even if its content is equal.
     record: Arc<Backend>,
-    /// What the back end itself says of its life.
+    /// Period reported by the back end itself.
     stated: Option<Doubt>,
-    /// What else speaks against its being warm.
+    /// Period inferred from other evidence.
     suspected: Option<Doubt>,
-    /// Since when nobody knows it any more.
+    /// Since when it is no longer known.
     gone_since: Option<Timestamp>,
 }
 
-/// What a catalog changed beside the back ends' own states.
+/// Changes by a catalog beyond the states of the back ends themselves.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observed {
-    /// Whether services need other times to get warm than before.
+    /// Whether the warm-up times of services changed.
     pub has_other_warm_ups: bool,
-    /// Ids of back ends that are not held any more.
+    /// Ids of back ends that are no longer tracked.
     pub forgotten: Vec<String>,
 }
 
-/// What one process knows of whether back ends are warm. Back ends of services without a warm-up are not in it.
+/// Which back ends one process knows to be warm. Back ends of services without a warm-up are not
+/// tracked.
 #[derive(Debug, Default)]
 pub struct Warmth {
     warm_ups: HashMap<Arc<str>, WarmUp>,
     backends: HashMap<String, Known>,
     evacuated: BTreeSet<String>,
-    /// What the last catalog knew: only what differs in the next one is looked at.
+    /// Back ends of the last catalog; only differences to the next one are processed.
     seen: BackendTable,
-    /// Whether the last catalog knew only some of the back ends: those that come with the next were there before.
+    /// Whether the last catalog contained only some of the back ends: those added by the next one
+    /// existed before.
     follows_part: bool,
-    /// Ids of back ends that nobody knows any more and that are remembered for a while.
+    /// Ids of back ends that are no longer known and are remembered for a while.
     gone: BTreeSet<String>,
-    /// Ids of back ends that may be in doubt; those that are in none any more are dropped with the next catalog.
-    /// With it a look costs as many steps as there are doubts, and not as there are back ends.
+    /// Ids of back ends that may be cold; those that are no longer are dropped with the next
+    /// catalog. Makes a check cost as many steps as there are such back ends, not as there are back
+    /// ends.
     doubted: BTreeSet<String>,
-    /// When the last doubt ends, or later: after it nobody has to be looked at.
+    /// Upper bound of the end of all cold periods; afterwards no back end needs a check.
     last_doubt: Timestamp,
 }
 
 impl Warmth {
-    /// Takes what a catalog says. To be called for each one, soon after it came into force: times count from here.
-    /// Costs as many steps as back ends changed, are in doubt or are gone.
+    /// Takes over a catalog. Must be called for each one soon after it was published, because
+    /// periods start now. Costs as many steps as there are back ends that changed, may be cold or
+    /// are gone.
     pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) -> Observed {
         let warm_ups = warm_ups(catalog);
         let has_other_warm_ups = warm_ups != self.warm_ups;
@@ -122,7 +130,7 @@
             self.warm_ups = warm_ups;
             self.seen = BackendTable::default();
         }
-        // What is known at the start of this process was there before it.
+        // Back ends known at the start of this process existed before it.
         let is_first = self.backends.is_empty() || self.follows_part;
         self.follows_part = catalog.is_partial;
         if !self.warm_ups.is_empty() {
@@ -155,7 +163,7 @@
         self.last_doubt = self.doubted.iter().filter_map(end_of).max().unwrap_or_default();
     }
 
-    /// Notes a doubt of a back end that lasts until a moment.
+    /// Records that a back end may be cold until a moment.
     fn note_doubt(&mut self, id: &str, until: Timestamp) {
         self.last_doubt = self.last_doubt.max(until);
         if !self.doubted.contains(id) {
@@ -163,7 +171,7 @@
         }
     }
 
-    /// Records of a service's back ends that are in doubt now.
+    /// Records of a service's back ends that are not known to be warm.
     pub fn doubted<'a>(
         &'a self,
         now: Timestamp,
@@ -215,7 +223,7 @@
         }
     }
 
-    /// Nobody knows a back end any more.
+    /// Records that a back end is no longer known.
     fn lose(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.backends.get_mut(id) {
             known.gone_since.get_or_insert(now);
@@ -223,8 +231,8 @@
         }
     }
 
-    /// Back ends of a zone may have turned cold shortly before its evacuation was taken back, and their records
-    /// may not say so yet.
+    /// Back ends of a zone may have turned cold shortly before its evacuation ended, and their
+    /// records may not say so yet.
     fn return_zones(&mut self, now: Timestamp, evacuated: &BTreeSet<String>) {
         if self.evacuated == *evacuated {
             return;
@@ -246,7 +254,7 @@
         self.evacuated.clone_from(evacuated);
     }
 
-    /// Forgets back ends that have been gone for long enough, and tells which.
+    /// Drops back ends that have been gone for long enough, and returns their ids.
     fn forget(&mut self, now: Timestamp) -> Vec<String> {
         let backends = &self.backends;
         let is_over = |id: &&String| {
@@ -261,7 +269,7 @@
         forgotten
     }
 
-    /// The same where other services have a warm-up now: each back end is looked at.
+    /// The same after warm-ups changed, by a check of each back end.
     fn forget_all_unknown(&mut self, now: Timestamp, catalog: &Catalog) -> Vec<String> {
         for (id, known) in &mut self.backends {
             if !catalog.known.contains(id) {
@@ -283,15 +291,16 @@
         forgotten
     }
 
-    /// Something came from a back end.
+    /// Records that something was received from a back end.
     pub fn heard(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.backends.get_mut(id) {
             known.heard_at = Some(now);
         }
     }
 
-    /// A back end fails for most, as their reports of the last seconds say. One that is heard here has too much to
-    /// do: taken for cold, it would do less still, and the others more.
+    /// Records that a back end fails for most processes, according to load reports of the last
+    /// seconds. One that still answers here is overloaded: treating it as cold would shift its load
+    /// to the others.
     pub fn failed_for_all(&mut self, now: Timestamp, id: &str) {
         let Some(known) = self.backends.get_mut(id) else { return };
         if known.heard_at.is_some_and(|at| now.millis_since(at) < HEARD_MS) {
@@ -301,14 +310,14 @@
         if !known.appeared_at.is_some_and(is_new) {
             return self.failed(now, id);
         }
-        // Probably the life before failed, and this one is cold for as long anyway. Where it is this one, that is
-        // told again before this doubt ends.
+        // Probably the previous incarnation failed, and this one is cold for as long anyway. If
+        // this one fails, that is reported again before this period ends.
         let until = now.plus_millis(RECORD_DELAY_MS);
         known.suspect(until, ColdCause::Failed);
         self.note_doubt(id, until);
     }
 
-    /// A back end could not be reached, broke off or fell silent here.
+    /// Records that a back end was unreachable, broke a connection or fell silent here.
     pub fn failed(&mut self, now: Timestamp, id: &str) {
         let Some(known) = self.backends.get_mut(id) else { return };
         let Some(warm_up) = self.warm_ups.get(&known.service) else { return };
@@ -317,7 +326,7 @@
         self.note_doubt(id, until);
     }
 
-    /// A back end told in an answer for how much longer it is cold.
+    /// Records for how much longer a back end is cold, as it reported in an answer.
     pub fn told(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
         let known = self.backends.get_mut(id);
         let Some(known) = known.filter(|known| known.record.started_ms == started_ms) else {
@@ -329,41 +338,41 @@
         self.note_doubt(id, until);
     }
 
-    /// Why a back end is not known to be warm, and until when; `None` where it is warm, as far as its own life goes.
+    /// Why a back end is not known to be warm and until when; `None` if it is, by its own state.
     pub fn doubt(&self, now: Timestamp, id: &str) -> Option<Doubt> {
         let known = self.backends.get(id)?;
         let doubts = [known.stated, known.suspected].into_iter().flatten();
         doubts.filter(|doubt| doubt.until > now).max_by_key(|doubt| doubt.until)
     }
 
-    /// Whether every back end is known to be warm, as far as their own lives go.
+    /// Whether every back end is known to be warm, by their own states.
     pub fn is_free_of_doubt(&self, now: Timestamp) -> bool {
         self.last_doubt <= now
     }
 
-    /// Whether back ends of a service need time to get warm.
+    /// The warm-up of a service, if it has one.
     pub fn warm_up(&self, service: &str) -> Option<&WarmUp> {
         self.warm_ups.get(service)
     }
 
-    /// Whether no service has a warm-up: nothing has to be asked then.
+    /// Whether no service has a warm-up, so that nothing needs a check.
     pub fn is_unused(&self) -> bool {
         self.warm_ups.is_empty()
     }
 
-    /// Ids of the back ends that are held.
+    /// Ids of the tracked back ends.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         self.backends.keys().map(String::as_str)
     }
 
-    /// Whether a back end is held.
+    /// Whether a back end is tracked.
     pub fn holds(&self, id: &str) -> bool {
         self.backends.contains_key(id)
     }
 }
 
 impl Known {
-    /// Whatever was the cause before: the later end counts.
+    /// Extends the inferred period; the later end wins whatever its cause.
     fn suspect(&mut self, until: Timestamp, cause: ColdCause) {
         if self.suspected.is_none_or(|held| held.until < until) {
             self.suspected = Some(Doubt { until, cause });
@@ -371,7 +380,7 @@
     }
 }
 
-/// When a back end that starts now is warm, and this process has long read so.
+/// When a back end that restarts now is warm and its new record has reached this process.
 fn start_may_be_told(now: Timestamp, warm_up: &WarmUp) -> Timestamp {
     now.plus_millis(warm_up.duration_ms + RECORD_DELAY_MS)
 }
--- a/crates/serving/src/eligibility/zones.rs
+++ b/crates/serving/src/eligibility/zones.rs
@@ -1,43 +1,43 @@
-//! The zones of a fleet and their regions.
+//! Zones of a fleet and their regions.
 
 use std::collections::BTreeMap;
 
-/// How far two zones are apart; the nearest is the least.
+/// Distance between two zones, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// They are the same.
+    /// The same zone.
     SameZone,
-    /// They lie in the same region, as far as known.
+    /// Different zones of the same region, or of unknown regions.
     SameRegion,
-    /// They lie in different regions.
+    /// Different regions.
     OtherRegion,
 }
 
-/// Region of each zone, as settings tell it.
+/// Region of each configured zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneMap {
     regions: BTreeMap<String, String>,
 }
 
 impl ZoneMap {
-    /// A map of zones to their regions.
+    /// A map from zones to their regions.
     pub fn new(regions: BTreeMap<String, String>) -> Self {
         Self { regions }
     }
 
-    /// How far two zones are apart.
+    /// Distance between two zones.
     pub fn distance(&self, one: &str, other: &str) -> Distance {
         if one == other {
             return Distance::SameZone;
         }
         match (self.region_of(one), self.region_of(other)) {
             (Some(one), Some(other)) if one != other => Distance::OtherRegion,
-            // Of zones that settings don't name nothing says that they are far away.
+            // Zones that are not configured are not assumed to be in another region.
             _ => Distance::SameRegion,
         }
     }
 
-    /// Whether a zone lies in a region.
+    /// Whether any zone is in a region.
     pub fn has_region(&self, region: &str) -> bool {
         self.regions.values().any(|known| known == region)
     }
@@ -47,12 +47,12 @@
         self.regions.len()
     }
 
-    /// Whether settings name no zone.
+    /// Whether no zone is configured.
     pub fn is_empty(&self) -> bool {
         self.regions.is_empty()
     }
 
-    /// The region of a zone; `None` for a zone that settings don't name.
+    /// Region of a zone; `None` if the zone is not configured.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.regions.get(zone).map(String::as_str)
     }
--- a/crates/serving/src/lateness.rs
+++ b/crates/serving/src/lateness.rs
@@ -1,33 +1,34 @@
-//! Finds out whether a process gets enough processor time: how late its timers wake it.
+//! Detects a shortage of processor time by how late timers fire.
 
 use yokefall_telemetry::{EventName, Line};
 
-/// Weight of one wake-up in the mean lateness: about ten of them, some seconds at rest.
+/// Weight of one wake-up in the mean lateness: averages over about ten wake-ups, some seconds when
+/// idle.
 const WEIGHT: f64 = 0.1;
-/// Mean lateness in milliseconds from which a process counts as short of processor time: half of the
-/// shortest interval between two heartbeats of the replicated log.
+/// Mean lateness, in milliseconds, from which a process counts as short of processor time: half of
+/// the shortest heartbeat interval of the replicated log.
 const SHORT_MS: f64 = 50.0;
-/// Mean lateness in milliseconds below which it no longer does.
+/// Mean lateness, in milliseconds, below which the shortage has ended.
 const ENOUGH_MS: f64 = 10.0;
 
-/// Lateness of one loop.
+/// Timer lateness of one loop.
 #[derive(Debug, Default)]
 pub struct Lateness {
     mean_ms: f64,
     is_short: bool,
 }
 
-/// A change that an operator should know of.
+/// A change that is reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// The process has become short of processor time.
+    /// The process is short of processor time.
     Began,
-    /// It has enough again.
+    /// The process has enough processor time again.
     Ended,
 }
 
 impl Lateness {
-    /// The loop woke this much later than its timer said.
+    /// Records that the loop woke `late_ms` after its timer was due.
     pub fn note(&mut self, late_ms: u64) -> Option<Shortage> {
         self.mean_ms += (late_ms as f64 - self.mean_ms) * WEIGHT;
         let was_short = self.is_short;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The same, told as a metric, and as a line where it begins or ends.
+    /// Records a wake-up, exports it as a metric, and logs the begin and the end of a shortage.
     pub fn note_and_tell(&mut self, late_ms: u64) {
         metrics::histogram!("loop_lateness_seconds").record(late_ms as f64 / 1_000.0);
         if let Some(shortage) = self.note(late_ms) {
--- a/crates/serving/src/nearness.rs
+++ b/crates/serving/src/nearness.rs
@@ -1,13 +1,13 @@
-//! Whether back ends of other regions are needed.
+//! Whether requests stay in the local region.
 
 use crate::spread::{surface, Level};
 
-/// The part of requests that is meant for the back ends of the own region, where these can take it; `None` where
-/// back ends of other regions are needed.
+/// The fraction of all requests that belongs to the back ends of the local region, if these can
+/// take it; `None` if back ends of other regions are needed.
 ///
-/// `expected` are the requests of all processes that this one does not know yet. Those of other regions go to
-/// back ends of their own: taking all of them to come here made a region look full at a fifth of its load, and
-/// 45 of 100 requests left it.
+/// `expected` is the number of requests of all processes that are not reported yet. Only the local
+/// fraction of it counts, because requests of other regions go to their own back ends: counting all
+/// of them made a region look full at a fifth of its load, and 45 of 100 requests left it.
 pub fn own_part(near: &[Level], far: &[Level], expected: f64) -> Option<f64> {
     let slots = |levels: &[Level]| levels.iter().map(|level| level.slots).sum::<f64>();
     let all = slots(near) + slots(far);
--- a/crates/serving/src/outcomes.rs
+++ b/crates/serving/src/outcomes.rs
@@ -1,25 +1,27 @@
-//! How requests at a back end ended lately, at this process and at all.
+//! Recent outcomes of requests at a back end, at this process and at all of them.
 
 use yokefall_core::Timestamp;
 
-/// Time over which outcomes lose their weight, in milliseconds: some requests at each back end of a busy
-/// fleet, and no longer than the first ejections.
+/// Time constant of the decay of outcomes, in milliseconds: a few requests at each back end of a
+/// busy fleet, and no longer than the first ejection.
 const OUTCOME_MS: f64 = 1_000.0;
-/// Failures of all processes at a back end from which it is left out by all: two, half a second apart.
+/// Failures at all processes from which a back end is ejected by all: two failures half a second
+/// apart.
 const FAILURES_OF_ALL: f64 = 1.5;
-/// Part of all outcomes that must have failed. Back ends that lose a few answers in a hundred stay.
+/// Share of all outcomes that must be failures. Back ends that lose a few answers in a hundred
+/// stay.
 const FAILED_SHARE_OF_ALL: f64 = 1.0 / 3.0;
 
-/// Requests at a back end that failed, and that it answered, over about the last second.
+/// Failed and answered requests at a back end, decayed over about a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcomes {
-    /// Failed, or found it unreachable or silent.
+    /// Failed, or found the back end unreachable or silent.
     pub failed: f64,
     /// Answered.
     pub answered: f64,
 }
 
-/// Outcomes that lose their weight with time.
+/// Exponentially decaying counts of outcomes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecentOutcomes {
     at: Timestamp,
@@ -27,13 +29,13 @@
 }
 
 impl RecentOutcomes {
-    /// What is left of them.
+    /// The counts decayed until `now`.
     pub(crate) fn sums(&self, now: Timestamp) -> Outcomes {
         let weight = (-(now.millis_since(self.at) as f64) / OUTCOME_MS).exp();
         Outcomes { failed: self.sums.failed * weight, answered: self.sums.answered * weight }
     }
 
-    /// Notes a request that failed, or that was answered.
+    /// Records a failed or an answered request.
     pub(crate) fn note(&mut self, now: Timestamp, failed: bool) {
         self.sums = self.sums(now);
         self.at = now;
@@ -45,7 +47,7 @@
 }
 
 impl Outcomes {
-    /// Whether outcomes of all processes say that a back end is to be left out.
+    /// Whether the outcomes of all processes call for an ejection.
     pub fn is_failing(&self) -> bool {
         let all = self.failed + self.answered;
         self.failed >= FAILURES_OF_ALL && self.failed >= all * FAILED_SHARE_OF_ALL
--- a/crates/serving/src/spread.rs
+++ b/crates/serving/src/spread.rs
@@ -1,21 +1,22 @@
-//! Draws a back end so that many processes that know the same loads, all of them a little old, do
-//! not choose the same one: the requests that are expected meanwhile are poured over the back ends
-//! like water, the emptiest first, and each back end is drawn with the part that it would get.
+//! Randomized choice by water-filling, so that many processes that know the same, slightly old
+//! loads do not all choose the same back end: the requests expected meanwhile are distributed over
+//! the back ends, least loaded first, and each back end is chosen with a probability proportional
+//! to its share.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
 
-/// A back end as the draw sees it.
+/// Load and capacity of a back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Level {
-    /// Load in parts of its slots.
+    /// Load as a fraction of its slots.
     pub load: f64,
-    /// Its slots.
+    /// Number of slots.
     pub slots: f64,
 }
 
-/// Position of the drawn back end, where `expected` requests are to be placed; `None` where there
-/// are no back ends.
+/// Position of the chosen back end if `expected` requests are to be placed; `None` if there are no
+/// back ends.
 pub fn draw(generator: &mut SmallRng, levels: &[Level], expected: f64) -> Option<usize> {
     let surface = surface(levels, expected)?;
     let part = |level: &Level| (surface - level.load).max(0.0) * level.slots;
@@ -36,7 +37,8 @@
     drawn
 }
 
-/// The load that all back ends below it reach when `expected` requests, one at least, are poured.
+/// The load up to which all less loaded back ends are filled when `expected` requests, at least
+/// one, are placed.
 pub fn surface(levels: &[Level], expected: f64) -> Option<f64> {
     let mut order: Vec<Level> = levels.to_vec();
     order.sort_unstable_by(|left, right| left.load.total_cmp(&right.load));
