--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -18,10 +18,10 @@
 const IN_TIME_SHARE: f64 = 0.4;
 /// Longest time in the queue, in multiples of the route's target latency. Callers of streams leave
 /// when nothing arrives for a few multiples of it.
-const HOLD_TARGETS: f64 = 6.0;
+const MAX_QUEUE_TIME_TARGETS: f64 = 6.0;
 /// Longest time in the queue as a share of the request's timeout: the caller of a rejected request
 /// can then still retry.
-const HOLD_SHARE: f64 = 0.35;
+const MAX_QUEUE_TIME_SHARE: f64 = 0.35;
 /// A request waiting in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Held {
@@ -34,7 +34,7 @@
     /// Latest time at which it can be sent and still be answered in time.
     pub in_time_until: Timestamp,
     /// Time at which it is removed from the queue without having been sent.
-    pub give_up_at: Timestamp,
+    pub expires_at: Timestamp,
 }
 
 /// Parameters that bound the time in the queue.
@@ -52,13 +52,16 @@
     /// A request that arrived at `arrived`.
     pub fn new(ticket: u64, arrived: Timestamp, terms: Terms) -> Self {
         let after = |time: Duration| arrived.plus_millis(time.as_millis() as u64);
-        let longest = terms.target.mul_f64(HOLD_TARGETS).min(terms.time.mul_f64(HOLD_SHARE));
+        let max_queue_time = terms
+            .target
+            .mul_f64(MAX_QUEUE_TIME_TARGETS)
+            .min(terms.time.mul_f64(MAX_QUEUE_TIME_SHARE));
         Self {
             ticket,
             rank: terms.rank,
             arrived,
-            in_time_until: after(terms.target.mul_f64(IN_TIME_SHARE).min(longest)),
-            give_up_at: after(longest),
+            in_time_until: after(terms.target.mul_f64(IN_TIME_SHARE).min(max_queue_time)),
+            expires_at: after(max_queue_time),
         }
     }
 
@@ -84,47 +87,47 @@
 /// Queued requests of one service.
 #[derive(Clone, Debug, Default)]
 pub struct HoldQueue {
-    held: Vec<Held>,
+    queued: Vec<Held>,
 }
 
 impl HoldQueue {
     /// Adds a request.
     pub fn hold(&mut self, request: Held) {
-        self.held.push(request);
+        self.queued.push(request);
     }
 
     /// The request to send next. Invariant: no request precedes one of a higher rank.
     pub fn next(&self, now: Timestamp) -> Option<Held> {
-        let order = |held: &&Held| (held.rank, held.urgency(now), held.ticket);
-        self.held.iter().min_by_key(order).copied()
+        let order = |queued: &&Held| (queued.rank, queued.urgency(now), queued.ticket);
+        self.queued.iter().min_by_key(order).copied()
     }
 
     /// Removes a request; `None` if it is not queued.
     pub fn remove(&mut self, ticket: u64) -> Option<Held> {
-        let position = self.held.iter().position(|held| held.ticket == ticket)?;
-        Some(self.held.swap_remove(position))
+        let position = self.queued.iter().position(|queued| queued.ticket == ticket)?;
+        Some(self.queued.swap_remove(position))
     }
 
     /// Removes and returns the expired requests.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Held> {
-        let (expired, held) = self.held.iter().partition(|held| held.give_up_at <= now);
-        self.held = held;
+        let (expired, queued) = self.queued.iter().partition(|queued| queued.expires_at <= now);
+        self.queued = queued;
         expired
     }
 
     /// Time at which the first request expires.
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        self.held.iter().map(|held| held.give_up_at).min()
+        self.queued.iter().map(|queued| queued.expires_at).min()
     }
 
     /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.queued.len()
     }
 
     /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.queued.is_empty()
     }
 }
 
--- a/crates/serving/src/affinity.rs
+++ b/crates/serving/src/affinity.rs
@@ -13,19 +13,22 @@
 const AFFINITY_CANDIDATES: usize = 2;
 
 /// Whether a back end with this cost still gets requests by affinity.
-pub(crate) fn has_room(cost: f64) -> bool {
+pub(crate) fn has_affinity_capacity(cost: f64) -> bool {
     cost < AFFINITY_LOAD_LIMIT
 }
 
 /// The first of the back ends preferred for `key` that has capacity.
 pub(crate) fn preferred<'a>(
-    open: &[(f64, &'a Arc<Backend>)],
+    available: &[(f64, &'a Arc<Backend>)],
     key: u64,
 ) -> Option<&'a Arc<Backend>> {
     let score = |backend: &Backend| xxh3_64_with_seed(backend.id.as_bytes(), key);
     let mut ranked: Vec<(u64, f64, &'a Arc<Backend>)> =
-        open.iter().map(|(cost, backend)| (score(backend), *cost, *backend)).collect();
+        available.iter().map(|(cost, backend)| (score(backend), *cost, *backend)).collect();
     ranked.sort_unstable_by_key(|(score, _, _)| std::cmp::Reverse(*score));
-    let few = ranked.iter().take(AFFINITY_CANDIDATES);
-    few.filter(|(_, cost, _)| has_room(*cost)).map(|(_, _, backend)| *backend).next()
+    let candidates = ranked.iter().take(AFFINITY_CANDIDATES);
+    candidates
+        .filter(|(_, cost, _)| has_affinity_capacity(*cost))
+        .map(|(_, _, backend)| *backend)
+        .next()
 }
--- a/crates/serving/src/arrivals.rs
+++ b/crates/serving/src/arrivals.rs
@@ -5,10 +5,10 @@
 /// Averaging time of this process's own arrival rate, in milliseconds: well below the length of a
 /// burst. Load reports sum the rates of all gateways, so the sum is accurate where each rate is
 /// not.
-const RATE_MS: f64 = 500.0;
+const RATE_WINDOW_MS: f64 = 500.0;
 /// Averaging time, in milliseconds, of the rate from which arrivals at other processes are
 /// inferred: a shorter average takes two requests in a row for a burst.
-const INFERRED_RATE_MS: f64 = 2_000.0;
+const INFERRED_RATE_WINDOW_MS: f64 = 2_000.0;
 /// Time for which a reported rate is valid, in milliseconds. Load reports repeat it every half
 /// second.
 const REPORTED_RATE_LIFETIME_MS: u64 = 1_500;
@@ -18,7 +18,7 @@
 pub(crate) struct Arrivals {
     at: Timestamp,
     per_ms: f64,
-    /// The rate averaged over `INFERRED_RATE_MS`.
+    /// The rate averaged over `INFERRED_RATE_WINDOW_MS`.
     pub(crate) steady_per_ms: f64,
 }
 
@@ -29,17 +29,17 @@
     }
 
     /// Records a request.
-    pub(crate) fn note(&mut self, now: Timestamp) {
+    pub(crate) fn record(&mut self, now: Timestamp) {
         let elapsed = now.millis_since(self.at) as f64;
-        self.per_ms = self.per_ms(now) + 1.0 / RATE_MS;
-        self.steady_per_ms =
-            self.steady_per_ms * (-elapsed / INFERRED_RATE_MS).exp() + 1.0 / INFERRED_RATE_MS;
+        self.per_ms = self.per_ms(now) + 1.0 / RATE_WINDOW_MS;
+        self.steady_per_ms = self.steady_per_ms * (-elapsed / INFERRED_RATE_WINDOW_MS).exp()
+            + 1.0 / INFERRED_RATE_WINDOW_MS;
         self.at = now;
     }
 
     /// Requests per millisecond.
     pub(crate) fn per_ms(&self, now: Timestamp) -> f64 {
-        self.per_ms * (-(now.millis_since(self.at) as f64) / RATE_MS).exp()
+        self.per_ms * (-(now.millis_since(self.at) as f64) / RATE_WINDOW_MS).exp()
     }
 }
 
--- a/crates/serving/src/backend_table.rs
+++ b/crates/serving/src/backend_table.rs
@@ -16,25 +16,25 @@
 /// Number of shards. A change copies this many pointers and those of one shard: 39 at 10,000 back
 /// ends and 78 at 20,000. With fewer shards, the copy of one would grow with the fleet; with more,
 /// copying the list would cost more than a shard at every supported fleet size.
-const PARTS: usize = 256;
+const SHARDS: usize = 256;
 
 /// Back ends of one shard, ordered by id; `None` if it has none.
-type Part = Option<Arc<Vec<Arc<Backend>>>>;
+type Shard = Option<Arc<Vec<Arc<Backend>>>>;
 
 /// Back ends by id.
 #[derive(Clone, Debug)]
 pub struct BackendTable {
-    parts: Vec<Part>,
+    shards: Vec<Shard>,
     count: usize,
     /// Total slots of all back ends.
     slots: u64,
     /// Size of the largest shard.
-    longest: usize,
+    max_shard_len: usize,
 }
 
 impl Default for BackendTable {
     fn default() -> Self {
-        Self { parts: vec![None; PARTS], count: 0, slots: 0, longest: 0 }
+        Self { shards: vec![None; SHARDS], count: 0, slots: 0, max_shard_len: 0 }
     }
 }
 
@@ -56,8 +56,8 @@
 
     /// The back end with this id.
     pub fn get(&self, id: &str) -> Option<&Arc<Backend>> {
-        let part = self.parts[part_of(id)].as_ref()?;
-        position(part, id).ok().map(|position| &part[position])
+        let shard = self.shards[shard_of(id)].as_ref()?;
+        position(shard, id).ok().map(|position| &shard[position])
     }
 
     /// Whether the table contains this id.
@@ -67,43 +67,43 @@
 
     /// All back ends.
     pub fn values(&self) -> impl Iterator<Item = &Arc<Backend>> {
-        self.parts.iter().flatten().flat_map(|part| part.iter())
+        self.shards.iter().flatten().flat_map(|shard| shard.iter())
     }
 
     /// Inserts a back end, replacing the one with the same id.
     pub fn insert(&mut self, backend: Arc<Backend>) {
-        let part = self.parts[part_of(&backend.id)].get_or_insert_default();
-        let part = Arc::make_mut(part);
+        let shard = self.shards[shard_of(&backend.id)].get_or_insert_default();
+        let shard = Arc::make_mut(shard);
         self.slots += u64::from(backend.slots);
-        match position(part, &backend.id) {
+        match position(shard, &backend.id) {
             Ok(position) => {
-                let before = std::mem::replace(&mut part[position], backend);
+                let before = std::mem::replace(&mut shard[position], backend);
                 self.slots -= u64::from(before.slots);
             }
             Err(position) => {
-                part.insert(position, backend);
+                shard.insert(position, backend);
                 self.count += 1;
-                self.longest = self.longest.max(part.len());
+                self.max_shard_len = self.max_shard_len.max(shard.len());
             }
         }
     }
 
     /// Removes a back end.
     pub fn remove(&mut self, id: &str) {
-        let slot = &mut self.parts[part_of(id)];
-        let Some(part) = slot.as_mut() else { return };
-        let Ok(position) = position(part, id) else { return };
-        let part = Arc::make_mut(part);
-        let removed = part.remove(position);
-        let was_longest = part.len() + 1 == self.longest;
-        if part.is_empty() {
+        let slot = &mut self.shards[shard_of(id)];
+        let Some(shard) = slot.as_mut() else { return };
+        let Ok(position) = position(shard, id) else { return };
+        let shard = Arc::make_mut(shard);
+        let removed = shard.remove(position);
+        let was_largest = shard.len() + 1 == self.max_shard_len;
+        if shard.is_empty() {
             *slot = None;
         }
         self.count -= 1;
         self.slots -= u64::from(removed.slots);
-        if was_longest {
-            let lengths = self.parts.iter().flatten().map(|part| part.len());
-            self.longest = lengths.max().unwrap_or(0);
+        if was_largest {
+            let lengths = self.shards.iter().flatten().map(|shard| shard.len());
+            self.max_shard_len = lengths.max().unwrap_or(0);
         }
     }
 
@@ -113,15 +113,15 @@
         &'a self,
         before: &'a BackendTable,
     ) -> impl Iterator<Item = Changed<Backend>> + 'a {
-        let pairs = before.parts.iter().zip(&self.parts);
-        pairs.filter(|(before, after)| !is_shared(before, after)).flat_map(part_changes)
+        let pairs = before.shards.iter().zip(&self.shards);
+        pairs.filter(|(before, after)| !is_shared(before, after)).flat_map(shard_changes)
     }
 
     /// Number of pointers copied to derive this version from another one.
     pub fn copied_since(&self, before: &BackendTable) -> usize {
-        let pairs = before.parts.iter().zip(&self.parts);
+        let pairs = before.shards.iter().zip(&self.shards);
         let changed = pairs.filter(|(before, after)| !is_shared(before, after));
-        self.parts.len() + changed.map(|(_, after)| length(after)).sum::<usize>()
+        self.shards.len() + changed.map(|(_, after)| length(after)).sum::<usize>()
     }
 
     /// A back end chosen uniformly at random.
@@ -133,9 +133,10 @@
         // are not drawn more often. The largest shard has at most 1.5 times the mean size at 10,000
         // back ends, so few draws are rejected.
         loop {
-            let part = generator.random_range(0..self.parts.len());
-            let place = generator.random_range(0..self.longest);
-            if let Some(backend) = self.parts[part].as_ref().and_then(|part| part.get(place)) {
+            let shard = generator.random_range(0..self.shards.len());
+            let position = generator.random_range(0..self.max_shard_len);
+            if let Some(backend) = self.shards[shard].as_ref().and_then(|shard| shard.get(position))
+            {
                 return Some(backend);
             }
         }
@@ -145,17 +146,20 @@
     /// rendezvous hashing, first of the shards, then within a shard; the loss of a preferred back
     /// end changes only the order behind it.
     pub fn preferred(&self, key: u64, count: usize) -> Vec<&Arc<Backend>> {
-        let score = |part: usize| xxh3_64_with_seed(&part.to_le_bytes(), key);
-        let filled =
-            self.parts.iter().enumerate().filter_map(|(part, held)| Some((part, held.as_ref()?)));
+        let score = |shard: usize| xxh3_64_with_seed(&shard.to_le_bytes(), key);
+        let filled = self
+            .shards
+            .iter()
+            .enumerate()
+            .filter_map(|(shard, held)| Some((shard, held.as_ref()?)));
         let mut ranked: Vec<(u64, &Arc<Vec<Arc<Backend>>>)> =
-            filled.map(|(part, held)| (score(part), held)).collect();
+            filled.map(|(shard, held)| (score(shard), held)).collect();
         ranked.sort_unstable_by_key(|(score, _)| Reverse(*score));
         let score = |backend: &&Arc<Backend>| xxh3_64_with_seed(backend.id.as_bytes(), key);
         ranked
             .into_iter()
             .take(count)
-            .filter_map(|(_, part)| part.iter().max_by_key(score))
+            .filter_map(|(_, shard)| shard.iter().max_by_key(score))
             .collect()
     }
 }
@@ -194,19 +198,19 @@
     }
 }
 
-fn part_of(id: &str) -> usize {
-    xxh3_64(id.as_bytes()) as usize % PARTS
+fn shard_of(id: &str) -> usize {
+    xxh3_64(id.as_bytes()) as usize % SHARDS
 }
 
-fn position(part: &[Arc<Backend>], id: &str) -> Result<usize, usize> {
-    part.binary_search_by(|backend| backend.id.as_str().cmp(id))
+fn position(shard: &[Arc<Backend>], id: &str) -> Result<usize, usize> {
+    shard.binary_search_by(|backend| backend.id.as_str().cmp(id))
 }
 
-fn length(part: &Part) -> usize {
-    part.as_ref().map_or(0, |part| part.len())
+fn length(shard: &Shard) -> usize {
+    shard.as_ref().map_or(0, |shard| shard.len())
 }
 
-fn is_shared(before: &Part, after: &Part) -> bool {
+fn is_shared(before: &Shard, after: &Shard) -> bool {
     match (before, after) {
         (None, None) => true,
         (Some(before), Some(after)) => Arc::ptr_eq(before, after),
@@ -215,9 +219,9 @@
 }
 
 /// Changes within one shard, by merging both versions in the order of ids.
-fn part_changes((before, after): (&Part, &Part)) -> Vec<Changed<Backend>> {
-    let mut before = before.iter().flat_map(|part| part.iter()).peekable();
-    let mut after = after.iter().flat_map(|part| part.iter()).peekable();
+fn shard_changes((before, after): (&Shard, &Shard)) -> Vec<Changed<Backend>> {
+    let mut before = before.iter().flat_map(|shard| shard.iter()).peekable();
+    let mut after = after.iter().flat_map(|shard| shard.iter()).peekable();
     let mut changes = Vec::new();
     loop {
         let order = match (before.peek(), after.peek()) {
@@ -226,11 +230,12 @@
             (None, Some(_)) => std::cmp::Ordering::Greater,
             (Some(before), Some(after)) => before.id.cmp(&after.id),
         };
-        let gone = if order.is_le() { before.next() } else { None };
-        let come = if order.is_ge() { after.next() } else { None };
-        let is_same = gone.zip(come).is_some_and(|(gone, come)| Arc::ptr_eq(gone, come));
+        let removed = if order.is_le() { before.next() } else { None };
+        let added = if order.is_ge() { after.next() } else { None };
+        let is_same =
+            removed.zip(added).is_some_and(|(removed, added)| Arc::ptr_eq(removed, added));
         if !is_same {
-            changes.push(Changed { before: gone.cloned(), after: come.cloned() });
+            changes.push(Changed { before: removed.cloned(), after: added.cloned() });
         }
     }
 }
--- a/crates/serving/src/backlog.rs
+++ b/crates/serving/src/backlog.rs
@@ -7,17 +7,17 @@
 /// Wake-up delay, in milliseconds, beyond which datagrams may be old: longer than the pauses of a
 /// process with an eighth of a core (90 of every 100 ms), and short compared with the age limits of
 /// platform state.
-const STALL_MS: u64 = 150;
+const MAX_WAKEUP_DELAY_MS: u64 = 150;
 
 /// Assumed transit time of a datagram if no process was stalled, in milliseconds: the network delay
 /// between two regions (8 ms) and the scheduling pauses of two processes.
-const WAY_MS: u64 = 25;
+const TRANSIT_MS: u64 = 25;
 
 /// Monitors the loop that reads datagrams.
 #[derive(Debug, Default)]
 pub struct Backlog {
     /// Latest time at which the loop should run next.
-    due: Option<Timestamp>,
+    wakeup_due: Option<Timestamp>,
     /// Whether the loop was stalled and has not yet read everything that arrived meanwhile.
     may_be_old: bool,
 }
@@ -25,15 +25,15 @@
 impl Backlog {
     /// The loop starts a wait of at most `wait_ms`.
     pub fn waits(&mut self, now: Timestamp, wait_ms: u64) {
-        self.due = Some(now.plus_millis(wait_ms));
+        self.wakeup_due = Some(now.plus_millis(wait_ms));
     }
 
     /// The loop runs.
     pub fn woken(&mut self, now: Timestamp) {
-        let late_ms = self.due.map_or(0, |due| now.millis_since(due));
-        self.may_be_old |= late_ms > STALL_MS;
+        let late_ms = self.wakeup_due.map_or(0, |wakeup_due| now.millis_since(wakeup_due));
+        self.may_be_old |= late_ms > MAX_WAKEUP_DELAY_MS;
         // Long work between two waits stalls the loop as well.
-        self.due = Some(now);
+        self.wakeup_due = Some(now);
     }
 
     /// The socket buffer is empty.
@@ -43,6 +43,6 @@
 
     /// Assumed transit time of a datagram, in milliseconds; `None` if it may have waited for long.
     pub fn delay_ms(&self) -> Option<u64> {
-        (!self.may_be_old).then_some(WAY_MS)
+        (!self.may_be_old).then_some(TRANSIT_MS)
     }
 }
--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -8,25 +8,25 @@
 use rand::SeedableRng;
 use yokefall_core::Timestamp;
 
-use crate::affinity::{has_room, preferred};
+use crate::affinity::{has_affinity_capacity, preferred};
 use crate::arrivals::{Arrivals, ReportedRate};
-use crate::backend_record::{load, BackendRecord, LEAST_OUTCOME, LOAD_LIFETIME_MS};
+use crate::backend_record::{load, BackendRecord, LOAD_LIFETIME_MS, MIN_OUTCOME_WEIGHT};
 use crate::dialect::BackendLoad;
 use crate::eligibility::{Distance, Drawn, ZoneMap};
 use crate::lives::ByLife;
 use crate::model::{Backend, BackendLife};
-use crate::nearness::own_part;
+use crate::nearness::local_fraction;
 use crate::outcomes::Outcomes;
-use crate::spread::{draw, surface, Level};
+use crate::spread::{choose_weighted, water_level, LoadLevel};
 use yokefall_types::Policy;
 
 /// Consecutive failures after which a back end is ejected.
-const FAILURES_TO_EJECT: u32 = 3;
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 /// Ejection of a back end that rejected a request for lack of a free slot, in milliseconds.
 const FULL_EJECTION_MS: u64 = 60;
 /// Ejection of a back end from which nothing is received, in milliseconds. It is renewed for as
 /// long as the silence lasts.
-const SILENT_EJECTION_MS: u64 = 500;
+const SILENCE_EJECTION_MS: u64 = 500;
 /// Cost of another zone, as a fraction of a back end's slots.
 const OTHER_ZONE_COST: f64 = 0.1;
 /// Cost of another region: traffic between regions is priced four times that between zones, and
@@ -34,11 +34,11 @@
 const OTHER_REGION_COST: f64 = 4.0 * OTHER_ZONE_COST;
 /// Time that a load report and its answer take, in milliseconds, on top of the interval between
 /// reports.
-const TELLING_MS: u64 = 50;
+const REPORT_DELAY_MS: u64 = 50;
 /// Interval between load reports until the actual one is known, in milliseconds.
-const FIRST_TELLING_INTERVAL_MS: u64 = 100;
+const DEFAULT_REPORT_INTERVAL_MS: u64 = 100;
 /// Longest time over which unreported arrivals at other processes are estimated, in milliseconds.
-const LONGEST_BLIND_MS: u64 = 800;
+const MAX_REPORT_AGE_MS: u64 = 800;
 /// Weight of one request in the mean service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
 
@@ -77,14 +77,14 @@
     zones: Arc<ZoneMap>,
     records: ByLife<BackendRecord>,
     /// Processes that balance over the same back ends, this one included.
-    choosers: usize,
+    balancers: usize,
     /// Interval between load reports of a process, in milliseconds.
-    telling_interval_ms: u64,
+    report_interval_ms: u64,
     /// When the requests in flight of all processes were last received.
-    heard_at: Option<Timestamp>,
+    totals_at: Option<Timestamp>,
     arrivals: HashMap<String, Arrivals>,
     /// Reported arrival rates of all processes, by service.
-    arrivals_of_all: HashMap<String, ReportedRate>,
+    total_arrival_rates: HashMap<String, ReportedRate>,
     /// Mean service time at the back ends of a service, in milliseconds.
     service_ms: HashMap<String, f64>,
 }
@@ -98,11 +98,11 @@
             zone,
             zones: Arc::default(),
             records: ByLife::default(),
-            choosers: 1,
-            telling_interval_ms: FIRST_TELLING_INTERVAL_MS,
-            heard_at: None,
+            balancers: 1,
+            report_interval_ms: DEFAULT_REPORT_INTERVAL_MS,
+            totals_at: None,
             arrivals: HashMap::new(),
-            arrivals_of_all: HashMap::new(),
+            total_arrival_rates: HashMap::new(),
             service_ms: HashMap::new(),
         }
     }
@@ -122,14 +122,14 @@
         tried: &[String],
         affinity: Option<u64>,
     ) -> Option<Arc<Backend>> {
-        let Open { open, ejected } = self.open(now, candidates, tried);
-        let (part, open) = self.nearby(now, open);
+        let Available { available, ejected } = self.available(now, candidates, tried);
+        let (part, available) = self.prefer_local(now, available);
         let affinity = affinity.filter(|_| self.policy.prefix_affinity);
-        if let Some(backend) = affinity.and_then(|key| preferred(&open, key)) {
+        if let Some(backend) = affinity.and_then(|key| preferred(&available, key)) {
             return Some(backend.clone());
         }
-        let least = self.least(now, &open, part);
-        least.or(ejected).cloned()
+        let least_loaded = self.choose_least_loaded(now, &available, part);
+        least_loaded.or(ejected).cloned()
     }
 
     /// Chooses from a random sample of many back ends; `None` if all of them are ejected.
@@ -140,36 +140,38 @@
         tried: &[String],
     ) -> Option<Arc<Backend>> {
         if self.policy.prefix_affinity {
-            let Open { open, .. } = self.open(now, &drawn.preferred, tried);
-            if let Some((_, backend)) = open.into_iter().find(|(cost, _)| has_room(*cost)) {
+            let Available { available, .. } = self.available(now, &drawn.preferred, tried);
+            if let Some((_, backend)) =
+                available.into_iter().find(|(cost, _)| has_affinity_capacity(*cost))
+            {
                 return Some(backend.clone());
             }
         }
-        let Open { open, .. } = self.open(now, &drawn.backends, tried);
-        let (part, open) = self.nearby(now, open);
-        self.least(now, &open, part * drawn.part).cloned()
+        let Available { available, .. } = self.available(now, &drawn.backends, tried);
+        let (part, available) = self.prefer_local(now, available);
+        self.choose_least_loaded(now, &available, part * drawn.part).cloned()
     }
 
     /// Candidates that are not ejected, each with its cost, and the ejected one that returns first.
-    fn open<'a>(
+    fn available<'a>(
         &self,
         now: Timestamp,
         candidates: &'a [Arc<Backend>],
         tried: &[String],
-    ) -> Open<'a> {
-        let mut open = Vec::with_capacity(candidates.len());
+    ) -> Available<'a> {
+        let mut available = Vec::with_capacity(candidates.len());
         let mut ejected: Option<(Timestamp, &Arc<Backend>)> = None;
         for backend in candidates.iter().filter(|backend| !tried.contains(&backend.id)) {
             let record = self.records.get(backend);
             match record.and_then(|record| self.ejected_until(now, record)) {
-                None => open.push((self.cost(now, backend, record), backend)),
+                None => available.push((self.cost(now, backend, record), backend)),
                 Some(until) if ejected.is_none_or(|(first, _)| until < first) => {
                     ejected = Some((until, backend));
                 }
                 Some(_) => {}
             }
         }
-        Open { open, ejected: ejected.map(|(_, backend)| backend) }
+        Available { available, ejected: ejected.map(|(_, backend)| backend) }
     }
 
     /// The random generator.
@@ -181,43 +183,44 @@
     /// with the fraction of all requests that belongs to them; otherwise all candidates. Prefix
     /// affinity stays within the region as well: each region reads a prefix into memory once more,
     /// but prompts and answers that cross regions cost more.
-    fn nearby<'a>(
+    fn prefer_local<'a>(
         &self,
         now: Timestamp,
-        open: Vec<(f64, &'a Arc<Backend>)>,
+        available: Vec<(f64, &'a Arc<Backend>)>,
     ) -> (f64, Vec<(f64, &'a Arc<Backend>)>) {
-        let is_far = |backend: &Backend| {
+        let is_remote = |backend: &Backend| {
             self.zones.distance(&backend.zone, &self.zone) == Distance::OtherRegion
         };
-        let Some((_, first)) = open.iter().find(|(_, backend)| is_far(backend)) else {
-            return (1.0, open);
+        let Some((_, first)) = available.iter().find(|(_, backend)| is_remote(backend)) else {
+            return (1.0, available);
         };
         // Requests that end before they are reported no longer occupy a slot.
-        let blind_ms = self.blind_ms(now);
-        let lasting_ms = self.service_ms(&first.service).unwrap_or(blind_ms).min(blind_ms);
-        let expected = self.others_per_ms(now, &first.service) * lasting_ms;
-        let (far, near): (Vec<_>, Vec<_>) =
-            open.iter().copied().partition(|(_, backend)| is_far(backend));
-        match own_part(&levels(&near), &levels(&far), expected) {
-            Some(part) if self.policy.zone_cost => (part, near),
-            _ => (1.0, open),
+        let report_age_ms = self.report_age_ms(now);
+        let in_flight_ms =
+            self.service_ms(&first.service).unwrap_or(report_age_ms).min(report_age_ms);
+        let expected = self.remote_arrivals_per_ms(now, &first.service) * in_flight_ms;
+        let (remote, local): (Vec<_>, Vec<_>) =
+            available.iter().copied().partition(|(_, backend)| is_remote(backend));
+        match local_fraction(&levels(&local), &levels(&remote), expected) {
+            Some(part) if self.policy.zone_cost => (part, local),
+            _ => (1.0, available),
         }
     }
 
     /// Sets how many processes balance over the same back ends, this one included, and the interval
     /// between load reports of each, in milliseconds.
-    pub fn set_choosers(&mut self, choosers: usize, telling_interval_ms: u64) {
-        self.choosers = choosers.max(1);
-        self.telling_interval_ms = telling_interval_ms;
+    pub fn set_choosers(&mut self, balancers: usize, report_interval_ms: u64) {
+        self.balancers = balancers.max(1);
+        self.report_interval_ms = report_interval_ms;
     }
 
     /// Records a request of this process to a service.
-    fn note_arrival(&mut self, now: Timestamp, service: &str) {
+    fn record_arrival(&mut self, now: Timestamp, service: &str) {
         if !self.arrivals.contains_key(service) {
             self.arrivals.insert(service.to_owned(), Arrivals::since(now));
         }
         if let Some(arrivals) = self.arrivals.get_mut(service) {
-            arrivals.note(now);
+            arrivals.record(now);
         }
     }
 
@@ -228,46 +231,49 @@
 
     /// Sets the reported requests per millisecond of all processes to a service.
     pub fn set_arrivals_of_all(&mut self, now: Timestamp, service: String, per_ms: f64) {
-        self.arrivals_of_all.insert(service, ReportedRate { at: now, per_ms });
+        self.total_arrival_rates.insert(service, ReportedRate { at: now, per_ms });
     }
 
     /// Estimated requests of other processes to a service that have not been reported yet.
-    fn unseen_arrivals(&self, now: Timestamp, service: &str) -> f64 {
-        self.others_per_ms(now, service) * self.blind_ms(now)
+    fn unreported_arrivals(&self, now: Timestamp, service: &str) -> f64 {
+        self.remote_arrivals_per_ms(now, service) * self.report_age_ms(now)
     }
 
     /// Requests per millisecond of other processes to a service: the reported rate, or else this
     /// process's own rate for each of them.
-    fn others_per_ms(&self, now: Timestamp, service: &str) -> f64 {
+    fn remote_arrivals_per_ms(&self, now: Timestamp, service: &str) -> f64 {
         let own = self.arrivals.get(service);
-        let reported = self.arrivals_of_all.get(service);
+        let reported = self.total_arrival_rates.get(service);
         if let Some(rate) = reported.filter(|rate| rate.is_recent(now)) {
             return (rate.per_ms - own.map_or(0.0, |own| own.per_ms(now))).max(0.0);
         }
-        own.map_or(0.0, |own| own.steady_per_ms * (self.choosers - 1) as f64)
+        own.map_or(0.0, |own| own.steady_per_ms * (self.balancers - 1) as f64)
     }
 
     /// Time for which requests of other processes are not known yet, in milliseconds.
-    fn blind_ms(&self, now: Timestamp) -> f64 {
-        let telling = self.telling_interval_ms + TELLING_MS;
-        let age = self.heard_at.map_or(LONGEST_BLIND_MS, |at| now.millis_since(at) + telling);
-        age.min(LONGEST_BLIND_MS) as f64
+    fn report_age_ms(&self, now: Timestamp) -> f64 {
+        let report_delay = self.report_interval_ms + REPORT_DELAY_MS;
+        let age =
+            self.totals_at.map_or(MAX_REPORT_AGE_MS, |at| now.millis_since(at) + report_delay);
+        age.min(MAX_REPORT_AGE_MS) as f64
     }
 
     /// One of the least loaded candidates, out of more of them the more requests other processes
     /// are expected to send meanwhile. `part` is the fraction of all requests that belongs to these
     /// candidates.
-    fn least<'a>(
+    fn choose_least_loaded<'a>(
         &mut self,
         now: Timestamp,
-        open: &[(f64, &'a Arc<Backend>)],
+        available: &[(f64, &'a Arc<Backend>)],
         part: f64,
     ) -> Option<&'a Arc<Backend>> {
-        let service = &open.first()?.1.service;
-        self.note_arrival(now, service);
-        let unseen = if self.policy.poured_draw { self.unseen_arrivals(now, service) } else { 0.0 };
-        let position = draw(&mut self.generator, &levels(open), unseen * part + 1.0)?;
-        open.get(position).map(|(_, backend)| *backend)
+        let service = &available.first()?.1.service;
+        self.record_arrival(now, service);
+        let unreported =
+            if self.policy.poured_draw { self.unreported_arrivals(now, service) } else { 0.0 };
+        let position =
+            choose_weighted(&mut self.generator, &levels(available), unreported * part + 1.0)?;
+        available.get(position).map(|(_, backend)| *backend)
     }
 
     /// Load of the least loaded back ends after one more online request, as a fraction of their
@@ -284,30 +290,34 @@
         part: f64,
     ) -> Option<f64> {
         let service = &candidates.first()?.service;
-        let age = self.blind_ms(now);
+        let age = self.report_age_ms(now);
         // Requests older than the service time have ended, reported or not.
         let service_ms = self.service_ms(service).unwrap_or(age).max(1.0);
         let remaining = (1.0 - age / service_ms).max(0.0);
-        let open = candidates.iter().filter(|backend| !self.is_ejected(now, backend));
-        let level = |backend: &Arc<Backend>| Level {
+        let available = candidates.iter().filter(|backend| !self.is_ejected(now, backend));
+        let level = |backend: &Arc<Backend>| LoadLevel {
             load: self.online_load(now, backend, remaining),
             slots: f64::from(backend.slots.max(1)),
         };
-        let levels: Vec<Level> = open.map(level).collect();
+        let levels: Vec<LoadLevel> = available.map(level).collect();
         // Extrapolating from own requests would queue requests despite free slots wherever this
         // process gets more than its share of the clients. Without reports only its own requests
         // count.
-        let is_informed = self.heard_at.is_some_and(|at| now.millis_since(at) < LOAD_LIFETIME_MS);
-        let unseen =
-            if is_informed { self.others_per_ms(now, service) * age.min(service_ms) } else { 0.0 };
-        surface(&levels, unseen * part + 1.0)
+        let is_informed = self.totals_at.is_some_and(|at| now.millis_since(at) < LOAD_LIFETIME_MS);
+        let unreported = if is_informed {
+            self.remote_arrivals_per_ms(now, service) * age.min(service_ms)
+        } else {
+            0.0
+        };
+        water_level(&levels, unreported * part + 1.0)
     }
 
     /// `remaining` is the fraction of the reported requests of others that has not ended since.
     fn online_load(&self, now: Timestamp, backend: &Backend, remaining: f64) -> f64 {
         let Some(record) = self.records.get(backend) else { return 0.0 };
-        let foreign = (record.foreign - record.items) * remaining * record.weight(now);
-        (f64::from(record.in_flight) + foreign) / f64::from(backend.slots.max(1))
+        let remote_in_flight =
+            (record.remote_in_flight - record.remote_items) * remaining * record.weight(now);
+        (f64::from(record.in_flight) + remote_in_flight) / f64::from(backend.slots.max(1))
     }
 
     /// Mean service time at the back ends of a service, in milliseconds, once observed.
@@ -378,8 +388,8 @@
         let Some(record) = self.records.get_mut(backend) else { return };
         record.in_flight = record.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Answered => record.outcomes.note(now, false),
-            Outcome::Unreachable | Outcome::Failed => record.outcomes.note(now, true),
+            Outcome::Answered => record.outcomes.record(now, false),
+            Outcome::Unreachable | Outcome::Failed => record.outcomes.record(now, true),
             Outcome::Misdirected | Outcome::Full | Outcome::Abandoned => {}
         }
         match outcome {
@@ -391,7 +401,7 @@
             Outcome::Unreachable | Outcome::Misdirected => record.eject(now),
             Outcome::Failed => {
                 record.failures += 1;
-                if record.failures >= FAILURES_TO_EJECT {
+                if record.failures >= MAX_CONSECUTIVE_FAILURES {
                     record.eject(now);
                 }
             }
@@ -412,7 +422,7 @@
     pub fn outcomes(&self, now: Timestamp) -> impl Iterator<Item = (BackendLife, Outcomes)> + '_ {
         self.records.iter().filter_map(move |(id, started_ms, record)| {
             let sums = record.outcomes.sums(now);
-            let counts = sums.failed + sums.answered >= LEAST_OUTCOME;
+            let counts = sums.failed + sums.answered >= MIN_OUTCOME_WEIGHT;
             counts.then(|| (BackendLife { id: id.to_owned(), started_ms }, sums))
         })
     }
@@ -430,7 +440,7 @@
     /// Records that something was received from a back end.
     pub fn heard(&mut self, now: Timestamp, backend: &Backend) {
         if let Some(record) = self.records.get_mut(backend) {
-            record.heard_at = Some(now);
+            record.last_activity_at = Some(now);
         }
     }
 
@@ -441,13 +451,13 @@
         let Some(record) = self.records.get_mut(backend).filter(|_| self.policy.silence) else {
             return false;
         };
-        if record.heard_at.is_some_and(|at| now.millis_since(at) < silence_ms) {
+        if record.last_activity_at.is_some_and(|at| now.millis_since(at) < silence_ms) {
             return false;
         }
         if record.ejected_until.is_none_or(|until| until <= now) {
-            record.outcomes.note(now, true);
+            record.outcomes.record(now, true);
         }
-        let until = now.plus_millis(SILENT_EJECTION_MS);
+        let until = now.plus_millis(SILENCE_EJECTION_MS);
         record.ejected_until = Some(record.ejected_until.map_or(until, |held| held.max(until)));
         true
     }
@@ -463,11 +473,11 @@
         if !self.policy.peer_loads {
             return;
         }
-        self.heard_at = Some(now);
+        self.totals_at = Some(now);
         for record in self.records.values_mut() {
-            record.foreign = 0.0;
-            record.items = 0.0;
-            record.told_at = Some(now);
+            record.remote_in_flight = 0.0;
+            record.remote_items = 0.0;
+            record.reported_at = Some(now);
         }
         for (life, total) in totals {
             // Back ends that this process has never used count as well: they would look empty
@@ -477,9 +487,9 @@
                 None => self.records.entry(life.clone()),
             };
             let all = f64::from(total.online) + f64::from(total.items);
-            record.foreign = (all - f64::from(own(life))).max(0.0);
-            record.items = f64::from(total.items).min(record.foreign);
-            record.told_at = Some(now);
+            record.remote_in_flight = (all - f64::from(own(life))).max(0.0);
+            record.remote_items = f64::from(total.items).min(record.remote_in_flight);
+            record.reported_at = Some(now);
         }
     }
 
@@ -487,9 +497,9 @@
     pub fn told(&mut self, now: Timestamp, backend: &Backend, load: BackendLoad) {
         let Some(record) = self.records.get_mut(backend) else { return };
         let all = f64::from(load.running + load.waiting);
-        record.foreign = (all - f64::from(record.in_flight)).max(0.0);
-        record.items = record.items.min(record.foreign);
-        record.told_at = Some(now);
+        record.remote_in_flight = (all - f64::from(record.in_flight)).max(0.0);
+        record.remote_items = record.remote_items.min(record.remote_in_flight);
+        record.reported_at = Some(now);
     }
 
     /// Drops incarnations that are no longer known and have nothing in flight.
@@ -500,19 +510,22 @@
     /// Drops records that no longer influence a choice; every load report iterates over all of
     /// them.
     pub fn forget_idle(&mut self, now: Timestamp) {
-        self.records.retain(|_, record| record.in_flight > 0 || record.says_something(now));
+        self.records.retain(|_, record| record.in_flight > 0 || record.influences_choice(now));
     }
 }
 
 /// Candidates of a choice.
-struct Open<'a> {
+struct Available<'a> {
     /// Those that are not ejected, each with its cost.
-    open: Vec<(f64, &'a Arc<Backend>)>,
+    available: Vec<(f64, &'a Arc<Backend>)>,
     /// The ejected one that returns first.
     ejected: Option<&'a Arc<Backend>>,
 }
 
-fn levels(open: &[(f64, &Arc<Backend>)]) -> Vec<Level> {
+fn levels(available: &[(f64, &Arc<Backend>)]) -> Vec<LoadLevel> {
     let slots = |backend: &Backend| f64::from(backend.slots.max(1));
-    open.iter().map(|(cost, backend)| Level { load: *cost, slots: slots(backend) }).collect()
+    available
+        .iter()
+        .map(|(cost, backend)| LoadLevel { load: *cost, slots: slots(backend) })
+        .collect()
 }
--- a/crates/serving/src/duty.rs
+++ b/crates/serving/src/duty.rs
@@ -1,9 +1,9 @@
 //! Which processes watch the platform's store, and which learn from them.
 //!
-//! In each zone members are ranked by rendezvous hashing. The first `WATCHERS` of them watch the
-//! store and send heartbeats to the next `STANDBYS`, which take over while heartbeats of watchers
-//! are missing. A process without a configuration, or whose peers cannot supply what they know,
-//! reads the store itself.
+//! In each zone members are ranked by rendezvous hashing. The first `WATCHERS_PER_ZONE` of them
+//! watch the store and send heartbeats to the next `STANDBYS_PER_ZONE`, which take over while
+//! heartbeats of watchers are missing. A process without a configuration, or whose peers cannot
+//! supply what they know, reads the store itself.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -17,24 +17,24 @@
 /// Hash key by which all processes rank the members of a zone alike.
 const WATCHER_KEY: &[u8] = b"platform-watchers";
 /// Members of a zone that watch the store: one may fail at any time.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_ZONE: usize = 2;
 /// Members of a zone that receive heartbeats of watchers and take over from them.
-pub const STANDBYS: usize = 2;
+pub const STANDBYS_PER_ZONE: usize = 2;
 /// Interval at which a watcher sends heartbeats while the store answers it, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
 /// Time without a heartbeat after which a watcher counts as lost, in milliseconds: three
 /// heartbeats, and below the second within which a watcher must be replaced.
-const HEARTBEAT_LIFETIME_MS: u64 = 950;
+const HEARTBEAT_TIMEOUT_MS: u64 = 950;
 /// Time after a start before ranks are used, in milliseconds: the members are not known earlier.
 const START_GRACE_MS: u64 = 1_000;
 /// Shortest time that a process without a configuration waits for one from peers, in milliseconds:
 /// a seed answers within a few milliseconds, or a few tens when many processes start at once.
-const PATIENCE_MS: u64 = 100;
+const CONFIGURATION_WAIT_MS: u64 = 100;
 /// Jitter of that wait, in milliseconds: the processes that read the store first inform the others.
-const PATIENCE_SPREAD_MS: u64 = 300;
+const CONFIGURATION_WAIT_JITTER_MS: u64 = 300;
 /// Wait and jitter at the first start of the whole system, before there are callers.
-const FIRST_START_PATIENCE_MS: u64 = 1_500;
-const FIRST_START_SPREAD_MS: u64 = 3_000;
+const FIRST_START_WAIT_MS: u64 = 1_500;
+const FIRST_START_WAIT_JITTER_MS: u64 = 3_000;
 /// Time for which a rank must be stable before a process reads back ends because of it, in
 /// milliseconds. After a start member lists are compared every 100 ms, and each comparison that
 /// reveals members changes the rank of those that wrongly ranked first. Without the delay most of
@@ -43,14 +43,14 @@
 /// Time after its start for which a process waits for back ends from peers, in milliseconds, and
 /// its jitter: a reader needs under a second for a list of 3,000, which reaches 300 members within
 /// five exchanges.
-const BACKENDS_PATIENCE_MS: u64 = 2_500;
-const BACKENDS_SPREAD_MS: u64 = 1_500;
+const BACKENDS_WAIT_MS: u64 = 2_500;
+const BACKENDS_WAIT_JITTER_MS: u64 = 1_500;
 /// Longest time that a process waits for back ends after it first heard from a peer that knows
 /// them, in milliseconds. After a first start no peer knows them for some seconds; then each of
 /// these sends the whole list to two others at a time, and 1,000 members know 10,000 back ends
 /// after about 6 s. With a limit of 4 s, 986 processes made 28,000 calls in 90 s; with this one
 /// they made 1,000.
-const LONGEST_BACKENDS_PATIENCE_MS: u64 = 8_000;
+const MAX_BACKENDS_WAIT_MS: u64 = 8_000;
 /// Time for which a process reads the store after peers could not supply what they know, in
 /// milliseconds: enough for a list and the changes that follow it.
 const CATCH_UP_MS: u64 = 2_000;
@@ -76,7 +76,7 @@
 
     /// Waits until the role is active.
     pub async fn begun(&mut self) {
-        self.becomes(true).await;
+        self.wait_for(true).await;
     }
 
     /// Whether the role is active.
@@ -87,12 +87,12 @@
     /// Waits until the role is no longer active.
     pub async fn ended(&mut self) {
         match self.receiver {
-            Some(_) => self.becomes(false).await,
+            Some(_) => self.wait_for(false).await,
             None => std::future::pending().await,
         }
     }
 
-    async fn becomes(&mut self, wanted: bool) {
+    async fn wait_for(&mut self, wanted: bool) {
         let Some(receiver) = &mut self.receiver else { return };
         // The sender is dropped only when the process ends.
         if receiver.wait_for(|duty| *duty == wanted).await.is_err() {
@@ -111,61 +111,62 @@
 }
 
 impl Ranking {
-    /// Ranks the members of a zone, including the one named `me`.
-    pub fn new(members: &[FleetMember], zone: &str, me: &str) -> Self {
+    /// Ranks the members of a zone, including the one named `own_name`.
+    pub fn new(members: &[FleetMember], zone: &str, own_name: &str) -> Self {
         let in_zone = members.iter().filter(|member| member.zone == zone);
-        let live = in_zone.filter(|member| member.accepting || member.name == me);
+        let live = in_zone.filter(|member| member.accepting || member.name == own_name);
         let mut names: Vec<&str> = live.map(|member| member.name.as_str()).collect();
         let score = rendezvous_score(WATCHER_KEY);
         names.sort_by_cached_key(|name| Reverse(score(name)));
-        let rank = names.iter().position(|name| *name == me).unwrap_or(0);
+        let rank = names.iter().position(|name| *name == own_name).unwrap_or(0);
         // A standby sends no heartbeats to those before it: two standbys that received each other's
         // heartbeats would stop together and start again together.
-        let last = WATCHERS + STANDBYS;
-        let standbys = names.iter().take(last).skip(WATCHERS.max(rank + 1));
+        let standbys_end = WATCHERS_PER_ZONE + STANDBYS_PER_ZONE;
+        let standbys = names.iter().take(standbys_end).skip(WATCHERS_PER_ZONE.max(rank + 1));
         Self { rank, standbys: standbys.map(|name| (*name).to_owned()).collect() }
     }
 }
 
 /// Decides whether this process watches the store. Invariant: if the store answers any of the first
-/// `WATCHERS + STANDBYS` members of a zone, the zone has a watcher within a second of the loss of
-/// the previous one; otherwise its members learn of changes only from other zones.
+/// `WATCHERS_PER_ZONE + STANDBYS_PER_ZONE` members of a zone, the zone has a watcher within a
+/// second of the loss of the previous one; otherwise its members learn of changes only from other
+/// zones.
 #[derive(Debug)]
 pub struct Roster {
     started: Timestamp,
     /// When this process reads the store itself unless it has a configuration by then.
-    ask_at: Timestamp,
+    configuration_deadline: Timestamp,
     /// The same for back ends while others are expected to read them.
-    ask_backends_at: Timestamp,
+    backends_deadline: Timestamp,
     /// When a peer that knows back ends was first heard.
-    backends_heard_at: Option<Timestamp>,
+    peer_with_backends_at: Option<Timestamp>,
     /// Jitter of this process's wait for back ends, in milliseconds.
-    backends_spread_ms: u64,
+    backends_jitter_ms: u64,
     ranking: Ranking,
     ranked_at: Timestamp,
     /// Last heartbeat of each watcher, by name.
-    heard: HashMap<String, Timestamp>,
+    heartbeats: HashMap<String, Timestamp>,
     catch_up_until: Option<Timestamp>,
 }
 
 impl Roster {
-    /// State at the start of a process. `spread` is drawn from 0 to 1 at each start.
-    pub fn new(now: Timestamp, is_first_start: bool, spread: f64) -> Self {
-        let (patience, range) = match is_first_start {
-            true => (FIRST_START_PATIENCE_MS, FIRST_START_SPREAD_MS),
-            false => (PATIENCE_MS, PATIENCE_SPREAD_MS),
+    /// State at the start of a process. `jitter` is drawn from 0 to 1 at each start.
+    pub fn new(now: Timestamp, is_first_start: bool, jitter: f64) -> Self {
+        let (wait, max_jitter) = match is_first_start {
+            true => (FIRST_START_WAIT_MS, FIRST_START_WAIT_JITTER_MS),
+            false => (CONFIGURATION_WAIT_MS, CONFIGURATION_WAIT_JITTER_MS),
         };
-        let patience = patience + (range as f64 * spread) as u64;
-        let backends_spread_ms = (BACKENDS_SPREAD_MS as f64 * spread) as u64;
+        let wait = wait + (max_jitter as f64 * jitter) as u64;
+        let backends_jitter_ms = (BACKENDS_WAIT_JITTER_MS as f64 * jitter) as u64;
         Self {
             started: now,
-            ask_at: now.plus_millis(patience),
-            ask_backends_at: now.plus_millis(patience + BACKENDS_PATIENCE_MS + backends_spread_ms),
-            backends_heard_at: None,
-            backends_spread_ms,
+            configuration_deadline: now.plus_millis(wait),
+            backends_deadline: now.plus_millis(wait + BACKENDS_WAIT_MS + backends_jitter_ms),
+            peer_with_backends_at: None,
+            backends_jitter_ms,
             ranking: Ranking::default(),
             ranked_at: now,
-            heard: HashMap::new(),
+            heartbeats: HashMap::new(),
             catch_up_until: None,
         }
     }
@@ -180,15 +181,15 @@
 
     /// Records a heartbeat of a watcher that the store answers.
     pub fn heard_watcher(&mut self, now: Timestamp, name: &str) {
-        self.heard.insert(name.to_owned(), now);
+        self.heartbeats.insert(name.to_owned(), now);
     }
 
     /// Records that a peer knows back ends, which postpones reading them from the store.
     pub fn heard_of_backends(&mut self, now: Timestamp) {
-        let since = *self.backends_heard_at.get_or_insert(now);
-        let latest = since.plus_millis(LONGEST_BACKENDS_PATIENCE_MS + self.backends_spread_ms);
-        let put_off = now.plus_millis(BACKENDS_PATIENCE_MS).min(latest);
-        self.ask_backends_at = self.ask_backends_at.max(put_off);
+        let since = *self.peer_with_backends_at.get_or_insert(now);
+        let latest = since.plus_millis(MAX_BACKENDS_WAIT_MS + self.backends_jitter_ms);
+        let postponed = now.plus_millis(BACKENDS_WAIT_MS).min(latest);
+        self.backends_deadline = self.backends_deadline.max(postponed);
     }
 
     /// Watches the store for a while because peers could not supply what they know.
@@ -202,14 +203,14 @@
             return true;
         }
         if !knows_configuration {
-            return now >= self.ask_at;
+            return now >= self.configuration_deadline;
         }
         if now < self.started.plus_millis(START_GRACE_MS) {
             return false;
         }
         match self.ranking.rank {
-            rank if rank < WATCHERS => true,
-            rank if rank < WATCHERS + STANDBYS => self.lacks_watchers(now),
+            rank if rank < WATCHERS_PER_ZONE => true,
+            rank if rank < WATCHERS_PER_ZONE + STANDBYS_PER_ZONE => self.is_missing_watchers(now),
             _ => false,
         }
     }
@@ -226,15 +227,17 @@
         }
         // A process that knows only a few members yet ranks first among them.
         let is_settled = now.millis_since(self.ranked_at) >= RANK_SETTLED_MS;
-        let is_first = self.ranking.rank < WATCHERS && is_settled && now >= self.ask_at;
-        is_first || now >= self.ask_backends_at
+        let is_first = self.ranking.rank < WATCHERS_PER_ZONE
+            && is_settled
+            && now >= self.configuration_deadline;
+        is_first || now >= self.backends_deadline
     }
 
     /// Whether a standby is missing heartbeats of watchers.
-    fn lacks_watchers(&mut self, now: Timestamp) -> bool {
-        self.heard.retain(|_, at| now.millis_since(*at) < HEARTBEAT_LIFETIME_MS);
-        let is_settled = now.millis_since(self.ranked_at) >= HEARTBEAT_LIFETIME_MS;
-        is_settled && self.heard.len() < WATCHERS
+    fn is_missing_watchers(&mut self, now: Timestamp) -> bool {
+        self.heartbeats.retain(|_, at| now.millis_since(*at) < HEARTBEAT_TIMEOUT_MS);
+        let is_settled = now.millis_since(self.ranked_at) >= HEARTBEAT_TIMEOUT_MS;
+        is_settled && self.heartbeats.len() < WATCHERS_PER_ZONE
     }
 
     /// Rank of this process among the members of its zone; 0 is the first.
@@ -254,19 +257,20 @@
         knows_configuration: bool,
         knows_backends: bool,
     ) -> Timestamp {
-        let regular = now.plus_millis(HEARTBEAT_INTERVAL_MS);
-        let is_standby = (WATCHERS..WATCHERS + STANDBYS).contains(&self.ranking.rank);
-        let begins = self.started.plus_millis(START_GRACE_MS);
-        if !(knows_configuration && knows_backends) && now < self.ask_at {
-            return self.ask_at;
+        let next_heartbeat = now.plus_millis(HEARTBEAT_INTERVAL_MS);
+        let is_standby =
+            (WATCHERS_PER_ZONE..WATCHERS_PER_ZONE + STANDBYS_PER_ZONE).contains(&self.ranking.rank);
+        let grace_end = self.started.plus_millis(START_GRACE_MS);
+        if !(knows_configuration && knows_backends) && now < self.configuration_deadline {
+            return self.configuration_deadline;
         }
-        if now < begins {
-            return begins;
+        if now < grace_end {
+            return grace_end;
         }
         match self.catch_up_until {
             Some(until) if now < until => until,
-            _ if is_standby => regular,
-            _ if !knows_backends => regular,
+            _ if is_standby => next_heartbeat,
+            _ if !knows_backends => next_heartbeat,
             // Ranks change with the members, and a change of the members wakes the process.
             _ => now.plus_millis(3_600_000),
         }
--- a/crates/serving/src/eligibility/cold_share.rs
+++ b/crates/serving/src/eligibility/cold_share.rs
@@ -15,18 +15,18 @@
 
 /// Share of the allowance that stays unused to absorb differing views of processes: five of 27
 /// requests a second, by the simulation in `tests/cold.rs`.
-const MARGIN: f64 = 0.18;
+const UNUSED_SHARE: f64 = 0.18;
 /// Requests a second of a lost process to one back end: it may not know that the back end is cold
 /// and sends what it sends to a warm one.
-const OF_LOST: f64 = 0.25;
+const LOST_PROCESS_RATE: f64 = 0.25;
 /// Share of the allowance that stays usable however many processes are lost, so that the rest are
 /// not cut off after a restart of most processes.
-const LEAST_USED: f64 = 0.4;
+const MIN_USED_SHARE: f64 = 0.4;
 /// Share of the usable allowance that is reserved for items of jobs, sent by the few job stores.
 const ITEM_SHARE: f64 = 0.18;
 /// Interval of a quota, in milliseconds: a second, plus 100 ms by which a process short of
 /// processor time may write a request after it was permitted.
-pub const SHARE_INTERVAL_MS: u64 = 1_100;
+pub const QUOTA_INTERVAL_MS: u64 = 1_100;
 
 /// Identity of a sending process.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,8 +51,9 @@
     pub fn of(bounds: &PlacementBounds, warm_up: &WarmUp, names: &KnownNames) -> Self {
         let per_second = warm_up.per_1000_seconds as f64 / 1_000.0;
         let allowed = (per_second * bounds.cold_overage + bounds.cold_slack).floor();
-        let unused = (allowed * MARGIN).ceil() + (f64::from(names.lost) * OF_LOST).ceil();
-        let least = (allowed * LEAST_USED).ceil();
+        let unused =
+            (allowed * UNUSED_SHARE).ceil() + (f64::from(names.lost) * LOST_PROCESS_RATE).ceil();
+        let least = (allowed * MIN_USED_SHARE).ceil();
         let used = (allowed - unused).max(least) as u32;
         let job_stores = match !names.job_stores.is_empty() && used > 1 {
             true => (f64::from(used) * ITEM_SHARE).ceil() as u32,
@@ -62,9 +63,9 @@
     }
 }
 
-/// Requests that a process may send to a back end per `SHARE_INTERVAL_MS`.
+/// Requests that a process may send to a back end per `QUOTA_INTERVAL_MS`.
 pub fn quota(allowance: Allowance, names: &KnownNames, backend: &str, sender: &Sender) -> u32 {
-    let part = match sender.job_store {
+    let kind_allowance = match sender.job_store {
         true => allowance.job_stores,
         false => allowance.gateways,
     };
@@ -72,37 +73,37 @@
     let own = (score(&sender.name), sender.name.as_str());
     let others = || names.of_kind(sender.job_store).filter(|name| *name != sender.name);
     let processes = others().count() as u32 + 1;
-    if processes < part {
+    if processes < kind_allowance {
         // Reserves a share for one process that is not known here yet.
-        return (part / (processes + 1)).max(1);
+        return (kind_allowance / (processes + 1)).max(1);
     }
     let before = others().filter(|name| (score(name), *name) > own).count() as u32;
-    u32::from(before < part)
+    u32::from(before < kind_allowance)
 }
 
 /// Times of the last requests to one back end.
 #[derive(Clone, Debug, Default)]
-pub struct Sends {
+pub struct SendHistory {
     times: VecDeque<Timestamp>,
 }
 
-impl Sends {
+impl SendHistory {
     /// Milliseconds until a process with this quota may send its next request; 0 for now and `None`
     /// for never.
     pub fn wait_ms(&self, now: Timestamp, quota: u32) -> Option<u64> {
         if quota == 0 {
             return None;
         }
-        let counting = self.times.len().checked_sub(quota as usize);
-        let Some(oldest) = counting.and_then(|position| self.times.get(position)) else {
+        let limiting = self.times.len().checked_sub(quota as usize);
+        let Some(oldest) = limiting.and_then(|position| self.times.get(position)) else {
             return Some(0);
         };
-        Some(oldest.plus_millis(SHARE_INTERVAL_MS).millis_since(now))
+        Some(oldest.plus_millis(QUOTA_INTERVAL_MS).millis_since(now))
     }
 
     /// Records a request.
-    pub fn note(&mut self, now: Timestamp) {
-        self.times.retain(|at| now.millis_since(*at) < SHARE_INTERVAL_MS);
+    pub fn record(&mut self, now: Timestamp) {
+        self.times.retain(|at| now.millis_since(*at) < QUOTA_INTERVAL_MS);
         self.times.push_back(now);
     }
 }
--- a/crates/serving/src/eligibility/cold_start.rs
+++ b/crates/serving/src/eligibility/cold_start.rs
@@ -1,5 +1,5 @@
-//! Applies quotas for cold back ends: keeps `ColdState` up to date, and emits its metrics and log
-//! lines.
+//! Applies quotas for cold back ends: keeps `ColdStartState` up to date, and emits its metrics and
+//! log lines.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 use yokefall_types::PlacementBounds;
 
 use super::cold_share::Sender;
-use super::cold_state::{ColdState, Standing};
+use super::cold_state::{ColdStartState, WarmUpStatus};
 use super::freshness::Freshness;
 use super::warmth::ColdCause;
 use super::Ineligible;
@@ -23,7 +23,7 @@
 
 /// Interval at which a process without traffic takes over changes, and at which changes are logged.
 /// An evacuation that begins and ends within it is not seen, and none is followed that fast.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Settings and dependencies of the limiter.
 pub struct ColdStartOptions {
@@ -49,13 +49,13 @@
 
 #[derive(Debug)]
 struct Inner {
-    state: ColdState,
+    state: ColdStartState,
     /// Catalog that the state has taken over.
     catalog: Option<Arc<Catalog>>,
     fleet: Option<Arc<Fleet>>,
     /// Back ends logged as cold, and since when.
-    told: HashMap<String, Timestamp>,
-    told_old_news: bool,
+    logged_cold: HashMap<String, Timestamp>,
+    logged_stale: bool,
 }
 
 impl ColdStart {
@@ -63,19 +63,22 @@
     pub fn new(catalog: CatalogCell, fleet: FleetCell, options: ColdStartOptions) -> Rc<Self> {
         let ColdStartOptions { sender, bounds, freshness, clock } = options;
         let inner = Inner {
-            state: ColdState::new(clock.now(), sender, bounds),
+            state: ColdStartState::new(clock.now(), sender, bounds),
             catalog: None,
             fleet: None,
-            told: HashMap::new(),
-            told_old_news: false,
+            logged_cold: HashMap::new(),
+            logged_stale: false,
         };
         Rc::new(Self { catalog, fleet, freshness, clock, inner: RefCell::new(inner) })
     }
 
     /// Runs `ask` on the current state; `None` if no service has a warm-up.
-    fn with<R>(&self, ask: impl FnOnce(&mut ColdState, Timestamp, Option<u64>) -> R) -> Option<R> {
+    fn with<R>(
+        &self,
+        ask: impl FnOnce(&mut ColdStartState, Timestamp, Option<u64>) -> R,
+    ) -> Option<R> {
         let inner = &mut *self.inner.borrow_mut();
-        inner.take_over(&self.clock, &self.catalog, &self.fleet);
+        inner.sync(&self.clock, &self.catalog, &self.fleet);
         if inner.state.is_unused() {
             return None;
         }
@@ -83,39 +86,40 @@
     }
 
     /// The back ends to which this process may send now; `None` if it may send to all of them.
-    pub fn open(&self, service: &str, backends: &[Arc<Backend>]) -> Option<Vec<Arc<Backend>>> {
+    pub fn permitted(&self, service: &str, backends: &[Arc<Backend>]) -> Option<Vec<Arc<Backend>>> {
         self.with(|state, now, age| {
-            if !state.concerns(service) || state.is_free_of_doubt(now, age) {
+            if !state.has_warm_up(service) || state.all_warm(now, age) {
                 return None;
             }
-            let open: Vec<Arc<Backend>> = match state.closed(now, age, service) {
-                Some(closed) if closed.is_empty() => return None,
+            let permitted: Vec<Arc<Backend>> = match state.blocked(now, age, service) {
+                Some(blocked) if blocked.is_empty() => return None,
                 // Matches by pointer: a record that has changed since differs from the candidate,
                 // which then gets no permit.
-                Some(closed) => {
-                    let is_open = |backend: &&Arc<Backend>| {
-                        closed.binary_search(&Arc::as_ptr(backend)).is_err()
+                Some(blocked) => {
+                    let is_permitted = |backend: &&Arc<Backend>| {
+                        blocked.binary_search(&Arc::as_ptr(backend)).is_err()
                     };
-                    backends.iter().filter(is_open).cloned().collect()
+                    backends.iter().filter(is_permitted).cloned().collect()
                 }
                 None => {
-                    let may_send =
-                        |backend: &&Arc<Backend>| state.standing(now, age, backend).may_send();
+                    let may_send = |backend: &&Arc<Backend>| {
+                        state.warm_up_status(now, age, backend).may_send()
+                    };
                     backends.iter().filter(may_send).cloned().collect()
                 }
             };
-            (open.len() < backends.len()).then_some(open)
+            (permitted.len() < backends.len()).then_some(permitted)
         })?
     }
 
     /// Back ends of a service that are not known to be warm; `None` if the platform state is too
     /// old to tell.
-    pub fn doubted(&self, service: &str) -> Option<Vec<Arc<Backend>>> {
+    pub fn cold_backends(&self, service: &str) -> Option<Vec<Arc<Backend>>> {
         self.with(|state, now, age| {
-            if !state.concerns(service) {
+            if !state.has_warm_up(service) {
                 return Some(Vec::new());
             }
-            state.doubted(now, age, service)
+            state.cold_backends(now, age, service)
         })
         .unwrap_or_else(|| Some(Vec::new()))
     }
@@ -124,9 +128,9 @@
     /// send now or if there are none.
     pub fn wait_ms(&self, backends: &[Arc<Backend>]) -> Option<u64> {
         self.with(|state, now, age| {
-            let wait = |backend: &Arc<Backend>| match state.standing(now, age, backend) {
-                Standing::Warm => 0,
-                Standing::Cold { wait_ms, .. } => wait_ms,
+            let wait = |backend: &Arc<Backend>| match state.warm_up_status(now, age, backend) {
+                WarmUpStatus::Warm => 0,
+                WarmUpStatus::Cold { wait_ms, .. } => wait_ms,
             };
             backends.iter().map(wait).min().filter(|wait| *wait > 0)
         })?
@@ -134,9 +138,9 @@
 
     /// Whether a request may be sent to a back end now.
     pub fn check(&self, backend: &Backend) -> Result<(), Ineligible> {
-        let standing = self.with(|state, now, age| state.standing(now, age, backend));
-        match standing {
-            Some(Standing::Cold { wait_ms: wait_ms @ 1.., .. }) => {
+        let warm_up_status = self.with(|state, now, age| state.warm_up_status(now, age, backend));
+        match warm_up_status {
+            Some(WarmUpStatus::Cold { wait_ms: wait_ms @ 1.., .. }) => {
                 Err(Ineligible::Cold { wait_ms })
             }
             _ => Ok(()),
@@ -144,17 +148,17 @@
     }
 
     /// Checks right before a request is sent, and takes it from this process's quota.
-    pub fn spend(&self, backend: &Backend) -> Result<(), Ineligible> {
-        let standing = self.with(|state, now, age| {
-            let standing = state.standing(now, age, backend);
-            if standing.may_send() {
+    pub fn consume(&self, backend: &Backend) -> Result<(), Ineligible> {
+        let warm_up_status = self.with(|state, now, age| {
+            let warm_up_status = state.warm_up_status(now, age, backend);
+            if warm_up_status.may_send() {
                 state.sent(now, &backend.id);
             }
-            standing
+            warm_up_status
         });
-        match standing {
-            None | Some(Standing::Warm) => Ok(()),
-            Some(Standing::Cold { cause, wait_ms: 0 }) => {
+        match warm_up_status {
+            None | Some(WarmUpStatus::Warm) => Ok(()),
+            Some(WarmUpStatus::Cold { cause, wait_ms: 0 }) => {
                 metrics::counter!("cold_sends_total", "cause" => cause.name()).increment(1);
                 Line::new(EventName::ColdShareSpent)
                     .id(&backend.id)
@@ -162,7 +166,7 @@
                     .write();
                 Ok(())
             }
-            Some(Standing::Cold { cause, wait_ms }) => {
+            Some(WarmUpStatus::Cold { cause, wait_ms }) => {
                 metrics::counter!("cold_refusals_total", "cause" => cause.name()).increment(1);
                 Err(Ineligible::Cold { wait_ms })
             }
@@ -171,8 +175,8 @@
 
     /// Whether a back end is known to be warm.
     pub fn is_warm(&self, backend: &Backend) -> bool {
-        let standing = self.with(|state, now, age| state.standing(now, age, backend));
-        standing.is_none_or(|standing| standing == Standing::Warm)
+        let warm_up_status = self.with(|state, now, age| state.warm_up_status(now, age, backend));
+        warm_up_status.is_none_or(|warm_up_status| warm_up_status == WarmUpStatus::Warm)
     }
 
     /// The job store to which the leader may assign an item for a back end that is not known to be
@@ -207,34 +211,34 @@
     }
 
     /// Takes over changes, and logs the back ends that became cold or warm.
-    pub fn look(&self) {
-        let doubts = self.with(|state, now, age| {
+    pub fn refresh(&self) {
+        let cold_periods = self.with(|state, now, age| {
             let ids = state.ids();
-            let doubt = |id: &str| {
-                let (cause, until) = state.doubt(now, None, id)?;
+            let cold_period = |id: &str| {
+                let (cause, until) = state.cold_period(now, None, id)?;
                 let left = until.map_or(0, |until| until.millis_since(now));
                 Some((id.to_owned(), cause, left))
             };
-            (now, age, state.has_old_news(age), ids.filter_map(doubt).collect::<Vec<_>>())
+            (now, age, state.is_stale(age), ids.filter_map(cold_period).collect::<Vec<_>>())
         });
-        let Some((now, age, old_news, doubts)) = doubts else { return };
-        metrics::gauge!("cold_back_ends").set(doubts.len() as f64);
+        let Some((now, age, is_stale, cold_periods)) = cold_periods else { return };
+        metrics::gauge!("cold_back_ends").set(cold_periods.len() as f64);
         let inner = &mut *self.inner.borrow_mut();
-        inner.tell_old_news(old_news, age);
-        inner.tell(now, &doubts);
+        inner.log_staleness(is_stale, age);
+        inner.log_changes(now, &cold_periods);
     }
 }
 
 /// Refreshes the state for ever. Must run on the sending thread.
 pub async fn watch(cold: Rc<ColdStart>) {
     loop {
-        cold.look();
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        cold.refresh();
+        tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
 
 impl Inner {
-    fn take_over(&mut self, clock: &ElapsedClock, catalog: &CatalogCell, fleet: &FleetCell) {
+    fn sync(&mut self, clock: &ElapsedClock, catalog: &CatalogCell, fleet: &FleetCell) {
         let present = catalog.load();
         if !self.catalog.as_ref().is_some_and(|held| Arc::ptr_eq(held, &present)) {
             self.state.observe(clock.now(), &present);
@@ -247,19 +251,19 @@
         }
     }
 
-    fn tell_old_news(&mut self, old_news: bool, age_ms: Option<u64>) {
-        if std::mem::replace(&mut self.told_old_news, old_news) != old_news {
+    fn log_staleness(&mut self, is_stale: bool, age_ms: Option<u64>) {
+        if std::mem::replace(&mut self.logged_stale, is_stale) != is_stale {
             Line::new(EventName::PlatformNewsAge)
-                .field("too_old", old_news)
+                .field("too_old", is_stale)
                 .field("age_ms", age_ms)
                 .write();
         }
     }
 
-    fn tell(&mut self, now: Timestamp, doubts: &[(String, ColdCause, u64)]) {
-        for (id, cause, left_ms) in doubts {
-            if !self.told.contains_key(id) {
-                self.told.insert(id.clone(), now);
+    fn log_changes(&mut self, now: Timestamp, cold_periods: &[(String, ColdCause, u64)]) {
+        for (id, cause, left_ms) in cold_periods {
+            if !self.logged_cold.contains_key(id) {
+                self.logged_cold.insert(id.clone(), now);
                 Line::new(EventName::BackendCold)
                     .id(id)
                     .field("cause", cause.name())
@@ -267,8 +271,8 @@
                     .write();
             }
         }
-        self.told.retain(|id, since| {
-            let is_cold = doubts.iter().any(|(cold, _, _)| cold == id);
+        self.logged_cold.retain(|id, since| {
+            let is_cold = cold_periods.iter().any(|(cold, _, _)| cold == id);
             if !is_cold {
                 let cold_ms = now.millis_since(*since);
                 Line::new(EventName::BackendWarm).id(id).field("cold_ms", cold_ms).write();
--- a/crates/serving/src/eligibility/cold_state.rs
+++ b/crates/serving/src/eligibility/cold_state.rs
@@ -6,8 +6,8 @@
 use yokefall_core::Timestamp;
 use yokefall_types::PlacementBounds;
 
-use super::cold_share::{quota, Allowance, Sender, Sends, SHARE_INTERVAL_MS};
-use super::warmth::{ColdCause, Warmth};
+use super::cold_share::{quota, Allowance, SendHistory, Sender, QUOTA_INTERVAL_MS};
+use super::warmth::{ColdCause, WarmthTracker};
 use crate::catalog::Catalog;
 use crate::model::Backend;
 use crate::names::KnownNames;
@@ -16,16 +16,16 @@
 /// name to leave it its share, and it must know theirs; updates reach 300 processes within 4 s of a
 /// start. Requests sent before a restart under the same name have left the quota interval by then
 /// as well.
-pub const ENTRY_MS: u64 = 5_000;
+pub const JOIN_DELAY_MS: u64 = 5_000;
 /// Age of the platform state beyond which no back end counts as warm, in milliseconds, where
 /// operators evacuate no zones: longer than a watch without events takes.
-const OLD_NEWS_MS: u64 = 15_000;
+const MAX_STATE_AGE_MS: u64 = 15_000;
 /// When to check again if it is not known when a back end will be warm, in milliseconds.
-const UNKNOWN_WAIT_MS: u64 = 1_000;
+const RECHECK_INTERVAL_MS: u64 = 1_000;
 
 /// Whether a process may send to a back end now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WarmUpStatus {
     /// The back end is known to be warm.
     Warm,
     /// The back end is not known to be warm.
@@ -37,64 +37,64 @@
     },
 }
 
-impl Standing {
+impl WarmUpStatus {
     /// Whether a request may be sent now.
     pub fn may_send(self) -> bool {
-        !matches!(self, Standing::Cold { wait_ms: 1.., .. })
+        !matches!(self, WarmUpStatus::Cold { wait_ms: 1.., .. })
     }
 }
 
 /// Quota of this process for one back end, and its use.
 #[derive(Debug, Default)]
-struct Share {
+struct BackendQuota {
     /// Requests per interval; `None` until computed for the current names.
     quota: Option<u32>,
-    sends: Sends,
+    history: SendHistory,
     /// Job stores to which the leader assigned items for this back end.
-    given: Vec<(String, Timestamp)>,
+    assigned: Vec<(String, Timestamp)>,
     /// Job stores that have a quota; `None` until computed for the current names.
-    holders: Option<Vec<String>>,
+    job_stores: Option<Vec<String>>,
 }
 
 /// The state of one process.
 #[derive(Debug)]
-pub struct ColdState {
+pub struct ColdStartState {
     sender: Sender,
     bounds: PlacementBounds,
-    began: Timestamp,
-    warmth: Warmth,
+    started_at: Timestamp,
+    warmth: WarmthTracker,
     names: Arc<KnownNames>,
-    shares: HashMap<String, Share>,
+    quotas: HashMap<String, BackendQuota>,
 }
 
-impl ColdState {
+impl ColdStartState {
     /// The state of a process that starts now.
     pub fn new(now: Timestamp, sender: Sender, bounds: PlacementBounds) -> Self {
-        let (warmth, names) = (Warmth::default(), Arc::default());
-        Self { sender, bounds, began: now, warmth, names, shares: HashMap::new() }
+        let (warmth, names) = (WarmthTracker::default(), Arc::default());
+        Self { sender, bounds, started_at: now, warmth, names, quotas: HashMap::new() }
     }
 
     /// Takes over the back ends of a catalog.
     pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) {
         let observed = self.warmth.observe(now, catalog);
         for id in observed.forgotten {
-            self.shares.remove(&id);
+            self.quotas.remove(&id);
         }
-        if observed.has_other_warm_ups {
-            self.forget_quotas();
+        if observed.warm_ups_changed {
+            self.invalidate_quotas();
         }
     }
 
     /// Sets the names of all processes.
     pub fn set_names(&mut self, names: Arc<KnownNames>) {
         self.names = names;
-        self.forget_quotas();
+        self.invalidate_quotas();
     }
 
-    fn forget_quotas(&mut self) {
-        for share in self.shares.values_mut() {
-            share.quota = None;
-            share.holders = None;
+    fn invalidate_quotas(&mut self) {
+        for backend_quota in self.quotas.values_mut() {
+            backend_quota.quota = None;
+            backend_quota.job_stores = None;
         }
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Whether back ends of a service need time to get warm.
-    pub fn concerns(&self, service: &str) -> bool {
+    pub fn has_warm_up(&self, service: &str) -> bool {
         self.warmth.warm_up(service).is_some()
     }
 
@@ -129,28 +129,30 @@
     }
 
     /// Why a back end is not known to be warm, and until when if known; `None` if it is.
-    /// `news_age_ms` is the age of the platform state, if tracked.
-    pub fn doubt(
+    /// `state_age_ms` is the age of the platform state, if tracked.
+    pub fn cold_period(
         &self,
         now: Timestamp,
-        news_age_ms: Option<u64>,
+        state_age_ms: Option<u64>,
         id: &str,
     ) -> Option<(ColdCause, Option<Timestamp>)> {
-        if self.has_old_news(news_age_ms) {
-            return Some((ColdCause::OldNews, None));
+        if self.is_stale(state_age_ms) {
+            return Some((ColdCause::StalePlatformState, None));
         }
-        self.warmth.doubt(now, id).map(|doubt| (doubt.cause, Some(doubt.until)))
+        self.warmth
+            .cold_period(now, id)
+            .map(|cold_period| (cold_period.cause, Some(cold_period.until)))
     }
 
     /// Whether the platform state is too old to tell that a back end is warm.
-    pub fn has_old_news(&self, news_age_ms: Option<u64>) -> bool {
-        let bound = self.bounds.evacuation_ms.unwrap_or(OLD_NEWS_MS);
-        news_age_ms.is_some_and(|age| age > bound)
+    pub fn is_stale(&self, state_age_ms: Option<u64>) -> bool {
+        let bound = self.bounds.evacuation_ms.unwrap_or(MAX_STATE_AGE_MS);
+        state_age_ms.is_some_and(|age| age > bound)
     }
 
     /// Whether every back end is known to be warm, so that none needs a check.
-    pub fn is_free_of_doubt(&self, now: Timestamp, news_age_ms: Option<u64>) -> bool {
-        self.warmth.is_free_of_doubt(now) && !self.has_old_news(news_age_ms)
+    pub fn all_warm(&self, now: Timestamp, state_age_ms: Option<u64>) -> bool {
+        self.warmth.all_warm(now) && !self.is_stale(state_age_ms)
     }
 
     /// Ids of back ends that need time to get warm.
@@ -160,65 +162,65 @@
 
     /// Back ends of a service that are not known to be warm; `None` if the platform state is too
     /// old to tell.
-    pub fn doubted(
+    pub fn cold_backends(
         &self,
         now: Timestamp,
-        news_age_ms: Option<u64>,
+        state_age_ms: Option<u64>,
         service: &str,
     ) -> Option<Vec<Arc<Backend>>> {
-        let is_known = !self.has_old_news(news_age_ms);
-        is_known.then(|| self.warmth.doubted(now, service).cloned().collect())
+        let is_known = !self.is_stale(state_age_ms);
+        is_known.then(|| self.warmth.cold_backends(now, service).cloned().collect())
     }
 
     /// Back ends of a service to which this process may not send now, ordered by their addresses in
     /// memory; `None` if the platform state is too old and each back end must be checked.
-    pub fn closed(
+    pub fn blocked(
         &mut self,
         now: Timestamp,
-        news_age_ms: Option<u64>,
+        state_age_ms: Option<u64>,
         service: &str,
     ) -> Option<Vec<*const Backend>> {
-        let doubted = self.doubted(now, news_age_ms, service)?;
-        let is_closed =
-            |backend: &&Arc<Backend>| !self.standing(now, news_age_ms, backend).may_send();
-        let mut closed: Vec<*const Backend> =
-            doubted.iter().filter(is_closed).map(Arc::as_ptr).collect();
-        closed.sort_unstable();
-        Some(closed)
+        let cold_backends = self.cold_backends(now, state_age_ms, service)?;
+        let is_blocked =
+            |backend: &&Arc<Backend>| !self.warm_up_status(now, state_age_ms, backend).may_send();
+        let mut blocked: Vec<*const Backend> =
+            cold_backends.iter().filter(is_blocked).map(Arc::as_ptr).collect();
+        blocked.sort_unstable();
+        Some(blocked)
     }
 
     /// Whether this process may send to a back end now.
-    pub fn standing(
+    pub fn warm_up_status(
         &mut self,
         now: Timestamp,
-        news_age_ms: Option<u64>,
+        state_age_ms: Option<u64>,
         backend: &Backend,
-    ) -> Standing {
-        if !self.concerns(&backend.service) {
-            return Standing::Warm;
+    ) -> WarmUpStatus {
+        if !self.has_warm_up(&backend.service) {
+            return WarmUpStatus::Warm;
         }
-        let Some((cause, until)) = self.doubt(now, news_age_ms, &backend.id) else {
-            return Standing::Warm;
+        let Some((cause, until)) = self.cold_period(now, state_age_ms, &backend.id) else {
+            return WarmUpStatus::Warm;
         };
-        let warm_in = until.map_or(UNKNOWN_WAIT_MS, |until| until.millis_since(now)).max(1);
-        let wait_ms = self.share_wait_ms(now, backend).map_or(warm_in, |wait| wait.min(warm_in));
-        Standing::Cold { cause, wait_ms }
+        let warm_in = until.map_or(RECHECK_INTERVAL_MS, |until| until.millis_since(now)).max(1);
+        let wait_ms = self.quota_wait_ms(now, backend).map_or(warm_in, |wait| wait.min(warm_in));
+        WarmUpStatus::Cold { cause, wait_ms }
     }
 
     /// Milliseconds until this process may use its quota; `None` if it has none.
-    fn share_wait_ms(&mut self, now: Timestamp, backend: &Backend) -> Option<u64> {
+    fn quota_wait_ms(&mut self, now: Timestamp, backend: &Backend) -> Option<u64> {
         if !self.names.joined {
             return None;
         }
         let allowance = self.allowance(&backend.service);
-        if !self.shares.contains_key(&backend.id) {
-            self.shares.insert(backend.id.clone(), Share::default());
+        if !self.quotas.contains_key(&backend.id) {
+            self.quotas.insert(backend.id.clone(), BackendQuota::default());
         }
-        let share = self.shares.get_mut(&backend.id)?;
-        let worked_out = || quota(allowance, &self.names, &backend.id, &self.sender);
-        let quota = *share.quota.get_or_insert_with(worked_out);
-        let entry = self.began.plus_millis(ENTRY_MS).millis_since(now);
-        Some(share.sends.wait_ms(now, quota)?.max(entry))
+        let backend_quota = self.quotas.get_mut(&backend.id)?;
+        let compute = || quota(allowance, &self.names, &backend.id, &self.sender);
+        let quota = *backend_quota.quota.get_or_insert_with(compute);
+        let join_wait_ms = self.started_at.plus_millis(JOIN_DELAY_MS).millis_since(now);
+        Some(backend_quota.history.wait_ms(now, quota)?.max(join_wait_ms))
     }
 
     fn allowance(&self, service: &str) -> Allowance {
@@ -231,12 +233,12 @@
     /// warm.
     pub fn sent(&mut self, now: Timestamp, id: &str) {
         // Requests to a warm back end are recorded as well, because it may turn cold right after.
-        if let Some(share) = self.shares.get_mut(id) {
-            share.sends.note(now);
-        } else if self.warmth.holds(id) {
-            let mut share = Share::default();
-            share.sends.note(now);
-            self.shares.insert(id.to_owned(), share);
+        if let Some(backend_quota) = self.quotas.get_mut(id) {
+            backend_quota.history.record(now);
+        } else if self.warmth.is_tracked(id) {
+            let mut backend_quota = BackendQuota::default();
+            backend_quota.history.record(now);
+            self.quotas.insert(id.to_owned(), backend_quota);
         }
     }
 
@@ -250,26 +252,26 @@
     ) -> Option<String> {
         let allowance = self.allowance(&backend.service);
         let names = &self.names;
-        let has_share = |name: &&String| {
+        let has_quota = |name: &&String| {
             let sender = Sender { name: (*name).clone(), job_store: true };
             quota(allowance, names, &backend.id, &sender) > 0
         };
-        let worked_out = || names.job_stores.iter().filter(has_share).cloned().collect();
-        let share = self.shares.entry(backend.id.clone()).or_default();
+        let compute = || names.job_stores.iter().filter(has_quota).cloned().collect();
+        let backend_quota = self.quotas.entry(backend.id.clone()).or_default();
         // Computed once for the current names, because it takes a hash for each pair of job stores.
-        let holders = share.holders.get_or_insert_with(worked_out);
+        let job_stores = backend_quota.job_stores.get_or_insert_with(compute);
         let is_free = |name: &str| {
-            let mut given = share.given.iter();
-            !given.any(|(to, at)| to == name && now.millis_since(*at) < SHARE_INTERVAL_MS)
+            let mut assigned = backend_quota.assigned.iter();
+            !assigned.any(|(to, at)| to == name && now.millis_since(*at) < QUOTA_INTERVAL_MS)
         };
-        holders.iter().find(|name| usable(name) && is_free(name)).cloned()
+        job_stores.iter().find(|name| usable(name) && is_free(name)).cloned()
     }
 
     /// Records that the leader assigned a job store an item for a back end that is not known to be
     /// warm.
     pub fn gave_item(&mut self, now: Timestamp, id: &str, to: String) {
-        let share = self.shares.entry(id.to_owned()).or_default();
-        share.given.retain(|(_, at)| now.millis_since(*at) < SHARE_INTERVAL_MS);
-        share.given.push((to, now));
+        let backend_quota = self.quotas.entry(id.to_owned()).or_default();
+        backend_quota.assigned.retain(|(_, at)| now.millis_since(*at) < QUOTA_INTERVAL_MS);
+        backend_quota.assigned.push((to, now));
     }
 }
--- a/crates/serving/src/eligibility/drawn.rs
+++ b/crates/serving/src/eligibility/drawn.rs
@@ -14,12 +14,12 @@
 
 /// Largest number of back ends that are not sampled: up to here, looking at all costs as much as
 /// sampling.
-const MOST_LOOKED_AT: usize = 256;
+const MAX_UNSAMPLED: usize = 256;
 /// Sample size. Sampling and choosing takes 35 us of a core with 1,000 as with 20,000 back ends,
 /// compared with 1 ms for a choice among all of 10,000 without load data.
-const DRAWN: usize = 128;
+const SAMPLE_SIZE: usize = 128;
 /// Back ends preferred by a prompt prefix: the second is used while the first has no capacity.
-const PREFERRED: usize = 2;
+const PREFERRED_COUNT: usize = 2;
 
 /// Back ends sampled for one request.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,32 +40,33 @@
         generator: &mut impl Rng,
     ) -> Option<Self> {
         let count: usize = tables.iter().map(|table| table.len()).sum();
-        if count <= MOST_LOOKED_AT {
+        if count <= MAX_UNSAMPLED {
             return None;
         }
-        let mut backends: Vec<Arc<Backend>> = Vec::with_capacity(DRAWN);
-        for _ in 0..DRAWN {
-            let place = generator.random_range(0..count);
-            backends.extend(table_at(tables, place)?.draw(generator).cloned());
+        let mut backends: Vec<Arc<Backend>> = Vec::with_capacity(SAMPLE_SIZE);
+        for _ in 0..SAMPLE_SIZE {
+            let position = generator.random_range(0..count);
+            backends.extend(table_at(tables, position)?.draw(generator).cloned());
         }
         backends.sort_unstable_by_key(Arc::as_ptr);
         backends.dedup_by_key(|backend| Arc::as_ptr(backend));
         let largest = tables.iter().max_by_key(|table| table.len())?;
-        let preferred = affinity.map(|key| largest.preferred(key, PREFERRED)).unwrap_or_default();
+        let preferred =
+            affinity.map(|key| largest.preferred(key, PREFERRED_COUNT)).unwrap_or_default();
         let part = backends.len() as f64 / count as f64;
         Some(Self { backends, preferred: preferred.into_iter().cloned().collect(), part })
     }
 
-    /// Keeps the back ends that `open` returns; `None` from `open` keeps all.
+    /// Keeps the back ends that `permitted` returns; `None` from `permitted` keeps all.
     pub(super) fn filtered(
         mut self,
-        open: impl Fn(&[Arc<Backend>]) -> Option<Vec<Arc<Backend>>>,
+        permitted: impl Fn(&[Arc<Backend>]) -> Option<Vec<Arc<Backend>>>,
     ) -> Self {
-        if let Some(left) = open(&self.backends) {
-            self.backends = left;
+        if let Some(remaining) = permitted(&self.backends) {
+            self.backends = remaining;
         }
-        if let Some(left) = open(&self.preferred) {
-            self.preferred = left;
+        if let Some(remaining) = permitted(&self.preferred) {
+            self.preferred = remaining;
         }
         self
     }
@@ -73,11 +74,11 @@
 
 /// The table that contains a position in the concatenation of all tables: large tables are sampled
 /// more often.
-fn table_at<'a>(tables: &[&'a BackendTable], place: usize) -> Option<&'a BackendTable> {
-    let mut left = place;
+fn table_at<'a>(tables: &[&'a BackendTable], position: usize) -> Option<&'a BackendTable> {
+    let mut remaining = position;
     tables.iter().copied().find(|table| {
-        let is_here = left < table.len();
-        left = left.saturating_sub(table.len());
+        let is_here = remaining < table.len();
+        remaining = remaining.saturating_sub(table.len());
         is_here
     })
 }
--- a/crates/serving/src/eligibility/freshness.rs
+++ b/crates/serving/src/eligibility/freshness.rs
@@ -19,14 +19,14 @@
 struct Inner {
     clock: ElapsedClock,
     source: SuspensionSource,
-    told_at: Option<Timestamp>,
+    confirmed_at: Option<Timestamp>,
 }
 
 impl Freshness {
     /// A view that was never confirmed.
     pub fn new(source: SuspensionSource) -> Self {
         let clock = ElapsedClock::new(source.clone());
-        let inner = Inner { clock, source, told_at: None };
+        let inner = Inner { clock, source, confirmed_at: None };
         Self { inner: Arc::new(Mutex::new(inner)) }
     }
 
@@ -40,14 +40,14 @@
     pub fn note(&self, age_ms: u64) {
         let inner = &mut *self.lock();
         // Nothing was known here before this clock started.
-        let told_at = Timestamp(inner.clock.now().0.saturating_sub(age_ms));
-        inner.told_at = inner.told_at.max(Some(told_at));
+        let confirmed_at = Timestamp(inner.clock.now().0.saturating_sub(age_ms));
+        inner.confirmed_at = inner.confirmed_at.max(Some(confirmed_at));
     }
 
     /// Age of the view, in milliseconds; `None` if it was never confirmed.
     pub fn age_ms(&self) -> Option<u64> {
         let inner = &*self.lock();
-        inner.told_at.map(|told_at| inner.clock.now().millis_since(told_at))
+        inner.confirmed_at.map(|confirmed_at| inner.clock.now().millis_since(confirmed_at))
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
--- a/crates/serving/src/eligibility/mod.rs
+++ b/crates/serving/src/eligibility/mod.rs
@@ -42,7 +42,7 @@
     /// The back end is no longer known.
     Unknown,
     /// Another incarnation of the back end is running.
-    AnotherLife,
+    OtherIncarnation,
     /// The back end is draining.
     Draining,
     /// An operator evacuated the back end's zone.
@@ -63,7 +63,7 @@
     pub fn name(&self) -> &'static str {
         match self {
             Ineligible::Unknown => "unknown",
-            Ineligible::AnotherLife => "another-life",
+            Ineligible::OtherIncarnation => "another-life",
             Ineligible::Draining => "draining",
             Ineligible::Evacuated => "evacuated",
             Ineligible::EvacuationsUnknown => "evacuations-unknown",
@@ -92,7 +92,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Ineligible::Unknown => formatter.write_str("it is not known any more"),
-            Ineligible::AnotherLife => formatter.write_str("it has started again"),
+            Ineligible::OtherIncarnation => formatter.write_str("it has started again"),
             Ineligible::Draining => formatter.write_str("it is leaving"),
             Ineligible::Evacuated => formatter.write_str("its zone is evacuated"),
             Ineligible::EvacuationsUnknown => {
@@ -151,9 +151,10 @@
 
     /// Back ends that may be sent a request of this process, by one catalog.
     pub fn candidates<'a>(&self, catalog: &'a Catalog, need: &Need) -> Cow<'a, [Arc<Backend>]> {
-        let placed = self.placed(catalog, need);
-        let open = self.cold.as_ref().and_then(|cold| cold.open(need.service, &placed));
-        open.map_or(placed, Cow::Owned)
+        let allowed_by_placement = self.allowed_by_placement(catalog, need);
+        let permitted =
+            self.cold.as_ref().and_then(|cold| cold.permitted(need.service, &allowed_by_placement));
+        permitted.map_or(allowed_by_placement, Cow::Owned)
     }
 
     /// The candidates as tables, including those to which this process may not send now.
@@ -177,7 +178,7 @@
     ) -> Option<Drawn> {
         let drawn = Drawn::of(&self.tables(catalog, need), affinity, generator)?;
         let Some(cold) = &self.cold else { return Some(drawn) };
-        let drawn = drawn.filtered(|backends| cold.open(need.service, backends));
+        let drawn = drawn.filtered(|backends| cold.permitted(need.service, backends));
         (!drawn.backends.is_empty()).then_some(drawn)
     }
 
@@ -192,7 +193,7 @@
         let drawn = Drawn::of(&self.tables(catalog, need), None, generator)?;
         let Some(cold) = &self.cold else { return Some(drawn) };
         let drawn = drawn.filtered(|backends| {
-            cold.open(need.service, backends)?;
+            cold.permitted(need.service, backends)?;
             Some(self.usable_for_items(cold, backends, &usable))
         });
         (!drawn.backends.is_empty()).then_some(drawn)
@@ -206,9 +207,9 @@
         usable: impl Fn(&str) -> bool,
     ) -> Option<Vec<Arc<Backend>>> {
         let Some(cold) = &self.cold else { return Some(Vec::new()) };
-        let mut doubted = cold.doubted(service)?;
-        doubted.retain(|backend| cold.item_sender(backend, &usable).is_none());
-        Some(doubted)
+        let mut cold_backends = cold.cold_backends(service)?;
+        cold_backends.retain(|backend| cold.item_sender(backend, &usable).is_none());
+        Some(cold_backends)
     }
 
     fn usable_for_items(
@@ -217,10 +218,10 @@
         backends: &[Arc<Backend>],
         usable: impl Fn(&str) -> bool,
     ) -> Vec<Arc<Backend>> {
-        let may_go = |backend: &&Arc<Backend>| {
+        let is_usable = |backend: &&Arc<Backend>| {
             cold.is_warm(backend) || cold.item_sender(backend, &usable).is_some()
         };
-        backends.iter().filter(may_go).cloned().collect()
+        backends.iter().filter(is_usable).cloned().collect()
     }
 
     /// Back ends that may be sent an item. One that is not known to be warm is included only if a
@@ -231,23 +232,27 @@
         need: &Need,
         usable: impl Fn(&str) -> bool,
     ) -> Cow<'a, [Arc<Backend>]> {
-        let placed = self.placed(catalog, need);
-        let Some(cold) = &self.cold else { return placed };
-        if cold.open(need.service, &placed).is_none() {
-            return placed;
+        let allowed_by_placement = self.allowed_by_placement(catalog, need);
+        let Some(cold) = &self.cold else { return allowed_by_placement };
+        if cold.permitted(need.service, &allowed_by_placement).is_none() {
+            return allowed_by_placement;
         }
-        Cow::Owned(self.usable_for_items(cold, &placed, usable))
+        Cow::Owned(self.usable_for_items(cold, &allowed_by_placement, usable))
     }
 
     /// Milliseconds until this process may send next, if every candidate is cold and its quota is
     /// used up.
     pub fn cold_wait_ms(&self, catalog: &Catalog, need: &Need) -> Option<u64> {
         let cold = self.cold.as_ref()?;
-        cold.wait_ms(&self.placed(catalog, need))
+        cold.wait_ms(&self.allowed_by_placement(catalog, need))
     }
 
     /// Ready back ends in the regions where the request may be served.
-    fn placed<'a>(&self, catalog: &'a Catalog, need: &Need) -> Cow<'a, [Arc<Backend>]> {
+    fn allowed_by_placement<'a>(
+        &self,
+        catalog: &'a Catalog,
+        need: &Need,
+    ) -> Cow<'a, [Arc<Backend>]> {
         match need.residency {
             Residency::Anywhere => Cow::Borrowed(catalog.ready(need.service)),
             Residency::Within(regions) => catalog.ready_within(need.service, regions),
@@ -260,7 +265,7 @@
     pub fn permit(&self, backend: &Backend, need: &Need) -> Result<Permit, Ineligible> {
         self.check_placement(backend, need)?;
         if let Some(cold) = &self.cold {
-            cold.spend(backend)?;
+            cold.consume(backend)?;
         }
         Ok(Permit { life: backend.life() })
     }
@@ -278,7 +283,7 @@
         let catalog = self.catalog.load();
         let known = catalog.known.get(&backend.id).ok_or(Ineligible::Unknown)?;
         if known.started_ms != backend.started_ms {
-            return Err(Ineligible::AnotherLife);
+            return Err(Ineligible::OtherIncarnation);
         }
         if known.state != BackendState::Ready {
             return Err(Ineligible::Draining);
--- a/crates/serving/src/eligibility/warmth.rs
+++ b/crates/serving/src/eligibility/warmth.rs
@@ -15,19 +15,19 @@
 
 /// Time that a back end's record takes to reach its readers, in milliseconds: a write to the
 /// platform's store, a watch that batches events for 200 ms, and three gossip hops.
-pub const RECORD_DELAY_MS: u64 = 1_000;
+pub const RECORD_PROPAGATION_MS: u64 = 1_000;
 /// Time for which a back end that is no longer known is remembered, in milliseconds: the store may
 /// lose a record for a moment, and requests sent to it still count. Far longer than the second in
 /// which requests are counted.
-const REMEMBERED_MS: u64 = 60_000;
+const RETENTION_MS: u64 = 60_000;
 
 /// Time for which failures are reported, in milliseconds: those of the previous incarnation are
 /// still reported then.
-const REPORTED_MS: u64 = 3_500;
+const FAILURE_REPORT_MS: u64 = 3_500;
 
 /// Time for which a back end counts as alive after something was received from it, in milliseconds:
 /// the silence after which a back end counts as silent.
-const HEARD_MS: u64 = 450;
+const ACTIVITY_TIMEOUT_MS: u64 = 450;
 
 /// Why a back end is not known to be warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// Its record says that it is cold.
     Recorded,
     /// It reported so itself in an answer.
-    Told,
+    Reported,
     /// It appeared while this process was running, and its record does not say for how long it is
     /// cold.
     Appeared,
@@ -44,7 +44,7 @@
     /// The evacuation of its zone has ended.
     ZoneReturned,
     /// This process's view of the platform state is too old.
-    OldNews,
+    StalePlatformState,
 }
 
 impl ColdCause {
@@ -52,18 +52,18 @@
     pub fn name(self) -> &'static str {
         match self {
             ColdCause::Recorded => "recorded",
-            ColdCause::Told => "told",
+            ColdCause::Reported => "told",
             ColdCause::Appeared => "appeared",
             ColdCause::Failed => "failed",
             ColdCause::ZoneReturned => "zone-returned",
-            ColdCause::OldNews => "old-news",
+            ColdCause::StalePlatformState => "old-news",
         }
     }
 }
 
 /// Until when a back end is not known to be warm, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct ColdPeriod {
     /// End of the period.
     pub until: Timestamp,
     /// Cause of the period.
@@ -72,27 +72,27 @@
 
 /// A tracked back end.
 #[derive(Clone, Debug)]
-struct Known {
+struct TrackedBackend {
     service: Arc<str>,
     /// When something was last received from it here.
-    heard_at: Option<Timestamp>,
+    last_activity_at: Option<Timestamp>,
     /// When this incarnation appeared; `None` if it was known at the start of this process.
     appeared_at: Option<Timestamp>,
     /// Its record. A new one restarts the cold period that it states, even if its content is equal.
     record: Arc<Backend>,
     /// Period reported by the back end itself.
-    stated: Option<Doubt>,
+    reported: Option<ColdPeriod>,
     /// Period inferred from other evidence.
-    suspected: Option<Doubt>,
+    suspected: Option<ColdPeriod>,
     /// Since when it is no longer known.
     gone_since: Option<Timestamp>,
 }
 
 /// Changes by a catalog beyond the states of the back ends themselves.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Observed {
+pub struct CatalogChanges {
     /// Whether the warm-up times of services changed.
-    pub has_other_warm_ups: bool,
+    pub warm_ups_changed: bool,
     /// Ids of back ends that are no longer tracked.
     pub forgotten: Vec<String>,
 }
@@ -100,89 +100,91 @@
 /// Which back ends one process knows to be warm. Back ends of services without a warm-up are not
 /// tracked.
 #[derive(Debug, Default)]
-pub struct Warmth {
+pub struct WarmthTracker {
     warm_ups: HashMap<Arc<str>, WarmUp>,
-    backends: HashMap<String, Known>,
+    backends: HashMap<String, TrackedBackend>,
     evacuated: BTreeSet<String>,
     /// Back ends of the last catalog; only differences to the next one are processed.
-    seen: BackendTable,
+    previous: BackendTable,
     /// Whether the last catalog contained only some of the back ends: those added by the next one
     /// existed before.
-    follows_part: bool,
+    was_partial: bool,
     /// Ids of back ends that are no longer known and are remembered for a while.
     gone: BTreeSet<String>,
     /// Ids of back ends that may be cold; those that are no longer are dropped with the next
     /// catalog. Makes a check cost as many steps as there are such back ends, not as there are back
     /// ends.
-    doubted: BTreeSet<String>,
+    possibly_cold: BTreeSet<String>,
     /// Upper bound of the end of all cold periods; afterwards no back end needs a check.
-    last_doubt: Timestamp,
+    last_cold_until: Timestamp,
 }
 
-impl Warmth {
+impl WarmthTracker {
     /// Takes over a catalog. Must be called for each one soon after it was published, because
     /// periods start now. Costs as many steps as there are back ends that changed, may be cold or
     /// are gone.
-    pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) -> Observed {
+    pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) -> CatalogChanges {
         let warm_ups = warm_ups(catalog);
-        let has_other_warm_ups = warm_ups != self.warm_ups;
-        if has_other_warm_ups {
+        let warm_ups_changed = warm_ups != self.warm_ups;
+        if warm_ups_changed {
             self.warm_ups = warm_ups;
-            self.seen = BackendTable::default();
+            self.previous = BackendTable::default();
         }
         // Back ends known at the start of this process existed before it.
-        let is_first = self.backends.is_empty() || self.follows_part;
-        self.follows_part = catalog.is_partial;
+        let is_first = self.backends.is_empty() || self.was_partial;
+        self.was_partial = catalog.is_partial;
         if !self.warm_ups.is_empty() {
-            let seen = std::mem::replace(&mut self.seen, catalog.known.clone());
-            for change in catalog.known.changes_since(&seen) {
+            let previous = std::mem::replace(&mut self.previous, catalog.known.clone());
+            for change in catalog.known.changes_since(&previous) {
                 match (change.before, change.after) {
-                    (_, Some(after)) => self.take(now, &after, is_first),
-                    (Some(before), None) => self.lose(now, &before.id),
+                    (_, Some(after)) => self.add(now, &after, is_first),
+                    (Some(before), None) => self.mark_gone(now, &before.id),
                     (None, None) => {}
                 }
             }
         }
-        self.return_zones(now, &catalog.evacuated);
-        let forgotten = match has_other_warm_ups {
-            true => self.forget_all_unknown(now, catalog),
-            false => self.forget(now),
+        self.suspect_returned_zones(now, &catalog.evacuated);
+        let forgotten = match warm_ups_changed {
+            true => self.drop_all_unknown(now, catalog),
+            false => self.drop_gone(now),
         };
-        self.drop_ended_doubts(now);
-        Observed { has_other_warm_ups, forgotten }
+        self.drop_ended_periods(now);
+        CatalogChanges { warm_ups_changed, forgotten }
     }
 
-    fn drop_ended_doubts(&mut self, now: Timestamp) {
+    fn drop_ended_periods(&mut self, now: Timestamp) {
         let backends = &self.backends;
         let end_of = |id: &String| {
             let known = backends.get(id)?;
-            let doubts = [known.stated, known.suspected].into_iter().flatten();
-            doubts.map(|doubt| doubt.until).max().filter(|until| *until > now)
+            let cold_periods = [known.reported, known.suspected].into_iter().flatten();
+            cold_periods.map(|cold_period| cold_period.until).max().filter(|until| *until > now)
         };
-        self.doubted.retain(|id| end_of(id).is_some());
-        self.last_doubt = self.doubted.iter().filter_map(end_of).max().unwrap_or_default();
+        self.possibly_cold.retain(|id| end_of(id).is_some());
+        self.last_cold_until =
+            self.possibly_cold.iter().filter_map(end_of).max().unwrap_or_default();
     }
 
     /// Records that a back end may be cold until a moment.
-    fn note_doubt(&mut self, id: &str, until: Timestamp) {
-        self.last_doubt = self.last_doubt.max(until);
-        if !self.doubted.contains(id) {
-            self.doubted.insert(id.to_owned());
+    fn track_cold(&mut self, id: &str, until: Timestamp) {
+        self.last_cold_until = self.last_cold_until.max(until);
+        if !self.possibly_cold.contains(id) {
+            self.possibly_cold.insert(id.to_owned());
         }
     }
 
     /// Records of a service's back ends that are not known to be warm.
-    pub fn doubted<'a>(
+    pub fn cold_backends<'a>(
         &'a self,
         now: Timestamp,
         service: &'a str,
     ) -> impl Iterator<Item = &'a Arc<Backend>> {
-        let is_in_doubt = move |id: &&String| self.doubt(now, id).is_some();
-        let known = self.doubted.iter().filter(is_in_doubt).filter_map(|id| self.backends.get(id));
+        let is_cold = move |id: &&String| self.cold_period(now, id).is_some();
+        let known =
+            self.possibly_cold.iter().filter(is_cold).filter_map(|id| self.backends.get(id));
         known.filter(move |known| *known.service == *service).map(|known| &known.record)
     }
 
-    fn take(&mut self, now: Timestamp, backend: &Arc<Backend>, is_first: bool) {
+    fn add(&mut self, now: Timestamp, backend: &Arc<Backend>, is_first: bool) {
         let Some((service, warm_up)) = self.warm_ups.get_key_value(backend.service.as_str()) else {
             return;
         };
@@ -193,38 +195,38 @@
         if let Some(held) = held {
             if !Arc::ptr_eq(&held.record, backend) {
                 held.record = backend.clone();
-                held.stated = recorded(now, backend.cold_remaining_ms);
-                let stated = held.stated;
-                self.note_doubts(&backend.id, [stated, None]);
+                held.reported = recorded(now, backend.cold_remaining_ms);
+                let reported = held.reported;
+                self.track_cold_periods(&backend.id, [reported, None]);
             }
             return;
         }
-        let stated = recorded(now, backend.cold_remaining_ms);
+        let reported = recorded(now, backend.cold_remaining_ms);
         let appeared =
-            Doubt { until: now.plus_millis(warm_up.duration_ms), cause: ColdCause::Appeared };
-        let suspected = (!is_first && stated.is_none()).then_some(appeared);
-        let known = Known {
+            ColdPeriod { until: now.plus_millis(warm_up.duration_ms), cause: ColdCause::Appeared };
+        let suspected = (!is_first && reported.is_none()).then_some(appeared);
+        let known = TrackedBackend {
             service: service.clone(),
-            heard_at: None,
+            last_activity_at: None,
             appeared_at: (!is_first).then_some(now),
             record: backend.clone(),
-            stated,
+            reported,
             suspected,
             gone_since: None,
         };
         self.backends.insert(backend.id.clone(), known);
         self.gone.remove(&backend.id);
-        self.note_doubts(&backend.id, [stated, suspected]);
+        self.track_cold_periods(&backend.id, [reported, suspected]);
     }
 
-    fn note_doubts(&mut self, id: &str, doubts: [Option<Doubt>; 2]) {
-        for doubt in doubts.into_iter().flatten() {
-            self.note_doubt(id, doubt.until);
+    fn track_cold_periods(&mut self, id: &str, cold_periods: [Option<ColdPeriod>; 2]) {
+        for cold_period in cold_periods.into_iter().flatten() {
+            self.track_cold(id, cold_period.until);
         }
     }
 
     /// Records that a back end is no longer known.
-    fn lose(&mut self, now: Timestamp, id: &str) {
+    fn mark_gone(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.backends.get_mut(id) {
             known.gone_since.get_or_insert(now);
             self.gone.insert(id.to_owned());
@@ -233,35 +235,35 @@
 
     /// Back ends of a zone may have turned cold shortly before its evacuation ended, and their
     /// records may not say so yet.
-    fn return_zones(&mut self, now: Timestamp, evacuated: &BTreeSet<String>) {
+    fn suspect_returned_zones(&mut self, now: Timestamp, evacuated: &BTreeSet<String>) {
         if self.evacuated == *evacuated {
             return;
         }
         let returned: BTreeSet<&String> = self.evacuated.difference(evacuated).collect();
-        let mut doubts = Vec::new();
+        let mut cold_periods = Vec::new();
         for (id, known) in &mut self.backends {
             if !returned.contains(&known.record.zone) {
                 continue;
             }
             let Some(warm_up) = self.warm_ups.get(&known.service) else { continue };
-            let until = start_may_be_told(now, warm_up);
+            let until = warm_after_restart(now, warm_up);
             known.suspect(until, ColdCause::ZoneReturned);
-            doubts.push((id.clone(), until));
+            cold_periods.push((id.clone(), until));
         }
-        for (id, until) in doubts {
-            self.note_doubt(&id, until);
+        for (id, until) in cold_periods {
+            self.track_cold(&id, until);
         }
         self.evacuated.clone_from(evacuated);
     }
 
     /// Drops back ends that have been gone for long enough, and returns their ids.
-    fn forget(&mut self, now: Timestamp) -> Vec<String> {
+    fn drop_gone(&mut self, now: Timestamp) -> Vec<String> {
         let backends = &self.backends;
-        let is_over = |id: &&String| {
+        let is_expired = |id: &&String| {
             let gone_since = backends.get(*id).and_then(|known| known.gone_since);
-            gone_since.is_none_or(|since| now.millis_since(since) >= REMEMBERED_MS)
+            gone_since.is_none_or(|since| now.millis_since(since) >= RETENTION_MS)
         };
-        let forgotten: Vec<String> = self.gone.iter().filter(is_over).cloned().collect();
+        let forgotten: Vec<String> = self.gone.iter().filter(is_expired).cloned().collect();
         for id in &forgotten {
             self.gone.remove(id);
             self.backends.remove(id);
@@ -270,23 +272,23 @@
     }
 
     /// The same after warm-ups changed, by a check of each back end.
-    fn forget_all_unknown(&mut self, now: Timestamp, catalog: &Catalog) -> Vec<String> {
+    fn drop_all_unknown(&mut self, now: Timestamp, catalog: &Catalog) -> Vec<String> {
         for (id, known) in &mut self.backends {
             if !catalog.known.contains(id) {
                 known.gone_since.get_or_insert(now);
                 self.gone.insert(id.clone());
             }
         }
-        let mut forgotten = self.forget(now);
+        let mut forgotten = self.drop_gone(now);
         let warm_ups = &self.warm_ups;
         let gone = &mut self.gone;
         self.backends.retain(|id, known| {
-            let stays = warm_ups.contains_key(&known.service);
-            if !stays {
+            let is_kept = warm_ups.contains_key(&known.service);
+            if !is_kept {
                 gone.remove(id);
                 forgotten.push(id.clone());
             }
-            stays
+            is_kept
         });
         forgotten
     }
@@ -294,7 +296,7 @@
     /// Records that something was received from a back end.
     pub fn heard(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.backends.get_mut(id) {
-            known.heard_at = Some(now);
+            known.last_activity_at = Some(now);
         }
     }
 
@@ -303,27 +305,27 @@
     /// to the others.
     pub fn failed_for_all(&mut self, now: Timestamp, id: &str) {
         let Some(known) = self.backends.get_mut(id) else { return };
-        if known.heard_at.is_some_and(|at| now.millis_since(at) < HEARD_MS) {
+        if known.last_activity_at.is_some_and(|at| now.millis_since(at) < ACTIVITY_TIMEOUT_MS) {
             return;
         }
-        let is_new = |at: Timestamp| now.millis_since(at) < REPORTED_MS;
+        let is_new = |at: Timestamp| now.millis_since(at) < FAILURE_REPORT_MS;
         if !known.appeared_at.is_some_and(is_new) {
             return self.failed(now, id);
         }
         // Probably the previous incarnation failed, and this one is cold for as long anyway. If
         // this one fails, that is reported again before this period ends.
-        let until = now.plus_millis(RECORD_DELAY_MS);
+        let until = now.plus_millis(RECORD_PROPAGATION_MS);
         known.suspect(until, ColdCause::Failed);
-        self.note_doubt(id, until);
+        self.track_cold(id, until);
     }
 
     /// Records that a back end was unreachable, broke a connection or fell silent here.
     pub fn failed(&mut self, now: Timestamp, id: &str) {
         let Some(known) = self.backends.get_mut(id) else { return };
         let Some(warm_up) = self.warm_ups.get(&known.service) else { return };
-        let until = start_may_be_told(now, warm_up);
+        let until = warm_after_restart(now, warm_up);
         known.suspect(until, ColdCause::Failed);
-        self.note_doubt(id, until);
+        self.track_cold(id, until);
     }
 
     /// Records for how much longer a back end is cold, as it reported in an answer.
@@ -333,21 +335,24 @@
             return;
         };
         let until = now.plus_millis(remaining_ms);
-        known.stated = (remaining_ms > 0).then_some(Doubt { until, cause: ColdCause::Told });
+        known.reported =
+            (remaining_ms > 0).then_some(ColdPeriod { until, cause: ColdCause::Reported });
         known.suspected = None;
-        self.note_doubt(id, until);
+        self.track_cold(id, until);
     }
 
     /// Why a back end is not known to be warm and until when; `None` if it is, by its own state.
-    pub fn doubt(&self, now: Timestamp, id: &str) -> Option<Doubt> {
+    pub fn cold_period(&self, now: Timestamp, id: &str) -> Option<ColdPeriod> {
         let known = self.backends.get(id)?;
-        let doubts = [known.stated, known.suspected].into_iter().flatten();
-        doubts.filter(|doubt| doubt.until > now).max_by_key(|doubt| doubt.until)
+        let cold_periods = [known.reported, known.suspected].into_iter().flatten();
+        cold_periods
+            .filter(|cold_period| cold_period.until > now)
+            .max_by_key(|cold_period| cold_period.until)
     }
 
     /// Whether every back end is known to be warm, by their own states.
-    pub fn is_free_of_doubt(&self, now: Timestamp) -> bool {
-        self.last_doubt <= now
+    pub fn all_warm(&self, now: Timestamp) -> bool {
+        self.last_cold_until <= now
     }
 
     /// The warm-up of a service, if it has one.
@@ -366,28 +371,28 @@
     }
 
     /// Whether a back end is tracked.
-    pub fn holds(&self, id: &str) -> bool {
+    pub fn is_tracked(&self, id: &str) -> bool {
         self.backends.contains_key(id)
     }
 }
 
-impl Known {
+impl TrackedBackend {
     /// Extends the inferred period; the later end wins whatever its cause.
     fn suspect(&mut self, until: Timestamp, cause: ColdCause) {
         if self.suspected.is_none_or(|held| held.until < until) {
-            self.suspected = Some(Doubt { until, cause });
+            self.suspected = Some(ColdPeriod { until, cause });
         }
     }
 }
 
 /// When a back end that restarts now is warm and its new record has reached this process.
-fn start_may_be_told(now: Timestamp, warm_up: &WarmUp) -> Timestamp {
-    now.plus_millis(warm_up.duration_ms + RECORD_DELAY_MS)
+fn warm_after_restart(now: Timestamp, warm_up: &WarmUp) -> Timestamp {
+    now.plus_millis(warm_up.duration_ms + RECORD_PROPAGATION_MS)
 }
 
-fn recorded(now: Timestamp, remaining_ms: u64) -> Option<Doubt> {
+fn recorded(now: Timestamp, remaining_ms: u64) -> Option<ColdPeriod> {
     let until = now.plus_millis(remaining_ms);
-    (remaining_ms > 0).then_some(Doubt { until, cause: ColdCause::Recorded })
+    (remaining_ms > 0).then_some(ColdPeriod { until, cause: ColdCause::Recorded })
 }
 
 fn warm_ups(catalog: &Catalog) -> HashMap<Arc<str>, WarmUp> {
--- a/crates/serving/src/outcomes.rs
+++ b/crates/serving/src/outcomes.rs
@@ -4,13 +4,13 @@
 
 /// Time constant of the decay of outcomes, in milliseconds: a few requests at each back end of a
 /// busy fleet, and no longer than the first ejection.
-const OUTCOME_MS: f64 = 1_000.0;
+const OUTCOME_DECAY_MS: f64 = 1_000.0;
 /// Failures at all processes from which a back end is ejected by all: two failures half a second
 /// apart.
-const FAILURES_OF_ALL: f64 = 1.5;
+const MIN_FAILURES: f64 = 1.5;
 /// Share of all outcomes that must be failures. Back ends that lose a few answers in a hundred
 /// stay.
-const FAILED_SHARE_OF_ALL: f64 = 1.0 / 3.0;
+const MIN_FAILED_SHARE: f64 = 1.0 / 3.0;
 
 /// Failed and answered requests at a back end, decayed over about a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -31,12 +31,12 @@
 impl RecentOutcomes {
     /// The counts decayed until `now`.
     pub(crate) fn sums(&self, now: Timestamp) -> Outcomes {
-        let weight = (-(now.millis_since(self.at) as f64) / OUTCOME_MS).exp();
+        let weight = (-(now.millis_since(self.at) as f64) / OUTCOME_DECAY_MS).exp();
         Outcomes { failed: self.sums.failed * weight, answered: self.sums.answered * weight }
     }
 
     /// Records a failed or an answered request.
-    pub(crate) fn note(&mut self, now: Timestamp, failed: bool) {
+    pub(crate) fn record(&mut self, now: Timestamp, failed: bool) {
         self.sums = self.sums(now);
         self.at = now;
         match failed {
@@ -50,6 +50,6 @@
     /// Whether the outcomes of all processes call for an ejection.
     pub fn is_failing(&self) -> bool {
         let all = self.failed + self.answered;
-        self.failed >= FAILURES_OF_ALL && self.failed >= all * FAILED_SHARE_OF_ALL
+        self.failed >= MIN_FAILURES && self.failed >= all * MIN_FAILED_SHARE
     }
 }
--- a/crates/serving/src/spread.rs
+++ b/crates/serving/src/spread.rs
@@ -8,7 +8,7 @@
 
 /// Load and capacity of a back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Level {
+pub struct LoadLevel {
     /// Load as a fraction of its slots.
     pub load: f64,
     /// Number of slots.
@@ -17,43 +17,47 @@
 
 /// Position of the chosen back end if `expected` requests are to be placed; `None` if there are no
 /// back ends.
-pub fn draw(generator: &mut SmallRng, levels: &[Level], expected: f64) -> Option<usize> {
-    let surface = surface(levels, expected)?;
-    let part = |level: &Level| (surface - level.load).max(0.0) * level.slots;
-    let whole: f64 = levels.iter().map(part).sum();
-    let mut left = generator.random_range(0.0..1.0) * whole;
-    let mut drawn = None;
+pub fn choose_weighted(
+    generator: &mut SmallRng,
+    levels: &[LoadLevel],
+    expected: f64,
+) -> Option<usize> {
+    let water_level = water_level(levels, expected)?;
+    let weight = |level: &LoadLevel| (water_level - level.load).max(0.0) * level.slots;
+    let total: f64 = levels.iter().map(weight).sum();
+    let mut remaining = generator.random_range(0.0..1.0) * total;
+    let mut chosen = None;
     for (position, level) in levels.iter().enumerate() {
-        let part = part(level);
-        if part <= 0.0 {
+        let weight = weight(level);
+        if weight <= 0.0 {
             continue;
         }
-        drawn = Some(position);
-        if left < part {
+        chosen = Some(position);
+        if remaining < weight {
             break;
         }
-        left -= part;
+        remaining -= weight;
     }
-    drawn
+    chosen
 }
 
 /// The load up to which all less loaded back ends are filled when `expected` requests, at least
 /// one, are placed.
-pub fn surface(levels: &[Level], expected: f64) -> Option<f64> {
-    let mut order: Vec<Level> = levels.to_vec();
-    order.sort_unstable_by(|left, right| left.load.total_cmp(&right.load));
+pub fn water_level(levels: &[LoadLevel], expected: f64) -> Option<f64> {
+    let mut sorted: Vec<LoadLevel> = levels.to_vec();
+    sorted.sort_unstable_by(|left, right| left.load.total_cmp(&right.load));
     let mut slots = 0.0;
-    let mut poured = 0.0;
-    let mut surface = order.first()?.load;
+    let mut placed = 0.0;
+    let mut water_level = sorted.first()?.load;
     let expected = expected.max(1.0);
-    for level in order {
-        let rise = (level.load - surface) * slots;
-        if poured + rise >= expected {
+    for level in sorted {
+        let step = (level.load - water_level) * slots;
+        if placed + step >= expected {
             break;
         }
-        poured += rise;
-        surface = level.load;
+        placed += step;
+        water_level = level.load;
         slots += level.slots.max(1.0);
     }
-    Some(surface + (expected - poured) / slots)
+    Some(water_level + (expected - placed) / slots)
 }
--- a/crates/serving/tests/cold_parts.rs
+++ b/crates/serving/tests/cold_parts.rs
@@ -5,9 +5,9 @@
 
 use yokefall_core::membership::{MemberRecord, MemberState};
 use yokefall_core::Timestamp;
-use yokefall_serving::eligibility::cold_share::{quota, Allowance, Sends, SHARE_INTERVAL_MS};
-use yokefall_serving::eligibility::cold_state::{ColdState, Standing, ENTRY_MS};
-use yokefall_serving::eligibility::warmth::{ColdCause, Warmth, RECORD_DELAY_MS};
+use yokefall_serving::eligibility::cold_share::{quota, Allowance, SendHistory, QUOTA_INTERVAL_MS};
+use yokefall_serving::eligibility::cold_state::{ColdStartState, WarmUpStatus, JOIN_DELAY_MS};
+use yokefall_serving::eligibility::warmth::{ColdCause, WarmthTracker, RECORD_PROPAGATION_MS};
 use yokefall_serving::names::NameMemory;
 use yokefall_serving::{
     Backend, BackendState, Catalog, Configuration, KnownNames, PlacementBounds, Sender, Service,
@@ -69,14 +69,14 @@
 
 #[test]
 fn a_share_is_spent_for_more_than_a_second() {
-    let mut sends = Sends::default();
+    let mut sends = SendHistory::default();
     assert_eq!(sends.wait_ms(START, 0), None);
     assert_eq!(sends.wait_ms(START, 1), Some(0));
-    sends.note(START);
-    assert_eq!(sends.wait_ms(START, 1), Some(SHARE_INTERVAL_MS));
+    sends.record(START);
+    assert_eq!(sends.wait_ms(START, 1), Some(QUOTA_INTERVAL_MS));
     assert_eq!(sends.wait_ms(START, 2), Some(0));
-    assert_eq!(sends.wait_ms(START.plus_millis(1_000), 1), Some(SHARE_INTERVAL_MS - 1_000));
-    assert_eq!(sends.wait_ms(START.plus_millis(SHARE_INTERVAL_MS), 1), Some(0));
+    assert_eq!(sends.wait_ms(START.plus_millis(1_000), 1), Some(QUOTA_INTERVAL_MS - 1_000));
+    assert_eq!(sends.wait_ms(START.plus_millis(QUOTA_INTERVAL_MS), 1), Some(0));
 }
 
 fn record(name: &str, state: MemberState) -> (MemberRecord, u64) {
@@ -138,88 +138,88 @@
     Catalog::with_zones(Some(Arc::new(configuration)), backends.iter(), facts)
 }
 
-fn doubt(warmth: &Warmth, at: Timestamp) -> Option<(ColdCause, u64)> {
-    warmth.doubt(at, "i-0").map(|doubt| (doubt.cause, doubt.until.millis_since(START)))
+fn cold_period(warmth: &WarmthTracker, at: Timestamp) -> Option<(ColdCause, u64)> {
+    warmth.cold_period(at, "i-0").map(|doubt| (doubt.cause, doubt.until.millis_since(START)))
 }
 
 #[test]
 fn a_record_tells_for_how_long_also_where_it_says_the_same_once_more() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 3_000)], &[]));
-    assert_eq!(doubt(&warmth, START), Some((ColdCause::Recorded, 3_000)));
-    assert_eq!(doubt(&warmth, START.plus_millis(3_000)), None);
+    assert_eq!(cold_period(&warmth, START), Some((ColdCause::Recorded, 3_000)));
+    assert_eq!(cold_period(&warmth, START.plus_millis(3_000)), None);
     let later = START.plus_millis(10_000);
     warmth.observe(later, &catalog(&[backend(1, 3_000)], &[]));
-    assert_eq!(doubt(&warmth, later), Some((ColdCause::Recorded, 13_000)));
+    assert_eq!(cold_period(&warmth, later), Some((ColdCause::Recorded, 13_000)));
     warmth.observe(later, &catalog(&[backend(1, 0)], &[]));
-    assert_eq!(doubt(&warmth, later), None);
+    assert_eq!(cold_period(&warmth, later), None);
 }
 
 #[test]
 fn another_life_is_cold_and_what_was_known_at_the_start_is_not() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
-    assert_eq!(doubt(&warmth, START), None);
+    assert_eq!(cold_period(&warmth, START), None);
     warmth.observe(START, &catalog(&[backend(2, 0)], &[]));
-    assert_eq!(doubt(&warmth, START), Some((ColdCause::Appeared, 3_000)));
+    assert_eq!(cold_period(&warmth, START), Some((ColdCause::Appeared, 3_000)));
 }
 
 /// A process that starts knows some back ends first. Were the others taken for new when all are known, it would hardly
 /// use any of them until their warm-up is over.
 #[test]
 fn back_ends_that_come_with_the_whole_list_after_a_part_are_not_new() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmthTracker::default();
     let mut part = catalog(&[], &[]);
     part.is_partial = true;
     warmth.observe(START, &part);
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
-    assert_eq!(doubt(&warmth, START), None);
+    assert_eq!(cold_period(&warmth, START), None);
     warmth.observe(START, &catalog(&[backend(2, 0)], &[]));
-    assert_eq!(doubt(&warmth, START), Some((ColdCause::Appeared, 3_000)));
+    assert_eq!(cold_period(&warmth, START), Some((ColdCause::Appeared, 3_000)));
 }
 
 /// What would fail: a word that came before the failure, or of another life, takes the doubt away.
 #[test]
 fn a_failure_is_outweighed_by_time_or_by_the_word_of_the_same_life() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
     warmth.told(START, "i-0", 1, 0);
     warmth.failed(START, "i-0");
-    let until = WARM_UP.duration_ms + RECORD_DELAY_MS;
-    assert_eq!(doubt(&warmth, START), Some((ColdCause::Failed, until)));
+    let until = WARM_UP.duration_ms + RECORD_PROPAGATION_MS;
+    assert_eq!(cold_period(&warmth, START), Some((ColdCause::Failed, until)));
     warmth.told(START, "i-0", 2, 0);
-    assert_eq!(doubt(&warmth, START), Some((ColdCause::Failed, until)));
-    assert_eq!(doubt(&warmth, START.plus_millis(until)), None);
+    assert_eq!(cold_period(&warmth, START), Some((ColdCause::Failed, until)));
+    assert_eq!(cold_period(&warmth, START.plus_millis(until)), None);
     warmth.told(START, "i-0", 1, 0);
-    assert_eq!(doubt(&warmth, START), None);
+    assert_eq!(cold_period(&warmth, START), None);
     warmth.told(START, "i-0", 1, 700);
-    assert_eq!(doubt(&warmth, START), Some((ColdCause::Told, 700)));
+    assert_eq!(cold_period(&warmth, START), Some((ColdCause::Reported, 700)));
 }
 
 #[test]
 fn a_zone_that_returns_is_not_known_to_be_warm() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &["z-1"]));
-    assert_eq!(doubt(&warmth, START), None);
+    assert_eq!(cold_period(&warmth, START), None);
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
-    let until = WARM_UP.duration_ms + RECORD_DELAY_MS;
-    assert_eq!(doubt(&warmth, START), Some((ColdCause::ZoneReturned, until)));
+    let until = WARM_UP.duration_ms + RECORD_PROPAGATION_MS;
+    assert_eq!(cold_period(&warmth, START), Some((ColdCause::ZoneReturned, until)));
 }
 
 /// What would fail: the store loses a record for a moment, and what was sent to its back end doesn't count any more.
 #[test]
 fn a_back_end_that_is_gone_for_a_moment_is_not_forgotten() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
     warmth.observe(START, &catalog(&[], &[]));
-    assert!(warmth.holds("i-0"));
+    assert!(warmth.is_tracked("i-0"));
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
-    assert_eq!(doubt(&warmth, START), Some((ColdCause::Appeared, 3_000)));
+    assert_eq!(cold_period(&warmth, START), Some((ColdCause::Appeared, 3_000)));
 }
 
-fn state(remaining_ms: u64, names: KnownNames) -> ColdState {
+fn state(remaining_ms: u64, names: KnownNames) -> ColdStartState {
     let sender = Sender { name: "edge-0".into(), job_store: false };
-    let mut state = ColdState::new(START, sender, BOUNDS);
+    let mut state = ColdStartState::new(START, sender, BOUNDS);
     state.observe(START, &catalog(&[backend(1, remaining_ms)], &[]));
     state.set_names(Arc::new(names));
     state
@@ -231,22 +231,25 @@
 fn a_process_uses_its_share_some_seconds_after_its_start_and_once_it_has_met_others() {
     let backend = backend(1, 60_000);
     let mut met = state(60_000, names(3, 0));
-    assert!(!met.standing(START.plus_millis(ENTRY_MS - 1), None, &backend).may_send());
-    let entered = START.plus_millis(ENTRY_MS);
-    assert!(met.standing(entered, None, &backend).may_send());
+    assert!(!met.warm_up_status(START.plus_millis(JOIN_DELAY_MS - 1), None, &backend).may_send());
+    let entered = START.plus_millis(JOIN_DELAY_MS);
+    assert!(met.warm_up_status(entered, None, &backend).may_send());
     let mut alone = state(60_000, KnownNames { joined: false, ..names(1, 0) });
-    assert!(!alone.standing(entered.plus_millis(10_000), None, &backend).may_send());
+    assert!(!alone.warm_up_status(entered.plus_millis(10_000), None, &backend).may_send());
 }
 
 /// What would fail: a process that is cut off sends on as it knew, while back ends turned cold.
 #[test]
 fn nothing_is_known_to_be_warm_by_old_news() {
-    let (backend, now) = (backend(1, 0), START.plus_millis(ENTRY_MS));
+    let (backend, now) = (backend(1, 0), START.plus_millis(JOIN_DELAY_MS));
     let mut state = state(0, names(75, 14));
-    assert_eq!(state.standing(now, Some(5_000), &backend), Standing::Warm);
-    let standing = state.standing(now, Some(5_001), &backend);
-    assert!(matches!(standing, Standing::Cold { cause: ColdCause::OldNews, .. }), "{standing:?}");
-    assert!(!state.is_free_of_doubt(now, Some(5_001)));
+    assert_eq!(state.warm_up_status(now, Some(5_000), &backend), WarmUpStatus::Warm);
+    let warm_up_status = state.warm_up_status(now, Some(5_001), &backend);
+    assert!(
+        matches!(warm_up_status, WarmUpStatus::Cold { cause: ColdCause::StalePlatformState, .. }),
+        "{warm_up_status:?}"
+    );
+    assert!(!state.all_warm(now, Some(5_001)));
 }
 
 #[test]
@@ -259,7 +262,7 @@
         assert!(given.insert(name), "one got two");
     }
     assert_eq!(given.len(), 4);
-    let later = START.plus_millis(SHARE_INTERVAL_MS);
+    let later = START.plus_millis(QUOTA_INTERVAL_MS);
     assert!(state.item_sender(later, &backend, |_| true).is_some());
     assert!(state.item_sender(later, &backend, |_| false).is_none());
 }
@@ -267,12 +270,12 @@
 /// What would fail: back ends with too much to do fail for most, and get little on top of that.
 #[test]
 fn a_back_end_that_is_heard_here_is_not_cold_for_what_others_report() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
     warmth.heard(START, "i-0");
     warmth.failed_for_all(START.plus_millis(400), "i-0");
-    assert_eq!(doubt(&warmth, START.plus_millis(400)), None);
+    assert_eq!(cold_period(&warmth, START.plus_millis(400)), None);
     let later = START.plus_millis(500);
     warmth.failed_for_all(later, "i-0");
-    assert_eq!(doubt(&warmth, later).map(|(cause, _)| cause), Some(ColdCause::Failed));
+    assert_eq!(cold_period(&warmth, later).map(|(cause, _)| cause), Some(ColdCause::Failed));
 }
--- a/crates/serving/tests/cold_world/mod.rs
+++ b/crates/serving/tests/cold_world/mod.rs
@@ -368,7 +368,9 @@
         for back_end in self.back_ends.iter_mut().filter(warm) {
             let id = back_end.id();
             let mut in_touch = self.processes.iter().filter(|process| process.is_in_touch(now));
-            if in_touch.all(|process| process.state.doubt(Timestamp(now), None, &id).is_none()) {
+            if in_touch
+                .all(|process| process.state.cold_period(Timestamp(now), None, &id).is_none())
+            {
                 back_end.known_warm_at = Some(now);
                 self.outcome.late_ms += now - back_end.cold_until;
                 self.outcome.warmed += 1;
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -5,7 +5,7 @@
 
 use yokefall_core::Timestamp;
 use yokefall_serving::eligibility::cold_share::Sender;
-use yokefall_serving::eligibility::cold_state::{ColdState, Standing};
+use yokefall_serving::eligibility::cold_state::{ColdStartState, WarmUpStatus};
 use yokefall_serving::{Backend, KnownNames};
 
 use super::{BackEnd, Seen, Way, BACK_ENDS, BOUNDS};
@@ -23,7 +23,7 @@
 pub struct Process {
     pub name: String,
     pub job_store: bool,
-    pub state: ColdState,
+    pub state: ColdStartState,
     /// How late it learns what the store holds.
     pub delay_ms: u64,
     pub suspended_until: u64,
@@ -48,7 +48,7 @@
         Self {
             name,
             job_store,
-            state: ColdState::new(Timestamp(now), sender, BOUNDS),
+            state: ColdStartState::new(Timestamp(now), sender, BOUNDS),
             delay_ms,
             suspended_until: 0,
             first_started: now,
@@ -174,9 +174,9 @@
         let age = Some(self.news_age_ms(now));
         let sends = match way {
             Way::Unasked => wants || back_end.is_cold(now) && now % 200 == 0,
-            Way::Asked => match self.state.standing(Timestamp(now), age, &record) {
-                Standing::Warm => wants,
-                standing @ Standing::Cold { .. } => standing.may_send(),
+            Way::Asked => match self.state.warm_up_status(Timestamp(now), age, &record) {
+                WarmUpStatus::Warm => wants,
+                warm_up_status @ WarmUpStatus::Cold { .. } => warm_up_status.may_send(),
             },
         };
         sends.then(|| record.id.clone())
--- a/crates/serving/tests/duty.rs
+++ b/crates/serving/tests/duty.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use yokefall_core::Timestamp;
-use yokefall_serving::duty::{Ranking, Roster, HEARTBEAT_INTERVAL_MS, STANDBYS, WATCHERS};
+use yokefall_serving::duty::{
+    Ranking, Roster, HEARTBEAT_INTERVAL_MS, STANDBYS_PER_ZONE, WATCHERS_PER_ZONE,
+};
 use yokefall_serving::FleetMember;
 
 const STEP_MS: u64 = 50;
@@ -105,8 +107,15 @@
     for (count, zones) in [(11, 3), (76, 3), (195, 6), (295, 5), (550, 12)] {
         let mut model = Model::new(count, zones);
         model.run(5_000);
-        assert!(model.watching.len() <= WATCHERS * zones, "{count}: {}", model.watching.len());
-        assert!(model.answered().values().all(|watchers| *watchers == WATCHERS), "{count}");
+        assert!(
+            model.watching.len() <= WATCHERS_PER_ZONE * zones,
+            "{count}: {}",
+            model.watching.len()
+        );
+        assert!(
+            model.answered().values().all(|watchers| *watchers == WATCHERS_PER_ZONE),
+            "{count}"
+        );
     }
 }
 
@@ -125,11 +134,11 @@
         }
         // The other watcher of the zone goes on all the while.
         model.run(1_000 + HEARTBEAT_INTERVAL_MS);
-        assert!(model.answered()[zone.as_str()] >= WATCHERS, "refused: {refuse}");
+        assert!(model.answered()[zone.as_str()] >= WATCHERS_PER_ZONE, "refused: {refuse}");
         model.run(10_000);
         for _ in 0..100 {
             model.step();
-            assert_eq!(model.answered()[zone.as_str()], WATCHERS, "refused: {refuse}");
+            assert_eq!(model.answered()[zone.as_str()], WATCHERS_PER_ZONE, "refused: {refuse}");
         }
     }
 }
@@ -142,7 +151,7 @@
         model.run(5_000);
         model.refused = (0..550).filter(|index| (index / 12) % 3 == offset).collect();
         model.run(4_000);
-        assert!(model.watching.len() <= (WATCHERS + STANDBYS) * 12);
+        assert!(model.watching.len() <= (WATCHERS_PER_ZONE + STANDBYS_PER_ZONE) * 12);
         let unwatched = model.answered().values().filter(|watchers| **watchers == 0).count();
         // All of the first four of a zone are refused with a chance of one in 81.
         assert!(unwatched <= 1, "{unwatched} zones without a watcher");
@@ -157,12 +166,12 @@
         model.gone.insert(index, model.now);
     }
     model.run(DETECTION_MS + 1_500);
-    assert!(model.answered().values().all(|watchers| *watchers >= WATCHERS));
+    assert!(model.answered().values().all(|watchers| *watchers >= WATCHERS_PER_ZONE));
     model.gone.clear();
     model.run(3_000);
-    assert!(model.watching.len() <= (WATCHERS + STANDBYS) * 5);
+    assert!(model.watching.len() <= (WATCHERS_PER_ZONE + STANDBYS_PER_ZONE) * 5);
     model.run(3_000);
-    assert!(model.watching.len() <= WATCHERS * 5);
+    assert!(model.watching.len() <= WATCHERS_PER_ZONE * 5);
 }
 
 #[test]
@@ -207,10 +216,14 @@
             }
         }
         if now == 450 {
-            assert_eq!(readers.len(), WATCHERS * zones, "the first of each zone, at once");
+            assert_eq!(readers.len(), WATCHERS_PER_ZONE * zones, "the first of each zone, at once");
         }
         if now == 2_400 {
-            assert_eq!(readers.len(), (WATCHERS + STANDBYS) * zones, "nobody said it watches");
+            assert_eq!(
+                readers.len(),
+                (WATCHERS_PER_ZONE + STANDBYS_PER_ZONE) * zones,
+                "nobody said it watches"
+            );
         }
     }
     assert_eq!(readers.len(), count, "whom no peer tells reads for itself");
@@ -222,7 +235,7 @@
             idle += 1;
         }
     }
-    assert_eq!(idle, count - (WATCHERS + STANDBYS) * zones);
+    assert_eq!(idle, count - (WATCHERS_PER_ZONE + STANDBYS_PER_ZONE) * zones);
 }
 
 /// Found before 10,000 back ends: the list had not reached most of 986 processes when these lost patience, and each of
@@ -232,8 +245,8 @@
     let members: Vec<FleetMember> = (0..20).map(|index| member(index, 1)).collect();
     let rankings = (0..20).map(|index| Ranking::new(&members, "zone-0", &format!("node-{index}")));
     let last = rankings.max_by_key(|ranking| ranking.rank).expect("a ranking");
-    let reads_after = |spread: f64, heard_from: u64, heard_until: u64| {
-        let mut roster = Roster::new(Timestamp(0), heard_from > 0, spread);
+    let reads_after = |jitter: f64, heard_from: u64, heard_until: u64| {
+        let mut roster = Roster::new(Timestamp(0), heard_from > 0, jitter);
         roster.rank(Timestamp(0), last.clone());
         let reads = |now: &u64| {
             if (heard_from..heard_until).contains(now) {
@@ -243,12 +256,12 @@
         };
         (0..20_000).step_by(STEP_MS as usize).find(reads)
     };
-    for spread in [0.0, 1.0] {
-        let alone = reads_after(spread, 0, 0).expect("it reads them in the end");
-        let heard = reads_after(spread, 0, 5_000).expect("it reads them in the end");
-        let always = reads_after(spread, 0, 20_000).expect("it reads them in the end");
+    for jitter in [0.0, 1.0] {
+        let alone = reads_after(jitter, 0, 0).expect("it reads them in the end");
+        let heard = reads_after(jitter, 0, 5_000).expect("it reads them in the end");
+        let always = reads_after(jitter, 0, 20_000).expect("it reads them in the end");
         // After a first start those that read for their zones know back ends some seconds later.
-        let first_start = reads_after(spread, 3_900, 20_000).expect("it reads them in the end");
+        let first_start = reads_after(jitter, 3_900, 20_000).expect("it reads them in the end");
         assert!(alone <= 4_500, "nobody knows them: {alone}");
         assert!((7_400..=7_600).contains(&heard), "those who knew them are silent: {heard}");
         assert!((8_000..=9_600).contains(&always), "those who know them don't tell: {always}");
@@ -274,5 +287,5 @@
         };
         readers += usize::from((0..2_000).step_by(STEP_MS as usize).any(reads));
     }
-    assert!(readers <= WATCHERS + STANDBYS, "{readers} of 60 read back ends");
+    assert!(readers <= WATCHERS_PER_ZONE + STANDBYS_PER_ZONE, "{readers} of 60 read back ends");
 }
--- a/crates/serving/tests/eligibility.rs
+++ b/crates/serving/tests/eligibility.rs
@@ -106,7 +106,7 @@
     publish(&cell, &[Backend { state: BackendState::Draining, ..held.clone() }], &[]);
     assert_eq!(refusal(&cell, &held, &Residency::Anywhere), Some(Ineligible::Draining));
     publish(&cell, &[Backend { started_ms: 2, ..held.clone() }], &[]);
-    assert_eq!(refusal(&cell, &held, &Residency::Anywhere), Some(Ineligible::AnotherLife));
+    assert_eq!(refusal(&cell, &held, &Residency::Anywhere), Some(Ineligible::OtherIncarnation));
     publish(&cell, &[], &[]);
     assert_eq!(refusal(&cell, &held, &Residency::Anywhere), Some(Ineligible::Unknown));
 }
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -17,7 +17,7 @@
 use yokefall_core::Timestamp;
 use yokefall_serving::ages::Followed;
 use yokefall_serving::backlog::Backlog;
-use yokefall_serving::duty::{Ranking, STANDBYS, WATCHERS};
+use yokefall_serving::duty::{Ranking, STANDBYS_PER_ZONE, WATCHERS_PER_ZONE};
 use yokefall_serving::fleet::CONFIRMATION_FANOUT;
 use yokefall_serving::news::Known;
 use yokefall_serving::news_exchange::NewsRequest;
@@ -128,7 +128,7 @@
     fn watchers(&self) -> Vec<usize> {
         let members: Vec<FleetMember> = (0..self.processes.len()).map(member).collect();
         let rank = |member: &FleetMember| Ranking::new(&members, &member.zone, &member.name).rank;
-        (0..members.len()).filter(|index| rank(&members[*index]) < WATCHERS).collect()
+        (0..members.len()).filter(|index| rank(&members[*index]) < WATCHERS_PER_ZONE).collect()
     }
 
     fn run(&mut self, ms: u64) {
@@ -294,7 +294,7 @@
         fleet.assert_all_obey("a third is refused");
         // Every member of a zone, and so all who may watch for it.
         fleet.refused = (0..count).filter(|index| zone(*index) == "hall-0").collect();
-        assert!(fleet.refused.len() > WATCHERS + STANDBYS);
+        assert!(fleet.refused.len() > WATCHERS_PER_ZONE + STANDBYS_PER_ZONE);
         fleet.take_back("hall-1");
         fleet.evacuate("hall-2");
         fleet.run(BOUND_MS);
--- a/crates/serving/tests/lateness.rs
+++ b/crates/serving/tests/lateness.rs
@@ -1,18 +1,18 @@
 //! When a process counts as short of processor time.
 
-use yokefall_serving::lateness::{Lateness, Shortage};
+use yokefall_serving::lateness::{CpuShortage, Lateness};
 
-fn changes(lateness: &mut Lateness, late_ms: u64, count: usize) -> Vec<Shortage> {
-    (0..count).filter_map(|_| lateness.note(late_ms)).collect()
+fn changes(lateness: &mut Lateness, late_ms: u64, count: usize) -> Vec<CpuShortage> {
+    (0..count).filter_map(|_| lateness.record(late_ms)).collect()
 }
 
 #[test]
 fn a_shortage_begins_and_ends_once() {
     let mut lateness = Lateness::default();
     assert_eq!(changes(&mut lateness, 2, 100), []);
-    assert_eq!(changes(&mut lateness, 200, 100), [Shortage::Began]);
+    assert_eq!(changes(&mut lateness, 200, 100), [CpuShortage::Began]);
     assert_eq!(changes(&mut lateness, 30, 100), []);
-    assert_eq!(changes(&mut lateness, 2, 100), [Shortage::Ended]);
+    assert_eq!(changes(&mut lateness, 2, 100), [CpuShortage::Ended]);
 }
 
 #[test]
--- a/crates/serving/tests/nearness.rs
+++ b/crates/serving/tests/nearness.rs
@@ -4,25 +4,25 @@
 use std::sync::Arc;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::nearness::own_part;
-use yokefall_serving::spread::Level;
+use yokefall_serving::nearness::local_fraction;
+use yokefall_serving::spread::LoadLevel;
 use yokefall_serving::{Backend, BackendLife, BackendState, Balancer, InFlight, Policy, ZoneMap};
 
 const SERVICE: &str = "pages";
 const REGIONS: [&str; 3] = ["north", "south", "west"];
 const NOW: Timestamp = Timestamp(10_000);
 
-fn levels(count: usize, load: f64) -> Vec<Level> {
-    vec![Level { load, slots: 6.0 }; count]
+fn levels(count: usize, load: f64) -> Vec<LoadLevel> {
+    vec![LoadLevel { load, slots: 6.0 }; count]
 }
 
 #[test]
 fn a_region_keeps_its_part_of_what_is_expected_of_all() {
-    assert_eq!(own_part(&levels(2, 0.2), &levels(4, 0.5), 6.0), Some(1.0 / 3.0));
-    assert_eq!(own_part(&levels(2, 0.2), &levels(4, 0.5), 9.0), None);
-    assert_eq!(own_part(&levels(2, 0.9), &levels(4, 0.5), 0.0), None);
-    assert_eq!(own_part(&[], &levels(4, 0.5), 0.0), None);
-    assert_eq!(own_part(&levels(2, 0.9), &[], 100.0), Some(1.0));
+    assert_eq!(local_fraction(&levels(2, 0.2), &levels(4, 0.5), 6.0), Some(1.0 / 3.0));
+    assert_eq!(local_fraction(&levels(2, 0.2), &levels(4, 0.5), 9.0), None);
+    assert_eq!(local_fraction(&levels(2, 0.9), &levels(4, 0.5), 0.0), None);
+    assert_eq!(local_fraction(&[], &levels(4, 0.5), 0.0), None);
+    assert_eq!(local_fraction(&levels(2, 0.9), &[], 100.0), Some(1.0));
 }
 
 /// Two servers with six slots in each region.
--- a/crates/serving/tests/spread.rs
+++ b/crates/serving/tests/spread.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use yokefall_core::Timestamp;
-use yokefall_serving::spread::{draw, Level};
+use yokefall_serving::spread::{choose_weighted, LoadLevel};
 use yokefall_serving::{Backend, BackendLife, BackendState, Balancer, InFlight, Policy};
 
 use std::collections::HashMap;
@@ -18,8 +18,8 @@
     InFlight { online: requests, items: 0 }
 }
 
-fn level(load: f64) -> Level {
-    Level { load, slots: 10.0 }
+fn level(load: f64) -> LoadLevel {
+    LoadLevel { load, slots: 10.0 }
 }
 
 #[test]
@@ -27,9 +27,9 @@
     let mut generator = SmallRng::seed_from_u64(1);
     let levels = [level(0.5), level(0.1), level(0.5)];
     for _ in 0..50 {
-        assert_eq!(draw(&mut generator, &levels, 1.0), Some(1));
+        assert_eq!(choose_weighted(&mut generator, &levels, 1.0), Some(1));
     }
-    assert_eq!(draw(&mut generator, &[], 1.0), None);
+    assert_eq!(choose_weighted(&mut generator, &[], 1.0), None);
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let levels = [level(0.0), level(0.2), level(0.4)];
     let mut drawn = [0; 3];
     for _ in 0..6_000 {
-        drawn[draw(&mut generator, &levels, 6.0).expect("a back end")] += 1;
+        drawn[choose_weighted(&mut generator, &levels, 6.0).expect("a back end")] += 1;
     }
     assert_eq!(drawn[2], 0);
     assert!((3_700..4_300).contains(&drawn[0]), "{drawn:?}");
