--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Order of requests that wait for room at back ends.
+//! Order of queued requests.
 
 use std::time::Duration;
 
@@ -31,7 +31,8 @@
 
 #[test]
 fn those_that_can_be_in_time_go_first_the_newest_of_them_before_the_others() {
-    // 600 and 500 ms old are late with a target of 300 ms; 60 and 20 are not.
+    // With a target of 300 ms, requests aged 600 and 500 ms are late; those aged 60 and 20 ms are
+    // not.
     let mut queue = queue(&[(9_400, 0), (9_940, 0), (9_500, 0), (9_980, 0)]);
     assert_eq!(drain(&mut queue, NOW), [3, 1, 0, 2]);
 }
@@ -46,7 +47,7 @@
 fn a_request_is_given_up_while_its_caller_can_still_come_back() {
     let mut queue = queue(&[(10_000, 0)]);
     let expiry = queue.next_expiry().expect("one is held");
-    // A share of 0.35 of its 5 s, and under 6 times its target.
+    // 0.35 of its timeout of 5 s, which is less than 6 times its target.
     assert_eq!(expiry, NOW.plus_millis(1_750));
     assert!(queue.expire(NOW.plus_millis(1_749)).is_empty());
     let expired = queue.expire(expiry);
@@ -59,12 +60,12 @@
     let target = Duration::from_millis(300);
     assert_eq!(load_limit(target, 750.0), 1.1);
     assert_eq!(load_limit(target, 15.0), 6.0);
-    // Nothing takes less than a millisecond, whatever was observed.
+    // Service times below a millisecond count as one millisecond.
     assert_eq!(load_limit(target, 0.0), 76.0);
 }
 
 quickcheck! {
-    /// Whatever the load, every request that is held ends once: it is sent or given up.
+    /// Whatever the load, every queued request leaves the queue once: it is sent or it expires.
     fn every_held_request_ends_once(arrivals: Vec<(u16, u8)>, room: u8) -> TestResult {
         let arrivals: Vec<(u64, u32)> =
             arrivals.iter().map(|(at, rank)| (u64::from(*at), u32::from(rank % 3))).collect();
@@ -93,7 +94,7 @@
     }
 }
 
-/// Whether a request of a higher rank than `next` is held.
+/// Whether a request of a higher rank than `next` is queued.
 fn queue_has_higher(queue: &mut HoldQueue, now: Timestamp, next: Held) -> bool {
     while let Some(held) = queue.next(now) {
         queue.remove(held.ticket);
--- a/crates/serving/tests/backend_table.rs
+++ b/crates/serving/tests/backend_table.rs
@@ -1,4 +1,5 @@
-//! The table of back ends: what it holds, what versions share, and that its cost does not grow with the fleet.
+//! The table of back ends: contents, sharing between versions, and cost independent of the fleet
+//! size.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -46,7 +47,7 @@
 
 type Oracle = BTreeMap<String, Arc<Backend>>;
 
-/// Takes a step in the table and in a map; returns what it changed.
+/// Applies a step to the table and to the oracle, and returns the change.
 fn take(table: &mut BackendTable, oracle: &mut Oracle, step: &Step) -> Option<Changed<Backend>> {
     let (before, after) = match step {
         Step::Insert { index, life } => {
@@ -140,8 +141,9 @@
         })
 }
 
-/// Before 10,000 back ends each change of one of them took 17.7 ms of a core, since all were put together anew
-/// at each of its 986 processes. Pointers are counted here, not time: they are what a change copies.
+/// Guards against changes whose cost grows with the fleet: rebuilding the catalog for each change
+/// of one of 10,000 back ends took 17.7 ms of a core at each of 986 processes. Counts copied
+/// pointers instead of time.
 #[test]
 fn a_change_costs_as_much_before_20_000_back_ends_as_before_1_000() {
     let copied = |count: usize| {
@@ -169,7 +171,7 @@
         *drawn.entry(backend.id.clone()).or_default() += 1;
     }
     assert_eq!(drawn.len(), 300);
-    // Five times the spread of so many even draws.
+    // Five standard deviations of a count with this mean.
     let spread = 5.0 * (DRAWS_FOR_EACH as f64).sqrt();
     let is_even = |count: &usize| (*count as f64 - DRAWS_FOR_EACH as f64).abs() < spread;
     assert!(drawn.values().all(is_even), "{drawn:?}");
@@ -190,6 +192,6 @@
         table.insert(preferred[0].clone());
         assert_eq!(table.preferred(key, 2).into_iter().cloned().collect::<Vec<_>>(), preferred);
     }
-    // Keys are spread: were all of them even, a back end would be the first of one.
+    // Keys are spread: if they were perfectly even, each back end would be first for one key.
     assert!(used.values().all(|keys| *keys <= 12), "{used:?}");
 }
--- a/crates/serving/tests/backlog.rs
+++ b/crates/serving/tests/backlog.rs
@@ -1,7 +1,7 @@
-//! Whether datagrams may be old.
+//! Detection of datagrams that may be old.
 //!
-//! What failed: a process that was frozen for 10 s read, when it was woken, what had been sent to it before, and took
-//! the age that stood in it for the present one.
+//! Guards against a process that was frozen for 10 s reading datagrams from before, after it wakes,
+//! and taking the ages stated in them as current.
 
 use yokefall_core::Timestamp;
 use yokefall_serving::backlog::Backlog;
--- a/crates/serving/tests/balance.rs
+++ b/crates/serving/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Choice of back ends.
+//! Load balancing.
 
 use std::sync::Arc;
 
@@ -29,12 +29,12 @@
     Balancer::new("hall-1".into(), 1, Policy::default())
 }
 
-/// The life of a back end that tells no start.
+/// An incarnation of a back end that reports no start time.
 fn life(id: &str) -> BackendLife {
     BackendLife { id: id.into(), started_ms: 0 }
 }
 
-/// What a job store tells of all processes, by id.
+/// Passes on the totals of all processes, by id, as a job store reports them.
 fn hear<const COUNT: usize>(
     balancer: &mut Balancer,
     now: Timestamp,
@@ -110,8 +110,8 @@
     assert!(!balancer.is_ejected(NOW, &all[0]));
 }
 
-/// Found on Qalhat: requests that waited for a slot had their back ends left out as silent, while
-/// streams from them went on.
+/// Guards against ejecting back ends as silent while they stream answers to other requests and a
+/// request only waits there for a slot.
 #[test]
 fn a_back_end_that_speaks_on_another_request_is_not_silent() {
     let (mut balancer, all) = (balancer(), backends(1));
@@ -133,8 +133,8 @@
     assert!((level - 0.5).abs() < 1e-3, "4 of 10 slots and one more: {level}");
 }
 
-/// Found on the grown Qalhat: 53 gateways reckoned with every request that others would send until
-/// the next telling, though each takes a tenth of that time, and held requests before empty slots.
+/// Guards against counting every request that other processes send until the next report although
+/// each lasts a tenth of that time: 53 gateways then queued requests despite free slots.
 #[test]
 fn requests_that_end_before_they_are_told_do_not_fill_slots() {
     let (mut balancer, all) = (balancer(), backends(2));
@@ -154,7 +154,7 @@
 #[test]
 fn own_requests_are_taken_out_of_totals_as_they_were_told() {
     let (mut balancer, all) = (balancer(), backends(1));
-    // Told with one request; a second one started before the answer came.
+    // Reported with one request; a second one started before the answer arrived.
     balancer.started(&all[0]);
     balancer.started(&all[0]);
     balancer.heard_totals(NOW, [(&life("i-0"), online(3))].into_iter(), |_| 1);
@@ -168,11 +168,11 @@
     (far.id, far.zone) = ("far".into(), "hall-2".into());
     all.push(Arc::new(far));
     let mut balancer = balancer();
-    // One slot of ten is free at home, two in the other zone.
+    // One slot of ten is free in the local zone, two in the other one.
     let totals = [("i-0", online(9)), ("far", online(8))];
     hear(&mut balancer, NOW, totals);
     assert_eq!(choose(&mut balancer, NOW, &all), "far");
-    // With much room on both sides, home is preferred.
+    // With many free slots in both, the local zone is preferred.
     let totals = [("i-0", online(2)), ("far", online(2))];
     hear(&mut balancer, NOW, totals);
     assert_eq!(choose(&mut balancer, NOW, &all), "i-0");
@@ -204,9 +204,9 @@
     assert_ne!(second, first.id);
 }
 
-/// Found on the large Board, scale-2: gateways that were cut off from the job stores, and to which more
-/// than their share of the clients came, took all others to be as busy, and held and refused 408
-/// requests before free slots.
+/// Guards against extrapolating from own requests without reports: gateways cut off from the job
+/// stores that got more than their share of the clients took all others to be as busy, and queued
+/// and rejected 408 requests despite free slots.
 #[test]
 fn a_gateway_that_gets_no_reports_infers_no_wave_from_its_own_requests() {
     let (mut balancer, all) = (balancer(), backends(100));
@@ -250,7 +250,7 @@
     assert!(balancer.outcomes(NOW.plus_millis(5_000)).next().is_none());
 }
 
-/// The same back ends, started again under their ids.
+/// The same back ends, restarted under their ids.
 fn restarted(all: &[Arc<Backend>]) -> Vec<Arc<Backend>> {
     let again = |one: &Arc<Backend>| {
         Arc::new(Backend { started_ms: one.started_ms + 1, ..(**one).clone() })
@@ -258,7 +258,8 @@
     all.iter().map(again).collect()
 }
 
-/// Symptom: an empty back end looks full. Cause: requests of its earlier life counted at the new one.
+/// Guards against an empty back end looking full because requests of its earlier incarnation count
+/// for the new one.
 #[test]
 fn a_life_has_no_requests_of_the_one_before() {
     let (mut balancer, before) = (balancer(), backends(1));
@@ -269,8 +270,8 @@
     assert_eq!(balancer.in_flight(&before[0]), 4);
 }
 
-/// Symptom: a busy back end looks empty. Cause: requests of the earlier life that ended late were taken off
-/// those of the new one.
+/// Guards against a busy back end looking empty because requests of the earlier incarnation that
+/// end late are subtracted from those of the new one.
 #[test]
 fn requests_of_an_earlier_life_that_end_late_are_not_taken_off_the_new_one() {
     let (mut balancer, before) = (balancer(), backends(1));
@@ -281,8 +282,8 @@
     assert_eq!((balancer.in_flight(&after[0]), balancer.in_flight(&before[0])), (2, 0));
 }
 
-/// Failures, silence and reports of the earlier life, late ones too, leave the new one in; an answer of the
-/// earlier life lets no failing new one back in.
+/// Failures, silence and reports of the earlier incarnation, late ones included, do not eject the
+/// new one; an answer of the earlier incarnation does not readmit a failing new one.
 #[test]
 fn the_health_of_a_life_is_its_own() {
     let (mut balancer, before) = (balancer(), backends(1));
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -1,10 +1,10 @@
-//! What a back end that is not warm gets, summed over all processes.
+//! Requests to a back end that is not warm, summed over all processes.
 
 mod cold_world;
 
 use cold_world::{Outcome, Way, World, MOST};
 
-/// Histories that run with each change; 10,000 by hand (`COLD_HISTORIES=10000 cargo test --release`).
+/// Simulations run by default; more with `COLD_HISTORIES=10000 cargo test --release`.
 const HISTORIES: u64 = 100;
 const THREADS: usize = 4;
 
@@ -13,7 +13,7 @@
     asked.unwrap_or(HISTORIES)
 }
 
-/// Plays all histories, on a few threads.
+/// Runs all simulations on a few threads.
 fn play_all() -> Vec<(u64, Outcome)> {
     let part = |first: u64| {
         let seeds = (first..histories()).step_by(THREADS);
@@ -26,9 +26,10 @@
     })
 }
 
-/// What happens: back ends come back, everybody finds them empty, and each process sends to them, since none knows
-/// what the others send. In the model: processes that are cut off, suspended, replaced or start again; zones that
-/// return from an evacuation; back ends that start again under the same id.
+/// Guards against processes that all send to a back end that has just returned, because it looks
+/// empty and none knows what the others send. The simulation includes processes that are
+/// partitioned, suspended, replaced or restarted, zones that return from an evacuation, and back
+/// ends that restart under the same id.
 #[test]
 fn no_cold_back_end_gets_more_than_it_may_in_any_second() {
     let mut sum = Outcome::default();
@@ -60,7 +61,7 @@
     assert!(sum.cold_seconds > 0.0 && sum.warmed > 0, "nothing was cold: nothing is shown");
 }
 
-/// The model finds what it is there for.
+/// The simulation detects the overload that it tests for.
 #[test]
 fn the_model_breaks_where_nobody_asks() {
     let broken = (0..20).filter(|seed| World::new(*seed, Way::Unasked).play().most as f64 > MOST);
--- a/crates/serving/tests/cold_parts.rs
+++ b/crates/serving/tests/cold_parts.rs
@@ -1,4 +1,4 @@
-//! Parts of what is decided about back ends that are not warm: names, shares, doubts.
+//! Units of the cold-start limiter: names, quotas, cold periods.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -35,7 +35,8 @@
     of_kind(false) + of_kind(true)
 }
 
-/// What would fail: a fleet of another size than the model's, in which the shares add up to more.
+/// Guards against quotas that sum to more than the allowance at fleet sizes that the simulation
+/// does not cover.
 #[test]
 fn shares_of_all_processes_stay_below_what_is_allowed_in_fleets_of_any_size() {
     for (gateways, job_stores) in [(1, 0), (1, 1), (2, 1), (3, 3), (17, 5), (23, 0), (75, 14)] {
@@ -92,7 +93,8 @@
     (record, 0)
 }
 
-/// What would fail: a process that is cut off goes on, and whoever forgets its name takes its share as well.
+/// Guards against a partitioned process that keeps sending while others forget its name and take
+/// over its share.
 #[test]
 fn names_of_lost_processes_count_for_minutes() {
     let mut memory = NameMemory::default();
@@ -104,7 +106,7 @@
     memory.take(lost_at, &[own.clone(), record("other", MemberState::Suspect)]);
     let known = memory.names(lost_at.plus_millis(2_000), "own", true);
     assert_eq!((known.gateways.len(), known.lost), (2, 1));
-    // Membership forgets it sooner or later; the name counts on.
+    // Membership forgets it sooner or later; the name still counts.
     memory.take(lost_at.plus_millis(20_000), std::slice::from_ref(&own));
     let known = memory.names(lost_at.plus_millis(20_000), "own", true);
     assert_eq!((known.gateways.len(), known.lost), (2, 0));
@@ -164,8 +166,8 @@
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::Appeared, 3_000)));
 }
 
-/// A process that starts knows some back ends first. Were the others taken for new when all are known, it would hardly
-/// use any of them until their warm-up is over.
+/// A starting process knows some back ends first. If the others counted as new when the whole list
+/// arrives, it would hardly use them until their warm-up is over.
 #[test]
 fn back_ends_that_come_with_the_whole_list_after_a_part_are_not_new() {
     let mut warmth = WarmthTracker::default();
@@ -178,7 +180,8 @@
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::Appeared, 3_000)));
 }
 
-/// What would fail: a word that came before the failure, or of another life, takes the doubt away.
+/// Guards against a report from before the failure, or of another incarnation, ending the cold
+/// period.
 #[test]
 fn a_failure_is_outweighed_by_time_or_by_the_word_of_the_same_life() {
     let mut warmth = WarmthTracker::default();
@@ -206,7 +209,8 @@
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::ZoneReturned, until)));
 }
 
-/// What would fail: the store loses a record for a moment, and what was sent to its back end doesn't count any more.
+/// Guards against forgetting the requests sent to a back end when the store loses its record for a
+/// moment.
 #[test]
 fn a_back_end_that_is_gone_for_a_moment_is_not_forgotten() {
     let mut warmth = WarmthTracker::default();
@@ -225,8 +229,8 @@
     state
 }
 
-/// What would fail: a process that starts again sends what it sent a moment ago once more, or takes the place of
-/// others whose names it has not heard yet.
+/// Guards against a restarted process sending again what it sent a moment ago, or taking the share
+/// of others whose names it does not know yet.
 #[test]
 fn a_process_uses_its_share_some_seconds_after_its_start_and_once_it_has_met_others() {
     let backend = backend(1, 60_000);
@@ -238,7 +242,7 @@
     assert!(!alone.warm_up_status(entered.plus_millis(10_000), None, &backend).may_send());
 }
 
-/// What would fail: a process that is cut off sends on as it knew, while back ends turned cold.
+/// Guards against a partitioned process that sends by its old view while back ends turned cold.
 #[test]
 fn nothing_is_known_to_be_warm_by_old_news() {
     let (backend, now) = (backend(1, 0), START.plus_millis(JOIN_DELAY_MS));
@@ -267,7 +271,8 @@
     assert!(state.item_sender(later, &backend, |_| false).is_none());
 }
 
-/// What would fail: back ends with too much to do fail for most, and get little on top of that.
+/// Guards against overloaded back ends that fail for most processes being limited as cold on top of
+/// it.
 #[test]
 fn a_back_end_that_is_heard_here_is_not_cold_for_what_others_report() {
     let mut warmth = WarmthTracker::default();
--- a/crates/serving/tests/cold_world/facts.rs
+++ b/crates/serving/tests/cold_world/facts.rs
@@ -1,4 +1,4 @@
-//! What the platform's store holds, and when.
+//! Content of the platform's store over time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 pub const DURATION_MS: u64 = 3_000;
 pub const SERVICE: &str = "models";
 
-/// What is written, and what will be.
+/// Records written so far, and those still to be written.
 #[derive(Default)]
 pub struct Facts {
     history: Vec<Seen>,
     records: BTreeMap<usize, Arc<Backend>>,
-    /// Since when a zone is evacuated.
+    /// Evacuated zones, and since when.
     evacuated: BTreeMap<usize, u64>,
     to_write: Vec<(u64, usize)>,
     to_take_back: Vec<(u64, usize)>,
@@ -70,7 +70,7 @@
         self.to_take_back.push((at, zone));
     }
 
-    /// Whether the zone was not evacuated, and is now.
+    /// Evacuates a zone; returns false if it was evacuated already.
     pub fn evacuate(&mut self, now: u64, zone: usize, _back_ends: &[BackEnd]) -> bool {
         if self.evacuated.contains_key(&zone) {
             return false;
@@ -94,7 +94,7 @@
             return;
         }
         for (_, number) in due {
-            // One that ended again meanwhile writes when it is back.
+            // A back end that is down again writes its record when it returns.
             if back_ends[number].is_up(now) {
                 self.write(now, &back_ends[number]);
             }
--- a/crates/serving/tests/cold_world/mod.rs
+++ b/crates/serving/tests/cold_world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time that sends to back ends which start again, turn cold and fall over, with an oracle that
-//! counts what each cold back end gets in every sliding second.
+//! Simulation in virtual time of a fleet that sends to back ends which restart, turn cold and
+//! crash, with an oracle that counts the requests to each cold back end in every sliding second.
 
 pub mod facts;
 pub mod process;
@@ -14,50 +14,51 @@
 use facts::{Facts, DURATION_MS};
 use process::Process;
 
-/// Milliseconds of one step.
+/// Milliseconds per step.
 pub const STEP_MS: u64 = 20;
-/// Length of a history.
+/// Length of a simulation.
 const LENGTH_MS: u64 = 40_000;
 /// Back ends, in three zones.
 pub const BACK_ENDS: usize = 6;
-/// Before it, processes meet and everything gets warm.
+/// Time without faults at the start, in which processes meet and all back ends get warm.
 const SETTLED_MS: u64 = 10_000;
-/// What goes to a back end that was away, beside what goes to another: it looks empty
-/// to whoever hears what others have in flight.
+/// Requests to a back end that returns, relative to others: it looks empty to processes that
+/// receive load reports.
 const EMPTY_DRAWS: f64 = 3.0;
-/// Requests at which a back end falls over, in parts of what it may get.
+/// Load at which a back end crashes, as a multiple of its allowance.
 const FALLS_OVER: f64 = 2.0;
 
-/// What a deployment promises: 15 x 1.5 + 5 = 27.5 requests in any second.
+/// Guaranteed bounds: 15 x 1.5 + 5 = 27.5 requests in any second.
 pub const BOUNDS: PlacementBounds =
     PlacementBounds { evacuation_ms: Some(5_000), cold_overage: 1.5, cold_slack: 5.0 };
 pub const MOST: f64 = 27.5;
 
-/// What a history came to.
+/// Result of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// Most requests that a cold back end got in one second.
+    /// Most requests to a cold back end in any second.
     pub most: usize,
-    /// Requests that arrived at cold back ends, and the seconds for which these were cold and up.
+    /// Requests received by cold back ends, and the seconds for which these were cold and up.
     pub arrived: usize,
     pub cold_seconds: f64,
-    /// Back ends that fell over.
+    /// Back ends that crashed.
     pub fallen: usize,
-    /// Sum of the times after they were warm until all processes in touch knew it, and how many there were.
+    /// Sum of the delays until all connected processes knew that a back end was warm, and their
+    /// number.
     pub late_ms: u64,
     pub warmed: u64,
 }
 
-/// How processes decide.
+/// How processes decide whether to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// They ask the code.
+    /// By the code under test.
     Asked,
-    /// They send to what looks empty, as if nothing were known of cold back ends.
+    /// To whatever looks empty, without regard to cold back ends.
     Unasked,
 }
 
-/// A back end as it truly is.
+/// Actual state of a back end.
 pub struct BackEnd {
     pub number: usize,
     pub life: u64,
@@ -65,11 +66,11 @@
     pub zone: usize,
     pub down_until: u64,
     pub cold_until: u64,
-    /// From when what it gets while cold is counted.
+    /// Time from which requests received while cold are counted.
     pub counted_from: u64,
-    /// Requests while cold: when they were sent, and when they arrived.
+    /// Requests received while cold: send time and arrival time.
     pub arrivals: Vec<(u64, u64)>,
-    /// Times of failures that were seen lately.
+    /// Times of recent failures.
     pub failures: Vec<u64>,
     pub known_warm_at: Option<u64>,
 }
@@ -98,7 +99,7 @@
     pub back_ends: Vec<BackEnd>,
     pub processes: Vec<Process>,
     pub facts: Facts,
-    /// Requests a second of one process to one warm back end.
+    /// Requests a second from one process to one warm back end.
     rate: f64,
     outcome: Outcome,
 }
@@ -141,7 +142,7 @@
         world
     }
 
-    /// Plays a history to its end.
+    /// Runs the simulation to its end.
     pub fn play(mut self) -> Outcome {
         while self.now < LENGTH_MS {
             if self.now > SETTLED_MS && self.rng.random_bool(0.02) {
@@ -213,7 +214,7 @@
         }
     }
 
-    /// A back end ends, and comes back after a while, cold, with the same id or another one.
+    /// A back end goes down and returns cold after a while, under the same id or another one.
     fn restart(&mut self, number: usize) {
         let (now, down) = (self.now, self.rng.random_range(1_000..5_000));
         let delay = self.rng.random_range(20..300);
@@ -252,8 +253,8 @@
         self.facts.take_back_later(taken_back, zone);
     }
 
-    /// A back end turns cold for long without a word but its record's. Nobody can know at once: it counts from when
-    /// news are so old that a process doesn't trust them.
+    /// A back end turns cold for long, and only its record says so. No process can know at once, so
+    /// requests count only from when the platform state is too old to be trusted.
     fn turn_cold(&mut self) {
         let number = self.rng.random_range(0..self.back_ends.len());
         let (now, delay) = (self.now, self.rng.random_range(20..300));
@@ -267,7 +268,7 @@
         self.facts.write_later(now + delay, number);
     }
 
-    /// What a process learns in this step.
+    /// Updates what a process knows.
     fn refresh(&mut self, number: usize, lost: u32) {
         let heard: Vec<(String, bool)> = self.names_for(number);
         let catalog = self.facts.seen_at(self.now.saturating_sub(self.processes[number].delay_ms));
@@ -275,7 +276,8 @@
         process.refresh(self.now, catalog, heard, lost);
     }
 
-    /// Names that a process hears of: those of all that have run for as long as news take.
+    /// Names that a process learns: those of all processes that have run for longer than updates
+    /// take.
     fn names_for(&self, number: usize) -> Vec<(String, bool)> {
         let own = &self.processes[number];
         if !own.is_in_touch(self.now) || !own.needs_names(self.now) {
@@ -289,7 +291,7 @@
         known.map(|(_, process)| (process.name.clone(), process.job_store)).collect()
     }
 
-    /// Failures that were seen become known to all in touch.
+    /// Reports failures to all connected processes.
     fn tell_failures(&mut self) {
         let now = self.now;
         for back_end in &mut self.back_ends {
@@ -305,8 +307,8 @@
         }
     }
 
-    /// Whoever may send to a back end that is down or cold does so at once; to what is known to be warm at the rate
-    /// of its requests.
+    /// Processes that may send to a back end that is down or cold do so at once; a back end known
+    /// to be warm gets requests at their usual rate.
     fn send(&mut self) {
         let now = self.now;
         let counts = |back_end: &&BackEnd| back_end.is_cold(now) && now >= back_end.counted_from;
@@ -329,10 +331,10 @@
                     continue;
                 }
                 process.state.heard(Timestamp(now), &record);
-                // One short of processor time writes late what it was permitted to.
+                // A process short of processor time writes a request late.
                 let sent = now + self.rng.random_range(0..80);
                 let arrived = sent + self.rng.random_range(1..5);
-                // Another life under another id answers that it is not the one.
+                // Another incarnation under another id rejects the request.
                 let is_it = record == back_end.id();
                 if is_it && back_end.is_cold(arrived) && arrived >= back_end.counted_from {
                     back_end.arrivals.push((sent, arrived));
@@ -347,7 +349,8 @@
         }
     }
 
-    /// The oracle: requests that were sent and arrived in one second, for every second that begins with one.
+    /// The oracle: counts the requests sent and received within one second, for every second that
+    /// begins with a request.
     fn count(&mut self, number: usize) {
         let back_end = &mut self.back_ends[number];
         back_end.arrivals.sort_unstable();
@@ -379,5 +382,5 @@
     }
 }
 
-/// A catalog as it was at a moment.
+/// A catalog and the time of its publication.
 pub type Seen = (u64, Arc<Catalog>);
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -1,4 +1,4 @@
-//! One process of the model.
+//! A simulated process.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,11 +10,12 @@
 
 use super::{BackEnd, Seen, Way, BACK_ENDS, BOUNDS};
 
-/// Time in which news of a new process reach all others that are in touch.
+/// Time in which a new process becomes known to all connected ones.
 const NEWS_MS: u64 = 4_000;
-/// Time after which a process that came in touch hears what others have in flight.
+/// Time after which a reconnected process has load reports.
 const LOADS_MS: u64 = 300;
-/// Time after which all know that a process does not answer, and after which they count on what it knows.
+/// Time after which all know that a process does not answer, and time after which they rely on its
+/// staleness.
 const NOTICED_MS: u64 = 1_500;
 const LOST_MS: u64 = 8_000;
 /// Interval at which names are taken over.
@@ -24,7 +25,7 @@
     pub name: String,
     pub job_store: bool,
     pub state: ColdStartState,
-    /// How late it learns what the store holds.
+    /// Delay with which it learns the content of the store.
     pub delay_ms: u64,
     pub suspended_until: u64,
     /// When this name was first used.
@@ -34,7 +35,7 @@
     cut_at: u64,
     cut_until: u64,
     seen: Option<Seen>,
-    /// Records by number of the back end, as seen.
+    /// Records by number of the back end, as known here.
     records: Vec<Option<Arc<Backend>>>,
     names: BTreeMap<String, bool>,
     lost: u32,
@@ -43,7 +44,7 @@
 impl Process {
     pub fn start(now: u64, name: String, job_store: bool) -> Self {
         let sender = Sender { name: name.clone(), job_store };
-        // Below the second that the code reckons with, together with the write of a record.
+        // Together with the write of a record, below the second that the code assumes.
         let delay_ms = name.bytes().fold(now, |sum, byte| sum * 31 + u64::from(byte)) % 600;
         Self {
             name,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Starts again at a moment under its name, and knows nothing.
+    /// Restarts the process at a moment under its name and without state.
     pub fn restart(&mut self, at: u64) {
         let fresh = Self::start(at, self.name.clone(), self.job_store);
         let (first_started, ended) = (self.first_started, self.ended);
@@ -90,7 +91,7 @@
         self.is_running(now) && now >= self.cut_until
     }
 
-    /// Whether it hears what others have in flight: some reports after it came in touch.
+    /// Whether it has load reports: some reports after it connected.
     pub fn hears_loads(&self, now: u64) -> bool {
         let since = self.started.max(self.cut_until).max(self.suspended_until);
         self.is_in_touch(now) && now >= since + LOADS_MS
@@ -100,8 +101,8 @@
         now % NAMES_INTERVAL_MS == 0
     }
 
-    /// Whether another process that is in touch has heard of this one: some time after its first start, or at once
-    /// where it came later itself and asks for a list.
+    /// Whether another connected process knows this one: some time after its first start, or at
+    /// once if the other started later and requests a list.
     pub fn is_heard(&self, now: u64, by: &Process) -> bool {
         let told = now >= self.first_started + NEWS_MS;
         let was_there = self.first_started <= by.first_started;
--- a/crates/serving/tests/distance.rs
+++ b/crates/serving/tests/distance.rs
@@ -1,7 +1,7 @@
-//! Choice of back ends of other regions: only where the own one has no room.
+//! Back ends of other regions are chosen only if the local one has no capacity.
 //!
-//! Failure prevented: another region cost as little as another zone, so that two of three requests of a fleet
-//! with three regions crossed them.
+//! Guards against another region costing as little as another zone: two of three requests of a
+//! fleet with three regions then crossed them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
     ZoneMap::new(BTreeMap::from(zones))
 }
 
-/// One back end in each zone, of the same name.
+/// One back end in each zone, named after it.
 fn backends() -> Vec<Arc<Backend>> {
     let backend = |zone: &str| Backend {
         id: zone.into(),
@@ -35,7 +35,7 @@
     ["north-a", "north-b", "south-a"].map(|zone| Arc::new(backend(zone))).to_vec()
 }
 
-/// A balancer in the north that has heard what all have at the back ends.
+/// A balancer in the north that has received the requests of all processes.
 fn balancer(loads: &[(&str, u32)]) -> Balancer {
     let balancer = Balancer::new("north-a".into(), 1, Policy::default());
     let mut balancer = balancer.with_zones(Arc::new(zones()));
--- a/crates/serving/tests/drawn.rs
+++ b/crates/serving/tests/drawn.rs
@@ -1,4 +1,4 @@
-//! Back ends drawn out of many for one request.
+//! Random samples of candidates for one request.
 
 use std::sync::Arc;
 
@@ -40,7 +40,8 @@
     assert_eq!(Drawn::of(&[&table], None, &mut generator), None);
 }
 
-/// A choice out of 10,000 takes 1 ms of a core where it looks at all of them, with nothing known of any.
+/// Guards against a cost that grows with the fleet: a choice among all of 10,000 takes 1 ms of a
+/// core without load data.
 #[test]
 fn as_many_are_drawn_out_of_20_000_as_out_of_1_000() {
     let mut generator = SmallRng::seed_from_u64(1);
@@ -65,12 +66,12 @@
         let drawn = Drawn::of(&[&small, &large], None, &mut generator).expect("out of many");
         of_small += drawn.backends.iter().filter(|backend| small.contains(&backend.id)).count();
     }
-    // A tenth of 12,800, with five times the spread of so many draws.
+    // A tenth of 12,800, within five standard deviations.
     assert!((1_110..=1_450).contains(&of_small), "{of_small}");
 }
 
-/// The load pattern: slots are nearly full, and processes know each other's loads. No request may meet a full back
-/// end while a drawn one has room.
+/// Slots are nearly full, and processes know each other's loads: no request may be sent to a full
+/// back end while a sampled one has capacity.
 #[test]
 fn load_stays_even_up_to_nine_tenths_of_the_slots() {
     let all = backends(1_000);
@@ -104,8 +105,8 @@
     assert_eq!(second, choose(&mut one));
 }
 
-/// Nine tenths of a service are left out for failures: a draw may hold none of the others, which are then looked for
-/// among all.
+/// With most of a service ejected, a sample may hold none of the rest, which are then found by
+/// looking at all.
 #[test]
 fn where_all_drawn_ones_are_left_out_the_choice_is_among_all() {
     let all = backends(1_000);
--- a/crates/serving/tests/duty.rs
+++ b/crates/serving/tests/duty.rs
@@ -1,4 +1,4 @@
-//! Which processes watch the platform's store: a model of whole fleets in virtual time.
+//! Which processes watch the platform's store: a simulation of whole fleets in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,20 +20,20 @@
     }
 }
 
-/// A fleet of which every member knows the others after `DETECTION_MS`.
+/// A fleet in which every member knows the others after `DETECTION_MS`.
 struct Model {
     now: u64,
     zones: usize,
     members: Vec<FleetMember>,
     rosters: Vec<Roster>,
-    /// Members that neither run nor are seen to.
+    /// Members that are down, and since when.
     gone: BTreeMap<usize, u64>,
-    /// Members that the store turns away.
+    /// Members that the store rejects.
     refused: BTreeSet<usize>,
     watching: BTreeSet<usize>,
 }
 
-/// Time until a lost member is known as such, by the probes of membership.
+/// Time until membership probes detect a lost member.
 const DETECTION_MS: u64 = 3_000;
 
 impl Model {
@@ -89,7 +89,7 @@
         self.now += STEP_MS;
     }
 
-    /// Members of each zone that watch and are answered.
+    /// Members of each zone that watch the store and are answered.
     fn answered(&self) -> BTreeMap<&str, usize> {
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
         for index in 0..self.zones {
@@ -119,7 +119,7 @@
     }
 }
 
-/// Whichever watcher is lost, refused, paused or cut off: its zone has as many again within a second.
+/// Whichever watcher is lost or rejected, its zone has as many again within a second.
 #[test]
 fn a_lost_watcher_is_replaced_within_a_second() {
     for refuse in [false, true] {
@@ -132,7 +132,7 @@
         } else {
             model.gone.insert(lost, since);
         }
-        // The other watcher of the zone goes on all the while.
+        // The other watcher of the zone keeps running.
         model.run(1_000 + HEARTBEAT_INTERVAL_MS);
         assert!(model.answered()[zone.as_str()] >= WATCHERS_PER_ZONE, "refused: {refuse}");
         model.run(10_000);
@@ -143,7 +143,7 @@
     }
 }
 
-/// The store turns a third of the members away, whichever they are, and serves the others.
+/// The store rejects a third of the members, whichever they are, and serves the others.
 #[test]
 fn a_store_that_refuses_a_third_leaves_zones_watched_and_calls_bounded() {
     for offset in 0..3 {
@@ -153,7 +153,7 @@
         model.run(4_000);
         assert!(model.watching.len() <= (WATCHERS_PER_ZONE + STANDBYS_PER_ZONE) * 12);
         let unwatched = model.answered().values().filter(|watchers| **watchers == 0).count();
-        // All of the first four of a zone are refused with a chance of one in 81.
+        // All of the first four of a zone are rejected with a probability of one in 81.
         assert!(unwatched <= 1, "{unwatched} zones without a watcher");
     }
 }
@@ -199,7 +199,8 @@
     assert!(!roster.watches(Timestamp(8_000), true));
 }
 
-/// After a start of all nobody knows back ends. A list of 3,000 takes 61 calls: few read it.
+/// After a start of all processes none knows back ends. A list of 3,000 takes 61 calls, so few may
+/// read it.
 #[test]
 fn after_a_start_of_all_few_read_back_ends_and_each_does_in_the_end() {
     let (count, zones) = (300, 3);
@@ -227,7 +228,7 @@
         }
     }
     assert_eq!(readers.len(), count, "whom no peer tells reads for itself");
-    // Who knows back ends reads only where it watches.
+    // A process that knows back ends reads them only if it watches.
     let mut idle = 0;
     for (member, roster) in members.iter().zip(&mut rosters) {
         roster.rank(Timestamp(6_000), Ranking::new(&members, &member.zone, &member.name));
@@ -238,8 +239,8 @@
     assert_eq!(idle, count - (WATCHERS_PER_ZONE + STANDBYS_PER_ZONE) * zones);
 }
 
-/// Found before 10,000 back ends: the list had not reached most of 986 processes when these lost patience, and each of
-/// them asked the store for 50 pages.
+/// Guards against reading too early: at 10,000 back ends the list had not reached most of 986
+/// processes when their wait ended, and each of them requested 50 pages from the store.
 #[test]
 fn a_process_waits_for_back_ends_while_peers_that_know_them_are_heard() {
     let members: Vec<FleetMember> = (0..20).map(|index| member(index, 1)).collect();
@@ -260,7 +261,8 @@
         let alone = reads_after(jitter, 0, 0).expect("it reads them in the end");
         let heard = reads_after(jitter, 0, 5_000).expect("it reads them in the end");
         let always = reads_after(jitter, 0, 20_000).expect("it reads them in the end");
-        // After a first start those that read for their zones know back ends some seconds later.
+        // After a first start the processes that read for their zones know back ends some seconds
+        // later.
         let first_start = reads_after(jitter, 3_900, 20_000).expect("it reads them in the end");
         assert!(alone <= 4_500, "nobody knows them: {alone}");
         assert!((7_400..=7_600).contains(&heard), "those who knew them are silent: {heard}");
@@ -269,8 +271,9 @@
     }
 }
 
-/// After a start of all each process knows a few members, and is the first of those: most of 986 read a list of 50 pages,
-/// of which the store answers 320 a second.
+/// Guards against reading because of a transient rank: after a start of all processes each knows a
+/// few members and ranks first among them, so that most of 986 read a list of 50 pages, of which
+/// the store answers 320 a second.
 #[test]
 fn a_process_that_learns_of_members_does_not_read_back_ends_for_their_zone() {
     let members: Vec<FleetMember> = (0..60).map(|index| member(index, 1)).collect();
@@ -278,7 +281,7 @@
     for me in &members {
         let mut roster = Roster::new(Timestamp(0), false, 0.0);
         let reads = |now: u64| {
-            // Members that are known double every 100 ms, this process among them.
+            // Known members double every 100 ms, this process among them.
             let known = (2_usize << (now / 100).min(10)).min(60);
             let mut seen: Vec<FleetMember> = members.iter().take(known).cloned().collect();
             seen.push(me.clone());
--- a/crates/serving/tests/eligibility.rs
+++ b/crates/serving/tests/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which back ends may take a request, and why not the others.
+//! Which back ends may be sent a request, and why the others may not.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -79,7 +79,7 @@
     assert_eq!(candidates(&cell, &within(&["a", "b"])), names(&["1", "2", "3"]));
     assert_eq!(candidates(&cell, &within(&["c"])), names(&[]));
     assert_eq!(candidates(&cell, &within(&[])), names(&[]));
-    // A zone that settings don't name is in no region.
+    // A zone that is not configured is in no region.
     assert_eq!(refusal(&cell, &all[3], &within(&["a"])), Some(Ineligible::OtherRegion));
     assert_eq!(refusal(&cell, &all[2], &within(&["a"])), Some(Ineligible::OtherRegion));
     assert_eq!(refusal(&cell, &all[2], &within(&["b"])), None);
--- a/crates/serving/tests/eligibility_cost.rs
+++ b/crates/serving/tests/eligibility_cost.rs
@@ -1,5 +1,5 @@
-//! What it costs a request to learn which back ends may take it. Prints figures and asserts none:
-//! `cargo test --release -p yokefall-serving --test eligibility_cost -- --nocapture`.
+//! Measures the cost of eligibility checks for one request. Prints figures and asserts none: `cargo
+//! test --release -p yokefall-serving --test eligibility_cost -- --nocapture`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -1,8 +1,9 @@
-//! Evacuations and the age of news over whole fleets, in virtual time: real member lists and real knowledge, a store
-//! that answers watchers or turns them away, and datagrams that are cut.
+//! Evacuations and the age of the platform state in whole fleets, in virtual time: real membership
+//! and real knowledge, a simulated store that answers or rejects watchers, and datagrams that are
+//! dropped.
 //!
-//! What failed: nobody told a process that the store turned away, one that started meanwhile, or one that was cut off,
-//! that a zone is evacuated. The clock stands still but for the steps of the tests.
+//! Guards against evacuations that do not reach a process which the store rejects, which started
+//! meanwhile, or which was partitioned. The clock advances only with the steps of the tests.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -30,11 +31,11 @@
 const STEP_MS: u64 = 100;
 const ZONES: usize = 3;
 const SEEDS: usize = 3;
-/// Time in which a fleet has found itself.
+/// Time in which members of a fleet find each other.
 const SETTLED_MS: u64 = 10_000;
-/// What a deployment promises, less what the store takes to answer.
+/// Guaranteed time to follow an evacuation, less the time that the store takes to answer.
 const BOUND_MS: u64 = 4_500;
-/// Waits of watches, as `watch` draws them.
+/// Durations of watches, as `watch` chooses them.
 const WAIT_MS: std::ops::Range<u64> = 1_500..6_000;
 const KINDS: [Followed; 3] = [Followed::Configuration, Followed::Backends, Followed::Evacuations];
 
@@ -51,9 +52,9 @@
     now: u64,
     clock: Arc<AtomicU64>,
     processes: Vec<Option<Process>>,
-    /// Whom the store turns away.
+    /// Members that the store rejects.
     refused: BTreeSet<usize>,
-    /// Whom no datagram reaches, and who sends none; the store does not answer them either.
+    /// Members that neither send nor receive datagrams and that the store does not answer.
     cut: BTreeSet<usize>,
     evacuated: BTreeSet<String>,
     revision: u64,
@@ -79,7 +80,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which each member but the last one runs.
+    /// A fleet of which every member but the last runs.
     fn new(count: usize) -> Self {
         let mut fleet = Self {
             now: 0,
@@ -124,7 +125,7 @@
         });
     }
 
-    /// Members that watch: the first of each zone.
+    /// Members that watch the store: the first of each zone.
     fn watchers(&self) -> Vec<usize> {
         let members: Vec<FleetMember> = (0..self.processes.len()).map(member).collect();
         let rank = |member: &FleetMember| Ranking::new(&members, &member.zone, &member.name).rank;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The store answers a watcher once a watch has ended, or something changed.
+    /// The store answers a watcher when a watch ends or something changed.
     fn ask_store(&mut self, index: usize) {
         let Some(process) = &mut self.processes[index] else { return };
         if self.refused.contains(&index) || self.cut.contains(&index) {
@@ -202,7 +203,7 @@
         }
     }
 
-    /// What `fleet` does each time that it runs.
+    /// What the `fleet` module does each time that it runs.
     fn act(&mut self, index: usize) -> Vec<Outgoing> {
         let Some(process) = &mut self.processes[index] else { return Vec::new() };
         let (own, ages) = {
@@ -244,7 +245,7 @@
         outgoing
     }
 
-    /// Whoever has learnt something tells others at once.
+    /// A process that has learnt something informs others at once.
     fn act_on_news(&mut self, index: usize) -> Vec<Outgoing> {
         let Some(process) = &mut self.processes[index] else { return Vec::new() };
         let own = process.shared.knowledge.borrow().known();
@@ -275,7 +276,7 @@
         !knowledge.awaits_evacuations() && believed == self.evacuated
     }
 
-    /// All that run obey.
+    /// Asserts that all running processes follow the evacuations.
     fn assert_all_obey(&self, what: &str) {
         let running = (0..self.processes.len()).filter(|index| self.processes[*index].is_some());
         let others: Vec<usize> = running.filter(|index| !self.obeys(*index)).collect();
@@ -287,12 +288,12 @@
 async fn everybody_obeys_in_time_whomever_the_store_turns_away() {
     for count in [30, 90, 250] {
         let mut fleet = Fleet::new(count);
-        // A third of the members, and with them some watchers.
+        // A third of the members, some watchers among them.
         fleet.refused = (0..count).filter(|index| (index / ZONES) % 3 == 0).collect();
         fleet.evacuate("hall-1");
         fleet.run(BOUND_MS);
         fleet.assert_all_obey("a third is refused");
-        // Every member of a zone, and so all who may watch for it.
+        // Every member of a zone, and so all of its possible watchers.
         fleet.refused = (0..count).filter(|index| zone(*index) == "hall-0").collect();
         assert!(fleet.refused.len() > WATCHERS_PER_ZONE + STANDBYS_PER_ZONE);
         fleet.take_back("hall-1");
@@ -339,8 +340,8 @@
     assert!(fleet.obeys(new));
 }
 
-/// Decisions rest on the age of what is known: it stays at some 3 s while nothing changes, everywhere, though only two
-/// members of each zone ask the store, each every few seconds.
+/// Decisions rest on the age of the platform state. It must stay at about 3 s everywhere while
+/// nothing changes, although only two members of each zone query the store, each every few seconds.
 #[tokio::test(start_paused = true)]
 async fn while_nothing_changes_everybody_knows_that_what_it_knows_is_fresh() {
     for count in [30, 90, 180] {
--- a/crates/serving/tests/lateness.rs
+++ b/crates/serving/tests/lateness.rs
@@ -1,4 +1,4 @@
-//! When a process counts as short of processor time.
+//! Detection of a shortage of processor time.
 
 use yokefall_serving::lateness::{CpuShortage, Lateness};
 
--- a/crates/serving/tests/nearness.rs
+++ b/crates/serving/tests/nearness.rs
@@ -1,4 +1,4 @@
-//! Whether back ends of other regions are needed.
+//! Whether requests stay in the local region.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -41,7 +41,8 @@
     REGIONS.iter().flat_map(both).collect()
 }
 
-/// A balancer in the north that knows arrivals of all, and so many requests at each back end.
+/// A balancer in the north that knows the total arrival rate, and `requests` in flight at each back
+/// end.
 fn balancer(seed: u64, per_ms: f64, requests: u32) -> Balancer {
     let zones = REGIONS.map(|region| (format!("{region}-hall"), region.to_owned()));
     let zones = Arc::new(ZoneMap::new(BTreeMap::from(zones)));
@@ -56,7 +57,7 @@
     balancer
 }
 
-/// Of a hundred processes that choose once, those that leave their region.
+/// How many of 100 processes, each choosing once, leave their region.
 fn leave(per_ms: f64, requests: u32) -> usize {
     let chosen = (0..100).map(|seed| {
         let backend = balancer(seed, per_ms, requests).choose(NOW, &backends(), &[], None);
@@ -65,9 +66,9 @@
     chosen.filter(|backend| !backend.zone.starts_with("north")).count()
 }
 
-/// Symptom: 61 of 100 requests for pages left their region, whose servers had a fifth of their slots taken. Cause:
-/// each process reckoned with all requests that it had not heard of yet, those of other regions and those that had
-/// ended included, as if they came to the servers of its own region.
+/// Guards against counting all unreported requests for the local region, including those of other
+/// regions and those that have ended: 61 of 100 requests then left their region although a fifth of
+/// its slots was taken.
 #[test]
 fn requests_stay_where_a_fifth_of_the_slots_is_taken() {
     assert_eq!(leave(0.129, 1), 0);
--- a/crates/serving/tests/residency.rs
+++ b/crates/serving/tests/residency.rs
@@ -1,4 +1,4 @@
-//! Regions in which something may be served: cut together, and those of a host.
+//! Regions in which a request may be served: intersections, and those of a host.
 
 use yokefall_serving::table::RouteTable;
 use yokefall_serving::{Configuration, Residency, Route, RouteKind, SplitPart};
--- a/crates/serving/tests/spread.rs
+++ b/crates/serving/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Draws of back ends by many processes that know the same, somewhat old loads.
+//! Choices by many processes that know the same, slightly old loads.
 
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
@@ -35,7 +35,7 @@
 #[test]
 fn many_requests_go_where_there_is_room_in_proportion() {
     let mut generator = SmallRng::seed_from_u64(2);
-    // 4 slots are free at the first and 2 at the second below the third: six requests fill them.
+    // Below the third, 4 slots are free at the first and 2 at the second: six requests fill them.
     let levels = [level(0.0), level(0.2), level(0.4)];
     let mut drawn = [0; 3];
     for _ in 0..6_000 {
@@ -59,14 +59,14 @@
     (0..BACK_ENDS).map(|index| Arc::new(back_end(index))).collect()
 }
 
-/// Found on the grown deployments: gateways took what everybody has in flight only for back ends that
-/// they had used themselves, and all of them chose the one that looked emptiest.
+/// Guards against gateways that ignore the requests of others at back ends which they have not used
+/// themselves: all of them then chose the one that looked least loaded.
 #[test]
 fn gateways_that_know_the_same_do_not_choose_the_same() {
     let all = back_ends();
     let mut balancers: Vec<Balancer> =
         (0..GATEWAYS).map(|seed| Balancer::new("hall-1".into(), seed, Policy::default())).collect();
-    // Back end i-0 is the emptiest, i-1 to i-35 have room, the others are full.
+    // Back end i-0 is the least loaded, i-1 to i-35 have free slots, the others are full.
     let load = |index: usize| match index {
         0 => 2,
         1..=35 => 4,
