--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn those_that_can_be_in_time_go_first_the_newest_of_them_before_the_others() {
+fn requests_that_can_be_in_time_are_sent_first_newest_first() {
     // With a target of 300 ms, requests aged 600 and 500 ms are late; those aged 60 and 20 ms are
     // not.
     let mut queue = queue(&[(9_400, 0), (9_940, 0), (9_500, 0), (9_980, 0)]);
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn a_higher_rank_goes_first_even_where_it_is_late() {
+fn a_higher_rank_is_sent_first_even_if_late() {
     let mut queue = queue(&[(9_990, 1), (9_000, 0)]);
     assert_eq!(drain(&mut queue, NOW), [1, 0]);
 }
 
 #[test]
-fn a_request_is_given_up_while_its_caller_can_still_come_back() {
+fn a_request_expires_while_its_caller_can_still_retry() {
     let mut queue = queue(&[(10_000, 0)]);
     let expiry = queue.next_expiry().expect("one is held");
     // 0.35 of its timeout of 5 s, which is less than 6 times its target.
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn room_beyond_the_slots_is_what_waits_for_a_quarter_of_the_target() {
+fn the_load_limit_allows_a_wait_of_a_quarter_of_the_target() {
     let target = Duration::from_millis(300);
     assert_eq!(load_limit(target, 750.0), 1.1);
     assert_eq!(load_limit(target, 15.0), 6.0);
@@ -66,7 +66,7 @@
 
 quickcheck! {
     /// Whatever the load, every queued request leaves the queue once: it is sent or it expires.
-    fn every_held_request_ends_once(arrivals: Vec<(u16, u8)>, room: u8) -> TestResult {
+    fn every_queued_request_leaves_the_queue_once(arrivals: Vec<(u16, u8)>, room: u8) -> TestResult {
         let arrivals: Vec<(u64, u32)> =
             arrivals.iter().map(|(at, rank)| (u64::from(*at), u32::from(rank % 3))).collect();
         let mut queue = queue(&arrivals);
--- a/crates/serving/tests/backend_table.rs
+++ b/crates/serving/tests/backend_table.rs
@@ -73,7 +73,7 @@
 }
 
 quickcheck! {
-    fn holds_what_a_map_holds(steps: Vec<Step>) -> bool {
+    fn contains_what_a_map_contains(steps: Vec<Step>) -> bool {
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
         steps.iter().all(|step| {
             take(&mut table, &mut oracle, step);
@@ -81,7 +81,7 @@
         })
     }
 
-    fn an_older_version_stays_as_it_was_and_the_difference_leads_to_the_newer(
+    fn an_older_version_is_unchanged_and_the_difference_yields_the_newer(
         first: Vec<Step>, then: Vec<Step>
     ) -> bool {
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
@@ -102,7 +102,7 @@
         stayed && followed == oracle
     }
 
-    fn a_catalog_that_follows_changes_is_the_one_that_is_built_whole(
+    fn an_incrementally_updated_catalog_equals_a_rebuilt_one(
         steps: Vec<Step>, evacuated: u8
     ) -> bool {
         let region = |zone: usize| (format!("zone-{zone}"), format!("region-{}", zone / 2));
@@ -145,7 +145,7 @@
 /// of one of 10,000 back ends took 17.7 ms of a core at each of 986 processes. Counts copied
 /// pointers instead of time.
 #[test]
-fn a_change_costs_as_much_before_20_000_back_ends_as_before_1_000() {
+fn a_change_costs_as_much_with_20_000_back_ends_as_with_1_000() {
     let copied = |count: usize| {
         let before = table(count);
         let most = (0..count).step_by(count / 50).map(|index| {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn each_is_drawn_as_often_as_any_other() {
+fn sampling_is_uniform() {
     const DRAWS_FOR_EACH: usize = 200;
     let table = table(300);
     let mut generator = SmallRng::seed_from_u64(1);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_key_keeps_what_it_prefers_until_that_is_lost() {
+fn preferences_of_a_key_change_only_with_lost_back_ends() {
     let mut table = table(2_000);
     let mut used: HashMap<String, usize> = HashMap::new();
     for key in 0..2_000 {
--- a/crates/serving/tests/backlog.rs
+++ b/crates/serving/tests/backlog.rs
@@ -7,7 +7,7 @@
 use yokefall_serving::backlog::Backlog;
 
 #[test]
-fn what_is_read_after_a_freeze_is_of_unknown_age_until_all_was_read() {
+fn datagrams_read_after_a_freeze_are_of_unknown_age_until_all_are_read() {
     let mut backlog = Backlog::default();
     backlog.waits(Timestamp(1_000), 400);
     backlog.woken(Timestamp(1_300));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_freeze_at_work_counts_like_one_in_a_wait() {
+fn a_freeze_between_waits_counts_as_well() {
     let mut backlog = Backlog::default();
     backlog.woken(Timestamp(1_000));
     backlog.woken(Timestamp(9_000));
--- a/crates/serving/tests/balance.rs
+++ b/crates/serving/tests/balance.rs
@@ -35,7 +35,7 @@
 }
 
 /// Passes on the totals of all processes, by id, as a job store reports them.
-fn hear<const COUNT: usize>(
+fn receive_totals<const COUNT: usize>(
     balancer: &mut Balancer,
     now: Timestamp,
     totals: [(&str, InFlight); COUNT],
@@ -65,19 +65,19 @@
 }
 
 #[test]
-fn what_others_have_in_flight_counts() {
+fn requests_of_other_processes_count() {
     let (mut balancer, all) = (balancer(), backends(2));
     for backend in &all {
         balancer.started(backend);
     }
-    hear(&mut balancer, NOW, [("i-0", online(9)), ("i-1", online(1))]);
+    receive_totals(&mut balancer, NOW, [("i-0", online(9)), ("i-1", online(1))]);
     for _ in 0..5 {
         assert_eq!(choose(&mut balancer, NOW, &all), "i-1");
     }
 }
 
 #[test]
-fn tried_and_unreachable_ones_are_left_out_while_others_remain() {
+fn tried_and_unreachable_back_ends_are_skipped_while_others_remain() {
     let (mut balancer, all) = (balancer(), backends(2));
     balancer.started(&all[0]);
     balancer.ended(NOW, &all[0], Outcome::Unreachable);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn one_failure_is_borne_and_three_in_a_row_are_not() {
+fn three_consecutive_failures_eject_a_back_end() {
     let (mut balancer, all) = (balancer(), backends(1));
     for failures in 1..=3 {
         balancer.started(&all[0]);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_silent_back_end_gets_nothing_until_it_speaks() {
+fn a_silent_back_end_gets_no_requests_until_it_answers() {
     let (mut balancer, all) = (balancer(), backends(2));
     balancer.started(&all[0]);
     assert!(balancer.fell_silent(NOW, &all[0], 450));
@@ -113,7 +113,7 @@
 /// Guards against ejecting back ends as silent while they stream answers to other requests and a
 /// request only waits there for a slot.
 #[test]
-fn a_back_end_that_speaks_on_another_request_is_not_silent() {
+fn activity_on_another_request_prevents_ejection_for_silence() {
     let (mut balancer, all) = (balancer(), backends(1));
     balancer.started(&all[0]);
     balancer.heard(NOW.plus_millis(100), &all[0]);
@@ -126,7 +126,7 @@
 fn items_do_not_count_as_online_load() {
     let (mut balancer, all) = (balancer(), backends(1));
     let totals = InFlight { online: 4, items: 6 };
-    hear(&mut balancer, NOW, [("i-0", totals)]);
+    receive_totals(&mut balancer, NOW, [("i-0", totals)]);
     assert!((balancer.load(NOW, &all[0]) - 1.0).abs() < 1e-9);
     balancer.took("models", 1e9);
     let level = balancer.online_level(NOW, &all).expect("a back end");
@@ -136,23 +136,23 @@
 /// Guards against counting every request that other processes send until the next report although
 /// each lasts a tenth of that time: 53 gateways then queued requests despite free slots.
 #[test]
-fn requests_that_end_before_they_are_told_do_not_fill_slots() {
+fn requests_that_end_before_they_are_reported_do_not_fill_slots() {
     let (mut balancer, all) = (balancer(), backends(2));
     balancer.set_choosers(50, 100);
     balancer.took("models", 15.0);
-    hear(&mut balancer, NOW, [("i-0", online(2)), ("i-1", online(2))]);
+    receive_totals(&mut balancer, NOW, [("i-0", online(2)), ("i-1", online(2))]);
     // 4 requests a second here and at 49 others, 15 ms each: 3 in flight for 20 slots.
     for step in 0..40 {
         choose(&mut balancer, NOW.plus_millis(step * 250), &all);
     }
     let now = NOW.plus_millis(39 * 250);
-    hear(&mut balancer, now, [("i-0", online(2)), ("i-1", online(1))]);
+    receive_totals(&mut balancer, now, [("i-0", online(2)), ("i-1", online(1))]);
     let level = balancer.online_level(now, &all).expect("back ends");
     assert!(level < 0.3, "{level}");
 }
 
 #[test]
-fn own_requests_are_taken_out_of_totals_as_they_were_told() {
+fn own_requests_are_subtracted_from_totals_as_reported() {
     let (mut balancer, all) = (balancer(), backends(1));
     // Reported with one request; a second one started before the answer arrived.
     balancer.started(&all[0]);
@@ -164,22 +164,22 @@
 #[test]
 fn the_cost_of_another_zone_fades_as_slots_fill() {
     let mut all = backends(1);
-    let mut far = (*all[0]).clone();
-    (far.id, far.zone) = ("far".into(), "hall-2".into());
-    all.push(Arc::new(far));
+    let mut remote = (*all[0]).clone();
+    (remote.id, remote.zone) = ("far".into(), "hall-2".into());
+    all.push(Arc::new(remote));
     let mut balancer = balancer();
     // One slot of ten is free in the local zone, two in the other one.
     let totals = [("i-0", online(9)), ("far", online(8))];
-    hear(&mut balancer, NOW, totals);
+    receive_totals(&mut balancer, NOW, totals);
     assert_eq!(choose(&mut balancer, NOW, &all), "far");
     // With many free slots in both, the local zone is preferred.
     let totals = [("i-0", online(2)), ("far", online(2))];
-    hear(&mut balancer, NOW, totals);
+    receive_totals(&mut balancer, NOW, totals);
     assert_eq!(choose(&mut balancer, NOW, &all), "i-0");
 }
 
 #[test]
-fn a_policy_that_is_switched_off_decides_nothing() {
+fn disabled_policies_have_no_effect() {
     let policy = Policy { ejection: false, silence: false, peer_loads: false, ..Policy::default() };
     let mut balancer = Balancer::new("hall-1".into(), 1, policy);
     let all = backends(1);
@@ -187,12 +187,12 @@
     assert!(!balancer.fell_silent(NOW, &all[0], 450));
     balancer.ended(NOW, &all[0], Outcome::Unreachable);
     assert!(!balancer.is_ejected(NOW, &all[0]));
-    hear(&mut balancer, NOW, [("i-0", online(9))]);
+    receive_totals(&mut balancer, NOW, [("i-0", online(9))]);
     assert_eq!(balancer.load(NOW, &all[0]), 0.0);
 }
 
 #[test]
-fn the_same_prefix_goes_to_the_same_back_end_while_it_has_room() {
+fn the_same_prefix_goes_to_the_same_back_end_while_it_has_capacity() {
     let (mut balancer, all) = (balancer(), backends(6));
     let first = balancer.choose(NOW, &all, &[], Some(42)).expect("a back end");
     for _ in 0..20 {
@@ -208,11 +208,11 @@
 /// stores that got more than their share of the clients took all others to be as busy, and queued
 /// and rejected 408 requests despite free slots.
 #[test]
-fn a_gateway_that_gets_no_reports_infers_no_wave_from_its_own_requests() {
+fn a_gateway_without_reports_does_not_extrapolate_its_own_requests() {
     let (mut balancer, all) = (balancer(), backends(100));
     balancer.set_choosers(250, 100);
     balancer.took("models", 700.0);
-    hear(&mut balancer, NOW, [("i-0", online(1))]);
+    receive_totals(&mut balancer, NOW, [("i-0", online(1))]);
     let later = NOW.plus_millis(3_000);
     for step in 0..100 {
         let backend = chosen(&mut balancer, later.plus_millis(step * 20), &all);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_back_end_that_fails_for_all_is_left_out_for_longer_each_time_until_it_answers() {
+fn ejections_for_reported_failures_grow_until_the_back_end_answers() {
     let (mut balancer, all) = (balancer(), backends(2));
     balancer.fail_for_all(NOW, [all[0].as_ref()].into_iter());
     assert_eq!(choose(&mut balancer, NOW, &all), "i-1");
@@ -261,11 +261,11 @@
 /// Guards against an empty back end looking full because requests of its earlier incarnation count
 /// for the new one.
 #[test]
-fn a_life_has_no_requests_of_the_one_before() {
+fn an_incarnation_has_no_requests_of_the_previous_one() {
     let (mut balancer, before) = (balancer(), backends(1));
     let after = restarted(&before);
     (0..4).for_each(|_| balancer.started(&before[0]));
-    hear(&mut balancer, NOW, [("i-0", online(9))]);
+    receive_totals(&mut balancer, NOW, [("i-0", online(9))]);
     assert_eq!((balancer.in_flight(&after[0]), balancer.load(NOW, &after[0])), (0, 0.0));
     assert_eq!(balancer.in_flight(&before[0]), 4);
 }
@@ -273,7 +273,7 @@
 /// Guards against a busy back end looking empty because requests of the earlier incarnation that
 /// end late are subtracted from those of the new one.
 #[test]
-fn requests_of_an_earlier_life_that_end_late_are_not_taken_off_the_new_one() {
+fn late_ends_of_an_earlier_incarnation_do_not_affect_the_new_one() {
     let (mut balancer, before) = (balancer(), backends(1));
     let after = restarted(&before);
     (0..3).for_each(|_| balancer.started(&before[0]));
@@ -285,7 +285,7 @@
 /// Failures, silence and reports of the earlier incarnation, late ones included, do not eject the
 /// new one; an answer of the earlier incarnation does not readmit a failing new one.
 #[test]
-fn the_health_of_a_life_is_its_own() {
+fn incarnations_have_separate_health() {
     let (mut balancer, before) = (balancer(), backends(1));
     let after = restarted(&before);
     balancer.started(&before[0]);
@@ -298,12 +298,12 @@
     balancer.started(&before[0]);
     balancer.ended(NOW, &before[0], Outcome::Answered);
     assert!(balancer.is_ejected(NOW, &after[0]));
-    let told: Vec<u64> = balancer.outcomes(NOW).map(|(life, _)| life.started_ms).collect();
-    assert_eq!(told.len(), 2, "outcomes are told by life: {told:?}");
+    let incarnations: Vec<u64> = balancer.outcomes(NOW).map(|(life, _)| life.started_ms).collect();
+    assert_eq!(incarnations.len(), 2, "outcomes are told by life: {incarnations:?}");
 }
 
 #[test]
-fn a_life_that_nobody_knows_any_more_is_forgotten_once_nothing_is_in_flight_there() {
+fn an_unknown_incarnation_is_dropped_once_nothing_is_in_flight() {
     let (mut balancer, before) = (balancer(), backends(1));
     let after = restarted(&before);
     balancer.started(&before[0]);
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -2,22 +2,22 @@
 
 mod cold_world;
 
-use cold_world::{Outcome, Way, World, MOST};
+use cold_world::{SendMode, Simulation, SimulationResult, MAX_REQUESTS_PER_SECOND};
 
 /// Simulations run by default; more with `COLD_HISTORIES=10000 cargo test --release`.
-const HISTORIES: u64 = 100;
+const SIMULATIONS: u64 = 100;
 const THREADS: usize = 4;
 
-fn histories() -> u64 {
+fn simulations() -> u64 {
     let asked = std::env::var("COLD_HISTORIES").ok().and_then(|text| text.parse().ok());
-    asked.unwrap_or(HISTORIES)
+    asked.unwrap_or(SIMULATIONS)
 }
 
 /// Runs all simulations on a few threads.
-fn play_all() -> Vec<(u64, Outcome)> {
+fn run_all() -> Vec<(u64, SimulationResult)> {
     let part = |first: u64| {
-        let seeds = (first..histories()).step_by(THREADS);
-        seeds.map(|seed| (seed, World::new(seed, Way::Asked).play())).collect::<Vec<_>>()
+        let seeds = (first..simulations()).step_by(THREADS);
+        seeds.map(|seed| (seed, Simulation::new(seed, SendMode::Limited).run())).collect::<Vec<_>>()
     };
     std::thread::scope(|scope| {
         let threads: Vec<_> =
@@ -32,38 +32,44 @@
 /// ends that restart under the same id.
 #[test]
 fn no_cold_back_end_gets_more_than_it_may_in_any_second() {
-    let mut sum = Outcome::default();
+    let mut sum = SimulationResult::default();
     let mut broken = Vec::new();
-    for (seed, outcome) in play_all() {
-        if outcome.most as f64 > MOST {
-            broken.push((seed, outcome.most));
+    for (seed, outcome) in run_all() {
+        if outcome.max_per_second as f64 > MAX_REQUESTS_PER_SECOND {
+            broken.push((seed, outcome.max_per_second));
         }
-        sum.most = sum.most.max(outcome.most);
+        sum.max_per_second = sum.max_per_second.max(outcome.max_per_second);
         sum.arrived += outcome.arrived;
         sum.cold_seconds += outcome.cold_seconds;
-        sum.fallen += outcome.fallen;
-        sum.late_ms += outcome.late_ms;
+        sum.crashed += outcome.crashed;
+        sum.detection_delay_ms += outcome.detection_delay_ms;
         sum.warmed += outcome.warmed;
     }
-    let used = sum.arrived as f64 / sum.cold_seconds / MOST;
-    let late = sum.late_ms as f64 / sum.warmed.max(1) as f64;
+    let used = sum.arrived as f64 / sum.cold_seconds / MAX_REQUESTS_PER_SECOND;
+    let late = sum.detection_delay_ms as f64 / sum.warmed.max(1) as f64;
     println!(
         "{} histories, {} broken; most in a second {}; {used:.2} of the allowance used in {:.0} cold \
          seconds; {} warmed, known {late:.0} ms later on average",
-        histories(),
+        simulations(),
         broken.len(),
-        sum.most,
+        sum.max_per_second,
         sum.cold_seconds,
         sum.warmed
     );
-    assert!(broken.is_empty(), "more than {MOST} in a second, by seed: {broken:?}");
-    assert_eq!(sum.fallen, 0, "back ends fell over");
+    assert!(
+        broken.is_empty(),
+        "more than {MAX_REQUESTS_PER_SECOND} in a second, by seed: {broken:?}"
+    );
+    assert_eq!(sum.crashed, 0, "back ends fell over");
     assert!(sum.cold_seconds > 0.0 && sum.warmed > 0, "nothing was cold: nothing is shown");
 }
 
 /// The simulation detects the overload that it tests for.
 #[test]
-fn the_model_breaks_where_nobody_asks() {
-    let broken = (0..20).filter(|seed| World::new(*seed, Way::Unasked).play().most as f64 > MOST);
+fn the_simulation_detects_overload_without_limits() {
+    let broken = (0..20).filter(|seed| {
+        Simulation::new(*seed, SendMode::Unlimited).run().max_per_second as f64
+            > MAX_REQUESTS_PER_SECOND
+    });
     assert!(broken.count() > 5);
 }
--- a/crates/serving/tests/cold_parts.rs
+++ b/crates/serving/tests/cold_parts.rs
@@ -38,7 +38,7 @@
 /// Guards against quotas that sum to more than the allowance at fleet sizes that the simulation
 /// does not cover.
 #[test]
-fn shares_of_all_processes_stay_below_what_is_allowed_in_fleets_of_any_size() {
+fn quotas_sum_to_at_most_the_allowance_in_fleets_of_any_size() {
     for (gateways, job_stores) in [(1, 0), (1, 1), (2, 1), (3, 3), (17, 5), (23, 0), (75, 14)] {
         let names = names(gateways, job_stores);
         for backend in ["a", "b", "c"] {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn lost_processes_take_from_what_the_others_use_down_to_a_part() {
+fn lost_processes_reduce_the_usable_allowance_down_to_a_minimum() {
     let used = |lost: u32| {
         let allowance = Allowance::of(&BOUNDS, &WARM_UP, &KnownNames { lost, ..names(75, 14) });
         allowance.gateways + allowance.job_stores
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_back_end_that_bears_less_than_one_request_gets_none_and_one_that_bears_one_gets_it() {
+fn an_allowance_below_one_request_permits_none() {
     let used = |per_1000_seconds: u64| {
         let warm_up = WarmUp { per_1000_seconds, ..WARM_UP };
         let allowance = Allowance::of(&PlacementBounds::default(), &warm_up, &names(3, 3));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_share_is_spent_for_more_than_a_second() {
+fn a_quota_is_used_up_for_more_than_a_second() {
     let mut sends = SendHistory::default();
     assert_eq!(sends.wait_ms(START, 0), None);
     assert_eq!(sends.wait_ms(START, 1), Some(0));
@@ -96,7 +96,7 @@
 /// Guards against a partitioned process that keeps sending while others forget its name and take
 /// over its share.
 #[test]
-fn names_of_lost_processes_count_for_minutes() {
+fn names_of_lost_processes_are_kept_for_minutes() {
     let mut memory = NameMemory::default();
     let own = record("own", MemberState::Alive);
     memory.take(START, &[own.clone(), record("other", MemberState::Alive)]);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_record_tells_for_how_long_also_where_it_says_the_same_once_more() {
+fn an_equal_new_record_restarts_the_cold_period() {
     let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 3_000)], &[]));
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::Recorded, 3_000)));
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn another_life_is_cold_and_what_was_known_at_the_start_is_not() {
+fn a_new_incarnation_is_cold_and_back_ends_known_at_the_start_are_not() {
     let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
     assert_eq!(cold_period(&warmth, START), None);
@@ -169,7 +169,7 @@
 /// A starting process knows some back ends first. If the others counted as new when the whole list
 /// arrives, it would hardly use them until their warm-up is over.
 #[test]
-fn back_ends_that_come_with_the_whole_list_after_a_part_are_not_new() {
+fn back_ends_of_the_whole_list_after_a_partial_one_are_not_new() {
     let mut warmth = WarmthTracker::default();
     let mut part = catalog(&[], &[]);
     part.is_partial = true;
@@ -183,7 +183,7 @@
 /// Guards against a report from before the failure, or of another incarnation, ending the cold
 /// period.
 #[test]
-fn a_failure_is_outweighed_by_time_or_by_the_word_of_the_same_life() {
+fn a_failure_is_cleared_by_time_or_by_a_report_of_the_same_incarnation() {
     let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
     warmth.told(START, "i-0", 1, 0);
@@ -212,7 +212,7 @@
 /// Guards against forgetting the requests sent to a back end when the store loses its record for a
 /// moment.
 #[test]
-fn a_back_end_that_is_gone_for_a_moment_is_not_forgotten() {
+fn a_back_end_that_is_gone_for_a_moment_stays_tracked() {
     let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
     warmth.observe(START, &catalog(&[], &[]));
@@ -232,7 +232,7 @@
 /// Guards against a restarted process sending again what it sent a moment ago, or taking the share
 /// of others whose names it does not know yet.
 #[test]
-fn a_process_uses_its_share_some_seconds_after_its_start_and_once_it_has_met_others() {
+fn a_process_uses_its_quota_only_after_the_join_delay_and_with_known_peers() {
     let backend = backend(1, 60_000);
     let mut met = state(60_000, names(3, 0));
     assert!(!met.warm_up_status(START.plus_millis(JOIN_DELAY_MS - 1), None, &backend).may_send());
@@ -244,7 +244,7 @@
 
 /// Guards against a partitioned process that sends by its old view while back ends turned cold.
 #[test]
-fn nothing_is_known_to_be_warm_by_old_news() {
+fn no_back_end_counts_as_warm_with_stale_platform_state() {
     let (backend, now) = (backend(1, 0), START.plus_millis(JOIN_DELAY_MS));
     let mut state = state(0, names(75, 14));
     assert_eq!(state.warm_up_status(now, Some(5_000), &backend), WarmUpStatus::Warm);
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_leader_gives_each_job_store_with_a_share_one_item_in_an_interval() {
+fn a_leader_assigns_each_job_store_with_a_quota_one_item_per_interval() {
     let backend = backend(1, 60_000);
     let mut state = state(60_000, names(75, 14));
     let mut given = BTreeSet::new();
@@ -274,7 +274,7 @@
 /// Guards against overloaded back ends that fail for most processes being limited as cold on top of
 /// it.
 #[test]
-fn a_back_end_that_is_heard_here_is_not_cold_for_what_others_report() {
+fn a_back_end_that_answers_here_is_not_cold_by_reported_failures() {
     let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
     warmth.heard(START, "i-0");
--- a/crates/serving/tests/cold_world/mod.rs
+++ b/crates/serving/tests/cold_world/mod.rs
@@ -1,7 +1,7 @@
 //! Simulation in virtual time of a fleet that sends to back ends which restart, turn cold and
 //! crash, with an oracle that counts the requests to each cold back end in every sliding second.
 
-pub mod facts;
+pub mod platform_store;
 pub mod process;
 
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use yokefall_core::Timestamp;
 use yokefall_serving::{Catalog, PlacementBounds};
 
-use facts::{Facts, DURATION_MS};
+use platform_store::{PlatformStore, DURATION_MS};
 use process::Process;
 
 /// Milliseconds per step.
@@ -24,38 +24,38 @@
 const SETTLED_MS: u64 = 10_000;
 /// Requests to a back end that returns, relative to others: it looks empty to processes that
 /// receive load reports.
-const EMPTY_DRAWS: f64 = 3.0;
+const EMPTY_BACK_END_FACTOR: f64 = 3.0;
 /// Load at which a back end crashes, as a multiple of its allowance.
-const FALLS_OVER: f64 = 2.0;
+const CRASH_FACTOR: f64 = 2.0;
 
 /// Guaranteed bounds: 15 x 1.5 + 5 = 27.5 requests in any second.
 pub const BOUNDS: PlacementBounds =
     PlacementBounds { evacuation_ms: Some(5_000), cold_overage: 1.5, cold_slack: 5.0 };
-pub const MOST: f64 = 27.5;
+pub const MAX_REQUESTS_PER_SECOND: f64 = 27.5;
 
 /// Result of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outcome {
+pub struct SimulationResult {
     /// Most requests to a cold back end in any second.
-    pub most: usize,
+    pub max_per_second: usize,
     /// Requests received by cold back ends, and the seconds for which these were cold and up.
     pub arrived: usize,
     pub cold_seconds: f64,
     /// Back ends that crashed.
-    pub fallen: usize,
+    pub crashed: usize,
     /// Sum of the delays until all connected processes knew that a back end was warm, and their
     /// number.
-    pub late_ms: u64,
+    pub detection_delay_ms: u64,
     pub warmed: u64,
 }
 
 /// How processes decide whether to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum SendMode {
     /// By the code under test.
-    Asked,
+    Limited,
     /// To whatever looks empty, without regard to cold back ends.
-    Unasked,
+    Unlimited,
 }
 
 /// Actual state of a back end.
@@ -92,20 +92,20 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub rng: SmallRng,
     pub now: u64,
-    pub way: Way,
+    pub mode: SendMode,
     pub back_ends: Vec<BackEnd>,
     pub processes: Vec<Process>,
-    pub facts: Facts,
+    pub platform_store: PlatformStore,
     /// Requests a second from one process to one warm back end.
     rate: f64,
-    outcome: Outcome,
+    result: SimulationResult,
 }
 
-impl World {
-    pub fn new(seed: u64, way: Way) -> Self {
+impl Simulation {
+    pub fn new(seed: u64, mode: SendMode) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let gateways = *[2, 4, 9, 20, 40, 75].get(rng.random_range(0..6)).expect("a size");
         let stores = rng.random_range(1..=14.min(gateways));
@@ -122,39 +122,39 @@
             known_warm_at: Some(0),
         });
         let back_ends: Vec<BackEnd> = back_ends.collect();
-        let mut facts = Facts::default();
-        facts.publish(0, 0, &back_ends);
+        let mut platform_store = PlatformStore::default();
+        platform_store.publish(0, 0, &back_ends);
         let total = rng.random_range(2.0..9.0);
-        let mut world = Self {
+        let mut simulation = Self {
             rng,
             now: 0,
-            way,
+            mode,
             back_ends,
             processes: Vec::new(),
-            facts,
+            platform_store,
             rate: total / f64::from(gateways + stores),
-            outcome: Outcome::default(),
+            result: SimulationResult::default(),
         };
         for number in 0..gateways + stores {
             let process = Process::start(0, format!("p{number}"), number >= gateways);
-            world.processes.push(process);
+            simulation.processes.push(process);
         }
-        world
+        simulation
     }
 
     /// Runs the simulation to its end.
-    pub fn play(mut self) -> Outcome {
+    pub fn run(mut self) -> SimulationResult {
         while self.now < LENGTH_MS {
             if self.now > SETTLED_MS && self.rng.random_bool(0.02) {
-                self.trouble();
+                self.inject_fault();
             }
-            self.facts.apply_due(self.now, &self.back_ends);
+            self.platform_store.apply_due(self.now, &self.back_ends);
             let now = self.now;
             let lost = self.processes.iter().filter(|process| process.is_lost(now)).count() as u32;
             for number in 0..self.processes.len() {
                 self.refresh(number, lost);
             }
-            self.tell_failures();
+            self.report_failures();
             self.send();
             self.note_warm();
             self.now += STEP_MS;
@@ -162,10 +162,10 @@
         for number in 0..self.back_ends.len() {
             self.count(number);
         }
-        self.outcome
+        self.result
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let now = self.now;
         match self.rng.random_range(0..10) {
             0 | 1 => {
@@ -178,14 +178,14 @@
                     self.restart(number);
                 }
             }
-            3 => self.evacuate_or_return(),
+            3 => self.toggle_evacuation(),
             4 => self.turn_cold(),
             5 => {
                 let share = self.rng.random_range(0.02..0.35);
                 let until = now + self.rng.random_range(500..12_000);
                 for process in &mut self.processes {
                     if self.rng.random_bool(share) {
-                        process.cut(now, until);
+                        process.partition(now, until);
                     }
                 }
             }
@@ -227,15 +227,15 @@
         back_end.cold_until = back_end.down_until + DURATION_MS;
         back_end.counted_from = back_end.down_until;
         back_end.known_warm_at = None;
-        self.facts.write_later(back_end.down_until + delay, number);
+        self.platform_store.write_later(back_end.down_until + delay, number);
     }
 
-    fn evacuate_or_return(&mut self) {
+    fn toggle_evacuation(&mut self) {
         let zone = self.rng.random_range(0..3);
-        if self.facts.evacuate(self.now, zone, &self.back_ends) {
+        if self.platform_store.evacuate(self.now, zone, &self.back_ends) {
             return;
         }
-        if self.facts.evacuated_for(self.now, zone) < 6_000 {
+        if self.platform_store.evacuated_for(self.now, zone) < 6_000 {
             return;
         }
         let turned = self.now;
@@ -246,11 +246,11 @@
                 back_end.cold_until = turned + DURATION_MS;
                 back_end.counted_from = turned;
                 back_end.known_warm_at = None;
-                self.facts.write_later(turned + delay, number);
+                self.platform_store.write_later(turned + delay, number);
             }
         }
-        let taken_back = self.now + self.rng.random_range(0..300);
-        self.facts.take_back_later(taken_back, zone);
+        let ends_at = self.now + self.rng.random_range(0..300);
+        self.platform_store.end_evacuation_later(ends_at, zone);
     }
 
     /// A back end turns cold for long, and only its record says so. No process can know at once, so
@@ -265,13 +265,15 @@
         back_end.cold_until = now + 9_000;
         back_end.counted_from = now + 6_500;
         back_end.known_warm_at = None;
-        self.facts.write_later(now + delay, number);
+        self.platform_store.write_later(now + delay, number);
     }
 
     /// Updates what a process knows.
     fn refresh(&mut self, number: usize, lost: u32) {
         let heard: Vec<(String, bool)> = self.names_for(number);
-        let catalog = self.facts.seen_at(self.now.saturating_sub(self.processes[number].delay_ms));
+        let catalog = self
+            .platform_store
+            .published_at(self.now.saturating_sub(self.processes[number].delay_ms));
         let process = &mut self.processes[number];
         process.refresh(self.now, catalog, heard, lost);
     }
@@ -280,28 +282,28 @@
     /// take.
     fn names_for(&self, number: usize) -> Vec<(String, bool)> {
         let own = &self.processes[number];
-        if !own.is_in_touch(self.now) || !own.needs_names(self.now) {
+        if !own.is_connected(self.now) || !own.needs_names(self.now) {
             return Vec::new();
         }
         let known = self
             .processes
             .iter()
             .enumerate()
-            .filter(|(other, process)| *other == number || process.is_heard(self.now, own));
+            .filter(|(other, process)| *other == number || process.is_known_to(self.now, own));
         known.map(|(_, process)| (process.name.clone(), process.job_store)).collect()
     }
 
     /// Reports failures to all connected processes.
-    fn tell_failures(&mut self) {
+    fn report_failures(&mut self) {
         let now = self.now;
         for back_end in &mut self.back_ends {
             back_end.failures.retain(|at| now - at < 3_000);
-            let told = back_end.failures.iter().filter(|at| now - **at > 300).count();
-            if told < 2 || now % 100 != 0 {
+            let reported = back_end.failures.iter().filter(|at| now - **at > 300).count();
+            if reported < 2 || now % 100 != 0 {
                 continue;
             }
             let id = back_end.id();
-            for process in self.processes.iter_mut().filter(|process| process.is_in_touch(now)) {
+            for process in self.processes.iter_mut().filter(|process| process.is_connected(now)) {
                 process.state.failed_for_all(Timestamp(now), &id);
             }
         }
@@ -313,15 +315,16 @@
         let now = self.now;
         let counts = |back_end: &&BackEnd| back_end.is_cold(now) && now >= back_end.counted_from;
         let cold = self.back_ends.iter().filter(counts).count() as f64;
-        self.outcome.cold_seconds += cold * STEP_MS as f64 / 1_000.0;
-        let watched = |back_end: &&mut BackEnd| !back_end.is_up(now) || now < back_end.cold_until;
-        for back_end in self.back_ends.iter_mut().filter(watched) {
+        self.result.cold_seconds += cold * STEP_MS as f64 / 1_000.0;
+        let affected = |back_end: &&mut BackEnd| !back_end.is_up(now) || now < back_end.cold_until;
+        for back_end in self.back_ends.iter_mut().filter(affected) {
             for process in &mut self.processes {
-                let looks_empty = back_end.is_up(now) && process.hears_loads(now);
-                let draws = if looks_empty { EMPTY_DRAWS } else { 1.0 };
+                let looks_empty = back_end.is_up(now) && process.has_load_reports(now);
+                let draws = if looks_empty { EMPTY_BACK_END_FACTOR } else { 1.0 };
                 let rate = draws * self.rate * STEP_MS as f64 / 1_000.0;
-                let wants = self.rng.random_bool(rate.min(1.0));
-                let Some(record) = process.wants_to_send(now, back_end, self.way, wants) else {
+                let has_request = self.rng.random_bool(rate.min(1.0));
+                let Some(record) = process.wants_to_send(now, back_end, self.mode, has_request)
+                else {
                     continue;
                 };
                 process.state.sent(Timestamp(now), &record);
@@ -335,14 +338,14 @@
                 let sent = now + self.rng.random_range(0..80);
                 let arrived = sent + self.rng.random_range(1..5);
                 // Another incarnation under another id rejects the request.
-                let is_it = record == back_end.id();
-                if is_it && back_end.is_cold(arrived) && arrived >= back_end.counted_from {
+                let is_current_id = record == back_end.id();
+                if is_current_id && back_end.is_cold(arrived) && arrived >= back_end.counted_from {
                     back_end.arrivals.push((sent, arrived));
                 }
             }
-            let lately = back_end.arrivals.iter().rev().take_while(|(sent, _)| now < sent + 1_000);
-            if lately.count() as f64 > MOST * FALLS_OVER {
-                self.outcome.fallen += 1;
+            let recent = back_end.arrivals.iter().rev().take_while(|(sent, _)| now < sent + 1_000);
+            if recent.count() as f64 > MAX_REQUESTS_PER_SECOND * CRASH_FACTOR {
+                self.result.crashed += 1;
                 back_end.down_until = now + 1_000;
                 back_end.cold_until = back_end.down_until + DURATION_MS;
             }
@@ -358,9 +361,9 @@
         for (position, (begin, _)) in arrivals.iter().enumerate() {
             let inside = arrivals[position..].iter().take_while(|(sent, _)| *sent <= begin + 1_000);
             let count = inside.filter(|(_, arrived)| *arrived <= begin + 1_000).count();
-            self.outcome.most = self.outcome.most.max(count);
+            self.result.max_per_second = self.result.max_per_second.max(count);
         }
-        self.outcome.arrived += arrivals.len();
+        self.result.arrived += arrivals.len();
     }
 
     fn note_warm(&mut self) {
@@ -370,17 +373,17 @@
         };
         for back_end in self.back_ends.iter_mut().filter(warm) {
             let id = back_end.id();
-            let mut in_touch = self.processes.iter().filter(|process| process.is_in_touch(now));
-            if in_touch
+            let mut connected = self.processes.iter().filter(|process| process.is_connected(now));
+            if connected
                 .all(|process| process.state.cold_period(Timestamp(now), None, &id).is_none())
             {
                 back_end.known_warm_at = Some(now);
-                self.outcome.late_ms += now - back_end.cold_until;
-                self.outcome.warmed += 1;
+                self.result.detection_delay_ms += now - back_end.cold_until;
+                self.result.warmed += 1;
             }
         }
     }
 }
 
 /// A catalog and the time of its publication.
-pub type Seen = (u64, Arc<Catalog>);
+pub type PublishedCatalog = (u64, Arc<Catalog>);
--- a/crates/serving/tests/cold_world/facts.rs
+++ b/crates/serving/tests/cold_world/platform_store.rs
@@ -7,7 +7,7 @@
     Backend, BackendState, Catalog, Configuration, Service, WarmUp, ZoneFacts, ZoneMap,
 };
 
-use super::{BackEnd, Seen};
+use super::{BackEnd, PublishedCatalog};
 
 /// Time for which a back end is cold after its start.
 pub const DURATION_MS: u64 = 3_000;
@@ -15,16 +15,16 @@
 
 /// Records written so far, and those still to be written.
 #[derive(Default)]
-pub struct Facts {
-    history: Vec<Seen>,
+pub struct PlatformStore {
+    history: Vec<PublishedCatalog>,
     records: BTreeMap<usize, Arc<Backend>>,
     /// Evacuated zones, and since when.
     evacuated: BTreeMap<usize, u64>,
     to_write: Vec<(u64, usize)>,
-    to_take_back: Vec<(u64, usize)>,
+    evacuations_to_end: Vec<(u64, usize)>,
 }
 
-impl Facts {
+impl PlatformStore {
     pub fn publish(&mut self, now: u64, written_at: u64, back_ends: &[BackEnd]) {
         for back_end in back_ends {
             self.write(written_at, back_end);
@@ -56,9 +56,12 @@
         let services = vec![service];
         let configuration = Configuration { version: 1, services, ..Configuration::default() };
         let evacuated: BTreeSet<String> = self.evacuated.keys().map(usize::to_string).collect();
-        let facts = ZoneFacts { evacuated, zones: Arc::new(ZoneMap::default()) };
-        let catalog =
-            Catalog::with_zones(Some(Arc::new(configuration)), self.records.values(), facts);
+        let platform_store = ZoneFacts { evacuated, zones: Arc::new(ZoneMap::default()) };
+        let catalog = Catalog::with_zones(
+            Some(Arc::new(configuration)),
+            self.records.values(),
+            platform_store,
+        );
         self.history.push((now, Arc::new(catalog)));
     }
 
@@ -66,8 +69,8 @@
         self.to_write.push((at, number));
     }
 
-    pub fn take_back_later(&mut self, at: u64, zone: usize) {
-        self.to_take_back.push((at, zone));
+    pub fn end_evacuation_later(&mut self, at: u64, zone: usize) {
+        self.evacuations_to_end.push((at, zone));
     }
 
     /// Evacuates a zone; returns false if it was evacuated already.
@@ -88,7 +91,8 @@
         let (due, rest) = self.to_write.iter().partition(|(at, _)| *at <= now);
         self.to_write = rest;
         let back: Vec<(u64, usize)>;
-        (back, self.to_take_back) = self.to_take_back.iter().partition(|(at, _)| *at <= now);
+        (back, self.evacuations_to_end) =
+            self.evacuations_to_end.iter().partition(|(at, _)| *at <= now);
         let due: Vec<(u64, usize)> = due;
         if due.is_empty() && back.is_empty() {
             return;
@@ -105,7 +109,7 @@
         self.store(now);
     }
 
-    pub fn seen_at(&self, moment: u64) -> Seen {
+    pub fn published_at(&self, moment: u64) -> PublishedCatalog {
         let seen = self.history.iter().rev().find(|(at, _)| *at <= moment);
         seen.or(self.history.first()).cloned().expect("a catalog")
     }
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -8,16 +8,16 @@
 use yokefall_serving::eligibility::cold_state::{ColdStartState, WarmUpStatus};
 use yokefall_serving::{Backend, KnownNames};
 
-use super::{BackEnd, Seen, Way, BACK_ENDS, BOUNDS};
+use super::{BackEnd, PublishedCatalog, SendMode, BACK_ENDS, BOUNDS};
 
 /// Time in which a new process becomes known to all connected ones.
-const NEWS_MS: u64 = 4_000;
+const NAME_PROPAGATION_MS: u64 = 4_000;
 /// Time after which a reconnected process has load reports.
-const LOADS_MS: u64 = 300;
+const LOAD_REPORT_DELAY_MS: u64 = 300;
 /// Time after which all know that a process does not answer, and time after which they rely on its
 /// staleness.
-const NOTICED_MS: u64 = 1_500;
-const LOST_MS: u64 = 8_000;
+const LOSS_DETECTION_MS: u64 = 1_500;
+const LOSS_EXPIRY_MS: u64 = 8_000;
 /// Interval at which names are taken over.
 const NAMES_INTERVAL_MS: u64 = 1_000;
 
@@ -32,9 +32,9 @@
     first_started: u64,
     started: u64,
     ended: Option<u64>,
-    cut_at: u64,
-    cut_until: u64,
-    seen: Option<Seen>,
+    partitioned_at: u64,
+    partitioned_until: u64,
+    seen: Option<PublishedCatalog>,
     /// Records by number of the back end, as known here.
     records: Vec<Option<Arc<Backend>>>,
     names: BTreeMap<String, bool>,
@@ -55,8 +55,8 @@
             first_started: now,
             started: now,
             ended: None,
-            cut_at: 0,
-            cut_until: 0,
+            partitioned_at: 0,
+            partitioned_until: 0,
             seen: None,
             records: Vec::new(),
             names: BTreeMap::new(),
@@ -68,33 +68,33 @@
     pub fn restart(&mut self, at: u64) {
         let fresh = Self::start(at, self.name.clone(), self.job_store);
         let (first_started, ended) = (self.first_started, self.ended);
-        let (cut_at, cut_until) = (self.cut_at, self.cut_until);
-        *self = Self { first_started, ended, cut_at, cut_until, ..fresh };
+        let (partitioned_at, partitioned_until) = (self.partitioned_at, self.partitioned_until);
+        *self = Self { first_started, ended, partitioned_at, partitioned_until, ..fresh };
     }
 
     pub fn end(&mut self, now: u64) {
         self.ended.get_or_insert(now);
     }
 
-    pub fn cut(&mut self, now: u64, until: u64) {
-        if self.is_in_touch(now) {
-            self.cut_at = now;
+    pub fn partition(&mut self, now: u64, until: u64) {
+        if self.is_connected(now) {
+            self.partitioned_at = now;
         }
-        self.cut_until = self.cut_until.max(until);
+        self.partitioned_until = self.partitioned_until.max(until);
     }
 
     pub fn is_running(&self, now: u64) -> bool {
         self.ended.is_none() && now >= self.started && now >= self.suspended_until
     }
 
-    pub fn is_in_touch(&self, now: u64) -> bool {
-        self.is_running(now) && now >= self.cut_until
+    pub fn is_connected(&self, now: u64) -> bool {
+        self.is_running(now) && now >= self.partitioned_until
     }
 
     /// Whether it has load reports: some reports after it connected.
-    pub fn hears_loads(&self, now: u64) -> bool {
-        let since = self.started.max(self.cut_until).max(self.suspended_until);
-        self.is_in_touch(now) && now >= since + LOADS_MS
+    pub fn has_load_reports(&self, now: u64) -> bool {
+        let since = self.started.max(self.partitioned_until).max(self.suspended_until);
+        self.is_connected(now) && now >= since + LOAD_REPORT_DELAY_MS
     }
 
     pub fn needs_names(&self, now: u64) -> bool {
@@ -103,24 +103,30 @@
 
     /// Whether another connected process knows this one: some time after its first start, or at
     /// once if the other started later and requests a list.
-    pub fn is_heard(&self, now: u64, by: &Process) -> bool {
-        let told = now >= self.first_started + NEWS_MS;
-        let was_there = self.first_started <= by.first_started;
-        told || was_there
+    pub fn is_known_to(&self, now: u64, by: &Process) -> bool {
+        let reported = now >= self.first_started + NAME_PROPAGATION_MS;
+        let existed_before = self.first_started <= by.first_started;
+        reported || existed_before
     }
 
     /// Whether others know that it does not answer, and not for long.
     pub fn is_lost(&self, now: u64) -> bool {
         let since = match self.ended {
             Some(ended) => ended,
-            None if now < self.cut_until => self.cut_at,
+            None if now < self.partitioned_until => self.partitioned_at,
             None => return false,
         };
-        (NOTICED_MS..LOST_MS).contains(&(now - since))
+        (LOSS_DETECTION_MS..LOSS_EXPIRY_MS).contains(&(now - since))
     }
 
-    pub fn refresh(&mut self, now: u64, catalog: Seen, heard: Vec<(String, bool)>, lost: u32) {
-        if !self.is_in_touch(now) {
+    pub fn refresh(
+        &mut self,
+        now: u64,
+        catalog: PublishedCatalog,
+        heard: Vec<(String, bool)>,
+        lost: u32,
+    ) {
+        if !self.is_connected(now) {
             return;
         }
         if self.seen.as_ref().is_none_or(|(at, _)| *at != catalog.0) {
@@ -149,9 +155,9 @@
         KnownNames { gateways, job_stores, lost: self.lost, joined: self.names.len() > 1 }
     }
 
-    fn news_age_ms(&self, now: u64) -> u64 {
-        match now < self.cut_until {
-            true => now - self.cut_at,
+    fn state_age_ms(&self, now: u64) -> u64 {
+        match now < self.partitioned_until {
+            true => now - self.partitioned_at,
             false => self.delay_ms + 1_000,
         }
     }
@@ -161,8 +167,8 @@
         &mut self,
         now: u64,
         back_end: &BackEnd,
-        way: Way,
-        wants: bool,
+        mode: SendMode,
+        has_request: bool,
     ) -> Option<String> {
         if !self.is_running(now) {
             return None;
@@ -172,11 +178,11 @@
         if catalog.is_evacuated(&record.zone) {
             return None;
         }
-        let age = Some(self.news_age_ms(now));
-        let sends = match way {
-            Way::Unasked => wants || back_end.is_cold(now) && now % 200 == 0,
-            Way::Asked => match self.state.warm_up_status(Timestamp(now), age, &record) {
-                WarmUpStatus::Warm => wants,
+        let age = Some(self.state_age_ms(now));
+        let sends = match mode {
+            SendMode::Unlimited => has_request || back_end.is_cold(now) && now % 200 == 0,
+            SendMode::Limited => match self.state.warm_up_status(Timestamp(now), age, &record) {
+                WarmUpStatus::Warm => has_request,
                 warm_up_status @ WarmUpStatus::Cold { .. } => warm_up_status.may_send(),
             },
         };
--- a/crates/serving/tests/distance.rs
+++ b/crates/serving/tests/distance.rs
@@ -65,20 +65,20 @@
 }
 
 #[test]
-fn another_zone_is_taken_before_another_region() {
+fn another_zone_is_preferred_to_another_region() {
     assert_eq!(choose(&[], None), "north-a");
     assert_eq!(choose(&[("north-a", 3)], None), "north-b");
     assert_eq!(choose(&[("north-a", 3), ("north-b", 2)], None), "north-b");
 }
 
 #[test]
-fn another_region_is_taken_where_the_own_one_is_nearly_full() {
+fn another_region_is_chosen_if_the_local_one_is_nearly_full() {
     assert_eq!(choose(&[("north-a", 9), ("north-b", 9)], None), "south-a");
     assert_ne!(choose(&[("north-a", 9), ("north-b", 9), ("south-a", 10)], None), "south-a");
 }
 
 #[test]
-fn a_prefix_stays_in_the_region_while_that_has_room() {
+fn a_prefix_stays_in_the_region_while_that_has_capacity() {
     for key in 0..200 {
         assert_ne!(choose(&[], Some(key)), "south-a");
         assert_eq!(choose(&[("north-a", 9), ("north-b", 9)], Some(key)), "south-a");
--- a/crates/serving/tests/drawn.rs
+++ b/crates/serving/tests/drawn.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn few_are_all_looked_at() {
+fn few_candidates_are_not_sampled() {
     let all = backends(200);
     let table: BackendTable = all.iter().collect();
     let mut generator = SmallRng::seed_from_u64(1);
@@ -43,7 +43,7 @@
 /// Guards against a cost that grows with the fleet: a choice among all of 10,000 takes 1 ms of a
 /// core without load data.
 #[test]
-fn as_many_are_drawn_out_of_20_000_as_out_of_1_000() {
+fn the_sample_size_does_not_grow_with_the_fleet() {
     let mut generator = SmallRng::seed_from_u64(1);
     for count in [1_000, 10_000, 20_000] {
         let all = backends(count);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn large_regions_are_drawn_from_more_often() {
+fn large_regions_are_sampled_more_often() {
     let all = backends(4_000);
     let (small, large): (BackendTable, BackendTable) =
         (all[..400].iter().collect(), all[400..].iter().collect());
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_prefix_goes_to_the_same_back_end_until_that_has_no_room() {
+fn a_prefix_goes_to_the_same_back_end_while_it_has_capacity() {
     let all = backends(1_000);
     let table: BackendTable = all.iter().collect();
     let (mut one, mut other) = (balancer(1), balancer(2));
@@ -108,7 +108,7 @@
 /// With most of a service ejected, a sample may hold none of the rest, which are then found by
 /// looking at all.
 #[test]
-fn where_all_drawn_ones_are_left_out_the_choice_is_among_all() {
+fn if_the_whole_sample_is_ejected_the_choice_is_among_all() {
     let all = backends(1_000);
     let cell = empty_catalog();
     cell.store(Arc::new(Catalog::new(None, all.iter())));
--- a/crates/serving/tests/duty.rs
+++ b/crates/serving/tests/duty.rs
@@ -29,7 +29,7 @@
     /// Members that are down, and since when.
     gone: BTreeMap<usize, u64>,
     /// Members that the store rejects.
-    refused: BTreeSet<usize>,
+    rejected: BTreeSet<usize>,
     watching: BTreeSet<usize>,
 }
 
@@ -41,8 +41,8 @@
         let members: Vec<FleetMember> = (0..count).map(|index| member(index, zones)).collect();
         let roster = |index: usize| Roster::new(Timestamp(0), false, index as f64 / count as f64);
         let rosters = (0..count).map(roster).collect();
-        let (gone, refused, watching) = Default::default();
-        Self { now: 0, zones, members, rosters, gone, refused, watching }
+        let (gone, rejected, watching) = Default::default();
+        Self { now: 0, zones, members, rosters, gone, rejected, watching }
     }
 
     fn run(&mut self, ms: u64) {
@@ -75,7 +75,7 @@
                 continue;
             }
             self.watching.insert(index);
-            if beats && !self.refused.contains(&index) {
+            if beats && !self.rejected.contains(&index) {
                 heartbeats.push((member.name.clone(), roster.standbys().to_vec()));
             }
         }
@@ -95,7 +95,7 @@
         for index in 0..self.zones {
             zones.insert(&self.members[index].zone, 0);
         }
-        for index in self.watching.iter().filter(|index| !self.refused.contains(index)) {
+        for index in self.watching.iter().filter(|index| !self.rejected.contains(index)) {
             *zones.entry(&self.members[*index].zone).or_default() += 1;
         }
         zones
@@ -122,23 +122,23 @@
 /// Whichever watcher is lost or rejected, its zone has as many again within a second.
 #[test]
 fn a_lost_watcher_is_replaced_within_a_second() {
-    for refuse in [false, true] {
+    for reject in [false, true] {
         let mut model = Model::new(550, 12);
         model.run(5_000);
         let lost = *model.watching.first().expect("a watcher");
         let (zone, since) = (model.members[lost].zone.clone(), model.now);
-        if refuse {
-            model.refused.insert(lost);
+        if reject {
+            model.rejected.insert(lost);
         } else {
             model.gone.insert(lost, since);
         }
         // The other watcher of the zone keeps running.
         model.run(1_000 + HEARTBEAT_INTERVAL_MS);
-        assert!(model.answered()[zone.as_str()] >= WATCHERS_PER_ZONE, "refused: {refuse}");
+        assert!(model.answered()[zone.as_str()] >= WATCHERS_PER_ZONE, "refused: {reject}");
         model.run(10_000);
         for _ in 0..100 {
             model.step();
-            assert_eq!(model.answered()[zone.as_str()], WATCHERS_PER_ZONE, "refused: {refuse}");
+            assert_eq!(model.answered()[zone.as_str()], WATCHERS_PER_ZONE, "refused: {reject}");
         }
     }
 }
@@ -149,7 +149,7 @@
     for offset in 0..3 {
         let mut model = Model::new(550, 12);
         model.run(5_000);
-        model.refused = (0..550).filter(|index| (index / 12) % 3 == offset).collect();
+        model.rejected = (0..550).filter(|index| (index / 12) % 3 == offset).collect();
         model.run(4_000);
         assert!(model.watching.len() <= (WATCHERS_PER_ZONE + STANDBYS_PER_ZONE) * 12);
         let unwatched = model.answered().values().filter(|watchers| **watchers == 0).count();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn when_more_than_half_are_killed_at_once_the_rest_watch() {
+fn zones_stay_watched_when_more_than_half_are_killed_at_once() {
     let mut model = Model::new(300, 5);
     model.run(5_000);
     for index in (0..300).filter(|index| index % 9 < 5) {
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_process_that_nobody_tells_a_configuration_reads_it_itself() {
+fn a_process_without_a_configuration_reads_it_itself() {
     let mut roster = Roster::new(Timestamp(0), false, 1.0);
     assert!(!roster.watches(Timestamp(50), false));
     assert!(roster.watches(Timestamp(500), false));
@@ -202,7 +202,7 @@
 /// After a start of all processes none knows back ends. A list of 3,000 takes 61 calls, so few may
 /// read it.
 #[test]
-fn after_a_start_of_all_few_read_back_ends_and_each_does_in_the_end() {
+fn after_a_start_of_all_few_read_back_ends_first() {
     let (count, zones) = (300, 3);
     let members: Vec<FleetMember> = (0..count).map(|index| member(index, zones)).collect();
     let roster = |index: usize| Roster::new(Timestamp(0), false, index as f64 / count as f64);
@@ -242,7 +242,7 @@
 /// Guards against reading too early: at 10,000 back ends the list had not reached most of 986
 /// processes when their wait ended, and each of them requested 50 pages from the store.
 #[test]
-fn a_process_waits_for_back_ends_while_peers_that_know_them_are_heard() {
+fn a_process_waits_for_back_ends_while_peers_know_them() {
     let members: Vec<FleetMember> = (0..20).map(|index| member(index, 1)).collect();
     let rankings = (0..20).map(|index| Ranking::new(&members, "zone-0", &format!("node-{index}")));
     let last = rankings.max_by_key(|ranking| ranking.rank).expect("a ranking");
@@ -275,7 +275,7 @@
 /// few members and ranks first among them, so that most of 986 read a list of 50 pages, of which
 /// the store answers 320 a second.
 #[test]
-fn a_process_that_learns_of_members_does_not_read_back_ends_for_their_zone() {
+fn a_transient_first_rank_does_not_read_back_ends() {
     let members: Vec<FleetMember> = (0..60).map(|index| member(index, 1)).collect();
     let mut readers = 0;
     for me in &members {
--- a/crates/serving/tests/eligibility.rs
+++ b/crates/serving/tests/eligibility.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn regions_of_route_and_tenant_bind_together() {
+fn regions_of_route_and_tenant_intersect() {
     let regions = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
     let (none, one, two) = (regions(&[]), regions(&["a"]), regions(&["a", "b"]));
     assert_eq!(Residency::of(&none, &none), Residency::Anywhere);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_request_gets_candidates_of_its_regions_alone() {
+fn a_request_gets_only_candidates_of_its_regions() {
     let cell = empty_catalog();
     let all = [backend("1", "a-1"), backend("2", "a-2"), backend("3", "b-1"), backend("4", "x")];
     publish(&cell, &all, &[]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn nothing_goes_to_an_evacuated_zone_though_it_was_chosen_before() {
+fn an_evacuated_zone_gets_no_permit_even_after_the_choice() {
     let cell = empty_catalog();
     let all = [backend("1", "a-1"), backend("2", "a-2")];
     publish(&cell, &all, &[]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn one_that_leaves_is_gone_or_has_started_again_gets_no_permit() {
+fn draining_unknown_and_restarted_back_ends_get_no_permit() {
     let cell = empty_catalog();
     let held = backend("1", "a-1");
     publish(&cell, &[Backend { state: BackendState::Draining, ..held.clone() }], &[]);
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -43,7 +43,7 @@
     members: Membership,
     shared: SharedKnowledge<LineObserver>,
     freshness: Freshness,
-    told: Known,
+    announced: Known,
     /// When the watch of each kind began, and when it ends.
     watches: [(Timestamp, u64); 3],
 }
@@ -53,9 +53,9 @@
     clock: Arc<AtomicU64>,
     processes: Vec<Option<Process>>,
     /// Members that the store rejects.
-    refused: BTreeSet<usize>,
+    rejected: BTreeSet<usize>,
     /// Members that neither send nor receive datagrams and that the store does not answer.
-    cut: BTreeSet<usize>,
+    partitioned_members: BTreeSet<usize>,
     evacuated: BTreeSet<String>,
     revision: u64,
     generator: SmallRng,
@@ -86,8 +86,8 @@
             now: 0,
             clock: Arc::default(),
             processes: Vec::new(),
-            refused: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            rejected: BTreeSet::new(),
+            partitioned_members: BTreeSet::new(),
             evacuated: BTreeSet::new(),
             revision: 10,
             generator: SmallRng::seed_from_u64(7),
@@ -120,7 +120,7 @@
             members: Membership::new(record, seeds, index as u64 + 1),
             shared,
             freshness,
-            told: Known::default(),
+            announced: Known::default(),
             watches: [(Timestamp(0), 0); 3],
         });
     }
@@ -137,27 +137,32 @@
         for _ in 0..ms / STEP_MS {
             self.now += STEP_MS;
             self.clock.fetch_add(STEP_MS, Ordering::Relaxed);
-            watchers.iter().for_each(|index| self.ask_store(*index));
-            let mut underway: VecDeque<(usize, Outgoing)> = VecDeque::new();
+            watchers.iter().for_each(|index| self.poll_store(*index));
+            let mut in_transit: VecDeque<(usize, Outgoing)> = VecDeque::new();
             for index in 0..self.processes.len() {
-                underway.extend(self.act(index).into_iter().map(|datagram| (index, datagram)));
+                in_transit.extend(self.act(index).into_iter().map(|datagram| (index, datagram)));
             }
-            while let Some((from, Outgoing { to, datagram })) = underway.pop_front() {
+            while let Some((from, Outgoing { to, datagram })) = in_transit.pop_front() {
                 let to = (0..self.processes.len()).find(|index| address(*index) == to);
-                let Some(to) = to.filter(|to| !self.cut.contains(to) && !self.cut.contains(&from))
-                else {
+                let Some(to) = to.filter(|to| {
+                    !self.partitioned_members.contains(to)
+                        && !self.partitioned_members.contains(&from)
+                }) else {
                     continue;
                 };
-                underway
-                    .extend(self.hear(to, from, datagram).into_iter().map(|answer| (to, answer)));
+                in_transit.extend(
+                    self.receive_datagram(to, from, datagram)
+                        .into_iter()
+                        .map(|answer| (to, answer)),
+                );
             }
         }
     }
 
     /// The store answers a watcher when a watch ends or something changed.
-    fn ask_store(&mut self, index: usize) {
+    fn poll_store(&mut self, index: usize) {
         let Some(process) = &mut self.processes[index] else { return };
-        if self.refused.contains(&index) || self.cut.contains(&index) {
+        if self.rejected.contains(&index) || self.partitioned_members.contains(&index) {
             return;
         }
         for (number, kind) in KINDS.into_iter().enumerate() {
@@ -214,8 +219,8 @@
         process.members.set_evacuations(own.evacuations);
         process.members.set_news_ages(ages);
         let mut outgoing = Vec::new();
-        if own.is_news_after(process.told) {
-            process.told = own;
+        if own.is_news_after(process.announced) {
+            process.announced = own;
             outgoing.extend(process.members.tell_some(3, 1));
         } else if process.shared.knowledge.borrow_mut().take_confirmed() {
             let (near, far) = CONFIRMATION_FANOUT;
@@ -225,34 +230,34 @@
         outgoing
     }
 
-    fn hear(&mut self, to: usize, from: usize, datagram: Datagram) -> Vec<Outgoing> {
-        let Some(told) = self.processes[from].as_ref() else { return Vec::new() };
-        let told = told.shared.knowledge.clone();
+    fn receive_datagram(&mut self, to: usize, from: usize, datagram: Datagram) -> Vec<Outgoing> {
+        let Some(announced) = self.processes[from].as_ref() else { return Vec::new() };
+        let announced = announced.shared.knowledge.clone();
         let Some(process) = &mut self.processes[to] else { return Vec::new() };
-        let peer = told.borrow().known();
+        let peer = announced.borrow().known();
         process.shared.knowledge.borrow_mut().confirm_evacuations(peer);
         let own = process.shared.knowledge.borrow().known();
         if own.version < peer.version || own.lacks_evacuations(peer) || own.lacks_backends(peer) {
-            let answer = told.borrow().answer(&NewsRequest { known: own, whole: false });
+            let answer = announced.borrow().answer(&NewsRequest { known: own, whole: false });
             process.shared.take_news(answer);
         }
         let now = Timestamp(self.now);
-        let way_ms = Backlog::default().delay_ms().expect("nobody is held up");
-        let delay_ms = process.members.asked_ms_ago(now, &datagram).unwrap_or(way_ms);
+        let transit_ms = Backlog::default().delay_ms().expect("nobody is held up");
+        let delay_ms = process.members.asked_ms_ago(now, &datagram).unwrap_or(transit_ms);
         process.shared.knowledge.borrow_mut().hear_ages(peer, datagram.ages, delay_ms);
         let mut outgoing = process.members.receive(now, datagram, &address(from));
-        outgoing.extend(self.act_on_news(to));
+        outgoing.extend(self.announce_changes(to));
         outgoing
     }
 
     /// A process that has learnt something informs others at once.
-    fn act_on_news(&mut self, index: usize) -> Vec<Outgoing> {
+    fn announce_changes(&mut self, index: usize) -> Vec<Outgoing> {
         let Some(process) = &mut self.processes[index] else { return Vec::new() };
         let own = process.shared.knowledge.borrow().known();
-        if !own.is_news_after(process.told) {
+        if !own.is_news_after(process.announced) {
             return Vec::new();
         }
-        process.told = own;
+        process.announced = own;
         process.members.set_configuration_version(own.version);
         process.members.set_evacuations(own.evacuations);
         process.members.tell_some(3, 1)
@@ -263,12 +268,12 @@
         self.evacuated.insert(zone.to_owned());
     }
 
-    fn take_back(&mut self, zone: &str) {
+    fn end_evacuation(&mut self, zone: &str) {
         self.revision += 1;
         self.evacuated.remove(zone);
     }
 
-    fn obeys(&self, index: usize) -> bool {
+    fn follows_evacuations(&self, index: usize) -> bool {
         let process = self.processes[index].as_ref().expect("it runs");
         let knowledge = process.shared.knowledge.borrow();
         let believed: BTreeSet<String> =
@@ -277,73 +282,77 @@
     }
 
     /// Asserts that all running processes follow the evacuations.
-    fn assert_all_obey(&self, what: &str) {
+    fn assert_all_follow(&self, what: &str) {
         let running = (0..self.processes.len()).filter(|index| self.processes[*index].is_some());
-        let others: Vec<usize> = running.filter(|index| !self.obeys(*index)).collect();
+        let others: Vec<usize> =
+            running.filter(|index| !self.follows_evacuations(*index)).collect();
         assert!(others.is_empty(), "{what}: {others:?} do not");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn everybody_obeys_in_time_whomever_the_store_turns_away() {
+async fn all_processes_follow_evacuations_in_time_whichever_the_store_rejects() {
     for count in [30, 90, 250] {
         let mut fleet = Fleet::new(count);
         // A third of the members, some watchers among them.
-        fleet.refused = (0..count).filter(|index| (index / ZONES) % 3 == 0).collect();
+        fleet.rejected = (0..count).filter(|index| (index / ZONES) % 3 == 0).collect();
         fleet.evacuate("hall-1");
         fleet.run(BOUND_MS);
-        fleet.assert_all_obey("a third is refused");
+        fleet.assert_all_follow("a third is refused");
         // Every member of a zone, and so all of its possible watchers.
-        fleet.refused = (0..count).filter(|index| zone(*index) == "hall-0").collect();
-        assert!(fleet.refused.len() > WATCHERS_PER_ZONE + STANDBYS_PER_ZONE);
-        fleet.take_back("hall-1");
+        fleet.rejected = (0..count).filter(|index| zone(*index) == "hall-0").collect();
+        assert!(fleet.rejected.len() > WATCHERS_PER_ZONE + STANDBYS_PER_ZONE);
+        fleet.end_evacuation("hall-1");
         fleet.evacuate("hall-2");
         fleet.run(BOUND_MS);
-        fleet.assert_all_obey("a whole zone is refused");
+        fleet.assert_all_follow("a whole zone is refused");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_was_cut_off_obeys_again_soon_after_and_takes_nothing_back() {
+async fn a_partitioned_process_catches_up_and_reverts_nothing_elsewhere() {
     let mut fleet = Fleet::new(60);
-    let lonely = 20;
-    fleet.cut.insert(lonely);
+    let partitioned = 20;
+    fleet.partitioned_members.insert(partitioned);
     fleet.evacuate("hall-1");
     fleet.run(15_000);
-    assert!(!fleet.obeys(lonely), "nobody could tell it");
-    assert!(fleet.processes[lonely]
-        .as_ref()
-        .is_some_and(|cut| { cut.freshness.age_ms().is_some_and(|age_ms| age_ms >= 12_000) }));
-    fleet.cut.clear();
+    assert!(!fleet.follows_evacuations(partitioned), "nobody could tell it");
+    assert!(fleet.processes[partitioned].as_ref().is_some_and(|partitioned_members| {
+        partitioned_members.freshness.age_ms().is_some_and(|age_ms| age_ms >= 12_000)
+    }));
+    fleet.partitioned_members.clear();
     for _ in 0..BOUND_MS / STEP_MS {
         fleet.run(STEP_MS);
-        let others = (0..59).filter(|index| *index != lonely);
-        assert!(others.into_iter().all(|index| fleet.obeys(index)), "somebody believed the old");
+        let others = (0..59).filter(|index| *index != partitioned);
+        assert!(
+            others.into_iter().all(|index| fleet.follows_evacuations(index)),
+            "somebody believed the old"
+        );
     }
-    fleet.assert_all_obey("all are back");
+    fleet.assert_all_follow("all are back");
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_starts_meanwhile_and_is_turned_away_obeys_or_serves_nobody() {
+async fn a_starting_process_that_the_store_rejects_follows_evacuations_or_does_not_serve() {
     let mut fleet = Fleet::new(60);
     fleet.evacuate("hall-0");
     fleet.run(BOUND_MS);
     let new = 59;
-    fleet.refused.insert(new);
+    fleet.rejected.insert(new);
     fleet.start(new);
     for _ in 0..BOUND_MS / STEP_MS {
         fleet.run(STEP_MS);
         let process = fleet.processes[new].as_ref().expect("it runs");
         let awaits = process.shared.knowledge.borrow().awaits_evacuations();
-        assert!(awaits || fleet.obeys(new), "it serves without knowing");
+        assert!(awaits || fleet.follows_evacuations(new), "it serves without knowing");
     }
-    assert!(fleet.obeys(new));
+    assert!(fleet.follows_evacuations(new));
 }
 
 /// Decisions rest on the age of the platform state. It must stay at about 3 s everywhere while
 /// nothing changes, although only two members of each zone query the store, each every few seconds.
 #[tokio::test(start_paused = true)]
-async fn while_nothing_changes_everybody_knows_that_what_it_knows_is_fresh() {
+async fn the_platform_state_stays_fresh_everywhere_while_nothing_changes() {
     for count in [30, 90, 180] {
         let mut fleet = Fleet::new(count);
         let (mut ages, mut oldest) = (Vec::new(), 0);
--- a/crates/serving/tests/nearness.rs
+++ b/crates/serving/tests/nearness.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_region_keeps_its_part_of_what_is_expected_of_all() {
+fn a_region_keeps_its_fraction_of_expected_requests() {
     assert_eq!(local_fraction(&levels(2, 0.2), &levels(4, 0.5), 6.0), Some(1.0 / 3.0));
     assert_eq!(local_fraction(&levels(2, 0.2), &levels(4, 0.5), 9.0), None);
     assert_eq!(local_fraction(&levels(2, 0.9), &levels(4, 0.5), 0.0), None);
@@ -58,7 +58,7 @@
 }
 
 /// How many of 100 processes, each choosing once, leave their region.
-fn leave(per_ms: f64, requests: u32) -> usize {
+fn count_leaving(per_ms: f64, requests: u32) -> usize {
     let chosen = (0..100).map(|seed| {
         let backend = balancer(seed, per_ms, requests).choose(NOW, &backends(), &[], None);
         backend.expect("a back end")
@@ -70,11 +70,11 @@
 /// regions and those that have ended: 61 of 100 requests then left their region although a fifth of
 /// its slots was taken.
 #[test]
-fn requests_stay_where_a_fifth_of_the_slots_is_taken() {
-    assert_eq!(leave(0.129, 1), 0);
+fn requests_stay_in_a_region_with_a_fifth_of_its_slots_taken() {
+    assert_eq!(count_leaving(0.129, 1), 0);
 }
 
 #[test]
-fn requests_leave_a_region_that_cannot_take_its_part() {
-    assert!(leave(0.600, 3) > 30);
+fn requests_leave_a_region_that_cannot_take_its_fraction() {
+    assert!(count_leaving(0.600, 3) > 30);
 }
--- a/crates/serving/tests/residency.rs
+++ b/crates/serving/tests/residency.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_cut_allows_what_both_allow() {
+fn an_intersection_allows_what_both_allow() {
     let (north, both) = (within(&["north"]), within(&["north", "south"]));
     assert_eq!(Residency::Anywhere.and(&north), north);
     assert_eq!(north.and(&Residency::Anywhere), north);
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn a_residency_is_told_by_its_regions() {
+fn a_residency_is_displayed_as_its_regions() {
     assert_eq!(Residency::Anywhere.to_string(), "every region");
     assert_eq!(within(&["south", "north"]).to_string(), "north, south");
     assert_eq!(within(&[]).to_string(), "no region");
 }
 
 #[test]
-fn a_host_allows_what_its_restricted_routes_have_in_common_and_else_what_any_allows() {
+fn a_host_allows_the_common_regions_of_its_restricted_routes_or_else_any_of_them() {
     assert_eq!(of_host(vec![route("free", &[])]), Residency::Anywhere);
     let routes = vec![route("free", &[]), route("one", &["north"]), route("two", &["north", "b"])];
     assert_eq!(of_host(routes), within(&["north"]));
--- a/crates/serving/tests/spread.rs
+++ b/crates/serving/tests/spread.rs
@@ -12,7 +12,7 @@
 const BACK_ENDS: usize = 72;
 const GATEWAYS: u64 = 76;
 const SLOTS: u32 = 9;
-const TELLING_INTERVAL_MS: u64 = 100;
+const REPORT_INTERVAL_MS: u64 = 100;
 
 fn online(requests: u32) -> InFlight {
     InFlight { online: requests, items: 0 }
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn one_request_goes_to_the_emptiest() {
+fn one_request_goes_to_the_least_loaded() {
     let mut generator = SmallRng::seed_from_u64(1);
     let levels = [level(0.5), level(0.1), level(0.5)];
     for _ in 0..50 {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn many_requests_go_where_there_is_room_in_proportion() {
+fn many_requests_are_distributed_in_proportion_to_free_slots() {
     let mut generator = SmallRng::seed_from_u64(2);
     // Below the third, 4 slots are free at the first and 2 at the second: six requests fill them.
     let levels = [level(0.0), level(0.2), level(0.4)];
@@ -62,7 +62,7 @@
 /// Guards against gateways that ignore the requests of others at back ends which they have not used
 /// themselves: all of them then chose the one that looked least loaded.
 #[test]
-fn gateways_that_know_the_same_do_not_choose_the_same() {
+fn gateways_with_equal_loads_do_not_choose_the_same_back_end() {
     let all = back_ends();
     let mut balancers: Vec<Balancer> =
         (0..GATEWAYS).map(|seed| Balancer::new("hall-1".into(), seed, Policy::default())).collect();
@@ -78,7 +78,7 @@
     for round in 0..40 {
         let now = Timestamp(10_000 + round * 250);
         for balancer in &mut balancers {
-            balancer.set_choosers(GATEWAYS as usize, TELLING_INTERVAL_MS);
+            balancer.set_choosers(GATEWAYS as usize, REPORT_INTERVAL_MS);
             balancer.heard_totals(
                 now,
                 totals.iter().map(|(life, count)| (life, online(*count))),
