--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -24,7 +24,7 @@
 const MAX_QUEUE_TIME_SHARE: f64 = 0.35;
 /// A request waiting in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct QueuedRequest {
     /// Id of the request, unique in its queue.
     pub ticket: u64,
     /// Rank of its route; 0 is the highest.
@@ -39,23 +39,23 @@
 
 /// Parameters that bound the time in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct QueueLimits {
     /// Rank of its route; 0 is the highest.
     pub rank: u32,
     /// Target latency of its route.
     pub target: Duration,
     /// Timeout set by its caller or its route.
-    pub time: Duration,
+    pub timeout: Duration,
 }
 
-impl Held {
+impl QueuedRequest {
     /// A request that arrived at `arrived`.
-    pub fn new(ticket: u64, arrived: Timestamp, terms: Terms) -> Self {
-        let after = |time: Duration| arrived.plus_millis(time.as_millis() as u64);
+    pub fn new(ticket: u64, arrived: Timestamp, terms: QueueLimits) -> Self {
+        let after = |timeout: Duration| arrived.plus_millis(timeout.as_millis() as u64);
         let max_queue_time = terms
             .target
             .mul_f64(MAX_QUEUE_TIME_TARGETS)
-            .min(terms.time.mul_f64(MAX_QUEUE_TIME_SHARE));
+            .min(terms.timeout.mul_f64(MAX_QUEUE_TIME_SHARE));
         Self {
             ticket,
             rank: terms.rank,
@@ -86,30 +86,30 @@
 
 /// Queued requests of one service.
 #[derive(Clone, Debug, Default)]
-pub struct HoldQueue {
-    queued: Vec<Held>,
+pub struct AdmissionQueue {
+    queued: Vec<QueuedRequest>,
 }
 
-impl HoldQueue {
+impl AdmissionQueue {
     /// Adds a request.
-    pub fn hold(&mut self, request: Held) {
+    pub fn enqueue(&mut self, request: QueuedRequest) {
         self.queued.push(request);
     }
 
     /// The request to send next. Invariant: no request precedes one of a higher rank.
-    pub fn next(&self, now: Timestamp) -> Option<Held> {
-        let order = |queued: &&Held| (queued.rank, queued.urgency(now), queued.ticket);
+    pub fn next(&self, now: Timestamp) -> Option<QueuedRequest> {
+        let order = |queued: &&QueuedRequest| (queued.rank, queued.urgency(now), queued.ticket);
         self.queued.iter().min_by_key(order).copied()
     }
 
     /// Removes a request; `None` if it is not queued.
-    pub fn remove(&mut self, ticket: u64) -> Option<Held> {
+    pub fn remove(&mut self, ticket: u64) -> Option<QueuedRequest> {
         let position = self.queued.iter().position(|queued| queued.ticket == ticket)?;
         Some(self.queued.swap_remove(position))
     }
 
     /// Removes and returns the expired requests.
-    pub fn expire(&mut self, now: Timestamp) -> Vec<Held> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<QueuedRequest> {
         let (expired, queued) = self.queued.iter().partition(|queued| queued.expires_at <= now);
         self.queued = queued;
         expired
--- a/crates/serving/src/backend_table.rs
+++ b/crates/serving/src/backend_table.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::model::Backend;
-use crate::objects::Changed;
+use crate::objects::ObjectChange;
 
 /// Number of shards. A change copies this many pointers and those of one shard: 39 at 10,000 back
 /// ends and 78 at 20,000. With fewer shards, the copy of one would grow with the fleet; with more,
@@ -112,7 +112,7 @@
     pub fn changes_since<'a>(
         &'a self,
         before: &'a BackendTable,
-    ) -> impl Iterator<Item = Changed<Backend>> + 'a {
+    ) -> impl Iterator<Item = ObjectChange<Backend>> + 'a {
         let pairs = before.shards.iter().zip(&self.shards);
         pairs.filter(|(before, after)| !is_shared(before, after)).flat_map(shard_changes)
     }
@@ -125,7 +125,7 @@
     }
 
     /// A back end chosen uniformly at random.
-    pub fn draw(&self, generator: &mut impl Rng) -> Option<&Arc<Backend>> {
+    pub fn sample(&self, generator: &mut impl Rng) -> Option<&Arc<Backend>> {
         if self.count == 0 {
             return None;
         }
@@ -219,7 +219,7 @@
 }
 
 /// Changes within one shard, by merging both versions in the order of ids.
-fn shard_changes((before, after): (&Shard, &Shard)) -> Vec<Changed<Backend>> {
+fn shard_changes((before, after): (&Shard, &Shard)) -> Vec<ObjectChange<Backend>> {
     let mut before = before.iter().flat_map(|shard| shard.iter()).peekable();
     let mut after = after.iter().flat_map(|shard| shard.iter()).peekable();
     let mut changes = Vec::new();
@@ -235,7 +235,7 @@
         let is_same =
             removed.zip(added).is_some_and(|(removed, added)| Arc::ptr_eq(removed, added));
         if !is_same {
-            changes.push(Changed { before: removed.cloned(), after: added.cloned() });
+            changes.push(ObjectChange { before: removed.cloned(), after: added.cloned() });
         }
     }
 }
--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -12,12 +12,12 @@
 use crate::arrivals::{Arrivals, ReportedRate};
 use crate::backend_record::{load, BackendRecord, LOAD_LIFETIME_MS, MIN_OUTCOME_WEIGHT};
 use crate::dialect::BackendLoad;
-use crate::eligibility::{Distance, Drawn, ZoneMap};
-use crate::lives::ByLife;
-use crate::model::{Backend, BackendLife};
-use crate::nearness::local_fraction;
+use crate::eligibility::{CandidateSample, Distance, ZoneMap};
+use crate::incarnations::ByIncarnation;
+use crate::locality::local_fraction;
+use crate::model::{Backend, BackendIncarnation};
 use crate::outcomes::Outcomes;
-use crate::spread::{choose_weighted, water_level, LoadLevel};
+use crate::water_filling::{choose_weighted, water_level, LoadLevel};
 use yokefall_types::Policy;
 
 /// Consecutive failures after which a back end is ejected.
@@ -75,7 +75,7 @@
     policy: Policy,
     zone: String,
     zones: Arc<ZoneMap>,
-    records: ByLife<BackendRecord>,
+    records: ByIncarnation<BackendRecord>,
     /// Processes that balance over the same back ends, this one included.
     balancers: usize,
     /// Interval between load reports of a process, in milliseconds.
@@ -97,7 +97,7 @@
             generator: SmallRng::seed_from_u64(seed),
             zone,
             zones: Arc::default(),
-            records: ByLife::default(),
+            records: ByIncarnation::default(),
             balancers: 1,
             report_interval_ms: DEFAULT_REPORT_INTERVAL_MS,
             totals_at: None,
@@ -123,33 +123,33 @@
         affinity: Option<u64>,
     ) -> Option<Arc<Backend>> {
         let Available { available, ejected } = self.available(now, candidates, tried);
-        let (part, available) = self.prefer_local(now, available);
+        let (fraction, available) = self.prefer_local(now, available);
         let affinity = affinity.filter(|_| self.policy.prefix_affinity);
         if let Some(backend) = affinity.and_then(|key| preferred(&available, key)) {
             return Some(backend.clone());
         }
-        let least_loaded = self.choose_least_loaded(now, &available, part);
+        let least_loaded = self.choose_least_loaded(now, &available, fraction);
         least_loaded.or(ejected).cloned()
     }
 
     /// Chooses from a random sample of many back ends; `None` if all of them are ejected.
-    pub fn choose_drawn(
+    pub fn choose_from_sample(
         &mut self,
         now: Timestamp,
-        drawn: &Drawn,
+        sample: &CandidateSample,
         tried: &[String],
     ) -> Option<Arc<Backend>> {
         if self.policy.prefix_affinity {
-            let Available { available, .. } = self.available(now, &drawn.preferred, tried);
+            let Available { available, .. } = self.available(now, &sample.preferred, tried);
             if let Some((_, backend)) =
                 available.into_iter().find(|(cost, _)| has_affinity_capacity(*cost))
             {
                 return Some(backend.clone());
             }
         }
-        let Available { available, .. } = self.available(now, &drawn.backends, tried);
-        let (part, available) = self.prefer_local(now, available);
-        self.choose_least_loaded(now, &available, part * drawn.part).cloned()
+        let Available { available, .. } = self.available(now, &sample.backends, tried);
+        let (fraction, available) = self.prefer_local(now, available);
+        self.choose_least_loaded(now, &available, fraction * sample.fraction).cloned()
     }
 
     /// Candidates that are not ejected, each with its cost, and the ejected one that returns first.
@@ -202,14 +202,14 @@
         let (remote, local): (Vec<_>, Vec<_>) =
             available.iter().copied().partition(|(_, backend)| is_remote(backend));
         match local_fraction(&levels(&local), &levels(&remote), expected) {
-            Some(part) if self.policy.zone_cost => (part, local),
+            Some(fraction) if self.policy.zone_cost => (fraction, local),
             _ => (1.0, available),
         }
     }
 
     /// Sets how many processes balance over the same back ends, this one included, and the interval
     /// between load reports of each, in milliseconds.
-    pub fn set_choosers(&mut self, balancers: usize, report_interval_ms: u64) {
+    pub fn set_balancer_count(&mut self, balancers: usize, report_interval_ms: u64) {
         self.balancers = balancers.max(1);
         self.report_interval_ms = report_interval_ms;
     }
@@ -225,12 +225,12 @@
     }
 
     /// This process's requests per millisecond to each service.
-    pub fn own_arrivals(&self, now: Timestamp) -> impl Iterator<Item = (&str, f64)> {
+    pub fn own_arrival_rates(&self, now: Timestamp) -> impl Iterator<Item = (&str, f64)> {
         self.arrivals.iter().map(move |(service, own)| (service.as_str(), own.per_ms(now)))
     }
 
     /// Sets the reported requests per millisecond of all processes to a service.
-    pub fn set_arrivals_of_all(&mut self, now: Timestamp, service: String, per_ms: f64) {
+    pub fn set_total_arrival_rate(&mut self, now: Timestamp, service: String, per_ms: f64) {
         self.total_arrival_rates.insert(service, ReportedRate { at: now, per_ms });
     }
 
@@ -259,35 +259,39 @@
     }
 
     /// One of the least loaded candidates, out of more of them the more requests other processes
-    /// are expected to send meanwhile. `part` is the fraction of all requests that belongs to these
+    /// are expected to send meanwhile. `fraction` is the fraction of all requests that belongs to these
     /// candidates.
     fn choose_least_loaded<'a>(
         &mut self,
         now: Timestamp,
         available: &[(f64, &'a Arc<Backend>)],
-        part: f64,
+        fraction: f64,
     ) -> Option<&'a Arc<Backend>> {
         let service = &available.first()?.1.service;
         self.record_arrival(now, service);
         let unreported =
             if self.policy.poured_draw { self.unreported_arrivals(now, service) } else { 0.0 };
         let position =
-            choose_weighted(&mut self.generator, &levels(available), unreported * part + 1.0)?;
+            choose_weighted(&mut self.generator, &levels(available), unreported * fraction + 1.0)?;
         available.get(position).map(|(_, backend)| *backend)
     }
 
     /// Load of the least loaded back ends after one more online request, as a fraction of their
     /// slots; `None` if all are ejected. Items do not count because they are preempted.
-    pub fn online_level(&self, now: Timestamp, candidates: &[Arc<Backend>]) -> Option<f64> {
-        self.online_level_of_part(now, candidates, 1.0)
+    pub fn projected_online_load(
+        &self,
+        now: Timestamp,
+        candidates: &[Arc<Backend>],
+    ) -> Option<f64> {
+        self.projected_online_load_of_sample(now, candidates, 1.0)
     }
 
-    /// The same for a random sample that is the fraction `part` of all back ends.
-    pub fn online_level_of_part(
+    /// The same for a random sample that is the fraction `fraction` of all back ends.
+    pub fn projected_online_load_of_sample(
         &self,
         now: Timestamp,
         candidates: &[Arc<Backend>],
-        part: f64,
+        fraction: f64,
     ) -> Option<f64> {
         let service = &candidates.first()?.service;
         let age = self.report_age_ms(now);
@@ -309,7 +313,7 @@
         } else {
             0.0
         };
-        water_level(&levels, unreported * part + 1.0)
+        water_level(&levels, unreported * fraction + 1.0)
     }
 
     /// `remaining` is the fraction of the reported requests of others that has not ended since.
@@ -326,7 +330,7 @@
     }
 
     /// Records the service time of a completely answered request, in milliseconds.
-    pub fn took(&mut self, service: &str, milliseconds: f64) {
+    pub fn record_service_time(&mut self, service: &str, milliseconds: f64) {
         match self.service_ms.get_mut(service) {
             Some(mean) => *mean += (milliseconds - *mean) * SERVICE_TIME_WEIGHT,
             None => {
@@ -378,13 +382,13 @@
     }
 
     /// Records that a request is sent to a back end.
-    pub fn started(&mut self, backend: &Backend) {
-        self.records.entry(backend.life()).in_flight += 1;
+    pub fn record_start(&mut self, backend: &Backend) {
+        self.records.entry(backend.incarnation()).in_flight += 1;
     }
 
     /// Records the end of a request. It counts for the incarnation to which it was sent: a later
     /// one under the same id never had it.
-    pub fn ended(&mut self, now: Timestamp, backend: &Backend, outcome: Outcome) {
+    pub fn record_end(&mut self, now: Timestamp, backend: &Backend, outcome: Outcome) {
         let Some(record) = self.records.get_mut(backend) else { return };
         record.in_flight = record.in_flight.saturating_sub(1);
         match outcome {
@@ -411,34 +415,41 @@
     }
 
     /// Requests of this process in flight, by incarnation of a back end.
-    pub fn all_in_flight(&self) -> impl Iterator<Item = (BackendLife, u32)> + '_ {
+    pub fn all_in_flight(&self) -> impl Iterator<Item = (BackendIncarnation, u32)> + '_ {
         let busy = self.records.iter().filter(|(_, _, record)| record.in_flight > 0);
         busy.map(|(id, started_ms, record)| {
-            (BackendLife { id: id.to_owned(), started_ms }, record.in_flight)
+            (BackendIncarnation { id: id.to_owned(), started_ms }, record.in_flight)
         })
     }
 
     /// Recent outcomes of this process's requests, by incarnation of a back end.
-    pub fn outcomes(&self, now: Timestamp) -> impl Iterator<Item = (BackendLife, Outcomes)> + '_ {
+    pub fn outcomes(
+        &self,
+        now: Timestamp,
+    ) -> impl Iterator<Item = (BackendIncarnation, Outcomes)> + '_ {
         self.records.iter().filter_map(move |(id, started_ms, record)| {
             let sums = record.outcomes.sums(now);
             let counts = sums.failed + sums.answered >= MIN_OUTCOME_WEIGHT;
-            counts.then(|| (BackendLife { id: id.to_owned(), started_ms }, sums))
+            counts.then(|| (BackendIncarnation { id: id.to_owned(), started_ms }, sums))
         })
     }
 
     /// Ejects back ends that fail for all processes according to load reports. Without it each
     /// process would have to detect a dead back end by itself.
-    pub fn fail_for_all<'a>(&mut self, now: Timestamp, failing: impl Iterator<Item = &'a Backend>) {
+    pub fn eject_reported<'a>(
+        &mut self,
+        now: Timestamp,
+        failing: impl Iterator<Item = &'a Backend>,
+    ) {
         for backend in failing {
             if !self.is_ejected(now, backend) {
-                self.records.entry(backend.life()).eject(now);
+                self.records.entry(backend.incarnation()).eject(now);
             }
         }
     }
 
     /// Records that something was received from a back end.
-    pub fn heard(&mut self, now: Timestamp, backend: &Backend) {
+    pub fn record_activity(&mut self, now: Timestamp, backend: &Backend) {
         if let Some(record) = self.records.get_mut(backend) {
             record.last_activity_at = Some(now);
         }
@@ -447,7 +458,7 @@
     /// Records that nothing was received from a back end for `silence_ms` on a request in flight.
     /// Unless something was received on another request, the back end is ejected; otherwise the
     /// request is only waiting there for a slot. Returns whether the back end is ejected.
-    pub fn fell_silent(&mut self, now: Timestamp, backend: &Backend, silence_ms: u64) -> bool {
+    pub fn record_silence(&mut self, now: Timestamp, backend: &Backend, silence_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(backend).filter(|_| self.policy.silence) else {
             return false;
         };
@@ -464,11 +475,11 @@
 
     /// Takes over the requests in flight of all processes; back ends missing in `totals` have none.
     /// `own` is what this process had reported when the totals were summed.
-    pub fn heard_totals<'a>(
+    pub fn update_totals<'a>(
         &mut self,
         now: Timestamp,
-        totals: impl Iterator<Item = (&'a BackendLife, InFlight)>,
-        own: impl Fn(&BackendLife) -> u32,
+        totals: impl Iterator<Item = (&'a BackendIncarnation, InFlight)>,
+        own: impl Fn(&BackendIncarnation) -> u32,
     ) {
         if !self.policy.peer_loads {
             return;
@@ -479,22 +490,22 @@
             record.remote_items = 0.0;
             record.reported_at = Some(now);
         }
-        for (life, total) in totals {
+        for (incarnation, total) in totals {
             // Back ends that this process has never used count as well: they would look empty
             // otherwise.
-            let record = match self.records.of_life_mut(life) {
+            let record = match self.records.incarnation_mut(incarnation) {
                 Some(record) => record,
-                None => self.records.entry(life.clone()),
+                None => self.records.entry(incarnation.clone()),
             };
             let all = f64::from(total.online) + f64::from(total.items);
-            record.remote_in_flight = (all - f64::from(own(life))).max(0.0);
+            record.remote_in_flight = (all - f64::from(own(incarnation))).max(0.0);
             record.remote_items = f64::from(total.items).min(record.remote_in_flight);
             record.reported_at = Some(now);
         }
     }
 
     /// Takes over the load that a back end reported itself.
-    pub fn told(&mut self, now: Timestamp, backend: &Backend, load: BackendLoad) {
+    pub fn record_report(&mut self, now: Timestamp, backend: &Backend, load: BackendLoad) {
         let Some(record) = self.records.get_mut(backend) else { return };
         let all = f64::from(load.running + load.waiting);
         record.remote_in_flight = (all - f64::from(record.in_flight)).max(0.0);
@@ -503,13 +514,13 @@
     }
 
     /// Drops incarnations that are no longer known and have nothing in flight.
-    pub fn retain(&mut self, known: impl Fn(&BackendLife) -> bool) {
-        self.records.retain(|life, record| record.in_flight > 0 || known(life));
+    pub fn retain(&mut self, known: impl Fn(&BackendIncarnation) -> bool) {
+        self.records.retain(|incarnation, record| record.in_flight > 0 || known(incarnation));
     }
 
     /// Drops records that no longer influence a choice; every load report iterates over all of
     /// them.
-    pub fn forget_idle(&mut self, now: Timestamp) {
+    pub fn prune_idle(&mut self, now: Timestamp) {
         self.records.retain(|_, record| record.in_flight > 0 || record.influences_choice(now));
     }
 }
--- a/crates/serving/src/eligibility/cold_share.rs
+++ b/crates/serving/src/eligibility/cold_share.rs
@@ -10,8 +10,8 @@
 use yokefall_core::Timestamp;
 use yokefall_types::{rendezvous_score, PlacementBounds};
 
+use crate::known_processes::KnownProcesses;
 use crate::model::WarmUp;
-use crate::names::KnownNames;
 
 /// Share of the allowance that stays unused to absorb differing views of processes: five of 27
 /// requests a second, by the simulation in `tests/cold.rs`.
@@ -30,7 +30,7 @@
 
 /// Identity of a sending process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sender {
+pub struct SenderId {
     /// Name of the process.
     pub name: String,
     /// Whether it is a job store.
@@ -48,11 +48,11 @@
 
 impl Allowance {
     /// The allowance of a cold back end of a service. Without job stores, gateways get all of it.
-    pub fn of(bounds: &PlacementBounds, warm_up: &WarmUp, names: &KnownNames) -> Self {
+    pub fn of(bounds: &PlacementBounds, warm_up: &WarmUp, names: &KnownProcesses) -> Self {
         let per_second = warm_up.per_1000_seconds as f64 / 1_000.0;
         let allowed = (per_second * bounds.cold_overage + bounds.cold_slack).floor();
-        let unused =
-            (allowed * UNUSED_SHARE).ceil() + (f64::from(names.lost) * LOST_PROCESS_RATE).ceil();
+        let unused = (allowed * UNUSED_SHARE).ceil()
+            + (f64::from(names.unresponsive) * LOST_PROCESS_RATE).ceil();
         let least = (allowed * MIN_USED_SHARE).ceil();
         let used = (allowed - unused).max(least) as u32;
         let job_stores = match !names.job_stores.is_empty() && used > 1 {
@@ -64,7 +64,12 @@
 }
 
 /// Requests that a process may send to a back end per `QUOTA_INTERVAL_MS`.
-pub fn quota(allowance: Allowance, names: &KnownNames, backend: &str, sender: &Sender) -> u32 {
+pub fn quota(
+    allowance: Allowance,
+    names: &KnownProcesses,
+    backend: &str,
+    sender: &SenderId,
+) -> u32 {
     let kind_allowance = match sender.job_store {
         true => allowance.job_stores,
         false => allowance.gateways,
--- a/crates/serving/src/eligibility/cold_start.rs
+++ b/crates/serving/src/eligibility/cold_start.rs
@@ -9,10 +9,10 @@
 
 use yokefall_clock::ElapsedClock;
 use yokefall_core::Timestamp;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 use yokefall_types::PlacementBounds;
 
-use super::cold_share::Sender;
+use super::cold_share::SenderId;
 use super::cold_state::{ColdStartState, WarmUpStatus};
 use super::freshness::Freshness;
 use super::warmth::ColdCause;
@@ -26,9 +26,9 @@
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Settings and dependencies of the limiter.
-pub struct ColdStartOptions {
+pub struct ColdStartLimiterOptions {
     /// Identity of this process.
-    pub sender: Sender,
+    pub sender: SenderId,
     /// Bounds that the deployment guarantees.
     pub bounds: PlacementBounds,
     /// Age of the platform state.
@@ -39,7 +39,7 @@
 
 /// Limits what the sending thread of a process sends to back ends that are not known to be warm.
 #[derive(Debug)]
-pub struct ColdStart {
+pub struct ColdStartLimiter {
     catalog: CatalogCell,
     fleet: FleetCell,
     freshness: Freshness,
@@ -58,10 +58,14 @@
     logged_stale: bool,
 }
 
-impl ColdStart {
+impl ColdStartLimiter {
     /// A limiter that knows no back ends yet.
-    pub fn new(catalog: CatalogCell, fleet: FleetCell, options: ColdStartOptions) -> Rc<Self> {
-        let ColdStartOptions { sender, bounds, freshness, clock } = options;
+    pub fn new(
+        catalog: CatalogCell,
+        fleet: FleetCell,
+        options: ColdStartLimiterOptions,
+    ) -> Rc<Self> {
+        let ColdStartLimiterOptions { sender, bounds, freshness, clock } = options;
         let inner = Inner {
             state: ColdStartState::new(clock.now(), sender, bounds),
             catalog: None,
@@ -160,7 +164,7 @@
             None | Some(WarmUpStatus::Warm) => Ok(()),
             Some(WarmUpStatus::Cold { cause, wait_ms: 0 }) => {
                 metrics::counter!("cold_sends_total", "cause" => cause.name()).increment(1);
-                Line::new(EventName::ColdShareSpent)
+                LogLine::new(EventName::ColdShareSpent)
                     .id(&backend.id)
                     .field("cause", cause.name())
                     .write();
@@ -186,28 +190,30 @@
     }
 
     /// Records that the leader assigned an item for such a back end to a job store.
-    pub fn gave_item(&self, backend: &Backend, to: &str) {
-        self.with(|state, now, _| state.gave_item(now, &backend.id, to.to_owned()));
+    pub fn record_item_assignment(&self, backend: &Backend, to: &str) {
+        self.with(|state, now, _| state.record_item_assignment(now, &backend.id, to.to_owned()));
     }
 
     /// Records that a back end was unreachable, broke a connection or fell silent here.
-    pub fn failed(&self, id: &str) {
-        self.with(|state, now, _| state.failed(now, id));
+    pub fn record_failure(&self, id: &str) {
+        self.with(|state, now, _| state.record_failure(now, id));
     }
 
     /// Records that something was received from a back end.
-    pub fn heard(&self, id: &str) {
-        self.with(|state, now, _| state.heard(now, id));
+    pub fn record_activity(&self, id: &str) {
+        self.with(|state, now, _| state.record_activity(now, id));
     }
 
     /// Records that back ends fail for most processes according to load reports.
-    pub fn failed_for_all<'a>(&self, ids: impl Iterator<Item = &'a str>) {
-        self.with(|state, now, _| ids.for_each(|id| state.failed_for_all(now, id)));
+    pub fn record_reported_failure<'a>(&self, ids: impl Iterator<Item = &'a str>) {
+        self.with(|state, now, _| ids.for_each(|id| state.record_reported_failure(now, id)));
     }
 
     /// Records for how much longer a back end is cold, as it reported in an answer.
-    pub fn told(&self, backend: &Backend, remaining_ms: u64) {
-        self.with(|state, now, _| state.told(now, &backend.id, backend.started_ms, remaining_ms));
+    pub fn record_report(&self, backend: &Backend, remaining_ms: u64) {
+        self.with(|state, now, _| {
+            state.record_report(now, &backend.id, backend.started_ms, remaining_ms)
+        });
     }
 
     /// Takes over changes, and logs the back ends that became cold or warm.
@@ -230,7 +236,7 @@
 }
 
 /// Refreshes the state for ever. Must run on the sending thread.
-pub async fn watch(cold: Rc<ColdStart>) {
+pub async fn watch(cold: Rc<ColdStartLimiter>) {
     loop {
         cold.refresh();
         tokio::time::sleep(REFRESH_INTERVAL).await;
@@ -253,7 +259,7 @@
 
     fn log_staleness(&mut self, is_stale: bool, age_ms: Option<u64>) {
         if std::mem::replace(&mut self.logged_stale, is_stale) != is_stale {
-            Line::new(EventName::PlatformNewsAge)
+            LogLine::new(EventName::PlatformNewsAge)
                 .field("too_old", is_stale)
                 .field("age_ms", age_ms)
                 .write();
@@ -264,7 +270,7 @@
         for (id, cause, left_ms) in cold_periods {
             if !self.logged_cold.contains_key(id) {
                 self.logged_cold.insert(id.clone(), now);
-                Line::new(EventName::BackendCold)
+                LogLine::new(EventName::BackendCold)
                     .id(id)
                     .field("cause", cause.name())
                     .field("left_ms", *left_ms)
@@ -275,7 +281,7 @@
             let is_cold = cold_periods.iter().any(|(cold, _, _)| cold == id);
             if !is_cold {
                 let cold_ms = now.millis_since(*since);
-                Line::new(EventName::BackendWarm).id(id).field("cold_ms", cold_ms).write();
+                LogLine::new(EventName::BackendWarm).id(id).field("cold_ms", cold_ms).write();
             }
             is_cold
         });
--- a/crates/serving/src/eligibility/cold_state.rs
+++ b/crates/serving/src/eligibility/cold_state.rs
@@ -6,11 +6,11 @@
 use yokefall_core::Timestamp;
 use yokefall_types::PlacementBounds;
 
-use super::cold_share::{quota, Allowance, SendHistory, Sender, QUOTA_INTERVAL_MS};
+use super::cold_share::{quota, Allowance, SendHistory, SenderId, QUOTA_INTERVAL_MS};
 use super::warmth::{ColdCause, WarmthTracker};
 use crate::catalog::Catalog;
+use crate::known_processes::KnownProcesses;
 use crate::model::Backend;
-use crate::names::KnownNames;
 
 /// Time after its start in which a process uses no quota, in milliseconds. The others must know its
 /// name to leave it its share, and it must know theirs; updates reach 300 processes within 4 s of a
@@ -59,17 +59,17 @@
 /// The state of one process.
 #[derive(Debug)]
 pub struct ColdStartState {
-    sender: Sender,
+    sender: SenderId,
     bounds: PlacementBounds,
     started_at: Timestamp,
     warmth: WarmthTracker,
-    names: Arc<KnownNames>,
+    names: Arc<KnownProcesses>,
     quotas: HashMap<String, BackendQuota>,
 }
 
 impl ColdStartState {
     /// The state of a process that starts now.
-    pub fn new(now: Timestamp, sender: Sender, bounds: PlacementBounds) -> Self {
+    pub fn new(now: Timestamp, sender: SenderId, bounds: PlacementBounds) -> Self {
         let (warmth, names) = (WarmthTracker::default(), Arc::default());
         Self { sender, bounds, started_at: now, warmth, names, quotas: HashMap::new() }
     }
@@ -86,7 +86,7 @@
     }
 
     /// Sets the names of all processes.
-    pub fn set_names(&mut self, names: Arc<KnownNames>) {
+    pub fn set_names(&mut self, names: Arc<KnownProcesses>) {
         self.names = names;
         self.invalidate_quotas();
     }
@@ -99,23 +99,23 @@
     }
 
     /// Records that a back end was unreachable, broke a connection or fell silent.
-    pub fn failed(&mut self, now: Timestamp, id: &str) {
-        self.warmth.failed(now, id);
+    pub fn record_failure(&mut self, now: Timestamp, id: &str) {
+        self.warmth.record_failure(now, id);
     }
 
     /// Records that something was received from a back end.
-    pub fn heard(&mut self, now: Timestamp, id: &str) {
-        self.warmth.heard(now, id);
+    pub fn record_activity(&mut self, now: Timestamp, id: &str) {
+        self.warmth.record_activity(now, id);
     }
 
     /// Records that a back end fails for most processes according to load reports.
-    pub fn failed_for_all(&mut self, now: Timestamp, id: &str) {
-        self.warmth.failed_for_all(now, id);
+    pub fn record_reported_failure(&mut self, now: Timestamp, id: &str) {
+        self.warmth.record_reported_failure(now, id);
     }
 
     /// Records for how much longer a back end is cold, as it reported itself.
-    pub fn told(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
-        self.warmth.told(now, id, started_ms, remaining_ms);
+    pub fn record_report(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
+        self.warmth.record_report(now, id, started_ms, remaining_ms);
     }
 
     /// Whether back ends of a service need time to get warm.
@@ -253,7 +253,7 @@
         let allowance = self.allowance(&backend.service);
         let names = &self.names;
         let has_quota = |name: &&String| {
-            let sender = Sender { name: (*name).clone(), job_store: true };
+            let sender = SenderId { name: (*name).clone(), job_store: true };
             quota(allowance, names, &backend.id, &sender) > 0
         };
         let compute = || names.job_stores.iter().filter(has_quota).cloned().collect();
@@ -269,7 +269,7 @@
 
     /// Records that the leader assigned a job store an item for a back end that is not known to be
     /// warm.
-    pub fn gave_item(&mut self, now: Timestamp, id: &str, to: String) {
+    pub fn record_item_assignment(&mut self, now: Timestamp, id: &str, to: String) {
         let backend_quota = self.quotas.entry(id.to_owned()).or_default();
         backend_quota.assigned.retain(|(_, at)| now.millis_since(*at) < QUOTA_INTERVAL_MS);
         backend_quota.assigned.push((to, now));
--- a/crates/serving/src/eligibility/mod.rs
+++ b/crates/serving/src/eligibility/mod.rs
@@ -9,9 +9,9 @@
 pub mod cold_share;
 pub mod cold_start;
 pub mod cold_state;
-pub mod drawn;
 pub mod freshness;
 pub mod residency;
+pub mod sample;
 pub mod unknown_regions;
 pub mod warmth;
 pub mod zones;
@@ -21,20 +21,20 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-pub use cold_share::Sender;
-pub use cold_start::{ColdStart, ColdStartOptions};
-pub use drawn::Drawn;
+pub use cold_share::SenderId;
+pub use cold_start::{ColdStartLimiter, ColdStartLimiterOptions};
 pub use freshness::Freshness;
 pub use residency::Residency;
+pub use sample::CandidateSample;
 pub use unknown_regions::unknown_regions;
 pub use zones::{Distance, ZoneMap};
 
 use rand::Rng;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::backend_table::BackendTable;
 use crate::catalog::{Catalog, CatalogCell};
-use crate::model::{Backend, BackendLife, BackendState};
+use crate::model::{Backend, BackendIncarnation, BackendState};
 
 /// Why a back end may not be sent a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,10 +76,10 @@
 impl Ineligible {
     /// Counts that a request or item was rejected by the back end's permit check, and logs
     /// evacuations that are followed.
-    pub fn tell_kept_from(&self, id: &str, backend: &Backend) {
+    pub fn record_rejection(&self, id: &str, backend: &Backend) {
         metrics::counter!("permits_refused_total", "cause" => self.name()).increment(1);
         if *self == Ineligible::Evacuated {
-            Line::new(EventName::EvacuationObeyed)
+            LogLine::new(EventName::EvacuationObeyed)
                 .id(id)
                 .field("backend", backend.id.as_str())
                 .field("zone", backend.zone.as_str())
@@ -110,7 +110,7 @@
 
 /// What a request requires of a back end.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct Requirements<'a> {
     /// Service that serves it.
     pub service: &'a str,
     /// Regions in which it may be served.
@@ -120,13 +120,13 @@
 /// Permission to send one request to a back end now.
 #[derive(Debug)]
 pub struct Permit {
-    life: BackendLife,
+    incarnation: BackendIncarnation,
 }
 
 impl Permit {
     /// The incarnation to which the request may be sent.
-    pub fn life(&self) -> &BackendLife {
-        &self.life
+    pub fn incarnation(&self) -> &BackendIncarnation {
+        &self.incarnation
     }
 }
 
@@ -135,7 +135,7 @@
 pub struct Eligibility {
     catalog: CatalogCell,
     /// Limits for back ends that are not known to be warm; `None` if not tracked.
-    cold: Option<Rc<ColdStart>>,
+    cold: Option<Rc<ColdStartLimiter>>,
 }
 
 impl Eligibility {
@@ -145,58 +145,68 @@
     }
 
     /// Also limits requests to back ends that are not known to be warm.
-    pub fn with_cold_start(catalog: CatalogCell, cold: Rc<ColdStart>) -> Self {
+    pub fn with_cold_start(catalog: CatalogCell, cold: Rc<ColdStartLimiter>) -> Self {
         Self { catalog, cold: Some(cold) }
     }
 
     /// Back ends that may be sent a request of this process, by one catalog.
-    pub fn candidates<'a>(&self, catalog: &'a Catalog, need: &Need) -> Cow<'a, [Arc<Backend>]> {
-        let allowed_by_placement = self.allowed_by_placement(catalog, need);
-        let permitted =
-            self.cold.as_ref().and_then(|cold| cold.permitted(need.service, &allowed_by_placement));
+    pub fn candidates<'a>(
+        &self,
+        catalog: &'a Catalog,
+        requirements: &Requirements,
+    ) -> Cow<'a, [Arc<Backend>]> {
+        let allowed_by_placement = self.allowed_by_placement(catalog, requirements);
+        let permitted = self
+            .cold
+            .as_ref()
+            .and_then(|cold| cold.permitted(requirements.service, &allowed_by_placement));
         permitted.map_or(allowed_by_placement, Cow::Owned)
     }
 
     /// The candidates as tables, including those to which this process may not send now.
-    pub fn tables<'a>(&self, catalog: &'a Catalog, need: &'a Need) -> Vec<&'a BackendTable> {
-        match need.residency {
-            Residency::Anywhere => catalog.ready_table(need.service).into_iter().collect(),
+    pub fn tables<'a>(
+        &self,
+        catalog: &'a Catalog,
+        requirements: &'a Requirements,
+    ) -> Vec<&'a BackendTable> {
+        match requirements.residency {
+            Residency::Anywhere => catalog.ready_table(requirements.service).into_iter().collect(),
             Residency::Within(regions) => {
-                catalog.ready_tables_within(need.service, regions).collect()
+                catalog.ready_tables_within(requirements.service, regions).collect()
             }
         }
     }
 
     /// A random sample of many candidates, with those preferred by `affinity`; `None` if there are
     /// few enough to look at all, or if this process may send to none of the sampled ones.
-    pub fn draw(
+    pub fn sample(
         &self,
         catalog: &Catalog,
-        need: &Need,
+        requirements: &Requirements,
         affinity: Option<u64>,
         generator: &mut impl Rng,
-    ) -> Option<Drawn> {
-        let drawn = Drawn::of(&self.tables(catalog, need), affinity, generator)?;
-        let Some(cold) = &self.cold else { return Some(drawn) };
-        let drawn = drawn.filtered(|backends| cold.permitted(need.service, backends));
-        (!drawn.backends.is_empty()).then_some(drawn)
+    ) -> Option<CandidateSample> {
+        let sample = CandidateSample::of(&self.tables(catalog, requirements), affinity, generator)?;
+        let Some(cold) = &self.cold else { return Some(sample) };
+        let sample = sample.filtered(|backends| cold.permitted(requirements.service, backends));
+        (!sample.backends.is_empty()).then_some(sample)
     }
 
     /// The same for an item; see `item_candidates`.
-    pub fn draw_for_items(
+    pub fn sample_for_items(
         &self,
         catalog: &Catalog,
-        need: &Need,
+        requirements: &Requirements,
         usable: impl Fn(&str) -> bool,
         generator: &mut impl Rng,
-    ) -> Option<Drawn> {
-        let drawn = Drawn::of(&self.tables(catalog, need), None, generator)?;
-        let Some(cold) = &self.cold else { return Some(drawn) };
-        let drawn = drawn.filtered(|backends| {
-            cold.permitted(need.service, backends)?;
+    ) -> Option<CandidateSample> {
+        let sample = CandidateSample::of(&self.tables(catalog, requirements), None, generator)?;
+        let Some(cold) = &self.cold else { return Some(sample) };
+        let sample = sample.filtered(|backends| {
+            cold.permitted(requirements.service, backends)?;
             Some(self.usable_for_items(cold, backends, &usable))
         });
-        (!drawn.backends.is_empty()).then_some(drawn)
+        (!sample.backends.is_empty()).then_some(sample)
     }
 
     /// Back ends of a service that may not be sent an item now because they are not known to be
@@ -214,7 +224,7 @@
 
     fn usable_for_items(
         &self,
-        cold: &ColdStart,
+        cold: &ColdStartLimiter,
         backends: &[Arc<Backend>],
         usable: impl Fn(&str) -> bool,
     ) -> Vec<Arc<Backend>> {
@@ -229,12 +239,12 @@
     pub fn item_candidates<'a>(
         &self,
         catalog: &'a Catalog,
-        need: &Need,
+        requirements: &Requirements,
         usable: impl Fn(&str) -> bool,
     ) -> Cow<'a, [Arc<Backend>]> {
-        let allowed_by_placement = self.allowed_by_placement(catalog, need);
+        let allowed_by_placement = self.allowed_by_placement(catalog, requirements);
         let Some(cold) = &self.cold else { return allowed_by_placement };
-        if cold.permitted(need.service, &allowed_by_placement).is_none() {
+        if cold.permitted(requirements.service, &allowed_by_placement).is_none() {
             return allowed_by_placement;
         }
         Cow::Owned(self.usable_for_items(cold, &allowed_by_placement, usable))
@@ -242,44 +252,52 @@
 
     /// Milliseconds until this process may send next, if every candidate is cold and its quota is
     /// used up.
-    pub fn cold_wait_ms(&self, catalog: &Catalog, need: &Need) -> Option<u64> {
+    pub fn cold_wait_ms(&self, catalog: &Catalog, requirements: &Requirements) -> Option<u64> {
         let cold = self.cold.as_ref()?;
-        cold.wait_ms(&self.allowed_by_placement(catalog, need))
+        cold.wait_ms(&self.allowed_by_placement(catalog, requirements))
     }
 
     /// Ready back ends in the regions where the request may be served.
     fn allowed_by_placement<'a>(
         &self,
         catalog: &'a Catalog,
-        need: &Need,
+        requirements: &Requirements,
     ) -> Cow<'a, [Arc<Backend>]> {
-        match need.residency {
-            Residency::Anywhere => Cow::Borrowed(catalog.ready(need.service)),
-            Residency::Within(regions) => catalog.ready_within(need.service, regions),
+        match requirements.residency {
+            Residency::Anywhere => Cow::Borrowed(catalog.ready(requirements.service)),
+            Residency::Within(regions) => catalog.ready_within(requirements.service, regions),
         }
     }
 
     /// Permission to send a request to a back end now, by the latest catalog. Must be requested
     /// right before the request is written: if the back end is not known to be warm, it uses up
     /// quota.
-    pub fn permit(&self, backend: &Backend, need: &Need) -> Result<Permit, Ineligible> {
-        self.check_placement(backend, need)?;
+    pub fn permit(
+        &self,
+        backend: &Backend,
+        requirements: &Requirements,
+    ) -> Result<Permit, Ineligible> {
+        self.check_placement(backend, requirements)?;
         if let Some(cold) = &self.cold {
             cold.consume(backend)?;
         }
-        Ok(Permit { life: backend.life() })
+        Ok(Permit { incarnation: backend.incarnation() })
     }
 
     /// Whether `permit` would succeed now.
-    pub fn check(&self, backend: &Backend, need: &Need) -> Result<(), Ineligible> {
-        self.check_placement(backend, need)?;
+    pub fn check(&self, backend: &Backend, requirements: &Requirements) -> Result<(), Ineligible> {
+        self.check_placement(backend, requirements)?;
         match &self.cold {
             Some(cold) => cold.check(backend),
             None => Ok(()),
         }
     }
 
-    fn check_placement(&self, backend: &Backend, need: &Need) -> Result<(), Ineligible> {
+    fn check_placement(
+        &self,
+        backend: &Backend,
+        requirements: &Requirements,
+    ) -> Result<(), Ineligible> {
         let catalog = self.catalog.load();
         let known = catalog.known.get(&backend.id).ok_or(Ineligible::Unknown)?;
         if known.started_ms != backend.started_ms {
@@ -288,13 +306,13 @@
         if known.state != BackendState::Ready {
             return Err(Ineligible::Draining);
         }
-        if catalog.awaits_evacuations {
+        if catalog.evacuations_unknown {
             return Err(Ineligible::EvacuationsUnknown);
         }
         if catalog.is_evacuated(&known.zone) {
             return Err(Ineligible::Evacuated);
         }
-        if !need.residency.allows(catalog.zones.region_of(&known.zone)) {
+        if !requirements.residency.allows(catalog.zones.region_of(&known.zone)) {
             return Err(Ineligible::OtherRegion);
         }
         Ok(())
--- a/crates/serving/src/eligibility/drawn.rs
+++ b/crates/serving/src/eligibility/sample.rs
@@ -23,16 +23,16 @@
 
 /// Back ends sampled for one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drawn {
+pub struct CandidateSample {
     /// The sampled back ends, without duplicates.
     pub backends: Vec<Arc<Backend>>,
     /// Back ends that hold the request's prefix if any does, first choice first.
     pub preferred: Vec<Arc<Backend>>,
     /// Sampled back ends as a fraction of all.
-    pub part: f64,
+    pub fraction: f64,
 }
 
-impl Drawn {
+impl CandidateSample {
     /// Samples from disjoint tables; `None` if there are few enough back ends to look at all.
     pub fn of(
         tables: &[&BackendTable],
@@ -46,15 +46,15 @@
         let mut backends: Vec<Arc<Backend>> = Vec::with_capacity(SAMPLE_SIZE);
         for _ in 0..SAMPLE_SIZE {
             let position = generator.random_range(0..count);
-            backends.extend(table_at(tables, position)?.draw(generator).cloned());
+            backends.extend(table_at(tables, position)?.sample(generator).cloned());
         }
         backends.sort_unstable_by_key(Arc::as_ptr);
         backends.dedup_by_key(|backend| Arc::as_ptr(backend));
         let largest = tables.iter().max_by_key(|table| table.len())?;
         let preferred =
             affinity.map(|key| largest.preferred(key, PREFERRED_COUNT)).unwrap_or_default();
-        let part = backends.len() as f64 / count as f64;
-        Some(Self { backends, preferred: preferred.into_iter().cloned().collect(), part })
+        let fraction = backends.len() as f64 / count as f64;
+        Some(Self { backends, preferred: preferred.into_iter().cloned().collect(), fraction })
     }
 
     /// Keeps the back ends that `permitted` returns; `None` from `permitted` keeps all.
--- a/crates/serving/src/eligibility/warmth.rs
+++ b/crates/serving/src/eligibility/warmth.rs
@@ -294,7 +294,7 @@
     }
 
     /// Records that something was received from a back end.
-    pub fn heard(&mut self, now: Timestamp, id: &str) {
+    pub fn record_activity(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.backends.get_mut(id) {
             known.last_activity_at = Some(now);
         }
@@ -303,14 +303,14 @@
     /// Records that a back end fails for most processes, according to load reports of the last
     /// seconds. One that still answers here is overloaded: treating it as cold would shift its load
     /// to the others.
-    pub fn failed_for_all(&mut self, now: Timestamp, id: &str) {
+    pub fn record_reported_failure(&mut self, now: Timestamp, id: &str) {
         let Some(known) = self.backends.get_mut(id) else { return };
         if known.last_activity_at.is_some_and(|at| now.millis_since(at) < ACTIVITY_TIMEOUT_MS) {
             return;
         }
         let is_new = |at: Timestamp| now.millis_since(at) < FAILURE_REPORT_MS;
         if !known.appeared_at.is_some_and(is_new) {
-            return self.failed(now, id);
+            return self.record_failure(now, id);
         }
         // Probably the previous incarnation failed, and this one is cold for as long anyway. If
         // this one fails, that is reported again before this period ends.
@@ -320,7 +320,7 @@
     }
 
     /// Records that a back end was unreachable, broke a connection or fell silent here.
-    pub fn failed(&mut self, now: Timestamp, id: &str) {
+    pub fn record_failure(&mut self, now: Timestamp, id: &str) {
         let Some(known) = self.backends.get_mut(id) else { return };
         let Some(warm_up) = self.warm_ups.get(&known.service) else { return };
         let until = warm_after_restart(now, warm_up);
@@ -329,7 +329,7 @@
     }
 
     /// Records for how much longer a back end is cold, as it reported in an answer.
-    pub fn told(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
+    pub fn record_report(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
         let known = self.backends.get_mut(id);
         let Some(known) = known.filter(|known| known.record.started_ms == started_ms) else {
             return;
--- a/crates/serving/src/lateness.rs
+++ b/crates/serving/src/lateness.rs
@@ -1,6 +1,6 @@
 //! Detects a shortage of processor time by how late timers fire.
 
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 /// Weight of one wake-up in the mean lateness: averages over about ten wake-ups, some seconds when
 /// idle.
@@ -42,10 +42,10 @@
     }
 
     /// Records a wake-up, exports it as a metric, and logs the begin and the end of a shortage.
-    pub fn note_and_tell(&mut self, late_ms: u64) {
+    pub fn record_and_report(&mut self, late_ms: u64) {
         metrics::histogram!("loop_lateness_seconds").record(late_ms as f64 / 1_000.0);
         if let Some(shortage) = self.record(late_ms) {
-            Line::new(EventName::ProcessorShort)
+            LogLine::new(EventName::ProcessorShort)
                 .field("short", shortage == CpuShortage::Began)
                 .field("mean_late_ms", self.mean_ms as u64)
                 .write();
--- a/crates/serving/src/nearness.rs
+++ b/crates/serving/src/locality.rs
@@ -1,6 +1,6 @@
 //! Whether requests stay in the local region.
 
-use crate::spread::{water_level, LoadLevel};
+use crate::water_filling::{water_level, LoadLevel};
 
 /// The fraction of all requests that belongs to the back ends of the local region, if these can
 /// take it; `None` if back ends of other regions are needed.
--- a/crates/serving/src/backlog.rs
+++ b/crates/serving/src/stall_detector.rs
@@ -15,21 +15,21 @@
 
 /// Monitors the loop that reads datagrams.
 #[derive(Debug, Default)]
-pub struct Backlog {
+pub struct StallDetector {
     /// Latest time at which the loop should run next.
     wakeup_due: Option<Timestamp>,
     /// Whether the loop was stalled and has not yet read everything that arrived meanwhile.
     may_be_old: bool,
 }
 
-impl Backlog {
+impl StallDetector {
     /// The loop starts a wait of at most `wait_ms`.
-    pub fn waits(&mut self, now: Timestamp, wait_ms: u64) {
+    pub fn start_wait(&mut self, now: Timestamp, wait_ms: u64) {
         self.wakeup_due = Some(now.plus_millis(wait_ms));
     }
 
     /// The loop runs.
-    pub fn woken(&mut self, now: Timestamp) {
+    pub fn record_wakeup(&mut self, now: Timestamp) {
         let late_ms = self.wakeup_due.map_or(0, |wakeup_due| now.millis_since(wakeup_due));
         self.may_be_old |= late_ms > MAX_WAKEUP_DELAY_MS;
         // Long work between two waits stalls the loop as well.
--- a/crates/serving/src/duty.rs
+++ b/crates/serving/src/watch_role.rs
@@ -57,30 +57,30 @@
 
 /// Whether this process watches the store, as seen by the watching tasks.
 #[derive(Clone, Debug)]
-pub struct Duty {
+pub struct WatchRole {
     /// `None` for a process that always watches.
     receiver: Option<watch::Receiver<bool>>,
 }
 
-impl Duty {
+impl WatchRole {
     /// The role of a process that always watches.
     pub fn always() -> Self {
         Self { receiver: None }
     }
 
     /// A role that its sender switches on and off.
-    pub fn told() -> (watch::Sender<bool>, Self) {
+    pub fn controlled() -> (watch::Sender<bool>, Self) {
         let (sender, receiver) = watch::channel(false);
         (sender, Self { receiver: Some(receiver) })
     }
 
     /// Waits until the role is active.
-    pub async fn begun(&mut self) {
+    pub async fn started(&mut self) {
         self.wait_for(true).await;
     }
 
     /// Whether the role is active.
-    pub fn holds(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.receiver.as_ref().is_none_or(|receiver| *receiver.borrow())
     }
 
@@ -95,7 +95,7 @@
     async fn wait_for(&mut self, wanted: bool) {
         let Some(receiver) = &mut self.receiver else { return };
         // The sender is dropped only when the process ends.
-        if receiver.wait_for(|duty| *duty == wanted).await.is_err() {
+        if receiver.wait_for(|watch_role| *watch_role == wanted).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -132,7 +132,7 @@
 /// second of the loss of the previous one; otherwise its members learn of changes only from other
 /// zones.
 #[derive(Debug)]
-pub struct Roster {
+pub struct WatcherElection {
     started: Timestamp,
     /// When this process reads the store itself unless it has a configuration by then.
     configuration_deadline: Timestamp,
@@ -149,7 +149,7 @@
     catch_up_until: Option<Timestamp>,
 }
 
-impl Roster {
+impl WatcherElection {
     /// State at the start of a process. `jitter` is drawn from 0 to 1 at each start.
     pub fn new(now: Timestamp, is_first_start: bool, jitter: f64) -> Self {
         let (wait, max_jitter) = match is_first_start {
@@ -180,12 +180,12 @@
     }
 
     /// Records a heartbeat of a watcher that the store answers.
-    pub fn heard_watcher(&mut self, now: Timestamp, name: &str) {
+    pub fn record_watcher_heartbeat(&mut self, now: Timestamp, name: &str) {
         self.heartbeats.insert(name.to_owned(), now);
     }
 
     /// Records that a peer knows back ends, which postpones reading them from the store.
-    pub fn heard_of_backends(&mut self, now: Timestamp) {
+    pub fn record_peer_with_backends(&mut self, now: Timestamp) {
         let since = *self.peer_with_backends_at.get_or_insert(now);
         let latest = since.plus_millis(MAX_BACKENDS_WAIT_MS + self.backends_jitter_ms);
         let postponed = now.plus_millis(BACKENDS_WAIT_MS).min(latest);
@@ -241,7 +241,7 @@
     }
 
     /// Rank of this process among the members of its zone; 0 is the first.
-    pub fn rank_of_this(&self) -> usize {
+    pub fn own_rank(&self) -> usize {
         self.ranking.rank
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// When the result of `watches` may change without an event.
-    pub fn next_look(
+    pub fn next_check(
         &self,
         now: Timestamp,
         knows_configuration: bool,
--- a/crates/serving/tests/cold_parts.rs
+++ b/crates/serving/tests/cold_parts.rs
@@ -8,10 +8,10 @@
 use yokefall_serving::eligibility::cold_share::{quota, Allowance, SendHistory, QUOTA_INTERVAL_MS};
 use yokefall_serving::eligibility::cold_state::{ColdStartState, WarmUpStatus, JOIN_DELAY_MS};
 use yokefall_serving::eligibility::warmth::{ColdCause, WarmthTracker, RECORD_PROPAGATION_MS};
-use yokefall_serving::names::NameMemory;
+use yokefall_serving::known_processes::ProcessHistory;
 use yokefall_serving::{
-    Backend, BackendState, Catalog, Configuration, KnownNames, PlacementBounds, Sender, Service,
-    WarmUp, ZoneFacts, ZoneMap,
+    Backend, BackendState, Catalog, Configuration, KnownProcesses, PlacementBounds, SenderId,
+    Service, WarmUp, ZoneMap, ZoneState,
 };
 
 const BOUNDS: PlacementBounds =
@@ -19,17 +19,17 @@
 const WARM_UP: WarmUp = WarmUp { duration_ms: 3_000, per_1000_seconds: 15_000 };
 const START: Timestamp = Timestamp(100_000);
 
-fn names(gateways: usize, job_stores: usize) -> KnownNames {
+fn known_processes(gateways: usize, job_stores: usize) -> KnownProcesses {
     let all = |kind: &str, count: usize| (0..count).map(|n| format!("{kind}-{n}")).collect();
     let (gateways, job_stores) = (all("edge", gateways), all("store", job_stores));
-    KnownNames { gateways, job_stores, lost: 0, joined: true }
+    KnownProcesses { gateways, job_stores, unresponsive: 0, joined: true }
 }
 
-fn sum(names: &KnownNames, backend: &str) -> u32 {
+fn sum(names: &KnownProcesses, backend: &str) -> u32 {
     let allowance = Allowance::of(&BOUNDS, &WARM_UP, names);
     let of_kind = |job_store: bool| {
         let senders = names.of_kind(job_store);
-        let senders = senders.map(|name| Sender { name: name.to_owned(), job_store });
+        let senders = senders.map(|name| SenderId { name: name.to_owned(), job_store });
         senders.map(|sender| quota(allowance, names, backend, &sender)).sum::<u32>()
     };
     of_kind(false) + of_kind(true)
@@ -40,19 +40,23 @@
 #[test]
 fn quotas_sum_to_at_most_the_allowance_in_fleets_of_any_size() {
     for (gateways, job_stores) in [(1, 0), (1, 1), (2, 1), (3, 3), (17, 5), (23, 0), (75, 14)] {
-        let names = names(gateways, job_stores);
+        let names = known_processes(gateways, job_stores);
         for backend in ["a", "b", "c"] {
             let sum = sum(&names, backend);
             assert!((1..=22).contains(&sum), "{gateways} and {job_stores}: {sum}");
         }
     }
-    assert_eq!(sum(&names(75, 14), "a"), 22);
+    assert_eq!(sum(&known_processes(75, 14), "a"), 22);
 }
 
 #[test]
 fn lost_processes_reduce_the_usable_allowance_down_to_a_minimum() {
-    let used = |lost: u32| {
-        let allowance = Allowance::of(&BOUNDS, &WARM_UP, &KnownNames { lost, ..names(75, 14) });
+    let used = |unresponsive: u32| {
+        let allowance = Allowance::of(
+            &BOUNDS,
+            &WARM_UP,
+            &KnownProcesses { unresponsive, ..known_processes(75, 14) },
+        );
         allowance.gateways + allowance.job_stores
     };
     assert_eq!((used(0), used(1), used(4), used(8), used(80)), (22, 21, 21, 20, 11));
@@ -62,7 +66,8 @@
 fn an_allowance_below_one_request_permits_none() {
     let used = |per_1000_seconds: u64| {
         let warm_up = WarmUp { per_1000_seconds, ..WARM_UP };
-        let allowance = Allowance::of(&PlacementBounds::default(), &warm_up, &names(3, 3));
+        let allowance =
+            Allowance::of(&PlacementBounds::default(), &warm_up, &known_processes(3, 3));
         (allowance.gateways, allowance.job_stores)
     };
     assert_eq!((used(500), used(1_000)), ((0, 0), (1, 0)));
@@ -97,21 +102,21 @@
 /// over its share.
 #[test]
 fn names_of_lost_processes_are_kept_for_minutes() {
-    let mut memory = NameMemory::default();
+    let mut memory = ProcessHistory::default();
     let own = record("own", MemberState::Alive);
-    memory.take(START, &[own.clone(), record("other", MemberState::Alive)]);
-    assert!(!NameMemory::default().names(START, "own", true).joined);
-    assert!(memory.names(START, "own", true).joined);
+    memory.update(START, &[own.clone(), record("other", MemberState::Alive)]);
+    assert!(!ProcessHistory::default().known_processes(START, "own", true).joined);
+    assert!(memory.known_processes(START, "own", true).joined);
     let lost_at = START.plus_millis(60_000);
-    memory.take(lost_at, &[own.clone(), record("other", MemberState::Suspect)]);
-    let known = memory.names(lost_at.plus_millis(2_000), "own", true);
-    assert_eq!((known.gateways.len(), known.lost), (2, 1));
+    memory.update(lost_at, &[own.clone(), record("other", MemberState::Suspect)]);
+    let known = memory.known_processes(lost_at.plus_millis(2_000), "own", true);
+    assert_eq!((known.gateways.len(), known.unresponsive), (2, 1));
     // Membership forgets it sooner or later; the name still counts.
-    memory.take(lost_at.plus_millis(20_000), std::slice::from_ref(&own));
-    let known = memory.names(lost_at.plus_millis(20_000), "own", true);
-    assert_eq!((known.gateways.len(), known.lost), (2, 0));
-    memory.take(lost_at.plus_millis(700_000), &[own]);
-    assert_eq!(memory.names(lost_at.plus_millis(700_000), "own", true).gateways, ["own"]);
+    memory.update(lost_at.plus_millis(20_000), std::slice::from_ref(&own));
+    let known = memory.known_processes(lost_at.plus_millis(20_000), "own", true);
+    assert_eq!((known.gateways.len(), known.unresponsive), (2, 0));
+    memory.update(lost_at.plus_millis(700_000), &[own]);
+    assert_eq!(memory.known_processes(lost_at.plus_millis(700_000), "own", true).gateways, ["own"]);
 }
 
 fn backend(started_ms: u64, cold_remaining_ms: u64) -> Arc<Backend> {
@@ -136,7 +141,7 @@
     };
     let configuration = Configuration { services: vec![service], ..Configuration::default() };
     let evacuated: BTreeSet<String> = evacuated.iter().map(|zone| (*zone).to_owned()).collect();
-    let facts = ZoneFacts { evacuated, zones: Arc::new(ZoneMap::default()) };
+    let facts = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
     Catalog::with_zones(Some(Arc::new(configuration)), backends.iter(), facts)
 }
 
@@ -186,16 +191,16 @@
 fn a_failure_is_cleared_by_time_or_by_a_report_of_the_same_incarnation() {
     let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
-    warmth.told(START, "i-0", 1, 0);
-    warmth.failed(START, "i-0");
+    warmth.record_report(START, "i-0", 1, 0);
+    warmth.record_failure(START, "i-0");
     let until = WARM_UP.duration_ms + RECORD_PROPAGATION_MS;
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::Failed, until)));
-    warmth.told(START, "i-0", 2, 0);
+    warmth.record_report(START, "i-0", 2, 0);
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::Failed, until)));
     assert_eq!(cold_period(&warmth, START.plus_millis(until)), None);
-    warmth.told(START, "i-0", 1, 0);
+    warmth.record_report(START, "i-0", 1, 0);
     assert_eq!(cold_period(&warmth, START), None);
-    warmth.told(START, "i-0", 1, 700);
+    warmth.record_report(START, "i-0", 1, 700);
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::Reported, 700)));
 }
 
@@ -221,8 +226,8 @@
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::Appeared, 3_000)));
 }
 
-fn state(remaining_ms: u64, names: KnownNames) -> ColdStartState {
-    let sender = Sender { name: "edge-0".into(), job_store: false };
+fn state(remaining_ms: u64, names: KnownProcesses) -> ColdStartState {
+    let sender = SenderId { name: "edge-0".into(), job_store: false };
     let mut state = ColdStartState::new(START, sender, BOUNDS);
     state.observe(START, &catalog(&[backend(1, remaining_ms)], &[]));
     state.set_names(Arc::new(names));
@@ -234,11 +239,11 @@
 #[test]
 fn a_process_uses_its_quota_only_after_the_join_delay_and_with_known_peers() {
     let backend = backend(1, 60_000);
-    let mut met = state(60_000, names(3, 0));
+    let mut met = state(60_000, known_processes(3, 0));
     assert!(!met.warm_up_status(START.plus_millis(JOIN_DELAY_MS - 1), None, &backend).may_send());
     let entered = START.plus_millis(JOIN_DELAY_MS);
     assert!(met.warm_up_status(entered, None, &backend).may_send());
-    let mut alone = state(60_000, KnownNames { joined: false, ..names(1, 0) });
+    let mut alone = state(60_000, KnownProcesses { joined: false, ..known_processes(1, 0) });
     assert!(!alone.warm_up_status(entered.plus_millis(10_000), None, &backend).may_send());
 }
 
@@ -246,7 +251,7 @@
 #[test]
 fn no_back_end_counts_as_warm_with_stale_platform_state() {
     let (backend, now) = (backend(1, 0), START.plus_millis(JOIN_DELAY_MS));
-    let mut state = state(0, names(75, 14));
+    let mut state = state(0, known_processes(75, 14));
     assert_eq!(state.warm_up_status(now, Some(5_000), &backend), WarmUpStatus::Warm);
     let warm_up_status = state.warm_up_status(now, Some(5_001), &backend);
     assert!(
@@ -259,10 +264,10 @@
 #[test]
 fn a_leader_assigns_each_job_store_with_a_quota_one_item_per_interval() {
     let backend = backend(1, 60_000);
-    let mut state = state(60_000, names(75, 14));
+    let mut state = state(60_000, known_processes(75, 14));
     let mut given = BTreeSet::new();
     while let Some(name) = state.item_sender(START, &backend, |_| true) {
-        state.gave_item(START, &backend.id, name.clone());
+        state.record_item_assignment(START, &backend.id, name.clone());
         assert!(given.insert(name), "one got two");
     }
     assert_eq!(given.len(), 4);
@@ -277,10 +282,10 @@
 fn a_back_end_that_answers_here_is_not_cold_by_reported_failures() {
     let mut warmth = WarmthTracker::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
-    warmth.heard(START, "i-0");
-    warmth.failed_for_all(START.plus_millis(400), "i-0");
+    warmth.record_activity(START, "i-0");
+    warmth.record_reported_failure(START.plus_millis(400), "i-0");
     assert_eq!(cold_period(&warmth, START.plus_millis(400)), None);
     let later = START.plus_millis(500);
-    warmth.failed_for_all(later, "i-0");
+    warmth.record_reported_failure(later, "i-0");
     assert_eq!(cold_period(&warmth, later).map(|(cause, _)| cause), Some(ColdCause::Failed));
 }
