--- a/crates/serving/src/backend_table.rs
+++ b/crates/serving/src/backend_table.rs
@@ -151,9 +151,9 @@
             .shards
             .iter()
             .enumerate()
-            .filter_map(|(shard, held)| Some((shard, held.as_ref()?)));
+            .filter_map(|(index, shard)| Some((index, shard.as_ref()?)));
         let mut ranked: Vec<(u64, &Arc<Vec<Arc<Backend>>>)> =
-            filled.map(|(shard, held)| (score(shard), held)).collect();
+            filled.map(|(index, shard)| (score(index), shard)).collect();
         ranked.sort_unstable_by_key(|(score, _)| Reverse(*score));
         let score = |backend: &&Arc<Backend>| xxh3_64_with_seed(backend.id.as_bytes(), key);
         ranked
--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -259,8 +259,8 @@
     }
 
     /// One of the least loaded candidates, out of more of them the more requests other processes
-    /// are expected to send meanwhile. `fraction` is the fraction of all requests that belongs to these
-    /// candidates.
+    /// are expected to send meanwhile. `fraction` is the fraction of all requests that belongs to
+    /// these candidates.
     fn choose_least_loaded<'a>(
         &mut self,
         now: Timestamp,
--- a/crates/serving/src/eligibility/cold_start.rs
+++ b/crates/serving/src/eligibility/cold_start.rs
@@ -12,7 +12,7 @@
 use yokefall_telemetry::{EventName, LogLine};
 use yokefall_types::PlacementBounds;
 
-use super::cold_share::SenderId;
+use super::cold_quota::SenderId;
 use super::cold_state::{ColdStartState, WarmUpStatus};
 use super::freshness::Freshness;
 use super::warmth::ColdCause;
@@ -246,12 +246,12 @@
 impl Inner {
     fn sync(&mut self, clock: &ElapsedClock, catalog: &CatalogCell, fleet: &FleetCell) {
         let present = catalog.load();
-        if !self.catalog.as_ref().is_some_and(|held| Arc::ptr_eq(held, &present)) {
+        if !self.catalog.as_ref().is_some_and(|synced| Arc::ptr_eq(synced, &present)) {
             self.state.observe(clock.now(), &present);
             self.catalog = Some(Arc::clone(&present));
         }
         let present = fleet.load();
-        if !self.fleet.as_ref().is_some_and(|held| Arc::ptr_eq(held, &present)) {
+        if !self.fleet.as_ref().is_some_and(|synced| Arc::ptr_eq(synced, &present)) {
             self.state.set_names(present.names.clone());
             self.fleet = Some(Arc::clone(&present));
         }
--- a/crates/serving/src/eligibility/cold_state.rs
+++ b/crates/serving/src/eligibility/cold_state.rs
@@ -6,7 +6,7 @@
 use yokefall_core::Timestamp;
 use yokefall_types::PlacementBounds;
 
-use super::cold_share::{quota, Allowance, SendHistory, SenderId, QUOTA_INTERVAL_MS};
+use super::cold_quota::{quota, Allowance, SendHistory, SenderId, QUOTA_INTERVAL_MS};
 use super::warmth::{ColdCause, WarmthTracker};
 use crate::catalog::Catalog;
 use crate::known_processes::KnownProcesses;
--- a/crates/serving/src/eligibility/mod.rs
+++ b/crates/serving/src/eligibility/mod.rs
@@ -6,7 +6,7 @@
 //! have changed while a connection was established. Only `permit` creates a `Permit`, and nothing
 //! is sent without one (`yokefall_upstream::exchange`), so that no sender can skip the check.
 
-pub mod cold_share;
+pub mod cold_quota;
 pub mod cold_start;
 pub mod cold_state;
 pub mod freshness;
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-pub use cold_share::SenderId;
+pub use cold_quota::SenderId;
 pub use cold_start::{ColdStartLimiter, ColdStartLimiterOptions};
 pub use freshness::Freshness;
 pub use residency::Residency;
--- a/crates/serving/src/eligibility/warmth.rs
+++ b/crates/serving/src/eligibility/warmth.rs
@@ -1,6 +1,6 @@
 //! Tracks which back ends are known to be warm.
 //!
-//! A back end that is not known to be warm is not excluded but gets few requests (`cold_share`).
+//! A back end that is not known to be warm is not excluded but gets few requests (`cold_quota`).
 //! Invariant: evidence that a back end may be cold is overridden only by time, or by a later report
 //! of the back end itself.
 
@@ -188,15 +188,15 @@
         let Some((service, warm_up)) = self.warm_ups.get_key_value(backend.service.as_str()) else {
             return;
         };
-        let held = self.backends.get_mut(&backend.id);
-        let held = held.filter(|held| {
-            held.record.started_ms == backend.started_ms && held.gone_since.is_none()
+        let tracked = self.backends.get_mut(&backend.id);
+        let tracked = tracked.filter(|tracked| {
+            tracked.record.started_ms == backend.started_ms && tracked.gone_since.is_none()
         });
-        if let Some(held) = held {
-            if !Arc::ptr_eq(&held.record, backend) {
-                held.record = backend.clone();
-                held.reported = recorded(now, backend.cold_remaining_ms);
-                let reported = held.reported;
+        if let Some(tracked) = tracked {
+            if !Arc::ptr_eq(&tracked.record, backend) {
+                tracked.record = backend.clone();
+                tracked.reported = recorded(now, backend.cold_remaining_ms);
+                let reported = tracked.reported;
                 self.track_cold_periods(&backend.id, [reported, None]);
             }
             return;
@@ -379,7 +379,7 @@
 impl TrackedBackend {
     /// Extends the inferred period; the later end wins whatever its cause.
     fn suspect(&mut self, until: Timestamp, cause: ColdCause) {
-        if self.suspected.is_none_or(|held| held.until < until) {
+        if self.suspected.is_none_or(|period| period.until < until) {
             self.suspected = Some(ColdPeriod { until, cause });
         }
     }
--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -46,12 +46,12 @@
 #[test]
 fn a_request_expires_while_its_caller_can_still_retry() {
     let mut queue = queue(&[(10_000, 0)]);
-    let expiry = queue.next_expiry().expect("one is held");
+    let expiry = queue.next_expiry().expect("a queued request");
     // 0.35 of its timeout of 5 s, which is less than 6 times its target.
     assert_eq!(expiry, NOW.plus_millis(1_750));
     assert!(queue.expire(NOW.plus_millis(1_749)).is_empty());
     let expired = queue.expire(expiry);
-    assert_eq!(expired.iter().map(|held| held.ticket).collect::<Vec<_>>(), [0]);
+    assert_eq!(expired.iter().map(|request| request.ticket).collect::<Vec<_>>(), [0]);
     assert!(queue.is_empty());
 }
 
@@ -66,7 +66,9 @@
 
 quickcheck! {
     /// Whatever the load, every queued request leaves the queue once: it is sent or it expires.
-    fn every_queued_request_leaves_the_queue_once(arrivals: Vec<(u16, u8)>, room: u8) -> TestResult {
+    fn every_queued_request_leaves_the_queue_once(
+        arrivals: Vec<(u16, u8)>, capacity: u8
+    ) -> TestResult {
         let arrivals: Vec<(u64, u32)> =
             arrivals.iter().map(|(at, rank)| (u64::from(*at), u32::from(rank % 3))).collect();
         let mut queue = queue(&arrivals);
@@ -76,7 +78,7 @@
             for expired in queue.expire(now) {
                 ended[expired.ticket as usize] += 1;
             }
-            for _ in 0..room % 4 {
+            for _ in 0..capacity % 4 {
                 let Some(next) = queue.next(now) else { break };
                 let higher = queue_has_higher(&mut queue.clone(), now, next);
                 if higher {
@@ -96,9 +98,9 @@
 
 /// Whether a request of a higher rank than `next` is queued.
 fn queue_has_higher(queue: &mut AdmissionQueue, now: Timestamp, next: QueuedRequest) -> bool {
-    while let Some(held) = queue.next(now) {
-        queue.remove(held.ticket);
-        if held.rank < next.rank {
+    while let Some(queued) = queue.next(now) {
+        queue.remove(queued.ticket);
+        if queued.rank < next.rank {
             return true;
         }
     }
--- a/crates/serving/tests/backend_table.rs
+++ b/crates/serving/tests/backend_table.rs
@@ -48,7 +48,7 @@
 type Oracle = BTreeMap<String, Arc<Backend>>;
 
 /// Applies a step to the table and to the oracle, and returns the change.
-fn take(
+fn apply(
     table: &mut BackendTable,
     oracle: &mut Oracle,
     step: &Step,
@@ -68,7 +68,7 @@
     (before.is_some() || after.is_some()).then_some(ObjectChange { before, after })
 }
 
-fn holds(table: &BackendTable, oracle: &Oracle) -> bool {
+fn matches(table: &BackendTable, oracle: &Oracle) -> bool {
     let ids: BTreeSet<&String> = table.values().map(|backend| &backend.id).collect();
     table.len() == oracle.len()
         && ids.into_iter().eq(oracle.keys())
@@ -80,8 +80,8 @@
     fn contains_what_a_map_contains(steps: Vec<Step>) -> bool {
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
         steps.iter().all(|step| {
-            take(&mut table, &mut oracle, step);
-            holds(&table, &oracle)
+            apply(&mut table, &mut oracle, step);
+            matches(&table, &oracle)
         })
     }
 
@@ -89,21 +89,21 @@
         first: Vec<Step>, then: Vec<Step>
     ) -> bool {
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
-        first.iter().for_each(|step| drop(take(&mut table, &mut oracle, step)));
+        first.iter().for_each(|step| drop(apply(&mut table, &mut oracle, step)));
         let (older, mut followed) = (table.clone(), oracle.clone());
-        then.iter().for_each(|step| drop(take(&mut table, &mut oracle, step)));
-        let stayed = holds(&older, &followed);
+        then.iter().for_each(|step| drop(apply(&mut table, &mut oracle, step)));
+        let is_unchanged = matches(&older, &followed);
         for ObjectChange { before, after } in table.changes_since(&older) {
-            let id = before.as_ref().or(after.as_ref()).expect("one of them").id.clone();
-            let held = match after {
+            let id = before.as_ref().or(after.as_ref()).expect("a back end before or after").id.clone();
+            let replaced = match after {
                 Some(after) => followed.insert(id, after),
                 None => followed.remove(&id),
             };
-            if held != before {
+            if replaced != before {
                 return false;
             }
         }
-        stayed && followed == oracle
+        is_unchanged && followed == oracle
     }
 
     fn an_incrementally_updated_catalog_equals_a_rebuilt_one(
@@ -117,7 +117,7 @@
         let mut followed = Catalog::with_zones(None, std::iter::empty(), facts.clone());
         steps.chunks(3).all(|batch| {
             let changes: Vec<ObjectChange<Backend>> =
-                batch.iter().filter_map(|step| take(&mut table, &mut oracle, step)).collect();
+                batch.iter().filter_map(|step| apply(&mut table, &mut oracle, step)).collect();
             followed = followed.clone().with_changes(&changes);
             let built = Catalog::with_zones(None, oracle.values(), facts.clone());
             same(&followed, &built)
@@ -157,7 +157,7 @@
             after.insert(backend(index, 2));
             after.copied_since(&before)
         });
-        most.max().expect("some")
+        most.max().expect("a change")
     };
     let (small, large, twice) = (copied(1_000), copied(10_000), copied(20_000));
     assert!(large * 2 <= small * 3, "{small} pointers at 1,000, {large} at 10,000");
@@ -166,19 +166,19 @@
 
 #[test]
 fn sampling_is_uniform() {
-    const DRAWS_FOR_EACH: usize = 200;
+    const SAMPLES_PER_BACK_END: usize = 200;
     let table = table(300);
     let mut generator = SmallRng::seed_from_u64(1);
-    let mut drawn: HashMap<String, usize> = HashMap::new();
-    for _ in 0..300 * DRAWS_FOR_EACH {
+    let mut samples: HashMap<String, usize> = HashMap::new();
+    for _ in 0..300 * SAMPLES_PER_BACK_END {
         let backend = table.sample(&mut generator).expect("a back end");
-        *drawn.entry(backend.id.clone()).or_default() += 1;
+        *samples.entry(backend.id.clone()).or_default() += 1;
     }
-    assert_eq!(drawn.len(), 300);
+    assert_eq!(samples.len(), 300);
     // Five standard deviations of a count with this mean.
-    let spread = 5.0 * (DRAWS_FOR_EACH as f64).sqrt();
-    let is_even = |count: &usize| (*count as f64 - DRAWS_FOR_EACH as f64).abs() < spread;
-    assert!(drawn.values().all(is_even), "{drawn:?}");
+    let spread = 5.0 * (SAMPLES_PER_BACK_END as f64).sqrt();
+    let is_even = |count: &usize| (*count as f64 - SAMPLES_PER_BACK_END as f64).abs() < spread;
+    assert!(samples.values().all(is_even), "{samples:?}");
     assert!(BackendTable::default().sample(&mut generator).is_none());
 }
 
@@ -192,7 +192,7 @@
         *used.entry(preferred[0].id.clone()).or_default() += 1;
         table.remove(&preferred[0].id);
         let after = table.preferred(key, 2);
-        assert!(after.contains(&&preferred[1]), "the second choice of key {key} stays one");
+        assert!(after.contains(&&preferred[1]), "key {key} lost its second preference");
         table.insert(preferred[0].clone());
         assert_eq!(table.preferred(key, 2).into_iter().cloned().collect::<Vec<_>>(), preferred);
     }
--- a/crates/serving/tests/balance.rs
+++ b/crates/serving/tests/balance.rs
@@ -90,7 +90,7 @@
     for _ in 0..10 {
         assert_eq!(choose(&mut balancer, NOW, &all), "i-1");
     }
-    let only = balancer.choose(NOW, &all, &["i-1".into()], None).expect("the last one");
+    let only = balancer.choose(NOW, &all, &["i-1".into()], None).expect("the only one not tried");
     assert_eq!(only.id, "i-0");
     assert!(balancer.choose(NOW, &all, &["i-0".into(), "i-1".into()], None).is_none());
 }
@@ -136,7 +136,7 @@
     assert!((balancer.load(NOW, &all[0]) - 1.0).abs() < 1e-9);
     balancer.record_service_time("models", 1e9);
     let level = balancer.projected_online_load(NOW, &all).expect("a back end");
-    assert!((level - 0.5).abs() < 1e-3, "4 of 10 slots and one more: {level}");
+    assert!((level - 0.5).abs() < 1e-3, "load of 4 and one more request in 10 slots: {level}");
 }
 
 /// Guards against counting every request that other processes send until the next report although
@@ -306,7 +306,7 @@
     assert!(balancer.is_ejected(NOW, &after[0]));
     let incarnations: Vec<u64> =
         balancer.outcomes(NOW).map(|(incarnation, _)| incarnation.started_ms).collect();
-    assert_eq!(incarnations.len(), 2, "outcomes are told by life: {incarnations:?}");
+    assert_eq!(incarnations.len(), 2, "outcomes by incarnation: {incarnations:?}");
 }
 
 #[test]
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -9,8 +9,8 @@
 const THREADS: usize = 4;
 
 fn simulations() -> u64 {
-    let asked = std::env::var("COLD_HISTORIES").ok().and_then(|text| text.parse().ok());
-    asked.unwrap_or(SIMULATIONS)
+    let configured = std::env::var("COLD_HISTORIES").ok().and_then(|text| text.parse().ok());
+    configured.unwrap_or(SIMULATIONS)
 }
 
 /// Runs all simulations on a few threads.
@@ -22,7 +22,7 @@
     std::thread::scope(|scope| {
         let threads: Vec<_> =
             (0..THREADS as u64).map(|first| scope.spawn(move || part(first))).collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("a history")).collect()
+        threads.into_iter().flat_map(|thread| thread.join().expect("a simulation")).collect()
     })
 }
 
@@ -58,10 +58,10 @@
     );
     assert!(
         broken.is_empty(),
-        "more than {MAX_REQUESTS_PER_SECOND} in a second, by seed: {broken:?}"
+        "more than {MAX_REQUESTS_PER_SECOND} requests in a second, by seed: {broken:?}"
     );
-    assert_eq!(sum.crashed, 0, "back ends fell over");
-    assert!(sum.cold_seconds > 0.0 && sum.warmed > 0, "nothing was cold: nothing is shown");
+    assert_eq!(sum.crashed, 0, "back ends crashed");
+    assert!(sum.cold_seconds > 0.0 && sum.warmed > 0, "no back end was cold or got warm");
 }
 
 /// The simulation detects the overload that it tests for.
--- a/crates/serving/tests/cold_parts.rs
+++ b/crates/serving/tests/cold_parts.rs
@@ -5,7 +5,7 @@
 
 use yokefall_core::membership::{MemberRecord, MemberState};
 use yokefall_core::Timestamp;
-use yokefall_serving::eligibility::cold_share::{quota, Allowance, SendHistory, QUOTA_INTERVAL_MS};
+use yokefall_serving::eligibility::cold_quota::{quota, Allowance, SendHistory, QUOTA_INTERVAL_MS};
 use yokefall_serving::eligibility::cold_state::{ColdStartState, WarmUpStatus, JOIN_DELAY_MS};
 use yokefall_serving::eligibility::warmth::{ColdCause, WarmthTracker, RECORD_PROPAGATION_MS};
 use yokefall_serving::known_processes::ProcessHistory;
@@ -146,7 +146,7 @@
 }
 
 fn cold_period(warmth: &WarmthTracker, at: Timestamp) -> Option<(ColdCause, u64)> {
-    warmth.cold_period(at, "i-0").map(|doubt| (doubt.cause, doubt.until.millis_since(START)))
+    warmth.cold_period(at, "i-0").map(|period| (period.cause, period.until.millis_since(START)))
 }
 
 #[test]
@@ -176,9 +176,9 @@
 #[test]
 fn back_ends_of_the_whole_list_after_a_partial_one_are_not_new() {
     let mut warmth = WarmthTracker::default();
-    let mut part = catalog(&[], &[]);
-    part.is_partial = true;
-    warmth.observe(START, &part);
+    let mut partial = catalog(&[], &[]);
+    partial.is_partial = true;
+    warmth.observe(START, &partial);
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
     assert_eq!(cold_period(&warmth, START), None);
     warmth.observe(START, &catalog(&[backend(2, 0)], &[]));
@@ -239,12 +239,14 @@
 #[test]
 fn a_process_uses_its_quota_only_after_the_join_delay_and_with_known_peers() {
     let backend = backend(1, 60_000);
-    let mut met = state(60_000, known_processes(3, 0));
-    assert!(!met.warm_up_status(START.plus_millis(JOIN_DELAY_MS - 1), None, &backend).may_send());
-    let entered = START.plus_millis(JOIN_DELAY_MS);
-    assert!(met.warm_up_status(entered, None, &backend).may_send());
-    let mut alone = state(60_000, KnownProcesses { joined: false, ..known_processes(1, 0) });
-    assert!(!alone.warm_up_status(entered.plus_millis(10_000), None, &backend).may_send());
+    let mut connected = state(60_000, known_processes(3, 0));
+    assert!(!connected
+        .warm_up_status(START.plus_millis(JOIN_DELAY_MS - 1), None, &backend)
+        .may_send());
+    let joined_at = START.plus_millis(JOIN_DELAY_MS);
+    assert!(connected.warm_up_status(joined_at, None, &backend).may_send());
+    let mut isolated = state(60_000, KnownProcesses { joined: false, ..known_processes(1, 0) });
+    assert!(!isolated.warm_up_status(joined_at.plus_millis(10_000), None, &backend).may_send());
 }
 
 /// Guards against a partitioned process that sends by its old view while back ends turned cold.
@@ -268,7 +270,7 @@
     let mut given = BTreeSet::new();
     while let Some(name) = state.item_sender(START, &backend, |_| true) {
         state.record_item_assignment(START, &backend.id, name.clone());
-        assert!(given.insert(name), "one got two");
+        assert!(given.insert(name), "a job store got two items");
     }
     assert_eq!(given.len(), 4);
     let later = START.plus_millis(QUOTA_INTERVAL_MS);
--- a/crates/serving/tests/cold_world/mod.rs
+++ b/crates/serving/tests/cold_world/mod.rs
@@ -270,12 +270,12 @@
 
     /// Updates what a process knows.
     fn refresh(&mut self, number: usize, lost: u32) {
-        let heard: Vec<(String, bool)> = self.names_for(number);
+        let names: Vec<(String, bool)> = self.names_for(number);
         let catalog = self
             .platform_store
             .published_at(self.now.saturating_sub(self.processes[number].delay_ms));
         let process = &mut self.processes[number];
-        process.refresh(self.now, catalog, heard, lost);
+        process.refresh(self.now, catalog, names, lost);
     }
 
     /// Names that a process learns: those of all processes that have run for longer than updates
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::eligibility::cold_share::SenderId;
+use yokefall_serving::eligibility::cold_quota::SenderId;
 use yokefall_serving::eligibility::cold_state::{ColdStartState, WarmUpStatus};
 use yokefall_serving::{Backend, KnownProcesses};
 
@@ -14,8 +14,8 @@
 const NAME_PROPAGATION_MS: u64 = 4_000;
 /// Time after which a reconnected process has load reports.
 const LOAD_REPORT_DELAY_MS: u64 = 300;
-/// Time after which all know that a process does not answer, and time after which they rely on its
-/// staleness.
+/// Time after which all know that a process does not answer, and time after which its platform state
+/// is too old for it to send as before.
 const LOSS_DETECTION_MS: u64 = 1_500;
 const LOSS_EXPIRY_MS: u64 = 8_000;
 /// Interval at which names are taken over.
@@ -123,7 +123,7 @@
         &mut self,
         now: u64,
         catalog: PublishedCatalog,
-        heard: Vec<(String, bool)>,
+        new_names: Vec<(String, bool)>,
         unresponsive: u32,
     ) {
         if !self.is_connected(now) {
@@ -139,7 +139,7 @@
             self.seen = Some(catalog);
         }
         let before = self.names.len();
-        self.names.extend(heard);
+        self.names.extend(new_names);
         if self.names.len() > before || self.unresponsive != unresponsive {
             self.unresponsive = unresponsive;
             self.state.set_names(Arc::new(self.known_names()));
--- a/crates/serving/tests/drawn.rs
+++ b/crates/serving/tests/drawn.rs
@@ -48,7 +48,7 @@
     for count in [1_000, 10_000, 20_000] {
         let all = backends(count);
         let table: BackendTable = all.iter().collect();
-        let sample = CandidateSample::of(&[&table], Some(7), &mut generator).expect("out of many");
+        let sample = CandidateSample::of(&[&table], Some(7), &mut generator).expect("a sample");
         assert!((100..=128).contains(&sample.backends.len()), "{}", sample.backends.len());
         assert_eq!(sample.preferred.len(), 2);
         assert!((sample.fraction * count as f64 - sample.backends.len() as f64).abs() < 1e-6);
@@ -61,14 +61,14 @@
     let (small, large): (BackendTable, BackendTable) =
         (all[..400].iter().collect(), all[400..].iter().collect());
     let mut generator = SmallRng::seed_from_u64(1);
-    let mut of_small = 0;
+    let mut from_small = 0;
     for _ in 0..100 {
         let sample =
-            CandidateSample::of(&[&small, &large], None, &mut generator).expect("out of many");
-        of_small += sample.backends.iter().filter(|backend| small.contains(&backend.id)).count();
+            CandidateSample::of(&[&small, &large], None, &mut generator).expect("a sample");
+        from_small += sample.backends.iter().filter(|backend| small.contains(&backend.id)).count();
     }
     // A tenth of 12,800, within five standard deviations.
-    assert!((1_110..=1_450).contains(&of_small), "{of_small}");
+    assert!((1_110..=1_450).contains(&from_small), "{from_small}");
 }
 
 /// Slots are nearly full, and processes know each other's loads: no request may be sent to a full
@@ -80,8 +80,7 @@
     let mut balancer = balancer(1);
     let requests = 1_000 * SLOTS * 9 / 10;
     for _ in 0..requests {
-        let sample =
-            CandidateSample::of(&[&table], None, balancer.generator()).expect("out of many");
+        let sample = CandidateSample::of(&[&table], None, balancer.generator()).expect("a sample");
         let chosen = balancer.choose_from_sample(NOW, &sample, &[]).expect("a back end");
         balancer.record_start(&chosen);
     }
@@ -96,11 +95,11 @@
     let (mut one, mut other) = (balancer(1), balancer(2));
     let choose = |balancer: &mut Balancer| {
         let sample =
-            CandidateSample::of(&[&table], Some(7), balancer.generator()).expect("out of many");
+            CandidateSample::of(&[&table], Some(7), balancer.generator()).expect("a sample");
         balancer.choose_from_sample(NOW, &sample, &[]).expect("a back end")
     };
     let first = choose(&mut one);
-    assert_eq!(first, choose(&mut other), "two processes send a prefix to the same one");
+    assert_eq!(first, choose(&mut other), "two processes choose the same back end for a prefix");
     let full = InFlight { online: SLOTS, items: 0 };
     one.update_totals(NOW, std::iter::once((&first.incarnation(), full)), |_| 0);
     let second = choose(&mut one);
@@ -124,7 +123,7 @@
         balancer.record_end(NOW, backend, Outcome::Unreachable);
     }
     let sample =
-        eligibility.sample(&catalog, &requirements, None, balancer.generator()).expect("of many");
+        eligibility.sample(&catalog, &requirements, None, balancer.generator()).expect("a sample");
     if !sample.backends.contains(&all[0]) {
         assert_eq!(balancer.choose_from_sample(NOW, &sample, &[]), None);
     }
--- a/crates/serving/tests/duty.rs
+++ b/crates/serving/tests/duty.rs
@@ -135,11 +135,11 @@
         }
         // The other watcher of the zone keeps running.
         model.run(1_000 + HEARTBEAT_INTERVAL_MS);
-        assert!(model.answered()[zone.as_str()] >= WATCHERS_PER_ZONE, "refused: {reject}");
+        assert!(model.answered()[zone.as_str()] >= WATCHERS_PER_ZONE, "rejected: {reject}");
         model.run(10_000);
         for _ in 0..100 {
             model.step();
-            assert_eq!(model.answered()[zone.as_str()], WATCHERS_PER_ZONE, "refused: {reject}");
+            assert_eq!(model.answered()[zone.as_str()], WATCHERS_PER_ZONE, "rejected: {reject}");
         }
     }
 }
@@ -219,17 +219,17 @@
             }
         }
         if now == 450 {
-            assert_eq!(readers.len(), WATCHERS_PER_ZONE * zones, "the first of each zone, at once");
+            assert_eq!(readers.len(), WATCHERS_PER_ZONE * zones, "the first of each zone");
         }
         if now == 2_400 {
             assert_eq!(
                 readers.len(),
                 (WATCHERS_PER_ZONE + STANDBYS_PER_ZONE) * zones,
-                "nobody said it watches"
+                "standbys take over without heartbeats"
             );
         }
     }
-    assert_eq!(readers.len(), count, "whom no peer tells reads for itself");
+    assert_eq!(readers.len(), count, "every process without peers that know them reads");
     // A process that knows back ends reads them only if it watches.
     let mut idle = 0;
     for (member, election) in members.iter().zip(&mut rosters) {
@@ -248,11 +248,11 @@
     let members: Vec<FleetMember> = (0..20).map(|index| member(index, 1)).collect();
     let rankings = (0..20).map(|index| Ranking::new(&members, "zone-0", &format!("node-{index}")));
     let last = rankings.max_by_key(|ranking| ranking.rank).expect("a ranking");
-    let reads_after = |jitter: f64, heard_from: u64, heard_until: u64| {
-        let mut election = WatcherElection::new(Timestamp(0), heard_from > 0, jitter);
+    let reads_after = |jitter: f64, known_from: u64, known_until: u64| {
+        let mut election = WatcherElection::new(Timestamp(0), known_from > 0, jitter);
         election.rank(Timestamp(0), last.clone());
         let reads = |now: &u64| {
-            if (heard_from..heard_until).contains(now) {
+            if (known_from..known_until).contains(now) {
                 election.record_peer_with_backends(Timestamp(*now));
             }
             election.reads_backends(Timestamp(*now), false)
@@ -260,15 +260,21 @@
         (0..20_000).step_by(STEP_MS as usize).find(reads)
     };
     for jitter in [0.0, 1.0] {
-        let alone = reads_after(jitter, 0, 0).expect("it reads them in the end");
-        let heard = reads_after(jitter, 0, 5_000).expect("it reads them in the end");
-        let always = reads_after(jitter, 0, 20_000).expect("it reads them in the end");
+        let alone = reads_after(jitter, 0, 0).expect("a read");
+        let announced = reads_after(jitter, 0, 5_000).expect("a read");
+        let always = reads_after(jitter, 0, 20_000).expect("a read");
         // After a first start the processes that read for their zones know back ends some seconds
         // later.
-        let first_start = reads_after(jitter, 3_900, 20_000).expect("it reads them in the end");
-        assert!(alone <= 4_500, "nobody knows them: {alone}");
-        assert!((7_400..=7_600).contains(&heard), "those who knew them are silent: {heard}");
-        assert!((8_000..=9_600).contains(&always), "those who know them don't tell: {always}");
+        let first_start = reads_after(jitter, 3_900, 20_000).expect("a read");
+        assert!(alone <= 4_500, "no peer knows them: {alone}");
+        assert!(
+            (7_400..=7_600).contains(&announced),
+            "peers that knew them are silent: {announced}"
+        );
+        assert!(
+            (8_000..=9_600).contains(&always),
+            "peers know them and do not send them: {always}"
+        );
         assert!((11_900..=13_500).contains(&first_start), "after a first start: {first_start}");
     }
 }
--- a/crates/serving/tests/eligibility.rs
+++ b/crates/serving/tests/eligibility.rs
@@ -102,11 +102,11 @@
 #[test]
 fn draining_unknown_and_restarted_back_ends_get_no_permit() {
     let cell = empty_catalog();
-    let held = backend("1", "a-1");
-    publish(&cell, &[Backend { state: BackendState::Draining, ..held.clone() }], &[]);
-    assert_eq!(refusal(&cell, &held, &Residency::Anywhere), Some(Ineligible::Draining));
-    publish(&cell, &[Backend { started_ms: 2, ..held.clone() }], &[]);
-    assert_eq!(refusal(&cell, &held, &Residency::Anywhere), Some(Ineligible::OtherIncarnation));
+    let chosen = backend("1", "a-1");
+    publish(&cell, &[Backend { state: BackendState::Draining, ..chosen.clone() }], &[]);
+    assert_eq!(refusal(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::Draining));
+    publish(&cell, &[Backend { started_ms: 2, ..chosen.clone() }], &[]);
+    assert_eq!(refusal(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::OtherIncarnation));
     publish(&cell, &[], &[]);
-    assert_eq!(refusal(&cell, &held, &Residency::Anywhere), Some(Ineligible::Unknown));
+    assert_eq!(refusal(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::Unknown));
 }
--- a/crates/serving/tests/eligibility_cost.rs
+++ b/crates/serving/tests/eligibility_cost.rs
@@ -54,7 +54,7 @@
         cell.store(Arc::new(fleet(count)));
         let eligibility = Eligibility::new(cell.clone());
         let catalog = cell.load_full();
-        let held = catalog.ready("models")[count / 2].clone();
+        let chosen = catalog.ready("models")[count / 2].clone();
         let mut figures = Vec::new();
         for residency in [Residency::Anywhere, within(1), within(2)] {
             let requirements = Requirements { service: "models", residency: &residency };
@@ -63,9 +63,9 @@
             }));
         }
         let requirements = Requirements { service: "models", residency: &Residency::Anywhere };
-        let permit = nanoseconds(|| drop(black_box(eligibility.permit(&held, &requirements))));
+        let permit = nanoseconds(|| drop(black_box(eligibility.permit(&chosen, &requirements))));
         let ready = nanoseconds(|| {
-            black_box(catalog.is_ready(&held.id));
+            black_box(catalog.is_ready(&chosen.id));
         });
         println!(
             "{count} back ends: candidates anywhere {} ns, in one region {} ns, in two {} ns; permit {permit} ns; is_ready {ready} ns",
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -245,7 +245,8 @@
             process.shared.apply_response(answer);
         }
         let now = Timestamp(self.now);
-        let transit_ms = StallDetector::default().delay_ms().expect("nobody is held up");
+        let transit_ms =
+            StallDetector::default().delay_ms().expect("a transit time without a stall");
         let delay_ms = process.members.probe_age_ms(now, &datagram).unwrap_or(transit_ms);
         process.shared.platform_state.borrow_mut().receive_ages(peer, datagram.ages, delay_ms);
         let mut outgoing = process.members.receive(now, datagram, &address(from));
@@ -277,19 +278,19 @@
     }
 
     fn follows_evacuations(&self, index: usize) -> bool {
-        let process = self.processes[index].as_ref().expect("it runs");
+        let process = self.processes[index].as_ref().expect("a running process");
         let platform_state = process.shared.platform_state.borrow();
-        let believed: BTreeSet<String> =
+        let known: BTreeSet<String> =
             platform_state.evacuations().values().map(|held| held.zone.clone()).collect();
-        !platform_state.evacuations_unknown() && believed == self.evacuated
+        !platform_state.evacuations_unknown() && known == self.evacuated
     }
 
     /// Asserts that all running processes follow the evacuations.
     fn assert_all_follow(&self, what: &str) {
         let running = (0..self.processes.len()).filter(|index| self.processes[*index].is_some());
-        let others: Vec<usize> =
+        let lagging: Vec<usize> =
             running.filter(|index| !self.follows_evacuations(*index)).collect();
-        assert!(others.is_empty(), "{what}: {others:?} do not");
+        assert!(lagging.is_empty(), "{what}: {lagging:?} do not follow");
     }
 }
 
@@ -301,14 +302,14 @@
         fleet.rejected = (0..count).filter(|index| (index / ZONES) % 3 == 0).collect();
         fleet.evacuate("hall-1");
         fleet.run(BOUND_MS);
-        fleet.assert_all_follow("a third is refused");
+        fleet.assert_all_follow("a third is rejected");
         // Every member of a zone, and so all of its possible watchers.
         fleet.rejected = (0..count).filter(|index| zone(*index) == "hall-0").collect();
         assert!(fleet.rejected.len() > WATCHERS_PER_ZONE + STANDBYS_PER_ZONE);
         fleet.end_evacuation("hall-1");
         fleet.evacuate("hall-2");
         fleet.run(BOUND_MS);
-        fleet.assert_all_follow("a whole zone is refused");
+        fleet.assert_all_follow("a whole zone is rejected");
     }
 }
 
@@ -319,7 +320,7 @@
     fleet.partitioned_members.insert(partitioned);
     fleet.evacuate("hall-1");
     fleet.run(15_000);
-    assert!(!fleet.follows_evacuations(partitioned), "nobody could tell it");
+    assert!(!fleet.follows_evacuations(partitioned), "a partitioned process cannot know");
     assert!(fleet.processes[partitioned].as_ref().is_some_and(|partitioned_members| {
         partitioned_members.freshness.age_ms().is_some_and(|age_ms| age_ms >= 12_000)
     }));
@@ -329,10 +330,10 @@
         let others = (0..59).filter(|index| *index != partitioned);
         assert!(
             others.into_iter().all(|index| fleet.follows_evacuations(index)),
-            "somebody believed the old"
+            "a process reverted to old state"
         );
     }
-    fleet.assert_all_follow("all are back");
+    fleet.assert_all_follow("all are connected");
 }
 
 #[tokio::test(start_paused = true)]
@@ -345,9 +346,12 @@
     fleet.start(new);
     for _ in 0..BOUND_MS / STEP_MS {
         fleet.run(STEP_MS);
-        let process = fleet.processes[new].as_ref().expect("it runs");
+        let process = fleet.processes[new].as_ref().expect("a running process");
         let awaits = process.shared.platform_state.borrow().evacuations_unknown();
-        assert!(awaits || fleet.follows_evacuations(new), "it serves without knowing");
+        assert!(
+            awaits || fleet.follows_evacuations(new),
+            "it serves without knowing the evacuations"
+        );
     }
     assert!(fleet.follows_evacuations(new));
 }
--- a/crates/serving/tests/nearness.rs
+++ b/crates/serving/tests/nearness.rs
@@ -54,9 +54,9 @@
     balancer.record_service_time(SERVICE, 60.0);
     balancer.set_total_arrival_rate(NOW, SERVICE.into(), per_ms);
     let total = InFlight { online: requests, items: 0 };
-    let lives: Vec<BackendIncarnation> =
+    let incarnations: Vec<BackendIncarnation> =
         backends().iter().map(|backend| backend.incarnation()).collect();
-    balancer.update_totals(NOW, lives.iter().map(|incarnation| (incarnation, total)), |_| 0);
+    balancer.update_totals(NOW, incarnations.iter().map(|incarnation| (incarnation, total)), |_| 0);
     balancer
 }
 
--- a/crates/serving/tests/spread.rs
+++ b/crates/serving/tests/spread.rs
@@ -37,12 +37,12 @@
     let mut generator = SmallRng::seed_from_u64(2);
     // Below the third, 4 slots are free at the first and 2 at the second: six requests fill them.
     let levels = [level(0.0), level(0.2), level(0.4)];
-    let mut drawn = [0; 3];
+    let mut counts = [0; 3];
     for _ in 0..6_000 {
-        drawn[choose_weighted(&mut generator, &levels, 6.0).expect("a back end")] += 1;
+        counts[choose_weighted(&mut generator, &levels, 6.0).expect("a back end")] += 1;
     }
-    assert_eq!(drawn[2], 0);
-    assert!((3_700..4_300).contains(&drawn[0]), "{drawn:?}");
+    assert_eq!(counts[2], 0);
+    assert!((3_700..4_300).contains(&counts[0]), "{counts:?}");
 }
 
 fn back_ends() -> Vec<Arc<Backend>> {
