--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -22,6 +22,7 @@
 /// Longest time in the queue as a share of the request's timeout: the caller of a rejected request
 /// can then still retry.
 const MAX_QUEUE_TIME_SHARE: f64 = 0.35;
+
 /// A request waiting in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
@@ -50,17 +51,17 @@
 
 impl QueuedRequest {
     /// A request that arrived at `arrived`.
-    pub fn new(ticket: u64, arrived: Timestamp, terms: QueueLimits) -> Self {
-        let after = |timeout: Duration| arrived.plus_millis(timeout.as_millis() as u64);
-        let max_queue_time = terms
+    pub fn new(ticket: u64, arrived: Timestamp, limits: QueueLimits) -> Self {
+        let after = |duration: Duration| arrived.plus_millis(duration.as_millis() as u64);
+        let max_queue_time = limits
             .target
             .mul_f64(MAX_QUEUE_TIME_TARGETS)
-            .min(terms.timeout.mul_f64(MAX_QUEUE_TIME_SHARE));
+            .min(limits.timeout.mul_f64(MAX_QUEUE_TIME_SHARE));
         Self {
             ticket,
-            rank: terms.rank,
+            rank: limits.rank,
             arrived,
-            in_time_until: after(terms.target.mul_f64(IN_TIME_SHARE).min(max_queue_time)),
+            in_time_until: after(limits.target.mul_f64(IN_TIME_SHARE).min(max_queue_time)),
             expires_at: after(max_queue_time),
         }
     }
--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -469,7 +469,8 @@
             record.outcomes.record(now, true);
         }
         let until = now.plus_millis(SILENCE_EJECTION_MS);
-        record.ejected_until = Some(record.ejected_until.map_or(until, |held| held.max(until)));
+        record.ejected_until =
+            Some(record.ejected_until.map_or(until, |current| current.max(until)));
         true
     }
 
--- a/crates/serving/src/eligibility/cold_quota.rs
+++ b/crates/serving/src/eligibility/cold_quota.rs
@@ -16,10 +16,10 @@
 /// Share of the allowance that stays unused to absorb differing views of processes: five of 27
 /// requests a second, by the simulation in `tests/cold.rs`.
 const UNUSED_SHARE: f64 = 0.18;
-/// Requests a second of a lost process to one back end: it may not know that the back end is cold
+/// Requests a second of an unresponsive process to one back end: it may not know that the back end is cold
 /// and sends what it sends to a warm one.
-const LOST_PROCESS_RATE: f64 = 0.25;
-/// Share of the allowance that stays usable however many processes are lost, so that the rest are
+const UNRESPONSIVE_PROCESS_RATE: f64 = 0.25;
+/// Share of the allowance that stays usable however many processes are unresponsive, so that the rest are
 /// not cut off after a restart of most processes.
 const MIN_USED_SHARE: f64 = 0.4;
 /// Share of the usable allowance that is reserved for items of jobs, sent by the few job stores.
@@ -52,7 +52,7 @@
         let per_second = warm_up.per_1000_seconds as f64 / 1_000.0;
         let allowed = (per_second * bounds.cold_overage + bounds.cold_slack).floor();
         let unused = (allowed * UNUSED_SHARE).ceil()
-            + (f64::from(names.unresponsive) * LOST_PROCESS_RATE).ceil();
+            + (f64::from(names.unresponsive) * UNRESPONSIVE_PROCESS_RATE).ceil();
         let least = (allowed * MIN_USED_SHARE).ceil();
         let used = (allowed - unused).max(least) as u32;
         let job_stores = match !names.job_stores.is_empty() && used > 1 {
--- a/crates/serving/src/watch_role.rs
+++ b/crates/serving/src/watch_role.rs
@@ -95,7 +95,7 @@
     async fn wait_for(&mut self, wanted: bool) {
         let Some(receiver) = &mut self.receiver else { return };
         // The sender is dropped only when the process ends.
-        if receiver.wait_for(|watch_role| *watch_role == wanted).await.is_err() {
+        if receiver.wait_for(|is_active| *is_active == wanted).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
--- a/crates/serving/tests/cold_world/mod.rs
+++ b/crates/serving/tests/cold_world/mod.rs
@@ -150,13 +150,14 @@
             }
             self.platform_store.apply_due(self.now, &self.back_ends);
             let now = self.now;
-            let lost = self.processes.iter().filter(|process| process.is_lost(now)).count() as u32;
+            let unresponsive =
+                self.processes.iter().filter(|process| process.is_unresponsive(now)).count() as u32;
             for number in 0..self.processes.len() {
-                self.refresh(number, lost);
+                self.refresh(number, unresponsive);
             }
             self.report_failures();
             self.send();
-            self.note_warm();
+            self.record_warm();
             self.now += STEP_MS;
         }
         for number in 0..self.back_ends.len() {
@@ -269,13 +270,13 @@
     }
 
     /// Updates what a process knows.
-    fn refresh(&mut self, number: usize, lost: u32) {
+    fn refresh(&mut self, number: usize, unresponsive: u32) {
         let names: Vec<(String, bool)> = self.names_for(number);
         let catalog = self
             .platform_store
             .published_at(self.now.saturating_sub(self.processes[number].delay_ms));
         let process = &mut self.processes[number];
-        process.refresh(self.now, catalog, names, lost);
+        process.refresh(self.now, catalog, names, unresponsive);
     }
 
     /// Names that a process learns: those of all processes that have run for longer than updates
@@ -320,8 +321,8 @@
         for back_end in self.back_ends.iter_mut().filter(affected) {
             for process in &mut self.processes {
                 let looks_empty = back_end.is_up(now) && process.has_load_reports(now);
-                let draws = if looks_empty { EMPTY_BACK_END_FACTOR } else { 1.0 };
-                let rate = draws * self.rate * STEP_MS as f64 / 1_000.0;
+                let factor = if looks_empty { EMPTY_BACK_END_FACTOR } else { 1.0 };
+                let rate = factor * self.rate * STEP_MS as f64 / 1_000.0;
                 let has_request = self.rng.random_bool(rate.min(1.0));
                 let Some(record) = process.wants_to_send(now, back_end, self.mode, has_request)
                 else {
@@ -366,7 +367,7 @@
         self.result.arrived += arrivals.len();
     }
 
-    fn note_warm(&mut self) {
+    fn record_warm(&mut self) {
         let now = self.now;
         let warm = |back_end: &&mut BackEnd| {
             back_end.known_warm_at.is_none() && back_end.is_up(now) && now >= back_end.cold_until
--- a/crates/serving/tests/cold_world/platform_store.rs
+++ b/crates/serving/tests/cold_world/platform_store.rs
@@ -56,12 +56,9 @@
         let services = vec![service];
         let configuration = Configuration { version: 1, services, ..Configuration::default() };
         let evacuated: BTreeSet<String> = self.evacuated.keys().map(usize::to_string).collect();
-        let platform_store = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
-        let catalog = Catalog::with_zones(
-            Some(Arc::new(configuration)),
-            self.records.values(),
-            platform_store,
-        );
+        let zone_state = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
+        let catalog =
+            Catalog::with_zones(Some(Arc::new(configuration)), self.records.values(), zone_state);
         self.history.push((now, Arc::new(catalog)));
     }
 
@@ -90,11 +87,11 @@
     pub fn apply_due(&mut self, now: u64, back_ends: &[BackEnd]) {
         let (due, rest) = self.to_write.iter().partition(|(at, _)| *at <= now);
         self.to_write = rest;
-        let back: Vec<(u64, usize)>;
-        (back, self.evacuations_to_end) =
+        let ended: Vec<(u64, usize)>;
+        (ended, self.evacuations_to_end) =
             self.evacuations_to_end.iter().partition(|(at, _)| *at <= now);
         let due: Vec<(u64, usize)> = due;
-        if due.is_empty() && back.is_empty() {
+        if due.is_empty() && ended.is_empty() {
             return;
         }
         for (_, number) in due {
@@ -103,14 +100,14 @@
                 self.write(now, &back_ends[number]);
             }
         }
-        for (_, zone) in back {
+        for (_, zone) in ended {
             self.evacuated.remove(&zone);
         }
         self.store(now);
     }
 
     pub fn published_at(&self, moment: u64) -> PublishedCatalog {
-        let seen = self.history.iter().rev().find(|(at, _)| *at <= moment);
-        seen.or(self.history.first()).cloned().expect("a catalog")
+        let published = self.history.iter().rev().find(|(at, _)| *at <= moment);
+        published.or(self.history.first()).cloned().expect("a catalog")
     }
 }
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -34,7 +34,7 @@
     ended: Option<u64>,
     partitioned_at: u64,
     partitioned_until: u64,
-    seen: Option<PublishedCatalog>,
+    catalog_seen: Option<PublishedCatalog>,
     /// Records by number of the back end, as known here.
     records: Vec<Option<Arc<Backend>>>,
     names: BTreeMap<String, bool>,
@@ -57,7 +57,7 @@
             ended: None,
             partitioned_at: 0,
             partitioned_until: 0,
-            seen: None,
+            catalog_seen: None,
             records: Vec::new(),
             names: BTreeMap::new(),
             unresponsive: 0,
@@ -110,7 +110,7 @@
     }
 
     /// Whether others know that it does not answer, and not for long.
-    pub fn is_lost(&self, now: u64) -> bool {
+    pub fn is_unresponsive(&self, now: u64) -> bool {
         let since = match self.ended {
             Some(ended) => ended,
             None if now < self.partitioned_until => self.partitioned_at,
@@ -129,14 +129,14 @@
         if !self.is_connected(now) {
             return;
         }
-        if self.seen.as_ref().is_none_or(|(at, _)| *at != catalog.0) {
+        if self.catalog_seen.as_ref().is_none_or(|(at, _)| *at != catalog.0) {
             self.state.observe(Timestamp(now), &catalog.1);
             let record = |number: usize| {
                 let of = |id: &str| id.split(['b', '-']).nth(1).and_then(|n| n.parse().ok());
                 catalog.1.known.values().find(|record| of(&record.id) == Some(number)).cloned()
             };
             self.records = (0..BACK_ENDS).map(record).collect();
-            self.seen = Some(catalog);
+            self.catalog_seen = Some(catalog);
         }
         let before = self.names.len();
         self.names.extend(new_names);
@@ -178,7 +178,7 @@
         if !self.is_running(now) {
             return None;
         }
-        let (_, catalog) = self.seen.as_ref()?;
+        let (_, catalog) = self.catalog_seen.as_ref()?;
         let record = self.records.get(back_end.number)?.clone()?;
         if catalog.is_evacuated(&record.zone) {
             return None;
--- a/crates/serving/tests/duty.rs
+++ b/crates/serving/tests/duty.rs
@@ -25,7 +25,7 @@
     now: u64,
     zones: usize,
     members: Vec<FleetMember>,
-    rosters: Vec<WatcherElection>,
+    elections: Vec<WatcherElection>,
     /// Members that are down, and since when.
     gone: BTreeMap<usize, u64>,
     /// Members that the store rejects.
@@ -41,9 +41,9 @@
         let members: Vec<FleetMember> = (0..count).map(|index| member(index, zones)).collect();
         let election =
             |index: usize| WatcherElection::new(Timestamp(0), false, index as f64 / count as f64);
-        let rosters = (0..count).map(election).collect();
+        let elections = (0..count).map(election).collect();
         let (gone, rejected, watching) = Default::default();
-        Self { now: 0, zones, members, rosters, gone, rejected, watching }
+        Self { now: 0, zones, members, elections, gone, rejected, watching }
     }
 
     fn run(&mut self, ms: u64) {
@@ -64,26 +64,26 @@
             .map(|(_, member)| member.clone())
             .collect();
         self.watching.clear();
-        let beats = self.now % HEARTBEAT_INTERVAL_MS == 0;
+        let sends_heartbeats = self.now % HEARTBEAT_INTERVAL_MS == 0;
         let mut heartbeats: Vec<(String, Vec<String>)> = Vec::new();
         for (index, member) in self.members.iter().enumerate() {
             if self.gone.contains_key(&index) {
                 continue;
             }
-            let election = &mut self.rosters[index];
+            let election = &mut self.elections[index];
             election.rank(now, Ranking::new(&seen, &member.zone, &member.name));
             if !election.watches(now, true) {
                 continue;
             }
             self.watching.insert(index);
-            if beats && !self.rejected.contains(&index) {
+            if sends_heartbeats && !self.rejected.contains(&index) {
                 heartbeats.push((member.name.clone(), election.standbys().to_vec()));
             }
         }
         for (watcher, standbys) in heartbeats {
             for (index, member) in self.members.iter().enumerate() {
                 if standbys.contains(&member.name) && !self.gone.contains_key(&index) {
-                    self.rosters[index].record_watcher_heartbeat(now, &watcher);
+                    self.elections[index].record_watcher_heartbeat(now, &watcher);
                 }
             }
         }
@@ -208,11 +208,11 @@
     let members: Vec<FleetMember> = (0..count).map(|index| member(index, zones)).collect();
     let election =
         |index: usize| WatcherElection::new(Timestamp(0), false, index as f64 / count as f64);
-    let mut rosters: Vec<WatcherElection> = (0..count).map(election).collect();
+    let mut elections: Vec<WatcherElection> = (0..count).map(election).collect();
     let mut readers: BTreeSet<usize> = BTreeSet::new();
     for now in (0..6_000).step_by(STEP_MS as usize) {
         for (index, member) in members.iter().enumerate() {
-            let election = &mut rosters[index];
+            let election = &mut elections[index];
             election.rank(Timestamp(now), Ranking::new(&members, &member.zone, &member.name));
             if election.reads_backends(Timestamp(now), false) {
                 readers.insert(index);
@@ -232,7 +232,7 @@
     assert_eq!(readers.len(), count, "every process without peers that know them reads");
     // A process that knows back ends reads them only if it watches.
     let mut idle = 0;
-    for (member, election) in members.iter().zip(&mut rosters) {
+    for (member, election) in members.iter().zip(&mut elections) {
         election.rank(Timestamp(6_000), Ranking::new(&members, &member.zone, &member.name));
         if !election.reads_backends(Timestamp(6_000), true) {
             idle += 1;
@@ -286,14 +286,14 @@
 fn a_transient_first_rank_does_not_read_back_ends() {
     let members: Vec<FleetMember> = (0..60).map(|index| member(index, 1)).collect();
     let mut readers = 0;
-    for me in &members {
+    for member in &members {
         let mut election = WatcherElection::new(Timestamp(0), false, 0.0);
         let reads = |now: u64| {
             // Known members double every 100 ms, this process among them.
             let known = (2_usize << (now / 100).min(10)).min(60);
             let mut seen: Vec<FleetMember> = members.iter().take(known).cloned().collect();
-            seen.push(me.clone());
-            election.rank(Timestamp(now), Ranking::new(&seen, &me.zone, &me.name));
+            seen.push(member.clone());
+            election.rank(Timestamp(now), Ranking::new(&seen, &member.zone, &member.name));
             election.reads_backends(Timestamp(now), false)
         };
         readers += usize::from((0..2_000).step_by(STEP_MS as usize).any(reads));
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -111,10 +111,9 @@
         };
         let seeds = (0..SEEDS).map(address).collect();
         let freshness = Freshness::new(SuspensionSource::Simulated(self.clock.clone()));
-        let following =
-            StateOptions { evacuations: true, ages: true, freshness: freshness.clone() };
+        let options = StateOptions { evacuations: true, ages: true, freshness: freshness.clone() };
         let platform_state =
-            PlatformState::with_options(empty_catalog(), Default::default(), following);
+            PlatformState::with_options(empty_catalog(), Default::default(), options);
         let shared = SharedPlatformState {
             platform_state: Rc::new(RefCell::new(platform_state)),
             observer: Rc::new(LoggingObserver::new(|| {})),
@@ -234,14 +233,14 @@
     }
 
     fn receive_datagram(&mut self, to: usize, from: usize, datagram: Datagram) -> Vec<Outgoing> {
-        let Some(announced) = self.processes[from].as_ref() else { return Vec::new() };
-        let announced = announced.shared.platform_state.clone();
+        let Some(sender) = self.processes[from].as_ref() else { return Vec::new() };
+        let sender = sender.shared.platform_state.clone();
         let Some(process) = &mut self.processes[to] else { return Vec::new() };
-        let peer = announced.borrow().digest();
+        let peer = sender.borrow().digest();
         process.shared.platform_state.borrow_mut().confirm_evacuations(peer);
         let own = process.shared.platform_state.borrow().digest();
         if own.version < peer.version || own.lacks_evacuations(peer) || own.lacks_backends(peer) {
-            let answer = announced.borrow().answer(&StateRequest { known: own, whole: false });
+            let answer = sender.borrow().answer(&StateRequest { known: own, whole: false });
             process.shared.apply_response(answer);
         }
         let now = Timestamp(self.now);
@@ -280,8 +279,11 @@
     fn follows_evacuations(&self, index: usize) -> bool {
         let process = self.processes[index].as_ref().expect("a running process");
         let platform_state = process.shared.platform_state.borrow();
-        let known: BTreeSet<String> =
-            platform_state.evacuations().values().map(|held| held.zone.clone()).collect();
+        let known: BTreeSet<String> = platform_state
+            .evacuations()
+            .values()
+            .map(|evacuation| evacuation.zone.clone())
+            .collect();
         !platform_state.evacuations_unknown() && known == self.evacuated
     }
 
@@ -321,8 +323,8 @@
     fleet.evacuate("hall-1");
     fleet.run(15_000);
     assert!(!fleet.follows_evacuations(partitioned), "a partitioned process cannot know");
-    assert!(fleet.processes[partitioned].as_ref().is_some_and(|partitioned_members| {
-        partitioned_members.freshness.age_ms().is_some_and(|age_ms| age_ms >= 12_000)
+    assert!(fleet.processes[partitioned].as_ref().is_some_and(|process| {
+        process.freshness.age_ms().is_some_and(|age_ms| age_ms >= 12_000)
     }));
     fleet.partitioned_members.clear();
     for _ in 0..BOUND_MS / STEP_MS {
