--- a/crates/serving/src/eligibility/cold_quota.rs
+++ b/crates/serving/src/eligibility/cold_quota.rs
@@ -16,11 +16,11 @@
 /// Share of the allowance that stays unused to absorb differing views of processes: five of 27
 /// requests a second, by the simulation in `tests/cold.rs`.
 const UNUSED_SHARE: f64 = 0.18;
-/// Requests a second of an unresponsive process to one back end: it may not know that the back end is cold
-/// and sends what it sends to a warm one.
+/// Requests a second of an unresponsive process to one back end: it may not know that the back end
+/// is cold and sends what it sends to a warm one.
 const UNRESPONSIVE_PROCESS_RATE: f64 = 0.25;
-/// Share of the allowance that stays usable however many processes are unresponsive, so that the rest are
-/// not cut off after a restart of most processes.
+/// Share of the allowance that stays usable however many processes are unresponsive, so that the
+/// rest are not cut off after a restart of most processes.
 const MIN_USED_SHARE: f64 = 0.4;
 /// Share of the usable allowance that is reserved for items of jobs, sent by the few job stores.
 const ITEM_SHARE: f64 = 0.18;
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -14,8 +14,8 @@
 const NAME_PROPAGATION_MS: u64 = 4_000;
 /// Time after which a reconnected process has load reports.
 const LOAD_REPORT_DELAY_MS: u64 = 300;
-/// Time after which all know that a process does not answer, and time after which its platform state
-/// is too old for it to send as before.
+/// Time after which all know that a process does not answer, and time after which its platform
+/// state is too old for it to send as before.
 const LOSS_DETECTION_MS: u64 = 1_500;
 const LOSS_EXPIRY_MS: u64 = 8_000;
 /// Interval at which names are taken over.
