--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -11,10 +11,11 @@
 
 use yokefall_core::Timestamp;
 
-/// Share of a route's target latency that a request may wait at a back end. The rest is for the
-/// network and for the work before the first byte.
+/// Share of a route's target latency for which a request may wait at a back end. The rest is for
+/// the network and for the work before the first byte.
 const BACKEND_WAIT_SHARE: f64 = 0.25;
-/// Share of a route's target latency that a request may be queued and still be answered in time.
+/// Share of a route's target latency for which a request may be queued and still be answered in
+/// time.
 const IN_TIME_SHARE: f64 = 0.4;
 /// Longest time in the queue, in multiples of the route's target latency. Callers of streams leave
 /// when nothing arrives for a few multiples of it.
@@ -41,11 +42,11 @@
 /// Parameters that bound the time in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Rank of its route; 0 is the highest.
+    /// Rank of the request's route; 0 is the highest.
     pub rank: u32,
-    /// Target latency of its route.
+    /// Target latency of the route.
     pub target: Duration,
-    /// Timeout set by its caller or its route.
+    /// Timeout set by the caller or the route.
     pub timeout: Duration,
 }
 
--- a/crates/serving/src/arrivals.rs
+++ b/crates/serving/src/arrivals.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Requests of all processes to a service.
+/// Reported rate of the requests of all processes to a service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedRate {
     pub(crate) at: Timestamp,
--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -286,7 +286,7 @@
         self.projected_online_load_of_sample(now, candidates, 1.0)
     }
 
-    /// The same for a random sample that is the fraction `fraction` of all back ends.
+    /// The same for a random sample that makes up the fraction `fraction` of all back ends.
     pub fn projected_online_load_of_sample(
         &self,
         now: Timestamp,
@@ -316,7 +316,8 @@
         water_level(&levels, unreported * fraction + 1.0)
     }
 
-    /// `remaining` is the fraction of the reported requests of others that has not ended since.
+    /// Load of a back end by online requests, as a fraction of its slots. `remaining` is the
+    /// fraction of the requests reported by other processes that has not ended since.
     fn online_load(&self, now: Timestamp, backend: &Backend, remaining: f64) -> f64 {
         let Some(record) = self.records.get(backend) else { return 0.0 };
         let remote_in_flight =
--- a/crates/serving/src/eligibility/cold_start.rs
+++ b/crates/serving/src/eligibility/cold_start.rs
@@ -76,17 +76,17 @@
         Rc::new(Self { catalog, fleet, freshness, clock, inner: RefCell::new(inner) })
     }
 
-    /// Runs `ask` on the current state; `None` if no service has a warm-up.
+    /// Runs `operation` on the current state; `None` if no service has a warm-up.
     fn with<R>(
         &self,
-        ask: impl FnOnce(&mut ColdStartState, Timestamp, Option<u64>) -> R,
+        operation: impl FnOnce(&mut ColdStartState, Timestamp, Option<u64>) -> R,
     ) -> Option<R> {
         let inner = &mut *self.inner.borrow_mut();
         inner.sync(&self.clock, &self.catalog, &self.fleet);
         if inner.state.is_unused() {
             return None;
         }
-        Some(ask(&mut inner.state, self.clock.now(), self.freshness.age_ms()))
+        Some(operation(&mut inner.state, self.clock.now(), self.freshness.age_ms()))
     }
 
     /// The back ends to which this process may send now; `None` if it may send to all of them.
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Checks right before a request is sent, and takes it from this process's quota.
+    /// Checks right before a request is sent, and counts it against this process's quota.
     pub fn consume(&self, backend: &Backend) -> Result<(), Ineligible> {
         let warm_up_status = self.with(|state, now, age| {
             let warm_up_status = state.warm_up_status(now, age, backend);
@@ -189,7 +189,8 @@
         self.with(|state, now, _| state.item_sender(now, backend, usable))?
     }
 
-    /// Records that the leader assigned an item for such a back end to a job store.
+    /// Records that the leader assigned a job store an item for a back end that is not known to be
+    /// warm.
     pub fn record_item_assignment(&self, backend: &Backend, to: &str) {
         self.with(|state, now, _| state.record_item_assignment(now, &backend.id, to.to_owned()));
     }
--- a/crates/serving/src/eligibility/cold_state.rs
+++ b/crates/serving/src/eligibility/cold_state.rs
@@ -56,7 +56,7 @@
     job_stores: Option<Vec<String>>,
 }
 
-/// The state of one process.
+/// What one process knows about cold back ends, and its quotas for them.
 #[derive(Debug)]
 pub struct ColdStartState {
     sender: SenderId,
--- a/crates/serving/src/eligibility/mod.rs
+++ b/crates/serving/src/eligibility/mod.rs
@@ -74,8 +74,8 @@
 }
 
 impl Ineligible {
-    /// Counts that a request or item was rejected by the back end's permit check, and logs
-    /// evacuations that are followed.
+    /// Counts a request or item that was denied a permit for the back end chosen for it, and logs
+    /// its id if the zone is evacuated.
     pub fn record_rejection(&self, id: &str, backend: &Backend) {
         metrics::counter!("permits_refused_total", "cause" => self.name()).increment(1);
         if *self == Ineligible::Evacuated {
--- a/crates/serving/src/eligibility/warmth.rs
+++ b/crates/serving/src/eligibility/warmth.rs
@@ -21,8 +21,8 @@
 /// which requests are counted.
 const RETENTION_MS: u64 = 60_000;
 
-/// Time for which failures are reported, in milliseconds: those of the previous incarnation are
-/// still reported then.
+/// Time for which a failure is reported, in milliseconds: for this long after an incarnation
+/// appeared, reported failures may be those of the previous one.
 const FAILURE_REPORT_MS: u64 = 3_500;
 
 /// Time for which a back end counts as alive after something was received from it, in milliseconds:
@@ -111,9 +111,8 @@
     was_partial: bool,
     /// Ids of back ends that are no longer known and are remembered for a while.
     gone: BTreeSet<String>,
-    /// Ids of back ends that may be cold; those that are no longer are dropped with the next
-    /// catalog. Makes a check cost as many steps as there are such back ends, not as there are back
-    /// ends.
+    /// Ids of back ends that may be cold; others are dropped with the next catalog. Only these
+    /// are iterated over, so that the cost does not grow with the fleet.
     possibly_cold: BTreeSet<String>,
     /// Upper bound of the end of all cold periods; afterwards no back end needs a check.
     last_cold_until: Timestamp,
@@ -121,8 +120,8 @@
 
 impl WarmthTracker {
     /// Takes over a catalog. Must be called for each one soon after it was published, because
-    /// periods start now. Costs as many steps as there are back ends that changed, may be cold or
-    /// are gone.
+    /// periods start now. Takes time linear in the number of back ends that changed, may be cold or
+    /// are gone; in that of all back ends if warm-ups or evacuated zones changed.
     pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) -> CatalogChanges {
         let warm_ups = warm_ups(catalog);
         let warm_ups_changed = warm_ups != self.warm_ups;
@@ -155,8 +154,8 @@
     fn drop_ended_periods(&mut self, now: Timestamp) {
         let backends = &self.backends;
         let end_of = |id: &String| {
-            let known = backends.get(id)?;
-            let cold_periods = [known.reported, known.suspected].into_iter().flatten();
+            let tracked = backends.get(id)?;
+            let cold_periods = [tracked.reported, tracked.suspected].into_iter().flatten();
             cold_periods.map(|cold_period| cold_period.until).max().filter(|until| *until > now)
         };
         self.possibly_cold.retain(|id| end_of(id).is_some());
@@ -179,9 +178,9 @@
         service: &'a str,
     ) -> impl Iterator<Item = &'a Arc<Backend>> {
         let is_cold = move |id: &&String| self.cold_period(now, id).is_some();
-        let known =
+        let tracked =
             self.possibly_cold.iter().filter(is_cold).filter_map(|id| self.backends.get(id));
-        known.filter(move |known| *known.service == *service).map(|known| &known.record)
+        tracked.filter(move |tracked| *tracked.service == *service).map(|tracked| &tracked.record)
     }
 
     fn add(&mut self, now: Timestamp, backend: &Arc<Backend>, is_first: bool) {
@@ -205,7 +204,7 @@
         let appeared =
             ColdPeriod { until: now.plus_millis(warm_up.duration_ms), cause: ColdCause::Appeared };
         let suspected = (!is_first && reported.is_none()).then_some(appeared);
-        let known = TrackedBackend {
+        let tracked = TrackedBackend {
             service: service.clone(),
             last_activity_at: None,
             appeared_at: (!is_first).then_some(now),
@@ -214,7 +213,7 @@
             suspected,
             gone_since: None,
         };
-        self.backends.insert(backend.id.clone(), known);
+        self.backends.insert(backend.id.clone(), tracked);
         self.gone.remove(&backend.id);
         self.track_cold_periods(&backend.id, [reported, suspected]);
     }
@@ -227,8 +226,8 @@
 
     /// Records that a back end is no longer known.
     fn mark_gone(&mut self, now: Timestamp, id: &str) {
-        if let Some(known) = self.backends.get_mut(id) {
-            known.gone_since.get_or_insert(now);
+        if let Some(tracked) = self.backends.get_mut(id) {
+            tracked.gone_since.get_or_insert(now);
             self.gone.insert(id.to_owned());
         }
     }
@@ -241,13 +240,13 @@
         }
         let returned: BTreeSet<&String> = self.evacuated.difference(evacuated).collect();
         let mut cold_periods = Vec::new();
-        for (id, known) in &mut self.backends {
-            if !returned.contains(&known.record.zone) {
+        for (id, tracked) in &mut self.backends {
+            if !returned.contains(&tracked.record.zone) {
                 continue;
             }
-            let Some(warm_up) = self.warm_ups.get(&known.service) else { continue };
+            let Some(warm_up) = self.warm_ups.get(&tracked.service) else { continue };
             let until = warm_after_restart(now, warm_up);
-            known.suspect(until, ColdCause::ZoneReturned);
+            tracked.suspect(until, ColdCause::ZoneReturned);
             cold_periods.push((id.clone(), until));
         }
         for (id, until) in cold_periods {
@@ -260,7 +259,7 @@
     fn drop_gone(&mut self, now: Timestamp) -> Vec<String> {
         let backends = &self.backends;
         let is_expired = |id: &&String| {
-            let gone_since = backends.get(*id).and_then(|known| known.gone_since);
+            let gone_since = backends.get(*id).and_then(|tracked| tracked.gone_since);
             gone_since.is_none_or(|since| now.millis_since(since) >= RETENTION_MS)
         };
         let forgotten: Vec<String> = self.gone.iter().filter(is_expired).cloned().collect();
@@ -271,19 +270,20 @@
         forgotten
     }
 
-    /// The same after warm-ups changed, by a check of each back end.
+    /// The same after the warm-ups of services changed: checks each back end, and also drops those
+    /// of services that no longer have a warm-up.
     fn drop_all_unknown(&mut self, now: Timestamp, catalog: &Catalog) -> Vec<String> {
-        for (id, known) in &mut self.backends {
+        for (id, tracked) in &mut self.backends {
             if !catalog.known.contains(id) {
-                known.gone_since.get_or_insert(now);
+                tracked.gone_since.get_or_insert(now);
                 self.gone.insert(id.clone());
             }
         }
         let mut forgotten = self.drop_gone(now);
         let warm_ups = &self.warm_ups;
         let gone = &mut self.gone;
-        self.backends.retain(|id, known| {
-            let is_kept = warm_ups.contains_key(&known.service);
+        self.backends.retain(|id, tracked| {
+            let is_kept = warm_ups.contains_key(&tracked.service);
             if !is_kept {
                 gone.remove(id);
                 forgotten.push(id.clone());
@@ -295,8 +295,8 @@
 
     /// Records that something was received from a back end.
     pub fn record_activity(&mut self, now: Timestamp, id: &str) {
-        if let Some(known) = self.backends.get_mut(id) {
-            known.last_activity_at = Some(now);
+        if let Some(tracked) = self.backends.get_mut(id) {
+            tracked.last_activity_at = Some(now);
         }
     }
 
@@ -304,53 +304,56 @@
     /// seconds. One that still answers here is overloaded: treating it as cold would shift its load
     /// to the others.
     pub fn record_reported_failure(&mut self, now: Timestamp, id: &str) {
-        let Some(known) = self.backends.get_mut(id) else { return };
-        if known.last_activity_at.is_some_and(|at| now.millis_since(at) < ACTIVITY_TIMEOUT_MS) {
+        let Some(tracked) = self.backends.get_mut(id) else { return };
+        if tracked.last_activity_at.is_some_and(|at| now.millis_since(at) < ACTIVITY_TIMEOUT_MS) {
             return;
         }
         let is_new = |at: Timestamp| now.millis_since(at) < FAILURE_REPORT_MS;
-        if !known.appeared_at.is_some_and(is_new) {
+        if !tracked.appeared_at.is_some_and(is_new) {
             return self.record_failure(now, id);
         }
-        // Probably the previous incarnation failed, and this one is cold for as long anyway. If
+        // Probably the previous incarnation failed, and this one is cold for that time anyway. If
         // this one fails, that is reported again before this period ends.
         let until = now.plus_millis(RECORD_PROPAGATION_MS);
-        known.suspect(until, ColdCause::Failed);
+        tracked.suspect(until, ColdCause::Failed);
         self.track_cold(id, until);
     }
 
     /// Records that a back end was unreachable, broke a connection or fell silent here.
     pub fn record_failure(&mut self, now: Timestamp, id: &str) {
-        let Some(known) = self.backends.get_mut(id) else { return };
-        let Some(warm_up) = self.warm_ups.get(&known.service) else { return };
+        let Some(tracked) = self.backends.get_mut(id) else { return };
+        let Some(warm_up) = self.warm_ups.get(&tracked.service) else { return };
         let until = warm_after_restart(now, warm_up);
-        known.suspect(until, ColdCause::Failed);
+        tracked.suspect(until, ColdCause::Failed);
         self.track_cold(id, until);
     }
 
     /// Records for how much longer a back end is cold, as it reported in an answer.
     pub fn record_report(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
-        let known = self.backends.get_mut(id);
-        let Some(known) = known.filter(|known| known.record.started_ms == started_ms) else {
+        let tracked = self.backends.get_mut(id);
+        let Some(tracked) = tracked.filter(|tracked| tracked.record.started_ms == started_ms)
+        else {
             return;
         };
         let until = now.plus_millis(remaining_ms);
-        known.reported =
+        tracked.reported =
             (remaining_ms > 0).then_some(ColdPeriod { until, cause: ColdCause::Reported });
-        known.suspected = None;
+        tracked.suspected = None;
         self.track_cold(id, until);
     }
 
-    /// Why a back end is not known to be warm and until when; `None` if it is, by its own state.
+    /// Why a back end is not known to be warm and until when; `None` if it is. Does not consider
+    /// the age of the platform state.
     pub fn cold_period(&self, now: Timestamp, id: &str) -> Option<ColdPeriod> {
-        let known = self.backends.get(id)?;
-        let cold_periods = [known.reported, known.suspected].into_iter().flatten();
+        let tracked = self.backends.get(id)?;
+        let cold_periods = [tracked.reported, tracked.suspected].into_iter().flatten();
         cold_periods
             .filter(|cold_period| cold_period.until > now)
             .max_by_key(|cold_period| cold_period.until)
     }
 
-    /// Whether every back end is known to be warm, by their own states.
+    /// Whether every back end is known to be warm. Does not consider the age of the platform
+    /// state.
     pub fn all_warm(&self, now: Timestamp) -> bool {
         self.last_cold_until <= now
     }
--- a/crates/serving/src/locality.rs
+++ b/crates/serving/src/locality.rs
@@ -13,6 +13,6 @@
     let all = slots(local) + slots(remote);
     let fraction = if all > 0.0 { slots(local) / all } else { 1.0 };
     let level = water_level(local, expected * fraction + 1.0)?;
-    let is_needed = remote.iter().any(|remote| remote.load < level);
-    (!is_needed).then_some(fraction)
+    let needs_remote = remote.iter().any(|remote| remote.load < level);
+    (!needs_remote).then_some(fraction)
 }
--- a/crates/serving/src/outcomes.rs
+++ b/crates/serving/src/outcomes.rs
@@ -2,8 +2,8 @@
 
 use yokefall_core::Timestamp;
 
-/// Time constant of the decay of outcomes, in milliseconds: a few requests at each back end of a
-/// busy fleet, and no longer than the first ejection.
+/// Time constant of the decay of outcomes, in milliseconds: long enough for a few requests at each
+/// back end of a busy fleet, and no longer than the first ejections.
 const OUTCOME_DECAY_MS: f64 = 1_000.0;
 /// Failures at all processes from which a back end is ejected by all: two failures half a second
 /// apart.
--- a/crates/serving/src/stall_detector.rs
+++ b/crates/serving/src/stall_detector.rs
@@ -23,12 +23,12 @@
 }
 
 impl StallDetector {
-    /// The loop starts a wait of at most `wait_ms`.
+    /// Records that the loop starts to wait, for at most `wait_ms`.
     pub fn start_wait(&mut self, now: Timestamp, wait_ms: u64) {
         self.wakeup_due = Some(now.plus_millis(wait_ms));
     }
 
-    /// The loop runs.
+    /// Records that the loop runs again.
     pub fn record_wakeup(&mut self, now: Timestamp) {
         let late_ms = self.wakeup_due.map_or(0, |wakeup_due| now.millis_since(wakeup_due));
         self.may_be_old |= late_ms > MAX_WAKEUP_DELAY_MS;
@@ -36,7 +36,7 @@
         self.wakeup_due = Some(now);
     }
 
-    /// The socket buffer is empty.
+    /// Records that the socket buffer is empty.
     pub fn drained(&mut self) {
         self.may_be_old = false;
     }
--- a/crates/serving/src/watch_role.rs
+++ b/crates/serving/src/watch_role.rs
@@ -32,7 +32,8 @@
 const CONFIGURATION_WAIT_MS: u64 = 100;
 /// Jitter of that wait, in milliseconds: the processes that read the store first inform the others.
 const CONFIGURATION_WAIT_JITTER_MS: u64 = 300;
-/// Wait and jitter at the first start of the whole system, before there are callers.
+/// Wait and jitter at the first start of the whole system, before there are callers, in
+/// milliseconds.
 const FIRST_START_WAIT_MS: u64 = 1_500;
 const FIRST_START_WAIT_JITTER_MS: u64 = 3_000;
 /// Time for which a rank must be stable before a process reads back ends because of it, in
@@ -40,14 +41,14 @@
 /// reveals members changes the rank of those that wrongly ranked first. Without the delay most of
 /// 986 restarting processes read the list, and none knew a back end after 24 s.
 const RANK_SETTLED_MS: u64 = 350;
-/// Time after its start for which a process waits for back ends from peers, in milliseconds, and
-/// its jitter: a reader needs under a second for a list of 3,000, which reaches 300 members within
-/// five exchanges.
+/// Time after its start for which a process waits for back ends from peers while others read them,
+/// in milliseconds, and its jitter: a reader needs under a second for a list of 3,000, which
+/// reaches 300 members within five exchanges.
 const BACKENDS_WAIT_MS: u64 = 2_500;
 const BACKENDS_WAIT_JITTER_MS: u64 = 1_500;
 /// Longest time that a process waits for back ends after it first heard from a peer that knows
-/// them, in milliseconds. After a first start no peer knows them for some seconds; then each of
-/// these sends the whole list to two others at a time, and 1,000 members know 10,000 back ends
+/// them, in milliseconds. After a first start no peer knows them for some seconds; then each peer
+/// that does sends the whole list to two others at a time, and 1,000 members know 10,000 back ends
 /// after about 6 s. With a limit of 4 s, 986 processes made 28,000 calls in 90 s; with this one
 /// they made 1,000.
 const MAX_BACKENDS_WAIT_MS: u64 = 8_000;
@@ -225,7 +226,7 @@
         if knows_backends {
             return false;
         }
-        // A process that knows only a few members yet ranks first among them.
+        // Until a process knows most members, it may rank first among the few that it knows.
         let is_settled = now.millis_since(self.ranked_at) >= RANK_SETTLED_MS;
         let is_first = self.ranking.rank < WATCHERS_PER_ZONE
             && is_settled
--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -8,14 +8,14 @@
 
 const NOW: Timestamp = Timestamp(10_000);
 
-fn terms(rank: u32) -> QueueLimits {
+fn limits(rank: u32) -> QueueLimits {
     QueueLimits { rank, target: Duration::from_millis(300), timeout: Duration::from_millis(5_000) }
 }
 
 fn queue(arrivals: &[(u64, u32)]) -> AdmissionQueue {
     let mut queue = AdmissionQueue::default();
     for (ticket, (arrived, rank)) in (0..).zip(arrivals) {
-        queue.enqueue(QueuedRequest::new(ticket, Timestamp(*arrived), terms(*rank)));
+        queue.enqueue(QueuedRequest::new(ticket, Timestamp(*arrived), limits(*rank)));
     }
     queue
 }
--- a/crates/serving/tests/backend_table.rs
+++ b/crates/serving/tests/backend_table.rs
@@ -94,7 +94,7 @@
         then.iter().for_each(|step| drop(apply(&mut table, &mut oracle, step)));
         let is_unchanged = matches(&older, &followed);
         for ObjectChange { before, after } in table.changes_since(&older) {
-            let id = before.as_ref().or(after.as_ref()).expect("a back end before or after").id.clone();
+            let id = before.as_ref().or(after.as_ref()).expect("a changed back end").id.clone();
             let replaced = match after {
                 Some(after) => followed.insert(id, after),
                 None => followed.remove(&id),
@@ -112,14 +112,14 @@
         let region = |zone: usize| (format!("zone-{zone}"), format!("region-{}", zone / 2));
         let zones = Arc::new(ZoneMap::new((0..3).map(region).collect::<BTreeMap<_, _>>()));
         let evacuated = BTreeSet::from([format!("zone-{}", evacuated % 6)]);
-        let facts = ZoneState { evacuated, zones };
+        let zone_state = ZoneState { evacuated, zones };
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
-        let mut followed = Catalog::with_zones(None, std::iter::empty(), facts.clone());
+        let mut followed = Catalog::with_zones(None, std::iter::empty(), zone_state.clone());
         steps.chunks(3).all(|batch| {
             let changes: Vec<ObjectChange<Backend>> =
                 batch.iter().filter_map(|step| apply(&mut table, &mut oracle, step)).collect();
             followed = followed.clone().with_changes(&changes);
-            let built = Catalog::with_zones(None, oracle.values(), facts.clone());
+            let built = Catalog::with_zones(None, oracle.values(), zone_state.clone());
             same(&followed, &built)
         })
     }
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -15,13 +15,13 @@
 
 /// Runs all simulations on a few threads.
 fn run_all() -> Vec<(u64, SimulationResult)> {
-    let part = |first: u64| {
+    let run_part = |first: u64| {
         let seeds = (first..simulations()).step_by(THREADS);
         seeds.map(|seed| (seed, Simulation::new(seed, SendMode::Limited).run())).collect::<Vec<_>>()
     };
     std::thread::scope(|scope| {
         let threads: Vec<_> =
-            (0..THREADS as u64).map(|first| scope.spawn(move || part(first))).collect();
+            (0..THREADS as u64).map(|first| scope.spawn(move || run_part(first))).collect();
         threads.into_iter().flat_map(|thread| thread.join().expect("a simulation")).collect()
     })
 }
@@ -33,10 +33,10 @@
 #[test]
 fn no_cold_back_end_gets_more_than_it_may_in_any_second() {
     let mut sum = SimulationResult::default();
-    let mut broken = Vec::new();
+    let mut exceeded = Vec::new();
     for (seed, outcome) in run_all() {
         if outcome.max_per_second as f64 > MAX_REQUESTS_PER_SECOND {
-            broken.push((seed, outcome.max_per_second));
+            exceeded.push((seed, outcome.max_per_second));
         }
         sum.max_per_second = sum.max_per_second.max(outcome.max_per_second);
         sum.arrived += outcome.arrived;
@@ -46,19 +46,20 @@
         sum.warmed += outcome.warmed;
     }
     let used = sum.arrived as f64 / sum.cold_seconds / MAX_REQUESTS_PER_SECOND;
-    let late = sum.detection_delay_ms as f64 / sum.warmed.max(1) as f64;
+    let delay_ms = sum.detection_delay_ms as f64 / sum.warmed.max(1) as f64;
     println!(
-        "{} histories, {} broken; most in a second {}; {used:.2} of the allowance used in {:.0} cold \
-         seconds; {} warmed, known {late:.0} ms later on average",
+        "{} simulations, {} exceeded the limit; at most {} requests in a second; {used:.2} of the \
+         allowance used in {:.0} cold seconds; {} back ends warmed, detected {delay_ms:.0} ms \
+         later on average",
         simulations(),
-        broken.len(),
+        exceeded.len(),
         sum.max_per_second,
         sum.cold_seconds,
         sum.warmed
     );
     assert!(
-        broken.is_empty(),
-        "more than {MAX_REQUESTS_PER_SECOND} requests in a second, by seed: {broken:?}"
+        exceeded.is_empty(),
+        "more than {MAX_REQUESTS_PER_SECOND} requests in a second, by seed: {exceeded:?}"
     );
     assert_eq!(sum.crashed, 0, "back ends crashed");
     assert!(sum.cold_seconds > 0.0 && sum.warmed > 0, "no back end was cold or got warm");
@@ -67,9 +68,9 @@
 /// The simulation detects the overload that it tests for.
 #[test]
 fn the_simulation_detects_overload_without_limits() {
-    let broken = (0..20).filter(|seed| {
+    let exceeded = (0..20).filter(|seed| {
         Simulation::new(*seed, SendMode::Unlimited).run().max_per_second as f64
             > MAX_REQUESTS_PER_SECOND
     });
-    assert!(broken.count() > 5);
+    assert!(exceeded.count() > 5);
 }
--- a/crates/serving/tests/cold_parts.rs
+++ b/crates/serving/tests/cold_parts.rs
@@ -1,4 +1,4 @@
-//! Units of the cold-start limiter: names, quotas, cold periods.
+//! Parts of the cold-start limiter: process names, quotas, cold periods.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -75,14 +75,14 @@
 
 #[test]
 fn a_quota_is_used_up_for_more_than_a_second() {
-    let mut sends = SendHistory::default();
-    assert_eq!(sends.wait_ms(START, 0), None);
-    assert_eq!(sends.wait_ms(START, 1), Some(0));
-    sends.record(START);
-    assert_eq!(sends.wait_ms(START, 1), Some(QUOTA_INTERVAL_MS));
-    assert_eq!(sends.wait_ms(START, 2), Some(0));
-    assert_eq!(sends.wait_ms(START.plus_millis(1_000), 1), Some(QUOTA_INTERVAL_MS - 1_000));
-    assert_eq!(sends.wait_ms(START.plus_millis(QUOTA_INTERVAL_MS), 1), Some(0));
+    let mut history = SendHistory::default();
+    assert_eq!(history.wait_ms(START, 0), None);
+    assert_eq!(history.wait_ms(START, 1), Some(0));
+    history.record(START);
+    assert_eq!(history.wait_ms(START, 1), Some(QUOTA_INTERVAL_MS));
+    assert_eq!(history.wait_ms(START, 2), Some(0));
+    assert_eq!(history.wait_ms(START.plus_millis(1_000), 1), Some(QUOTA_INTERVAL_MS - 1_000));
+    assert_eq!(history.wait_ms(START.plus_millis(QUOTA_INTERVAL_MS), 1), Some(0));
 }
 
 fn record(name: &str, state: MemberState) -> (MemberRecord, u64) {
@@ -102,21 +102,24 @@
 /// over its share.
 #[test]
 fn names_of_lost_processes_are_kept_for_minutes() {
-    let mut memory = ProcessHistory::default();
+    let mut history = ProcessHistory::default();
     let own = record("own", MemberState::Alive);
-    memory.update(START, &[own.clone(), record("other", MemberState::Alive)]);
+    history.update(START, &[own.clone(), record("other", MemberState::Alive)]);
     assert!(!ProcessHistory::default().known_processes(START, "own", true).joined);
-    assert!(memory.known_processes(START, "own", true).joined);
+    assert!(history.known_processes(START, "own", true).joined);
     let lost_at = START.plus_millis(60_000);
-    memory.update(lost_at, &[own.clone(), record("other", MemberState::Suspect)]);
-    let known = memory.known_processes(lost_at.plus_millis(2_000), "own", true);
+    history.update(lost_at, &[own.clone(), record("other", MemberState::Suspect)]);
+    let known = history.known_processes(lost_at.plus_millis(2_000), "own", true);
     assert_eq!((known.gateways.len(), known.unresponsive), (2, 1));
     // Membership forgets it sooner or later; the name still counts.
-    memory.update(lost_at.plus_millis(20_000), std::slice::from_ref(&own));
-    let known = memory.known_processes(lost_at.plus_millis(20_000), "own", true);
+    history.update(lost_at.plus_millis(20_000), std::slice::from_ref(&own));
+    let known = history.known_processes(lost_at.plus_millis(20_000), "own", true);
     assert_eq!((known.gateways.len(), known.unresponsive), (2, 0));
-    memory.update(lost_at.plus_millis(700_000), &[own]);
-    assert_eq!(memory.known_processes(lost_at.plus_millis(700_000), "own", true).gateways, ["own"]);
+    history.update(lost_at.plus_millis(700_000), &[own]);
+    assert_eq!(
+        history.known_processes(lost_at.plus_millis(700_000), "own", true).gateways,
+        ["own"]
+    );
 }
 
 fn backend(started_ms: u64, cold_remaining_ms: u64) -> Arc<Backend> {
@@ -141,8 +144,8 @@
     };
     let configuration = Configuration { services: vec![service], ..Configuration::default() };
     let evacuated: BTreeSet<String> = evacuated.iter().map(|zone| (*zone).to_owned()).collect();
-    let facts = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
-    Catalog::with_zones(Some(Arc::new(configuration)), backends.iter(), facts)
+    let zone_state = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
+    Catalog::with_zones(Some(Arc::new(configuration)), backends.iter(), zone_state)
 }
 
 fn cold_period(warmth: &WarmthTracker, at: Timestamp) -> Option<(ColdCause, u64)> {
@@ -234,8 +237,8 @@
     state
 }
 
-/// Guards against a restarted process sending again what it sent a moment ago, or taking the share
-/// of others whose names it does not know yet.
+/// Guards against a restarted process that uses its quota again although it used it just before the
+/// restart, or takes the share of others whose names it does not know yet.
 #[test]
 fn a_process_uses_its_quota_only_after_the_join_delay_and_with_known_peers() {
     let backend = backend(1, 60_000);
@@ -267,19 +270,19 @@
 fn a_leader_assigns_each_job_store_with_a_quota_one_item_per_interval() {
     let backend = backend(1, 60_000);
     let mut state = state(60_000, known_processes(75, 14));
-    let mut given = BTreeSet::new();
+    let mut assigned = BTreeSet::new();
     while let Some(name) = state.item_sender(START, &backend, |_| true) {
         state.record_item_assignment(START, &backend.id, name.clone());
-        assert!(given.insert(name), "a job store got two items");
+        assert!(assigned.insert(name), "a job store got two items");
     }
-    assert_eq!(given.len(), 4);
+    assert_eq!(assigned.len(), 4);
     let later = START.plus_millis(QUOTA_INTERVAL_MS);
     assert!(state.item_sender(later, &backend, |_| true).is_some());
     assert!(state.item_sender(later, &backend, |_| false).is_none());
 }
 
-/// Guards against overloaded back ends that fail for most processes being limited as cold on top of
-/// it.
+/// Guards against limiting overloaded back ends as if they were cold because they fail for most
+/// processes.
 #[test]
 fn a_back_end_that_answers_here_is_not_cold_by_reported_failures() {
     let mut warmth = WarmthTracker::default();
--- a/crates/serving/tests/cold_world/mod.rs
+++ b/crates/serving/tests/cold_world/mod.rs
@@ -239,15 +239,15 @@
         if self.platform_store.evacuated_for(self.now, zone) < 6_000 {
             return;
         }
-        let turned = self.now;
+        let turned_cold_at = self.now;
         for number in (0..self.back_ends.len()).filter(|number| number % 3 == zone) {
             let delay = self.rng.random_range(20..300);
             let back_end = &mut self.back_ends[number];
-            if back_end.is_up(turned) {
-                back_end.cold_until = turned + DURATION_MS;
-                back_end.counted_from = turned;
+            if back_end.is_up(turned_cold_at) {
+                back_end.cold_until = turned_cold_at + DURATION_MS;
+                back_end.counted_from = turned_cold_at;
                 back_end.known_warm_at = None;
-                self.platform_store.write_later(turned + delay, number);
+                self.platform_store.write_later(turned_cold_at + delay, number);
             }
         }
         let ends_at = self.now + self.rng.random_range(0..300);
--- a/crates/serving/tests/cold_world/platform_store.rs
+++ b/crates/serving/tests/cold_world/platform_store.rs
@@ -29,7 +29,7 @@
         for back_end in back_ends {
             self.write(written_at, back_end);
         }
-        self.store(now);
+        self.append_catalog(now);
     }
 
     fn write(&mut self, now: u64, back_end: &BackEnd) {
@@ -46,7 +46,7 @@
         self.records.insert(back_end.number, Arc::new(record));
     }
 
-    fn store(&mut self, now: u64) {
+    fn append_catalog(&mut self, now: u64) {
         let service = Service {
             name: SERVICE.into(),
             health_path: "/health".into(),
@@ -76,7 +76,7 @@
             return false;
         }
         self.evacuated.insert(zone, now);
-        self.store(now);
+        self.append_catalog(now);
         true
     }
 
@@ -103,7 +103,7 @@
         for (_, zone) in ended {
             self.evacuated.remove(&zone);
         }
-        self.store(now);
+        self.append_catalog(now);
     }
 
     pub fn published_at(&self, moment: u64) -> PublishedCatalog {
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -14,9 +14,9 @@
 const NAME_PROPAGATION_MS: u64 = 4_000;
 /// Time after which a reconnected process has load reports.
 const LOAD_REPORT_DELAY_MS: u64 = 300;
-/// Time after which all know that a process does not answer, and time after which its platform
-/// state is too old for it to send as before.
+/// Time after which all know that a process does not answer.
 const LOSS_DETECTION_MS: u64 = 1_500;
+/// Time after which the platform state of such a process is too old for it to send as before.
 const LOSS_EXPIRY_MS: u64 = 8_000;
 /// Interval at which names are taken over.
 const NAMES_INTERVAL_MS: u64 = 1_000;
@@ -109,7 +109,8 @@
         reported || existed_before
     }
 
-    /// Whether others know that it does not answer, and not for long.
+    /// Whether others count it as unresponsive: from `LOSS_DETECTION_MS` to `LOSS_EXPIRY_MS` after
+    /// it was lost.
     pub fn is_unresponsive(&self, now: u64) -> bool {
         let since = match self.ended {
             Some(ended) => ended,
--- a/crates/serving/tests/drawn.rs
+++ b/crates/serving/tests/drawn.rs
@@ -107,8 +107,8 @@
     assert_eq!(second, choose(&mut one));
 }
 
-/// With most of a service ejected, a sample may hold none of the rest, which are then found by
-/// looking at all.
+/// With 999 of 1,000 back ends ejected, a sample may hold only ejected ones; the remaining one is
+/// then found by looking at all.
 #[test]
 fn if_the_whole_sample_is_ejected_the_choice_is_among_all() {
     let all = backends(1_000);
--- a/crates/serving/tests/duty.rs
+++ b/crates/serving/tests/duty.rs
@@ -120,7 +120,8 @@
     }
 }
 
-/// Whichever watcher is lost or rejected, its zone has as many again within a second.
+/// Whichever watcher is lost (down, paused or partitioned) or rejected by the store, its zone has
+/// as many again within a second.
 #[test]
 fn a_lost_watcher_is_replaced_within_a_second() {
     for reject in [false, true] {
@@ -146,7 +147,7 @@
 
 /// The store rejects a third of the members, whichever they are, and serves the others.
 #[test]
-fn a_store_that_refuses_a_third_leaves_zones_watched_and_calls_bounded() {
+fn a_store_that_rejects_a_third_leaves_zones_watched_and_calls_bounded() {
     for offset in 0..3 {
         let mut model = Model::new(550, 12);
         model.run(5_000);
@@ -260,12 +261,12 @@
         (0..20_000).step_by(STEP_MS as usize).find(reads)
     };
     for jitter in [0.0, 1.0] {
-        let alone = reads_after(jitter, 0, 0).expect("a read");
-        let announced = reads_after(jitter, 0, 5_000).expect("a read");
-        let always = reads_after(jitter, 0, 20_000).expect("a read");
+        let alone = reads_after(jitter, 0, 0).expect("back ends are read");
+        let announced = reads_after(jitter, 0, 5_000).expect("back ends are read");
+        let always = reads_after(jitter, 0, 20_000).expect("back ends are read");
         // After a first start the processes that read for their zones know back ends some seconds
         // later.
-        let first_start = reads_after(jitter, 3_900, 20_000).expect("a read");
+        let first_start = reads_after(jitter, 3_900, 20_000).expect("back ends are read");
         assert!(alone <= 4_500, "no peer knows them: {alone}");
         assert!(
             (7_400..=7_600).contains(&announced),
@@ -280,8 +281,8 @@
 }
 
 /// Guards against reading because of a transient rank: after a start of all processes each knows a
-/// few members and ranks first among them, so that most of 986 read a list of 50 pages, of which
-/// the store answers 320 a second.
+/// few members and ranks first among them, so that most of 986 processes read a list of 50 pages,
+/// of which the store answers 320 a second.
 #[test]
 fn a_transient_first_rank_does_not_read_back_ends() {
     let members: Vec<FleetMember> = (0..60).map(|index| member(index, 1)).collect();
--- a/crates/serving/tests/eligibility.rs
+++ b/crates/serving/tests/eligibility.rs
@@ -32,8 +32,8 @@
 fn publish(cell: &CatalogCell, backends: &[Backend], evacuated: &[&str]) {
     let backends: Vec<Arc<Backend>> = backends.iter().cloned().map(Arc::new).collect();
     let evacuated = evacuated.iter().map(|zone| (*zone).to_owned()).collect();
-    let facts = ZoneState { evacuated, zones: zones() };
-    cell.store(Arc::new(Catalog::with_zones(None, backends.iter(), facts)));
+    let zone_state = ZoneState { evacuated, zones: zones() };
+    cell.store(Arc::new(Catalog::with_zones(None, backends.iter(), zone_state)));
 }
 
 fn within(regions: &[&str]) -> Residency {
@@ -48,7 +48,7 @@
     candidates.iter().map(|backend| backend.id.clone()).collect()
 }
 
-fn refusal(cell: &CatalogCell, backend: &Backend, residency: &Residency) -> Option<Ineligible> {
+fn rejection(cell: &CatalogCell, backend: &Backend, residency: &Residency) -> Option<Ineligible> {
     let requirements = Requirements { service: SERVICE, residency };
     Eligibility::new(cell.clone()).permit(backend, &requirements).err()
 }
@@ -80,9 +80,9 @@
     assert_eq!(candidates(&cell, &within(&["c"])), names(&[]));
     assert_eq!(candidates(&cell, &within(&[])), names(&[]));
     // A zone that is not configured is in no region.
-    assert_eq!(refusal(&cell, &all[3], &within(&["a"])), Some(Ineligible::OtherRegion));
-    assert_eq!(refusal(&cell, &all[2], &within(&["a"])), Some(Ineligible::OtherRegion));
-    assert_eq!(refusal(&cell, &all[2], &within(&["b"])), None);
+    assert_eq!(rejection(&cell, &all[3], &within(&["a"])), Some(Ineligible::OtherRegion));
+    assert_eq!(rejection(&cell, &all[2], &within(&["a"])), Some(Ineligible::OtherRegion));
+    assert_eq!(rejection(&cell, &all[2], &within(&["b"])), None);
 }
 
 #[test]
@@ -90,13 +90,13 @@
     let cell = empty_catalog();
     let all = [backend("1", "a-1"), backend("2", "a-2")];
     publish(&cell, &all, &[]);
-    assert_eq!(refusal(&cell, &all[0], &Residency::Anywhere), None);
+    assert_eq!(rejection(&cell, &all[0], &Residency::Anywhere), None);
     publish(&cell, &all, &["a-1"]);
     assert_eq!(candidates(&cell, &Residency::Anywhere), names(&["2"]));
     assert_eq!(candidates(&cell, &within(&["a"])), names(&["2"]));
-    assert_eq!(refusal(&cell, &all[0], &Residency::Anywhere), Some(Ineligible::Evacuated));
+    assert_eq!(rejection(&cell, &all[0], &Residency::Anywhere), Some(Ineligible::Evacuated));
     publish(&cell, &all, &[]);
-    assert_eq!(refusal(&cell, &all[0], &Residency::Anywhere), None);
+    assert_eq!(rejection(&cell, &all[0], &Residency::Anywhere), None);
 }
 
 #[test]
@@ -104,9 +104,9 @@
     let cell = empty_catalog();
     let chosen = backend("1", "a-1");
     publish(&cell, &[Backend { state: BackendState::Draining, ..chosen.clone() }], &[]);
-    assert_eq!(refusal(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::Draining));
+    assert_eq!(rejection(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::Draining));
     publish(&cell, &[Backend { started_ms: 2, ..chosen.clone() }], &[]);
-    assert_eq!(refusal(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::OtherIncarnation));
+    assert_eq!(rejection(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::OtherIncarnation));
     publish(&cell, &[], &[]);
-    assert_eq!(refusal(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::Unknown));
+    assert_eq!(rejection(&cell, &chosen, &Residency::Anywhere), Some(Ineligible::Unknown));
 }
--- a/crates/serving/tests/eligibility_cost.rs
+++ b/crates/serving/tests/eligibility_cost.rs
@@ -1,5 +1,8 @@
-//! Measures the cost of eligibility checks for one request. Prints figures and asserts none: `cargo
-//! test --release -p yokefall-serving --test eligibility_cost -- --nocapture`.
+//! Measures the cost of eligibility checks for one request. Prints figures and asserts none:
+//!
+//! ```text
+//! cargo test --release -p yokefall-serving --test eligibility_cost -- --nocapture
+//! ```
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
@@ -32,8 +35,8 @@
     let region =
         |zone: usize| (format!("zone-{zone}"), format!("region-{}", zone / ZONES_OF_A_REGION));
     let zones = Arc::new(ZoneMap::new((0..ZONES).map(region).collect::<BTreeMap<_, _>>()));
-    let facts = ZoneState { evacuated: BTreeSet::new(), zones };
-    Catalog::with_zones(None, backends.iter(), facts)
+    let zone_state = ZoneState { evacuated: BTreeSet::new(), zones };
+    Catalog::with_zones(None, backends.iter(), zone_state)
 }
 
 fn nanoseconds(mut step: impl FnMut()) -> u128 {
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -169,25 +169,25 @@
         }
         for (number, kind) in KINDS.into_iter().enumerate() {
             let known = process.shared.platform_state.borrow().digest();
-            let (asked, ends) = process.watches[number];
+            let (began, ends) = process.watches[number];
             let behind =
                 kind == ObjectKind::Evacuations && known.evacuations.revision < self.revision;
             if !behind && self.now < ends {
                 continue;
             }
-            let wait = ends.saturating_sub(asked.0);
+            let wait = ends.saturating_sub(began.0);
             match kind {
                 ObjectKind::Configuration => {
                     let configuration = Configuration { version: 1, ..Configuration::default() };
                     let change =
                         Change { name: "main".into(), revision: 1, value: Some(configuration) };
                     Sink::<Configuration>::apply(&process.shared, vec![change], 1);
-                    Sink::<Configuration>::answered(&process.shared, asked, wait);
+                    Sink::<Configuration>::answered(&process.shared, began, wait);
                 }
                 ObjectKind::Backends => {
                     let listing = Listing { items: Vec::new(), revision: self.revision };
                     Sink::<Backend>::replace(&process.shared, listing);
-                    Sink::<Backend>::answered(&process.shared, asked, wait);
+                    Sink::<Backend>::answered(&process.shared, began, wait);
                 }
                 ObjectKind::Evacuations => {
                     let item = |zone: &String| Change {
@@ -200,7 +200,7 @@
                     Sink::<Evacuation>::replace(&process.shared, listing);
                     Sink::<Evacuation>::answered(
                         &process.shared,
-                        asked,
+                        began,
                         if behind { 0 } else { wait },
                     );
                 }
@@ -349,10 +349,10 @@
     for _ in 0..BOUND_MS / STEP_MS {
         fleet.run(STEP_MS);
         let process = fleet.processes[new].as_ref().expect("a running process");
-        let awaits = process.shared.platform_state.borrow().evacuations_unknown();
+        let is_waiting = process.shared.platform_state.borrow().evacuations_unknown();
         assert!(
-            awaits || fleet.follows_evacuations(new),
-            "it serves without knowing the evacuations"
+            is_waiting || fleet.follows_evacuations(new),
+            "the new process serves without knowing the evacuations"
         );
     }
     assert!(fleet.follows_evacuations(new));
