--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -1,4 +1,4 @@
-//! Choice of the back end for a request: one of the least loaded, with failing ones left out.
+//! Load balancing: chooses one of the least loaded back ends for a request and ejects failing ones.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,58 +8,58 @@
 use rand::SeedableRng;
 use yokefall_core::Timestamp;
 
-use crate::affinity::{has_room, preferred};
+use crate::affinity::{has_affinity_capacity, preferred};
 use crate::arrivals::{Arrivals, ReportedRate};
-use crate::backend_record::{load, BackendRecord, LEAST_OUTCOME, LOAD_LIFETIME_MS};
+use crate::backend_record::{load, BackendRecord, LOAD_LIFETIME_MS, MIN_OUTCOME_WEIGHT};
 use crate::dialect::BackendLoad;
 use crate::eligibility::{CandidateSample, Distance, ZoneMap};
 use crate::incarnations::ByIncarnation;
-use crate::locality::own_part;
+use crate::locality::local_fraction;
 use crate::model::{Backend, BackendIncarnation};
 use crate::outcomes::Outcomes;
-use crate::water_filling::{draw, surface, Level};
+use crate::water_filling::{choose_weighted, water_level, LoadLevel};
 use yokefall_types::Policy;
 
-/// Failed requests in a row after which a back end is left out.
-const FAILURES_TO_EJECT: u32 = 3;
-/// Time for which a back end that refused for want of a slot is left out, in milliseconds.
+/// Consecutive failures after which a back end is ejected.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+/// Ejection of a back end that rejected a request for lack of a free slot, in milliseconds.
 const FULL_EJECTION_MS: u64 = 60;
-/// Time for which a back end that fell silent gets nothing new, in milliseconds. It is noted again
-/// for as long as the silence lasts.
-const SILENT_EJECTION_MS: u64 = 500;
-/// Cost of standing in another zone, in parts of a back end's slots.
+/// Ejection of a back end from which nothing is received, in milliseconds. It is renewed for as
+/// long as the silence lasts.
+const SILENCE_EJECTION_MS: u64 = 500;
+/// Cost of another zone, as a fraction of a back end's slots.
 const OTHER_ZONE_COST: f64 = 0.1;
-/// Cost of standing in another region: bytes between regions are priced four times those between zones, and take
-/// 8 ms each way rather than 1.4.
+/// Cost of another region: traffic between regions is priced four times that between zones, and
+/// takes 8 ms each way instead of 1.4 ms.
 const OTHER_REGION_COST: f64 = 4.0 * OTHER_ZONE_COST;
-/// Time that what everybody has in flight takes to be told and heard, beside the pause between two
-/// tellings, in milliseconds.
-const TELLING_MS: u64 = 50;
-/// Pause between two tellings until it is known, in milliseconds.
-const FIRST_TELLING_INTERVAL_MS: u64 = 100;
-/// Longest time over which arrivals at other processes are reckoned with, in milliseconds.
-const LONGEST_BLIND_MS: u64 = 800;
-/// Weight of one request in the mean time that requests take.
+/// Time that a load report and its answer take, in milliseconds, on top of the interval between
+/// reports.
+const REPORT_DELAY_MS: u64 = 50;
+/// Interval between load reports until the actual one is known, in milliseconds.
+const DEFAULT_REPORT_INTERVAL_MS: u64 = 100;
+/// Longest time over which unreported arrivals at other processes are estimated, in milliseconds.
+const MAX_REPORT_AGE_MS: u64 = 800;
+/// Weight of one request in the mean service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
 
-/// How a request to a back end ended, as far as the back end's health goes.
+/// Outcome of a request as far as it concerns the back end's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Outcome {
-    /// It answered.
+    /// The back end answered.
     Answered,
-    /// It could not be reached: nothing was sent.
+    /// The back end could not be reached; nothing was sent.
     Unreachable,
-    /// It failed after the request was sent, or answered with a failure of its own.
+    /// The request failed after it was sent, or the back end answered with a server error.
     Failed,
-    /// It refused because it is full.
+    /// The back end rejected the request because it is full.
     Full,
-    /// Another process has its address.
+    /// Another process listens on the back end's address.
     Misdirected,
-    /// The caller left, or its time ended.
+    /// The caller left, or the request timed out.
     Abandoned,
 }
 
-/// What all processes have at a back end.
+/// Requests in flight of all processes at a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InFlight {
     /// Online requests.
@@ -68,30 +68,29 @@
     pub items: u32,
 }
 
-/// What this process knows of the load and health of back ends.
+/// Load and health of back ends as known to this process.
 #[derive(Debug)]
 pub struct Balancer {
     generator: SmallRng,
     policy: Policy,
     zone: String,
-    /// Regions of zones.
     zones: Arc<ZoneMap>,
     records: ByIncarnation<BackendRecord>,
-    /// Processes that choose as this one does, itself included.
-    choosers: usize,
-    /// Pause between two tellings of what a process has in flight, in milliseconds.
-    telling_interval_ms: u64,
-    /// When everybody's requests were last heard.
-    heard_at: Option<Timestamp>,
+    /// Processes that balance over the same back ends, this one included.
+    balancers: usize,
+    /// Interval between load reports of a process, in milliseconds.
+    report_interval_ms: u64,
+    /// When the requests in flight of all processes were last received.
+    totals_at: Option<Timestamp>,
     arrivals: HashMap<String, Arrivals>,
-    /// Arrivals at all processes, as they were reported.
-    arrivals_of_all: HashMap<String, ReportedRate>,
-    /// Mean time that requests take at back ends of a service, in milliseconds.
+    /// Reported arrival rates of all processes, by service.
+    total_arrival_rates: HashMap<String, ReportedRate>,
+    /// Mean service time at the back ends of a service, in milliseconds.
     service_ms: HashMap<String, f64>,
 }
 
 impl Balancer {
-    /// A balancer for a process in `zone`, whose draws follow from `seed`.
+    /// A balancer for a process in `zone` with a random generator seeded by `seed`.
     pub fn new(zone: String, seed: u64, policy: Policy) -> Self {
         Self {
             policy,
@@ -99,23 +98,23 @@
             zone,
             zones: Arc::default(),
             records: ByIncarnation::default(),
-            choosers: 1,
-            telling_interval_ms: FIRST_TELLING_INTERVAL_MS,
-            heard_at: None,
+            balancers: 1,
+            report_interval_ms: DEFAULT_REPORT_INTERVAL_MS,
+            totals_at: None,
             arrivals: HashMap::new(),
-            arrivals_of_all: HashMap::new(),
+            total_arrival_rates: HashMap::new(),
             service_ms: HashMap::new(),
         }
     }
 
-    /// The same that knows the regions of zones.
+    /// Sets the regions of zones.
     pub fn with_zones(self, zones: Arc<ZoneMap>) -> Self {
         Self { zones, ..self }
     }
 
-    /// Chooses a back end that is not in `tried`. `affinity` is a hash of what back ends may hold
-    /// in memory: requests with the same one go to the same few back ends while these have room.
-    /// Back ends that are left out for failures are chosen only when no other remains.
+    /// Chooses a back end that is not in `tried`. `affinity` is a hash of the prompt prefix:
+    /// requests with the same one go to the same few back ends while these have capacity. Ejected
+    /// back ends are chosen only if no other remains.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -123,17 +122,17 @@
         tried: &[String],
         affinity: Option<u64>,
     ) -> Option<Arc<Backend>> {
-        let Open { open, ejected } = self.open(now, candidates, tried);
-        let (fraction, open) = self.nearby(now, open);
+        let Available { available, ejected } = self.available(now, candidates, tried);
+        let (fraction, available) = self.prefer_local(now, available);
         let affinity = affinity.filter(|_| self.policy.prefix_affinity);
-        if let Some(backend) = affinity.and_then(|key| preferred(&open, key)) {
+        if let Some(backend) = affinity.and_then(|key| preferred(&available, key)) {
             return Some(backend.clone());
         }
-        let least = self.least(now, &open, fraction);
-        least.or(ejected).cloned()
+        let least_loaded = self.choose_least_loaded(now, &available, fraction);
+        least_loaded.or(ejected).cloned()
     }
 
-    /// The same among back ends that were drawn out of many; `None` where all of them are left out.
+    /// Chooses from a random sample of many back ends; `None` if all of them are ejected.
     pub fn choose_from_sample(
         &mut self,
         now: Timestamp,
@@ -141,136 +140,144 @@
         tried: &[String],
     ) -> Option<Arc<Backend>> {
         if self.policy.prefix_affinity {
-            let Open { open, .. } = self.open(now, &sample.preferred, tried);
-            if let Some((_, backend)) = open.into_iter().find(|(cost, _)| has_room(*cost)) {
+            let Available { available, .. } = self.available(now, &sample.preferred, tried);
+            if let Some((_, backend)) =
+                available.into_iter().find(|(cost, _)| has_affinity_capacity(*cost))
+            {
                 return Some(backend.clone());
             }
         }
-        let Open { open, .. } = self.open(now, &sample.backends, tried);
-        let (fraction, open) = self.nearby(now, open);
-        self.least(now, &open, fraction * sample.fraction).cloned()
+        let Available { available, .. } = self.available(now, &sample.backends, tried);
+        let (fraction, available) = self.prefer_local(now, available);
+        self.choose_least_loaded(now, &available, fraction * sample.fraction).cloned()
     }
 
-    /// Candidates that are not left out, each with its cost, and of the others the one that is back first.
-    fn open<'a>(
+    /// Candidates that are not ejected, each with its cost, and the ejected one that returns first.
+    fn available<'a>(
         &self,
         now: Timestamp,
         candidates: &'a [Arc<Backend>],
         tried: &[String],
-    ) -> Open<'a> {
-        let mut open = Vec::with_capacity(candidates.len());
+    ) -> Available<'a> {
+        let mut available = Vec::with_capacity(candidates.len());
         let mut ejected: Option<(Timestamp, &Arc<Backend>)> = None;
         for backend in candidates.iter().filter(|backend| !tried.contains(&backend.id)) {
             let record = self.records.get(backend);
             match record.and_then(|record| self.ejected_until(now, record)) {
-                None => open.push((self.cost(now, backend, record), backend)),
+                None => available.push((self.cost(now, backend, record), backend)),
                 Some(until) if ejected.is_none_or(|(first, _)| until < first) => {
                     ejected = Some((until, backend));
                 }
                 Some(_) => {}
             }
         }
-        Open { open, ejected: ejected.map(|(_, backend)| backend) }
+        Available { available, ejected: ejected.map(|(_, backend)| backend) }
     }
 
-    /// Draws of this balancer.
+    /// The random generator.
     pub fn generator(&mut self) -> &mut SmallRng {
         &mut self.generator
     }
 
-    /// Those of the own region where they can take what comes meanwhile, with the part of all requests that is
-    /// meant for them; else all. Prefixes stay in the region with them: what each region holds in memory is read
-    /// there once more, but prompts and answers that cross regions cost more.
-    fn nearby<'a>(
+    /// Candidates of the local region if they can take the requests expected until the next report,
+    /// with the fraction of all requests that belongs to them; otherwise all candidates. Prefix
+    /// affinity stays within the region as well: each region reads a prefix into memory once more,
+    /// but prompts and answers that cross regions cost more.
+    fn prefer_local<'a>(
         &self,
         now: Timestamp,
-        open: Vec<(f64, &'a Arc<Backend>)>,
+        available: Vec<(f64, &'a Arc<Backend>)>,
     ) -> (f64, Vec<(f64, &'a Arc<Backend>)>) {
-        let is_far = |backend: &Backend| {
+        let is_remote = |backend: &Backend| {
             self.zones.distance(&backend.zone, &self.zone) == Distance::OtherRegion
         };
-        let Some((_, first)) = open.iter().find(|(_, backend)| is_far(backend)) else {
-            return (1.0, open);
+        let Some((_, first)) = available.iter().find(|(_, backend)| is_remote(backend)) else {
+            return (1.0, available);
         };
-        // What takes longer to be told than to be done has ended by then.
-        let blind_ms = self.blind_ms(now);
-        let lasting_ms = self.service_ms(&first.service).unwrap_or(blind_ms).min(blind_ms);
-        let expected = self.others_per_ms(now, &first.service) * lasting_ms;
-        let (far, near): (Vec<_>, Vec<_>) =
-            open.iter().copied().partition(|(_, backend)| is_far(backend));
-        match own_part(&levels(&near), &levels(&far), expected) {
-            Some(fraction) if self.policy.zone_cost => (fraction, near),
-            _ => (1.0, open),
+        // Requests that end before they are reported no longer occupy a slot.
+        let report_age_ms = self.report_age_ms(now);
+        let in_flight_ms =
+            self.service_ms(&first.service).unwrap_or(report_age_ms).min(report_age_ms);
+        let expected = self.remote_arrivals_per_ms(now, &first.service) * in_flight_ms;
+        let (remote, local): (Vec<_>, Vec<_>) =
+            available.iter().copied().partition(|(_, backend)| is_remote(backend));
+        match local_fraction(&levels(&local), &levels(&remote), expected) {
+            Some(fraction) if self.policy.zone_cost => (fraction, local),
+            _ => (1.0, available),
         }
     }
 
-    /// How many processes choose as this one does, itself included, and how often each of them
-    /// tells what it has in flight, in milliseconds.
-    pub fn set_balancer_count(&mut self, choosers: usize, telling_interval_ms: u64) {
-        self.choosers = choosers.max(1);
-        self.telling_interval_ms = telling_interval_ms;
+    /// Sets how many processes balance over the same back ends, this one included, and the interval
+    /// between load reports of each, in milliseconds.
+    pub fn set_balancer_count(&mut self, balancers: usize, report_interval_ms: u64) {
+        self.balancers = balancers.max(1);
+        self.report_interval_ms = report_interval_ms;
     }
 
-    /// Notes a request of this process to a service.
-    fn note_arrival(&mut self, now: Timestamp, service: &str) {
+    /// Records a request of this process to a service.
+    fn record_arrival(&mut self, now: Timestamp, service: &str) {
         if !self.arrivals.contains_key(service) {
             self.arrivals.insert(service.to_owned(), Arrivals::since(now));
         }
         if let Some(arrivals) = self.arrivals.get_mut(service) {
-            arrivals.note(now);
+            arrivals.record(now);
         }
     }
 
-    /// Own requests to each service in a millisecond.
+    /// This process's requests per millisecond to each service.
     pub fn own_arrival_rates(&self, now: Timestamp) -> impl Iterator<Item = (&str, f64)> {
         self.arrivals.iter().map(move |(service, own)| (service.as_str(), own.per_ms(now)))
     }
 
-    /// Requests of all processes to a service in a millisecond became known.
+    /// Sets the reported requests per millisecond of all processes to a service.
     pub fn set_total_arrival_rate(&mut self, now: Timestamp, service: String, per_ms: f64) {
-        self.arrivals_of_all.insert(service, ReportedRate { at: now, per_ms });
+        self.total_arrival_rates.insert(service, ReportedRate { at: now, per_ms });
     }
 
-    /// Requests that other processes probably place at a service without this one knowing it yet.
-    fn unseen_arrivals(&self, now: Timestamp, service: &str) -> f64 {
-        self.others_per_ms(now, service) * self.blind_ms(now)
+    /// Estimated requests of other processes to a service that have not been reported yet.
+    fn unreported_arrivals(&self, now: Timestamp, service: &str) -> f64 {
+        self.remote_arrivals_per_ms(now, service) * self.report_age_ms(now)
     }
 
-    /// Requests to a service of other processes in a millisecond: as reported, else as many of each
-    /// as of this one.
-    fn others_per_ms(&self, now: Timestamp, service: &str) -> f64 {
+    /// Requests per millisecond of other processes to a service: the reported rate, or else this
+    /// process's own rate for each of them.
+    fn remote_arrivals_per_ms(&self, now: Timestamp, service: &str) -> f64 {
         let own = self.arrivals.get(service);
-        let reported = self.arrivals_of_all.get(service);
+        let reported = self.total_arrival_rates.get(service);
         if let Some(rate) = reported.filter(|rate| rate.is_recent(now)) {
             return (rate.per_ms - own.map_or(0.0, |own| own.per_ms(now))).max(0.0);
         }
-        own.map_or(0.0, |own| own.steady_per_ms * (self.choosers - 1) as f64)
+        own.map_or(0.0, |own| own.steady_per_ms * (self.balancers - 1) as f64)
     }
 
-    /// Time over which the requests of others are not known, in milliseconds.
-    fn blind_ms(&self, now: Timestamp) -> f64 {
-        let telling = self.telling_interval_ms + TELLING_MS;
-        let age = self.heard_at.map_or(LONGEST_BLIND_MS, |at| now.millis_since(at) + telling);
-        age.min(LONGEST_BLIND_MS) as f64
+    /// Time for which requests of other processes are not known yet, in milliseconds.
+    fn report_age_ms(&self, now: Timestamp) -> f64 {
+        let report_delay = self.report_interval_ms + REPORT_DELAY_MS;
+        let age =
+            self.totals_at.map_or(MAX_REPORT_AGE_MS, |at| now.millis_since(at) + report_delay);
+        age.min(MAX_REPORT_AGE_MS) as f64
     }
 
-    /// One of the cheapest: the more others choose meanwhile, the more are drawn from. `fraction` of all requests is
-    /// meant for them.
-    fn least<'a>(
+    /// One of the least loaded candidates, out of more of them the more requests other processes
+    /// are expected to send meanwhile. `fraction` is the fraction of all requests that belongs to
+    /// these candidates.
+    fn choose_least_loaded<'a>(
         &mut self,
         now: Timestamp,
-        open: &[(f64, &'a Arc<Backend>)],
+        available: &[(f64, &'a Arc<Backend>)],
         fraction: f64,
     ) -> Option<&'a Arc<Backend>> {
-        let service = &open.first()?.1.service;
-        self.note_arrival(now, service);
-        let unseen = if self.policy.poured_draw { self.unseen_arrivals(now, service) } else { 0.0 };
-        let position = draw(&mut self.generator, &levels(open), unseen * fraction + 1.0)?;
-        open.get(position).map(|(_, backend)| *backend)
+        let service = &available.first()?.1.service;
+        self.record_arrival(now, service);
+        let unreported =
+            if self.policy.poured_draw { self.unreported_arrivals(now, service) } else { 0.0 };
+        let position =
+            choose_weighted(&mut self.generator, &levels(available), unreported * fraction + 1.0)?;
+        available.get(position).map(|(_, backend)| *backend)
     }
 
-    /// Load that the emptiest back ends have with one more online request, in parts of their slots;
-    /// `None` where all are left out. Items do not count, since they are preempted.
+    /// Load of the least loaded back ends after one more online request, as a fraction of their
+    /// slots; `None` if all are ejected. Items do not count because they are preempted.
     pub fn projected_online_load(
         &self,
         now: Timestamp,
@@ -279,7 +286,7 @@
         self.projected_online_load_of_sample(now, candidates, 1.0)
     }
 
-    /// The same by back ends that are a part of all, drawn by chance.
+    /// The same for a random sample that makes up the fraction `fraction` of all back ends.
     pub fn projected_online_load_of_sample(
         &self,
         now: Timestamp,
@@ -287,37 +294,43 @@
         fraction: f64,
     ) -> Option<f64> {
         let service = &candidates.first()?.service;
-        let age = self.blind_ms(now);
-        // What is older than a request takes has ended, whether it was seen or not.
+        let age = self.report_age_ms(now);
+        // Requests older than the service time have ended, reported or not.
         let service_ms = self.service_ms(service).unwrap_or(age).max(1.0);
         let remaining = (1.0 - age / service_ms).max(0.0);
-        let open = candidates.iter().filter(|backend| !self.is_ejected(now, backend));
-        let level = |backend: &Arc<Backend>| Level {
+        let available = candidates.iter().filter(|backend| !self.is_ejected(now, backend));
+        let level = |backend: &Arc<Backend>| LoadLevel {
             load: self.online_load(now, backend, remaining),
             slots: f64::from(backend.slots.max(1)),
         };
-        let levels: Vec<Level> = open.map(level).collect();
-        // A guess from own requests holds requests before free slots where this process gets more
-        // than its share of the clients: without reports only what it has itself counts.
-        let is_informed = self.heard_at.is_some_and(|at| now.millis_since(at) < LOAD_LIFETIME_MS);
-        let unseen =
-            if is_informed { self.others_per_ms(now, service) * age.min(service_ms) } else { 0.0 };
-        surface(&levels, unseen * fraction + 1.0)
+        let levels: Vec<LoadLevel> = available.map(level).collect();
+        // Extrapolating from own requests would queue requests despite free slots wherever this
+        // process gets more than its share of the clients. Without reports only its own requests
+        // count.
+        let is_informed = self.totals_at.is_some_and(|at| now.millis_since(at) < LOAD_LIFETIME_MS);
+        let unreported = if is_informed {
+            self.remote_arrivals_per_ms(now, service) * age.min(service_ms)
+        } else {
+            0.0
+        };
+        water_level(&levels, unreported * fraction + 1.0)
     }
 
-    /// `remaining` is the part of others' requests that has not ended since they were told.
+    /// Load of a back end by online requests, as a fraction of its slots. `remaining` is the
+    /// fraction of the requests reported by other processes that has not ended since.
     fn online_load(&self, now: Timestamp, backend: &Backend, remaining: f64) -> f64 {
         let Some(record) = self.records.get(backend) else { return 0.0 };
-        let foreign = (record.foreign - record.items) * remaining * record.weight(now);
-        (f64::from(record.in_flight) + foreign) / f64::from(backend.slots.max(1))
+        let remote_in_flight =
+            (record.remote_in_flight - record.remote_items) * remaining * record.weight(now);
+        (f64::from(record.in_flight) + remote_in_flight) / f64::from(backend.slots.max(1))
     }
 
-    /// Mean time that requests take at back ends of a service, in milliseconds, as far as observed.
+    /// Mean service time at the back ends of a service, in milliseconds, once observed.
     pub fn service_ms(&self, service: &str) -> Option<f64> {
         self.service_ms.get(service).copied()
     }
 
-    /// A request to a service was answered whole after a time in milliseconds.
+    /// Records the service time of a completely answered request, in milliseconds.
     pub fn record_service_time(&mut self, service: &str, milliseconds: f64) {
         match self.service_ms.get_mut(service) {
             Some(mean) => *mean += (milliseconds - *mean) * SERVICE_TIME_WEIGHT,
@@ -327,13 +340,13 @@
         }
     }
 
-    /// Whether a back end is left out for a while.
+    /// Whether a back end is ejected.
     pub fn is_ejected(&self, now: Timestamp, backend: &Backend) -> bool {
         let record = self.records.get(backend);
         record.is_some_and(|record| self.ejected_until(now, record).is_some())
     }
 
-    /// Back ends that are left out for a while, each by its id and the start of its life.
+    /// Ejected back ends by id and start time.
     pub fn ejected(&self, now: Timestamp) -> impl Iterator<Item = (&str, u64)> {
         let ejected = move |record: &BackendRecord| self.ejected_until(now, record).is_some();
         let records = self.records.iter().filter(move |(_, _, record)| ejected(record));
@@ -345,7 +358,7 @@
         (until > now).then_some(until)
     }
 
-    /// Load of a back end in parts of its slots.
+    /// Load of a back end as a fraction of its slots.
     pub fn load(&self, now: Timestamp, backend: &Backend) -> f64 {
         load(now, backend, self.records.get(backend))
     }
@@ -360,28 +373,28 @@
             Distance::SameRegion => OTHER_ZONE_COST,
             Distance::OtherRegion => OTHER_REGION_COST,
         };
-        // A free slot elsewhere is better than none here: the cost fades as slots fill.
+        // A free slot elsewhere is better than none here, so the cost fades as slots fill.
         load + cost * (1.0 - load).clamp(0.0, 1.0)
     }
 
-    /// Requests that this process has at a back end.
+    /// Requests of this process in flight at a back end.
     pub fn in_flight(&self, backend: &Backend) -> u32 {
         self.records.get(backend).map_or(0, |record| record.in_flight)
     }
 
-    /// A request goes to a back end.
+    /// Records that a request is sent to a back end.
     pub fn record_start(&mut self, backend: &Backend) {
         self.records.entry(backend.incarnation()).in_flight += 1;
     }
 
-    /// A request that went to a back end has ended. It was counted at the life to which it went, and is taken
-    /// off there: a later life under the same id never had it.
+    /// Records the end of a request. It counts for the incarnation to which it was sent: a later
+    /// one under the same id never had it.
     pub fn record_end(&mut self, now: Timestamp, backend: &Backend, outcome: Outcome) {
         let Some(record) = self.records.get_mut(backend) else { return };
         record.in_flight = record.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Answered => record.outcomes.note(now, false),
-            Outcome::Unreachable | Outcome::Failed => record.outcomes.note(now, true),
+            Outcome::Answered => record.outcomes.record(now, false),
+            Outcome::Unreachable | Outcome::Failed => record.outcomes.record(now, true),
             Outcome::Misdirected | Outcome::Full | Outcome::Abandoned => {}
         }
         match outcome {
@@ -393,7 +406,7 @@
             Outcome::Unreachable | Outcome::Misdirected => record.eject(now),
             Outcome::Failed => {
                 record.failures += 1;
-                if record.failures >= FAILURES_TO_EJECT {
+                if record.failures >= MAX_CONSECUTIVE_FAILURES {
                     record.eject(now);
                 }
             }
@@ -402,7 +415,7 @@
         }
     }
 
-    /// Requests that this process has in flight, by life of a back end.
+    /// Requests of this process in flight, by incarnation of a back end.
     pub fn all_in_flight(&self) -> impl Iterator<Item = (BackendIncarnation, u32)> + '_ {
         let busy = self.records.iter().filter(|(_, _, record)| record.in_flight > 0);
         busy.map(|(id, started_ms, record)| {
@@ -410,20 +423,20 @@
         })
     }
 
-    /// Recent outcomes of this process's requests, by life of a back end.
+    /// Recent outcomes of this process's requests, by incarnation of a back end.
     pub fn outcomes(
         &self,
         now: Timestamp,
     ) -> impl Iterator<Item = (BackendIncarnation, Outcomes)> + '_ {
         self.records.iter().filter_map(move |(id, started_ms, record)| {
             let sums = record.outcomes.sums(now);
-            let counts = sums.failed + sums.answered >= LEAST_OUTCOME;
+            let counts = sums.failed + sums.answered >= MIN_OUTCOME_WEIGHT;
             counts.then(|| (BackendIncarnation { id: id.to_owned(), started_ms }, sums))
         })
     }
 
-    /// Back ends fail for all processes, as their reports say: they are left out as if this process
-    /// had found it out. One that dies is else found out by each process by itself.
+    /// Ejects back ends that fail for all processes according to load reports. Without it each
+    /// process would have to detect a dead back end by itself.
     pub fn eject_reported<'a>(
         &mut self,
         now: Timestamp,
@@ -436,33 +449,34 @@
         }
     }
 
-    /// Something came from a back end.
+    /// Records that something was received from a back end.
     pub fn record_activity(&mut self, now: Timestamp, backend: &Backend) {
         if let Some(record) = self.records.get_mut(backend) {
-            record.heard_at = Some(now);
+            record.last_activity_at = Some(now);
         }
     }
 
-    /// A back end has said nothing for `silence_ms` on a request that it has. It may be dark, unless
-    /// something came on another request: then the request waits there for a slot. Returns whether
-    /// it is left out.
+    /// Records that nothing was received from a back end for `silence_ms` on a request in flight.
+    /// Unless something was received on another request, the back end is ejected; otherwise the
+    /// request is only waiting there for a slot. Returns whether the back end is ejected.
     pub fn record_silence(&mut self, now: Timestamp, backend: &Backend, silence_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(backend).filter(|_| self.policy.silence) else {
             return false;
         };
-        if record.heard_at.is_some_and(|at| now.millis_since(at) < silence_ms) {
+        if record.last_activity_at.is_some_and(|at| now.millis_since(at) < silence_ms) {
             return false;
         }
         if record.ejected_until.is_none_or(|until| until <= now) {
-            record.outcomes.note(now, true);
+            record.outcomes.record(now, true);
         }
-        let until = now.plus_millis(SILENT_EJECTION_MS);
-        record.ejected_until = Some(record.ejected_until.map_or(until, |held| held.max(until)));
+        let until = now.plus_millis(SILENCE_EJECTION_MS);
+        record.ejected_until =
+            Some(record.ejected_until.map_or(until, |current| current.max(until)));
         true
     }
 
-    /// Everybody's requests became known; back ends that `totals` does not name have none. `own` is
-    /// what this process had in them when they were added up.
+    /// Takes over the requests in flight of all processes; back ends missing in `totals` have none.
+    /// `own` is what this process had reported when the totals were summed.
     pub fn update_totals<'a>(
         &mut self,
         now: Timestamp,
@@ -472,54 +486,59 @@
         if !self.policy.peer_loads {
             return;
         }
-        self.heard_at = Some(now);
+        self.totals_at = Some(now);
         for record in self.records.values_mut() {
-            record.foreign = 0.0;
-            record.items = 0.0;
-            record.told_at = Some(now);
+            record.remote_in_flight = 0.0;
+            record.remote_items = 0.0;
+            record.reported_at = Some(now);
         }
         for (incarnation, total) in totals {
-            // One that this process has never used counts as well: it would look empty else.
+            // Back ends that this process has never used count as well: they would look empty
+            // otherwise.
             let record = match self.records.incarnation_mut(incarnation) {
                 Some(record) => record,
                 None => self.records.entry(incarnation.clone()),
             };
             let all = f64::from(total.online) + f64::from(total.items);
-            record.foreign = (all - f64::from(own(incarnation))).max(0.0);
-            record.items = f64::from(total.items).min(record.foreign);
-            record.told_at = Some(now);
+            record.remote_in_flight = (all - f64::from(own(incarnation))).max(0.0);
+            record.remote_items = f64::from(total.items).min(record.remote_in_flight);
+            record.reported_at = Some(now);
         }
     }
 
-    /// A back end told its load.
+    /// Takes over the load that a back end reported itself.
     pub fn record_report(&mut self, now: Timestamp, backend: &Backend, load: BackendLoad) {
         let Some(record) = self.records.get_mut(backend) else { return };
         let all = f64::from(load.running + load.waiting);
-        record.foreign = (all - f64::from(record.in_flight)).max(0.0);
-        record.items = record.items.min(record.foreign);
-        record.told_at = Some(now);
+        record.remote_in_flight = (all - f64::from(record.in_flight)).max(0.0);
+        record.remote_items = record.remote_items.min(record.remote_in_flight);
+        record.reported_at = Some(now);
     }
 
-    /// Forgets lives that nobody knows any more and that have nothing in flight.
+    /// Drops incarnations that are no longer known and have nothing in flight.
     pub fn retain(&mut self, known: impl Fn(&BackendIncarnation) -> bool) {
         self.records.retain(|incarnation, record| record.in_flight > 0 || known(incarnation));
     }
 
-    /// Forgets what no choice would go by any more: each report of loads walks over all that is held.
+    /// Drops records that no longer influence a choice; every load report iterates over all of
+    /// them.
     pub fn prune_idle(&mut self, now: Timestamp) {
-        self.records.retain(|_, record| record.in_flight > 0 || record.says_something(now));
+        self.records.retain(|_, record| record.in_flight > 0 || record.influences_choice(now));
     }
 }
 
 /// Candidates of a choice.
-struct Open<'a> {
-    /// Those that are not left out, each with its cost.
-    open: Vec<(f64, &'a Arc<Backend>)>,
-    /// The one that is left out for the shortest time.
+struct Available<'a> {
+    /// Those that are not ejected, each with its cost.
+    available: Vec<(f64, &'a Arc<Backend>)>,
+    /// The ejected one that returns first.
     ejected: Option<&'a Arc<Backend>>,
 }
 
-fn levels(open: &[(f64, &Arc<Backend>)]) -> Vec<Level> {
+fn levels(available: &[(f64, &Arc<Backend>)]) -> Vec<LoadLevel> {
     let slots = |backend: &Backend| f64::from(backend.slots.max(1));
-    open.iter().map(|(cost, backend)| Level { load: *cost, slots: slots(backend) }).collect()
+    available
+        .iter()
+        .map(|(cost, backend)| LoadLevel { load: *cost, slots: slots(backend) })
+        .collect()
 }
--- a/crates/serving/src/eligibility/warmth.rs
+++ b/crates/serving/src/eligibility/warmth.rs
@@ -1,7 +1,8 @@
-//! What is known of whether back ends are warm.
+//! Tracks which back ends are known to be warm.
 //!
-//! A back end that is not known to be warm is not left out: it gets little (`cold_share`). Invariant: whatever
-//! says that one may be cold is outweighed only by time, or by the back end's own word that came later.
+//! A back end that is not known to be warm is not excluded but gets few requests (`cold_quota`).
+//! Invariant: evidence that a back end may be cold is overridden only by time, or by a later report
+//! of the back end itself.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,248 +13,256 @@
 use crate::catalog::Catalog;
 use crate::model::{Backend, WarmUp};
 
-/// Time that a back end's record takes from the back end to whoever reads it, in milliseconds: a write to the
-/// platform's store, a watch that gathers for 200 ms, and three tellings from process to process.
-pub const RECORD_DELAY_MS: u64 = 1_000;
-/// Time for which a back end is remembered that is not known any more, in milliseconds: the store may lose one
-/// for a moment, and what was sent to it counts on. Far longer than the second in which sends are counted.
-const REMEMBERED_MS: u64 = 60_000;
+/// Time that a back end's record takes to reach its readers, in milliseconds: a write to the
+/// platform's store, a watch that batches events for 200 ms, and three gossip hops.
+pub const RECORD_PROPAGATION_MS: u64 = 1_000;
+/// Time for which a back end that is no longer known is remembered, in milliseconds: the store may
+/// lose a record for a moment, and requests sent to it still count. Far longer than the second in
+/// which requests are counted.
+const RETENTION_MS: u64 = 60_000;
 
-/// Time for which failures are reported, in milliseconds: those of the life before are still told then.
-const REPORTED_MS: u64 = 3_500;
+/// Time for which a failure is reported, in milliseconds: for this long after an incarnation
+/// appeared, reported failures may be those of the previous one.
+const FAILURE_REPORT_MS: u64 = 3_500;
 
-/// Time for which a back end that was heard counts as alive, in milliseconds: as long as one is waited for until it
-/// counts as silent.
-const HEARD_MS: u64 = 450;
+/// Time for which a back end counts as alive after something was received from it, in milliseconds:
+/// the silence after which a back end counts as silent.
+const ACTIVITY_TIMEOUT_MS: u64 = 450;
 
 /// Why a back end is not known to be warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColdCause {
     /// Its record says that it is cold.
     Recorded,
-    /// It told so itself, in an answer.
-    Told,
-    /// It has come while this process was running, and its record does not say for how long it is cold.
+    /// It reported so itself in an answer.
+    Reported,
+    /// It appeared while this process was running, and its record does not say for how long it is
+    /// cold.
     Appeared,
-    /// It could not be reached, broke off or fell silent: it may have started again.
+    /// It was unreachable, broke a connection or fell silent: it may have restarted.
     Failed,
-    /// Its zone is not evacuated any more.
+    /// The evacuation of its zone has ended.
     ZoneReturned,
-    /// What this process knows of the platform is too old.
-    OldNews,
+    /// This process's view of the platform state is too old.
+    StalePlatformState,
 }
 
 impl ColdCause {
-    /// The cause's name, for lines.
+    /// Name of the cause in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ColdCause::Recorded => "recorded",
-            ColdCause::Told => "told",
+            ColdCause::Reported => "told",
             ColdCause::Appeared => "appeared",
             ColdCause::Failed => "failed",
             ColdCause::ZoneReturned => "zone-returned",
-            ColdCause::OldNews => "old-news",
+            ColdCause::StalePlatformState => "old-news",
         }
     }
 }
 
 /// Until when a back end is not known to be warm, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubt {
-    /// Its end.
+pub struct ColdPeriod {
+    /// End of the period.
     pub until: Timestamp,
-    /// Its cause.
+    /// Cause of the period.
     pub cause: ColdCause,
 }
 
-/// A back end as it is known here.
+/// A tracked back end.
 #[derive(Clone, Debug)]
-struct Known {
+struct TrackedBackend {
     service: Arc<str>,
-    /// When something last came from it here.
-    heard_at: Option<Timestamp>,
-    /// When this life of it came; `None` where it was known at the start of this process.
+    /// When something was last received from it here.
+    last_activity_at: Option<Timestamp>,
+    /// When this incarnation appeared; `None` if it was known at the start of this process.
     appeared_at: Option<Timestamp>,
-    /// Its record: another one says anew for how long it is cold, also where it says the same.
+    /// Its record. A new one restarts the cold period that it states, even if its content is equal.
     record: Arc<Backend>,
-    /// What the back end itself says of its life.
-    stated: Option<Doubt>,
-    /// What else speaks against its being warm.
-    suspected: Option<Doubt>,
-    /// Since when nobody knows it any more.
+    /// Period reported by the back end itself.
+    reported: Option<ColdPeriod>,
+    /// Period inferred from other evidence.
+    suspected: Option<ColdPeriod>,
+    /// Since when it is no longer known.
     gone_since: Option<Timestamp>,
 }
 
-/// What a catalog changed beside the back ends' own states.
+/// Changes by a catalog beyond the states of the back ends themselves.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Observed {
-    /// Whether services need other times to get warm than before.
-    pub has_other_warm_ups: bool,
-    /// Ids of back ends that are not held any more.
+pub struct CatalogChanges {
+    /// Whether the warm-up times of services changed.
+    pub warm_ups_changed: bool,
+    /// Ids of back ends that are no longer tracked.
     pub forgotten: Vec<String>,
 }
 
-/// What one process knows of whether back ends are warm. Back ends of services without a warm-up are not in it.
+/// Which back ends one process knows to be warm. Back ends of services without a warm-up are not
+/// tracked.
 #[derive(Debug, Default)]
-pub struct Warmth {
+pub struct WarmthTracker {
     warm_ups: HashMap<Arc<str>, WarmUp>,
-    backends: HashMap<String, Known>,
+    backends: HashMap<String, TrackedBackend>,
     evacuated: BTreeSet<String>,
-    /// What the last catalog knew: only what differs in the next one is looked at.
-    seen: BackendTable,
-    /// Whether the last catalog knew only some of the back ends: those that come with the next were there before.
-    follows_part: bool,
-    /// Ids of back ends that nobody knows any more and that are remembered for a while.
+    /// Back ends of the last catalog; only differences to the next one are processed.
+    previous: BackendTable,
+    /// Whether the last catalog contained only some of the back ends: those added by the next one
+    /// existed before.
+    was_partial: bool,
+    /// Ids of back ends that are no longer known and are remembered for a while.
     gone: BTreeSet<String>,
-    /// Ids of back ends that may be in doubt; those that are in none any more are dropped with the next catalog.
-    /// With it a look costs as many steps as there are doubts, and not as there are back ends.
-    doubted: BTreeSet<String>,
-    /// When the last doubt ends, or later: after it nobody has to be looked at.
-    last_doubt: Timestamp,
+    /// Ids of back ends that may be cold; others are dropped with the next catalog. Only these
+    /// are iterated over, so that the cost does not grow with the fleet.
+    possibly_cold: BTreeSet<String>,
+    /// Upper bound of the end of all cold periods; afterwards no back end needs a check.
+    last_cold_until: Timestamp,
 }
 
-impl Warmth {
-    /// Takes what a catalog says. To be called for each one, soon after it came into force: times count from here.
-    /// Costs as many steps as back ends changed, are in doubt or are gone.
-    pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) -> Observed {
+impl WarmthTracker {
+    /// Takes over a catalog. Must be called for each one soon after it was published, because
+    /// periods start now. Takes time linear in the number of back ends that changed, may be cold or
+    /// are gone; in that of all back ends if warm-ups or evacuated zones changed.
+    pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) -> CatalogChanges {
         let warm_ups = warm_ups(catalog);
-        let has_other_warm_ups = warm_ups != self.warm_ups;
-        if has_other_warm_ups {
+        let warm_ups_changed = warm_ups != self.warm_ups;
+        if warm_ups_changed {
             self.warm_ups = warm_ups;
-            self.seen = BackendTable::default();
+            self.previous = BackendTable::default();
         }
-        // What is known at the start of this process was there before it.
-        let is_first = self.backends.is_empty() || self.follows_part;
-        self.follows_part = catalog.is_partial;
+        // Back ends known at the start of this process existed before it.
+        let is_first = self.backends.is_empty() || self.was_partial;
+        self.was_partial = catalog.is_partial;
         if !self.warm_ups.is_empty() {
-            let seen = std::mem::replace(&mut self.seen, catalog.known.clone());
-            for change in catalog.known.changes_since(&seen) {
+            let previous = std::mem::replace(&mut self.previous, catalog.known.clone());
+            for change in catalog.known.changes_since(&previous) {
                 match (change.before, change.after) {
-                    (_, Some(after)) => self.take(now, &after, is_first),
-                    (Some(before), None) => self.lose(now, &before.id),
+                    (_, Some(after)) => self.add(now, &after, is_first),
+                    (Some(before), None) => self.mark_gone(now, &before.id),
                     (None, None) => {}
                 }
             }
         }
-        self.return_zones(now, &catalog.evacuated);
-        let forgotten = match has_other_warm_ups {
-            true => self.forget_all_unknown(now, catalog),
-            false => self.forget(now),
+        self.suspect_returned_zones(now, &catalog.evacuated);
+        let forgotten = match warm_ups_changed {
+            true => self.drop_all_unknown(now, catalog),
+            false => self.drop_gone(now),
         };
-        self.drop_ended_doubts(now);
-        Observed { has_other_warm_ups, forgotten }
+        self.drop_ended_periods(now);
+        CatalogChanges { warm_ups_changed, forgotten }
     }
 
-    fn drop_ended_doubts(&mut self, now: Timestamp) {
+    fn drop_ended_periods(&mut self, now: Timestamp) {
         let backends = &self.backends;
         let end_of = |id: &String| {
-            let known = backends.get(id)?;
-            let doubts = [known.stated, known.suspected].into_iter().flatten();
-            doubts.map(|doubt| doubt.until).max().filter(|until| *until > now)
+            let tracked = backends.get(id)?;
+            let cold_periods = [tracked.reported, tracked.suspected].into_iter().flatten();
+            cold_periods.map(|cold_period| cold_period.until).max().filter(|until| *until > now)
         };
-        self.doubted.retain(|id| end_of(id).is_some());
-        self.last_doubt = self.doubted.iter().filter_map(end_of).max().unwrap_or_default();
+        self.possibly_cold.retain(|id| end_of(id).is_some());
+        self.last_cold_until =
+            self.possibly_cold.iter().filter_map(end_of).max().unwrap_or_default();
     }
 
-    /// Notes a doubt of a back end that lasts until a moment.
-    fn note_doubt(&mut self, id: &str, until: Timestamp) {
-        self.last_doubt = self.last_doubt.max(until);
-        if !self.doubted.contains(id) {
-            self.doubted.insert(id.to_owned());
+    /// Records that a back end may be cold until a moment.
+    fn track_cold(&mut self, id: &str, until: Timestamp) {
+        self.last_cold_until = self.last_cold_until.max(until);
+        if !self.possibly_cold.contains(id) {
+            self.possibly_cold.insert(id.to_owned());
         }
     }
 
-    /// Records of a service's back ends that are in doubt now.
-    pub fn doubted<'a>(
+    /// Records of a service's back ends that are not known to be warm.
+    pub fn cold_backends<'a>(
         &'a self,
         now: Timestamp,
         service: &'a str,
     ) -> impl Iterator<Item = &'a Arc<Backend>> {
-        let is_in_doubt = move |id: &&String| self.doubt(now, id).is_some();
-        let known = self.doubted.iter().filter(is_in_doubt).filter_map(|id| self.backends.get(id));
-        known.filter(move |known| *known.service == *service).map(|known| &known.record)
+        let is_cold = move |id: &&String| self.cold_period(now, id).is_some();
+        let tracked =
+            self.possibly_cold.iter().filter(is_cold).filter_map(|id| self.backends.get(id));
+        tracked.filter(move |tracked| *tracked.service == *service).map(|tracked| &tracked.record)
     }
 
-    fn take(&mut self, now: Timestamp, backend: &Arc<Backend>, is_first: bool) {
+    fn add(&mut self, now: Timestamp, backend: &Arc<Backend>, is_first: bool) {
         let Some((service, warm_up)) = self.warm_ups.get_key_value(backend.service.as_str()) else {
             return;
         };
-        let held = self.backends.get_mut(&backend.id);
-        let held = held.filter(|held| {
-            held.record.started_ms == backend.started_ms && held.gone_since.is_none()
+        let tracked = self.backends.get_mut(&backend.id);
+        let tracked = tracked.filter(|tracked| {
+            tracked.record.started_ms == backend.started_ms && tracked.gone_since.is_none()
         });
-        if let Some(held) = held {
-            if !Arc::ptr_eq(&held.record, backend) {
-                held.record = backend.clone();
-                held.stated = recorded(now, backend.cold_remaining_ms);
-                let stated = held.stated;
-                self.note_doubts(&backend.id, [stated, None]);
+        if let Some(tracked) = tracked {
+            if !Arc::ptr_eq(&tracked.record, backend) {
+                tracked.record = backend.clone();
+                tracked.reported = recorded(now, backend.cold_remaining_ms);
+                let reported = tracked.reported;
+                self.track_cold_periods(&backend.id, [reported, None]);
             }
             return;
         }
-        let stated = recorded(now, backend.cold_remaining_ms);
+        let reported = recorded(now, backend.cold_remaining_ms);
         let appeared =
-            Doubt { until: now.plus_millis(warm_up.duration_ms), cause: ColdCause::Appeared };
-        let suspected = (!is_first && stated.is_none()).then_some(appeared);
-        let known = Known {
+            ColdPeriod { until: now.plus_millis(warm_up.duration_ms), cause: ColdCause::Appeared };
+        let suspected = (!is_first && reported.is_none()).then_some(appeared);
+        let tracked = TrackedBackend {
             service: service.clone(),
-            heard_at: None,
+            last_activity_at: None,
             appeared_at: (!is_first).then_some(now),
             record: backend.clone(),
-            stated,
+            reported,
             suspected,
             gone_since: None,
         };
-        self.backends.insert(backend.id.clone(), known);
+        self.backends.insert(backend.id.clone(), tracked);
         self.gone.remove(&backend.id);
-        self.note_doubts(&backend.id, [stated, suspected]);
+        self.track_cold_periods(&backend.id, [reported, suspected]);
     }
 
-    fn note_doubts(&mut self, id: &str, doubts: [Option<Doubt>; 2]) {
-        for doubt in doubts.into_iter().flatten() {
-            self.note_doubt(id, doubt.until);
+    fn track_cold_periods(&mut self, id: &str, cold_periods: [Option<ColdPeriod>; 2]) {
+        for cold_period in cold_periods.into_iter().flatten() {
+            self.track_cold(id, cold_period.until);
         }
     }
 
-    /// Nobody knows a back end any more.
-    fn lose(&mut self, now: Timestamp, id: &str) {
-        if let Some(known) = self.backends.get_mut(id) {
-            known.gone_since.get_or_insert(now);
+    /// Records that a back end is no longer known.
+    fn mark_gone(&mut self, now: Timestamp, id: &str) {
+        if let Some(tracked) = self.backends.get_mut(id) {
+            tracked.gone_since.get_or_insert(now);
             self.gone.insert(id.to_owned());
         }
     }
 
-    /// Back ends of a zone may have turned cold shortly before its evacuation was taken back, and their records
-    /// may not say so yet.
-    fn return_zones(&mut self, now: Timestamp, evacuated: &BTreeSet<String>) {
+    /// Back ends of a zone may have turned cold shortly before its evacuation ended, and their
+    /// records may not say so yet.
+    fn suspect_returned_zones(&mut self, now: Timestamp, evacuated: &BTreeSet<String>) {
         if self.evacuated == *evacuated {
             return;
         }
         let returned: BTreeSet<&String> = self.evacuated.difference(evacuated).collect();
-        let mut doubts = Vec::new();
-        for (id, known) in &mut self.backends {
-            if !returned.contains(&known.record.zone) {
+        let mut cold_periods = Vec::new();
+        for (id, tracked) in &mut self.backends {
+            if !returned.contains(&tracked.record.zone) {
                 continue;
             }
-            let Some(warm_up) = self.warm_ups.get(&known.service) else { continue };
-            let until = start_may_be_told(now, warm_up);
-            known.suspect(until, ColdCause::ZoneReturned);
-            doubts.push((id.clone(), until));
+            let Some(warm_up) = self.warm_ups.get(&tracked.service) else { continue };
+            let until = warm_after_restart(now, warm_up);
+            tracked.suspect(until, ColdCause::ZoneReturned);
+            cold_periods.push((id.clone(), until));
         }
-        for (id, until) in doubts {
-            self.note_doubt(&id, until);
+        for (id, until) in cold_periods {
+            self.track_cold(&id, until);
         }
         self.evacuated.clone_from(evacuated);
     }
 
-    /// Forgets back ends that have been gone for long enough, and tells which.
-    fn forget(&mut self, now: Timestamp) -> Vec<String> {
+    /// Drops back ends that have been gone for long enough, and returns their ids.
+    fn drop_gone(&mut self, now: Timestamp) -> Vec<String> {
         let backends = &self.backends;
-        let is_over = |id: &&String| {
-            let gone_since = backends.get(*id).and_then(|known| known.gone_since);
-            gone_since.is_none_or(|since| now.millis_since(since) >= REMEMBERED_MS)
+        let is_expired = |id: &&String| {
+            let gone_since = backends.get(*id).and_then(|tracked| tracked.gone_since);
+            gone_since.is_none_or(|since| now.millis_since(since) >= RETENTION_MS)
         };
-        let forgotten: Vec<String> = self.gone.iter().filter(is_over).cloned().collect();
+        let forgotten: Vec<String> = self.gone.iter().filter(is_expired).cloned().collect();
         for id in &forgotten {
             self.gone.remove(id);
             self.backends.remove(id);
@@ -261,124 +270,132 @@
         forgotten
     }
 
-    /// The same where other services have a warm-up now: each back end is looked at.
-    fn forget_all_unknown(&mut self, now: Timestamp, catalog: &Catalog) -> Vec<String> {
-        for (id, known) in &mut self.backends {
+    /// The same after the warm-ups of services changed: checks each back end, and also drops those
+    /// of services that no longer have a warm-up.
+    fn drop_all_unknown(&mut self, now: Timestamp, catalog: &Catalog) -> Vec<String> {
+        for (id, tracked) in &mut self.backends {
             if !catalog.known.contains(id) {
-                known.gone_since.get_or_insert(now);
+                tracked.gone_since.get_or_insert(now);
                 self.gone.insert(id.clone());
             }
         }
-        let mut forgotten = self.forget(now);
+        let mut forgotten = self.drop_gone(now);
         let warm_ups = &self.warm_ups;
         let gone = &mut self.gone;
-        self.backends.retain(|id, known| {
-            let stays = warm_ups.contains_key(&known.service);
-            if !stays {
+        self.backends.retain(|id, tracked| {
+            let is_kept = warm_ups.contains_key(&tracked.service);
+            if !is_kept {
                 gone.remove(id);
                 forgotten.push(id.clone());
             }
-            stays
+            is_kept
         });
         forgotten
     }
 
-    /// Something came from a back end.
+    /// Records that something was received from a back end.
     pub fn record_activity(&mut self, now: Timestamp, id: &str) {
-        if let Some(known) = self.backends.get_mut(id) {
-            known.heard_at = Some(now);
+        if let Some(tracked) = self.backends.get_mut(id) {
+            tracked.last_activity_at = Some(now);
         }
     }
 
-    /// A back end fails for most, as their reports of the last seconds say. One that is heard here has too much to
-    /// do: taken for cold, it would do less still, and the others more.
+    /// Records that a back end fails for most processes, according to load reports of the last
+    /// seconds. One that still answers here is overloaded: treating it as cold would shift its load
+    /// to the others.
     pub fn record_reported_failure(&mut self, now: Timestamp, id: &str) {
-        let Some(known) = self.backends.get_mut(id) else { return };
-        if known.heard_at.is_some_and(|at| now.millis_since(at) < HEARD_MS) {
+        let Some(tracked) = self.backends.get_mut(id) else { return };
+        if tracked.last_activity_at.is_some_and(|at| now.millis_since(at) < ACTIVITY_TIMEOUT_MS) {
             return;
         }
-        let is_new = |at: Timestamp| now.millis_since(at) < REPORTED_MS;
-        if !known.appeared_at.is_some_and(is_new) {
+        let is_new = |at: Timestamp| now.millis_since(at) < FAILURE_REPORT_MS;
+        if !tracked.appeared_at.is_some_and(is_new) {
             return self.record_failure(now, id);
         }
-        // Probably the life before failed, and this one is cold for as long anyway. Where it is this one, that is
-        // told again before this doubt ends.
-        let until = now.plus_millis(RECORD_DELAY_MS);
-        known.suspect(until, ColdCause::Failed);
-        self.note_doubt(id, until);
+        // Probably the previous incarnation failed, and this one is cold for that time anyway. If
+        // this one fails, that is reported again before this period ends.
+        let until = now.plus_millis(RECORD_PROPAGATION_MS);
+        tracked.suspect(until, ColdCause::Failed);
+        self.track_cold(id, until);
     }
 
-    /// A back end could not be reached, broke off or fell silent here.
+    /// Records that a back end was unreachable, broke a connection or fell silent here.
     pub fn record_failure(&mut self, now: Timestamp, id: &str) {
-        let Some(known) = self.backends.get_mut(id) else { return };
-        let Some(warm_up) = self.warm_ups.get(&known.service) else { return };
-        let until = start_may_be_told(now, warm_up);
-        known.suspect(until, ColdCause::Failed);
-        self.note_doubt(id, until);
+        let Some(tracked) = self.backends.get_mut(id) else { return };
+        let Some(warm_up) = self.warm_ups.get(&tracked.service) else { return };
+        let until = warm_after_restart(now, warm_up);
+        tracked.suspect(until, ColdCause::Failed);
+        self.track_cold(id, until);
     }
 
-    /// A back end told in an answer for how much longer it is cold.
+    /// Records for how much longer a back end is cold, as it reported in an answer.
     pub fn record_report(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
-        let known = self.backends.get_mut(id);
-        let Some(known) = known.filter(|known| known.record.started_ms == started_ms) else {
+        let tracked = self.backends.get_mut(id);
+        let Some(tracked) = tracked.filter(|tracked| tracked.record.started_ms == started_ms)
+        else {
             return;
         };
         let until = now.plus_millis(remaining_ms);
-        known.stated = (remaining_ms > 0).then_some(Doubt { until, cause: ColdCause::Told });
-        known.suspected = None;
-        self.note_doubt(id, until);
+        tracked.reported =
+            (remaining_ms > 0).then_some(ColdPeriod { until, cause: ColdCause::Reported });
+        tracked.suspected = None;
+        self.track_cold(id, until);
     }
 
-    /// Why a back end is not known to be warm, and until when; `None` where it is warm, as far as its own life goes.
-    pub fn doubt(&self, now: Timestamp, id: &str) -> Option<Doubt> {
-        let known = self.backends.get(id)?;
-        let doubts = [known.stated, known.suspected].into_iter().flatten();
-        doubts.filter(|doubt| doubt.until > now).max_by_key(|doubt| doubt.until)
+    /// Why a back end is not known to be warm and until when; `None` if it is. Does not consider
+    /// the age of the platform state.
+    pub fn cold_period(&self, now: Timestamp, id: &str) -> Option<ColdPeriod> {
+        let tracked = self.backends.get(id)?;
+        let cold_periods = [tracked.reported, tracked.suspected].into_iter().flatten();
+        cold_periods
+            .filter(|cold_period| cold_period.until > now)
+            .max_by_key(|cold_period| cold_period.until)
     }
 
-    /// Whether every back end is known to be warm, as far as their own lives go.
-    pub fn is_free_of_doubt(&self, now: Timestamp) -> bool {
-        self.last_doubt <= now
+    /// Whether every back end is known to be warm. Does not consider the age of the platform
+    /// state.
+    pub fn all_warm(&self, now: Timestamp) -> bool {
+        self.last_cold_until <= now
     }
 
-    /// Whether back ends of a service need time to get warm.
+    /// The warm-up of a service, if it has one.
     pub fn warm_up(&self, service: &str) -> Option<&WarmUp> {
         self.warm_ups.get(service)
     }
 
-    /// Whether no service has a warm-up: nothing has to be asked then.
+    /// Whether no service has a warm-up, so that nothing needs a check.
     pub fn is_unused(&self) -> bool {
         self.warm_ups.is_empty()
     }
 
-    /// Ids of the back ends that are held.
+    /// Ids of the tracked back ends.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         self.backends.keys().map(String::as_str)
     }
 
-    /// Whether a back end is held.
-    pub fn holds(&self, id: &str) -> bool {
+    /// Whether a back end is tracked.
+    pub fn is_tracked(&self, id: &str) -> bool {
         self.backends.contains_key(id)
     }
 }
 
-impl Known {
-    /// Whatever was the cause before: the later end counts.
+impl TrackedBackend {
+    /// Extends the inferred period; the later end wins whatever its cause.
     fn suspect(&mut self, until: Timestamp, cause: ColdCause) {
-        if self.suspected.is_none_or(|held| held.until < until) {
-            self.suspected = Some(Doubt { until, cause });
+        if self.suspected.is_none_or(|period| period.until < until) {
+            self.suspected = Some(ColdPeriod { until, cause });
         }
     }
 }
 
-/// When a back end that starts now is warm, and this process has long read so.
-fn start_may_be_told(now: Timestamp, warm_up: &WarmUp) -> Timestamp {
-    now.plus_millis(warm_up.duration_ms + RECORD_DELAY_MS)
+/// When a back end that restarts now is warm and its new record has reached this process.
+fn warm_after_restart(now: Timestamp, warm_up: &WarmUp) -> Timestamp {
+    now.plus_millis(warm_up.duration_ms + RECORD_PROPAGATION_MS)
 }
 
-fn recorded(now: Timestamp, remaining_ms: u64) -> Option<Doubt> {
+fn recorded(now: Timestamp, remaining_ms: u64) -> Option<ColdPeriod> {
     let until = now.plus_millis(remaining_ms);
-    (remaining_ms > 0).then_some(Doubt { until, cause: ColdCause::Recorded })
+    (remaining_ms > 0).then_some(ColdPeriod { until, cause: ColdCause::Recorded })
 }
 
 fn warm_ups(catalog: &Catalog) -> HashMap<Arc<str>, WarmUp> {
--- a/crates/serving/src/locality.rs
+++ b/crates/serving/src/locality.rs
@@ -1,18 +1,18 @@
-//! Whether back ends of other regions are needed.
+//! Whether requests stay in the local region.
 
-use crate::water_filling::{surface, Level};
+use crate::water_filling::{water_level, LoadLevel};
 
-/// The part of requests that is meant for the back ends of the own region, where these can take it; `None` where
-/// back ends of other regions are needed.
+/// The fraction of all requests that belongs to the back ends of the local region, if these can
+/// take it; `None` if back ends of other regions are needed.
 ///
-/// `expected` are the requests of all processes that this one does not know yet. Those of other regions go to
-/// back ends of their own: taking all of them to come here made a region look full at a fifth of its load, and
-/// 45 of 100 requests left it.
-pub fn own_part(near: &[Level], far: &[Level], expected: f64) -> Option<f64> {
-    let slots = |levels: &[Level]| levels.iter().map(|level| level.slots).sum::<f64>();
-    let all = slots(near) + slots(far);
-    let part = if all > 0.0 { slots(near) / all } else { 1.0 };
-    let level = surface(near, expected * part + 1.0)?;
-    let is_needed = far.iter().any(|far| far.load < level);
-    (!is_needed).then_some(part)
+/// `expected` is the number of requests of all processes that are not reported yet. Only the local
+/// fraction of it counts, because requests of other regions go to their own back ends: counting all
+/// of them made a region look full at a fifth of its load, and 45 of 100 requests left it.
+pub fn local_fraction(local: &[LoadLevel], remote: &[LoadLevel], expected: f64) -> Option<f64> {
+    let slots = |levels: &[LoadLevel]| levels.iter().map(|level| level.slots).sum::<f64>();
+    let all = slots(local) + slots(remote);
+    let fraction = if all > 0.0 { slots(local) / all } else { 1.0 };
+    let level = water_level(local, expected * fraction + 1.0)?;
+    let needs_remote = remote.iter().any(|remote| remote.load < level);
+    (!needs_remote).then_some(fraction)
 }
--- a/crates/serving/tests/backend_table.rs
+++ b/crates/serving/tests/backend_table.rs
@@ -1,4 +1,5 @@
-//! The table of back ends: what it holds, what versions share, and that its cost does not grow with the fleet.
+//! The table of back ends: contents, sharing between versions, and cost independent of the fleet
+//! size.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -46,8 +47,8 @@
 
 type Oracle = BTreeMap<String, Arc<Backend>>;
 
-/// Takes a step in the table and in a map; returns what it changed.
-fn take(
+/// Applies a step to the table and to the oracle, and returns the change.
+fn apply(
     table: &mut BackendTable,
     oracle: &mut Oracle,
     step: &Step,
@@ -67,7 +68,7 @@
     (before.is_some() || after.is_some()).then_some(ObjectChange { before, after })
 }
 
-fn holds(table: &BackendTable, oracle: &Oracle) -> bool {
+fn matches(table: &BackendTable, oracle: &Oracle) -> bool {
     let ids: BTreeSet<&String> = table.values().map(|backend| &backend.id).collect();
     table.len() == oracle.len()
         && ids.into_iter().eq(oracle.keys())
@@ -76,49 +77,49 @@
 }
 
 quickcheck! {
-    fn holds_what_a_map_holds(steps: Vec<Step>) -> bool {
+    fn contains_what_a_map_contains(steps: Vec<Step>) -> bool {
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
         steps.iter().all(|step| {
-            take(&mut table, &mut oracle, step);
-            holds(&table, &oracle)
+            apply(&mut table, &mut oracle, step);
+            matches(&table, &oracle)
         })
     }
 
-    fn an_older_version_stays_as_it_was_and_the_difference_leads_to_the_newer(
+    fn an_older_version_is_unchanged_and_the_difference_yields_the_newer(
         first: Vec<Step>, then: Vec<Step>
     ) -> bool {
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
-        first.iter().for_each(|step| drop(take(&mut table, &mut oracle, step)));
+        first.iter().for_each(|step| drop(apply(&mut table, &mut oracle, step)));
         let (older, mut followed) = (table.clone(), oracle.clone());
-        then.iter().for_each(|step| drop(take(&mut table, &mut oracle, step)));
-        let stayed = holds(&older, &followed);
+        then.iter().for_each(|step| drop(apply(&mut table, &mut oracle, step)));
+        let is_unchanged = matches(&older, &followed);
         for ObjectChange { before, after } in table.changes_since(&older) {
-            let id = before.as_ref().or(after.as_ref()).expect("one of them").id.clone();
-            let held = match after {
+            let id = before.as_ref().or(after.as_ref()).expect("a changed back end").id.clone();
+            let replaced = match after {
                 Some(after) => followed.insert(id, after),
                 None => followed.remove(&id),
             };
-            if held != before {
+            if replaced != before {
                 return false;
             }
         }
-        stayed && followed == oracle
+        is_unchanged && followed == oracle
     }
 
-    fn a_catalog_that_follows_changes_is_the_one_that_is_built_whole(
+    fn an_incrementally_updated_catalog_equals_a_rebuilt_one(
         steps: Vec<Step>, evacuated: u8
     ) -> bool {
         let region = |zone: usize| (format!("zone-{zone}"), format!("region-{}", zone / 2));
         let zones = Arc::new(ZoneMap::new((0..3).map(region).collect::<BTreeMap<_, _>>()));
         let evacuated = BTreeSet::from([format!("zone-{}", evacuated % 6)]);
-        let facts = ZoneState { evacuated, zones };
+        let zone_state = ZoneState { evacuated, zones };
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
-        let mut followed = Catalog::with_zones(None, std::iter::empty(), facts.clone());
+        let mut followed = Catalog::with_zones(None, std::iter::empty(), zone_state.clone());
         steps.chunks(3).all(|batch| {
             let changes: Vec<ObjectChange<Backend>> =
-                batch.iter().filter_map(|step| take(&mut table, &mut oracle, step)).collect();
+                batch.iter().filter_map(|step| apply(&mut table, &mut oracle, step)).collect();
             followed = followed.clone().with_changes(&changes);
-            let built = Catalog::with_zones(None, oracle.values(), facts.clone());
+            let built = Catalog::with_zones(None, oracle.values(), zone_state.clone());
             same(&followed, &built)
         })
     }
@@ -144,10 +145,11 @@
         })
 }
 
-/// Before 10,000 back ends each change of one of them took 17.7 ms of a core, since all were put together anew
-/// at each of its 986 processes. Pointers are counted here, not time: they are what a change copies.
+/// Guards against changes whose cost grows with the fleet: rebuilding the catalog for each change
+/// of one of 10,000 back ends took 17.7 ms of a core at each of 986 processes. Counts copied
+/// pointers instead of time.
 #[test]
-fn a_change_costs_as_much_before_20_000_back_ends_as_before_1_000() {
+fn a_change_costs_as_much_with_20_000_back_ends_as_with_1_000() {
     let copied = |count: usize| {
         let before = table(count);
         let most = (0..count).step_by(count / 50).map(|index| {
@@ -155,7 +157,7 @@
             after.insert(backend(index, 2));
             after.copied_since(&before)
         });
-        most.max().expect("some")
+        most.max().expect("a change")
     };
     let (small, large, twice) = (copied(1_000), copied(10_000), copied(20_000));
     assert!(large * 2 <= small * 3, "{small} pointers at 1,000, {large} at 10,000");
@@ -163,25 +165,25 @@
 }
 
 #[test]
-fn each_is_drawn_as_often_as_any_other() {
-    const DRAWS_FOR_EACH: usize = 200;
+fn sampling_is_uniform() {
+    const SAMPLES_PER_BACK_END: usize = 200;
     let table = table(300);
     let mut generator = SmallRng::seed_from_u64(1);
-    let mut drawn: HashMap<String, usize> = HashMap::new();
-    for _ in 0..300 * DRAWS_FOR_EACH {
+    let mut samples: HashMap<String, usize> = HashMap::new();
+    for _ in 0..300 * SAMPLES_PER_BACK_END {
         let backend = table.sample(&mut generator).expect("a back end");
-        *drawn.entry(backend.id.clone()).or_default() += 1;
+        *samples.entry(backend.id.clone()).or_default() += 1;
     }
-    assert_eq!(drawn.len(), 300);
-    // Five times the spread of so many even draws.
-    let spread = 5.0 * (DRAWS_FOR_EACH as f64).sqrt();
-    let is_even = |count: &usize| (*count as f64 - DRAWS_FOR_EACH as f64).abs() < spread;
-    assert!(drawn.values().all(is_even), "{drawn:?}");
+    assert_eq!(samples.len(), 300);
+    // Five standard deviations of a count with this mean.
+    let spread = 5.0 * (SAMPLES_PER_BACK_END as f64).sqrt();
+    let is_even = |count: &usize| (*count as f64 - SAMPLES_PER_BACK_END as f64).abs() < spread;
+    assert!(samples.values().all(is_even), "{samples:?}");
     assert!(BackendTable::default().sample(&mut generator).is_none());
 }
 
 #[test]
-fn a_key_keeps_what_it_prefers_until_that_is_lost() {
+fn preferences_of_a_key_change_only_with_lost_back_ends() {
     let mut table = table(2_000);
     let mut used: HashMap<String, usize> = HashMap::new();
     for key in 0..2_000 {
@@ -190,10 +192,10 @@
         *used.entry(preferred[0].id.clone()).or_default() += 1;
         table.remove(&preferred[0].id);
         let after = table.preferred(key, 2);
-        assert!(after.contains(&&preferred[1]), "the second choice of key {key} stays one");
+        assert!(after.contains(&&preferred[1]), "key {key} lost its second preference");
         table.insert(preferred[0].clone());
         assert_eq!(table.preferred(key, 2).into_iter().cloned().collect::<Vec<_>>(), preferred);
     }
-    // Keys are spread: were all of them even, a back end would be the first of one.
+    // Keys are spread: if they were perfectly even, each back end would be first for one key.
     assert!(used.values().all(|keys| *keys <= 12), "{used:?}");
 }
--- a/crates/serving/tests/cold_world/facts.rs
+++ b/crates/serving/tests/cold_world/platform_store.rs
@@ -1,4 +1,4 @@
-//! What the platform's store holds, and when.
+//! Content of the platform's store over time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,29 +7,29 @@
     Backend, BackendState, Catalog, Configuration, Service, WarmUp, ZoneMap, ZoneState,
 };
 
-use super::{BackEnd, Seen};
+use super::{BackEnd, PublishedCatalog};
 
 /// Time for which a back end is cold after its start.
 pub const DURATION_MS: u64 = 3_000;
 pub const SERVICE: &str = "models";
 
-/// What is written, and what will be.
+/// Records written so far, and those still to be written.
 #[derive(Default)]
-pub struct Facts {
-    history: Vec<Seen>,
+pub struct PlatformStore {
+    history: Vec<PublishedCatalog>,
     records: BTreeMap<usize, Arc<Backend>>,
-    /// Since when a zone is evacuated.
+    /// Evacuated zones, and since when.
     evacuated: BTreeMap<usize, u64>,
     to_write: Vec<(u64, usize)>,
-    to_take_back: Vec<(u64, usize)>,
+    evacuations_to_end: Vec<(u64, usize)>,
 }
 
-impl Facts {
+impl PlatformStore {
     pub fn publish(&mut self, now: u64, written_at: u64, back_ends: &[BackEnd]) {
         for back_end in back_ends {
             self.write(written_at, back_end);
         }
-        self.store(now);
+        self.append_catalog(now);
     }
 
     fn write(&mut self, now: u64, back_end: &BackEnd) {
@@ -46,7 +46,7 @@
         self.records.insert(back_end.number, Arc::new(record));
     }
 
-    fn store(&mut self, now: u64) {
+    fn append_catalog(&mut self, now: u64) {
         let service = Service {
             name: SERVICE.into(),
             health_path: "/health".into(),
@@ -56,9 +56,9 @@
         let services = vec![service];
         let configuration = Configuration { version: 1, services, ..Configuration::default() };
         let evacuated: BTreeSet<String> = self.evacuated.keys().map(usize::to_string).collect();
-        let facts = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
+        let zone_state = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
         let catalog =
-            Catalog::with_zones(Some(Arc::new(configuration)), self.records.values(), facts);
+            Catalog::with_zones(Some(Arc::new(configuration)), self.records.values(), zone_state);
         self.history.push((now, Arc::new(catalog)));
     }
 
@@ -66,17 +66,17 @@
         self.to_write.push((at, number));
     }
 
-    pub fn take_back_later(&mut self, at: u64, zone: usize) {
-        self.to_take_back.push((at, zone));
+    pub fn end_evacuation_later(&mut self, at: u64, zone: usize) {
+        self.evacuations_to_end.push((at, zone));
     }
 
-    /// Whether the zone was not evacuated, and is now.
+    /// Evacuates a zone; returns false if it was evacuated already.
     pub fn evacuate(&mut self, now: u64, zone: usize, _back_ends: &[BackEnd]) -> bool {
         if self.evacuated.contains_key(&zone) {
             return false;
         }
         self.evacuated.insert(zone, now);
-        self.store(now);
+        self.append_catalog(now);
         true
     }
 
@@ -87,26 +87,27 @@
     pub fn apply_due(&mut self, now: u64, back_ends: &[BackEnd]) {
         let (due, rest) = self.to_write.iter().partition(|(at, _)| *at <= now);
         self.to_write = rest;
-        let back: Vec<(u64, usize)>;
-        (back, self.to_take_back) = self.to_take_back.iter().partition(|(at, _)| *at <= now);
+        let ended: Vec<(u64, usize)>;
+        (ended, self.evacuations_to_end) =
+            self.evacuations_to_end.iter().partition(|(at, _)| *at <= now);
         let due: Vec<(u64, usize)> = due;
-        if due.is_empty() && back.is_empty() {
+        if due.is_empty() && ended.is_empty() {
             return;
         }
         for (_, number) in due {
-            // One that ended again meanwhile writes when it is back.
+            // A back end that is down again writes its record when it returns.
             if back_ends[number].is_up(now) {
                 self.write(now, &back_ends[number]);
             }
         }
-        for (_, zone) in back {
+        for (_, zone) in ended {
             self.evacuated.remove(&zone);
         }
-        self.store(now);
+        self.append_catalog(now);
     }
 
-    pub fn seen_at(&self, moment: u64) -> Seen {
-        let seen = self.history.iter().rev().find(|(at, _)| *at <= moment);
-        seen.or(self.history.first()).cloned().expect("a catalog")
+    pub fn published_at(&self, moment: u64) -> PublishedCatalog {
+        let published = self.history.iter().rev().find(|(at, _)| *at <= moment);
+        published.or(self.history.first()).cloned().expect("a catalog")
     }
 }
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -1,40 +1,41 @@
-//! One process of the model.
+//! A simulated process.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::eligibility::cold_share::SenderId;
-use yokefall_serving::eligibility::cold_state::{ColdState, Standing};
+use yokefall_serving::eligibility::cold_quota::SenderId;
+use yokefall_serving::eligibility::cold_state::{ColdStartState, WarmUpStatus};
 use yokefall_serving::{Backend, KnownProcesses};
 
-use super::{BackEnd, Seen, Way, BACK_ENDS, BOUNDS};
+use super::{BackEnd, PublishedCatalog, SendMode, BACK_ENDS, BOUNDS};
 
-/// Time in which news of a new process reach all others that are in touch.
-const NEWS_MS: u64 = 4_000;
-/// Time after which a process that came in touch hears what others have in flight.
-const LOADS_MS: u64 = 300;
-/// Time after which all know that a process does not answer, and after which they count on what it knows.
-const NOTICED_MS: u64 = 1_500;
-const LOST_MS: u64 = 8_000;
+/// Time in which a new process becomes known to all connected ones.
+const NAME_PROPAGATION_MS: u64 = 4_000;
+/// Time after which a reconnected process has load reports.
+const LOAD_REPORT_DELAY_MS: u64 = 300;
+/// Time after which all know that a process does not answer.
+const LOSS_DETECTION_MS: u64 = 1_500;
+/// Time after which the platform state of such a process is too old for it to send as before.
+const LOSS_EXPIRY_MS: u64 = 8_000;
 /// Interval at which names are taken over.
 const NAMES_INTERVAL_MS: u64 = 1_000;
 
 pub struct Process {
     pub name: String,
     pub job_store: bool,
-    pub state: ColdState,
-    /// How late it learns what the store holds.
+    pub state: ColdStartState,
+    /// Delay with which it learns the content of the store.
     pub delay_ms: u64,
     pub suspended_until: u64,
     /// When this name was first used.
     first_started: u64,
     started: u64,
     ended: Option<u64>,
-    cut_at: u64,
-    cut_until: u64,
-    seen: Option<Seen>,
-    /// Records by number of the back end, as seen.
+    partitioned_at: u64,
+    partitioned_until: u64,
+    catalog_seen: Option<PublishedCatalog>,
+    /// Records by number of the back end, as known here.
     records: Vec<Option<Arc<Backend>>>,
     names: BTreeMap<String, bool>,
     unresponsive: u32,
@@ -43,102 +44,103 @@
 impl Process {
     pub fn start(now: u64, name: String, job_store: bool) -> Self {
         let sender = SenderId { name: name.clone(), job_store };
-        // Below the second that the code reckons with, together with the write of a record.
+        // Together with the write of a record, below the second that the code assumes.
         let delay_ms = name.bytes().fold(now, |sum, byte| sum * 31 + u64::from(byte)) % 600;
         Self {
             name,
             job_store,
-            state: ColdState::new(Timestamp(now), sender, BOUNDS),
+            state: ColdStartState::new(Timestamp(now), sender, BOUNDS),
             delay_ms,
             suspended_until: 0,
             first_started: now,
             started: now,
             ended: None,
-            cut_at: 0,
-            cut_until: 0,
-            seen: None,
+            partitioned_at: 0,
+            partitioned_until: 0,
+            catalog_seen: None,
             records: Vec::new(),
             names: BTreeMap::new(),
             unresponsive: 0,
         }
     }
 
-    /// Starts again at a moment under its name, and knows nothing.
+    /// Restarts the process at a moment under its name and without state.
     pub fn restart(&mut self, at: u64) {
         let fresh = Self::start(at, self.name.clone(), self.job_store);
         let (first_started, ended) = (self.first_started, self.ended);
-        let (cut_at, cut_until) = (self.cut_at, self.cut_until);
-        *self = Self { first_started, ended, cut_at, cut_until, ..fresh };
+        let (partitioned_at, partitioned_until) = (self.partitioned_at, self.partitioned_until);
+        *self = Self { first_started, ended, partitioned_at, partitioned_until, ..fresh };
     }
 
     pub fn end(&mut self, now: u64) {
         self.ended.get_or_insert(now);
     }
 
-    pub fn cut(&mut self, now: u64, until: u64) {
-        if self.is_in_touch(now) {
-            self.cut_at = now;
+    pub fn partition(&mut self, now: u64, until: u64) {
+        if self.is_connected(now) {
+            self.partitioned_at = now;
         }
-        self.cut_until = self.cut_until.max(until);
+        self.partitioned_until = self.partitioned_until.max(until);
     }
 
     pub fn is_running(&self, now: u64) -> bool {
         self.ended.is_none() && now >= self.started && now >= self.suspended_until
     }
 
-    pub fn is_in_touch(&self, now: u64) -> bool {
-        self.is_running(now) && now >= self.cut_until
+    pub fn is_connected(&self, now: u64) -> bool {
+        self.is_running(now) && now >= self.partitioned_until
     }
 
-    /// Whether it hears what others have in flight: some reports after it came in touch.
-    pub fn hears_loads(&self, now: u64) -> bool {
-        let since = self.started.max(self.cut_until).max(self.suspended_until);
-        self.is_in_touch(now) && now >= since + LOADS_MS
+    /// Whether it has load reports: some reports after it connected.
+    pub fn has_load_reports(&self, now: u64) -> bool {
+        let since = self.started.max(self.partitioned_until).max(self.suspended_until);
+        self.is_connected(now) && now >= since + LOAD_REPORT_DELAY_MS
     }
 
     pub fn needs_names(&self, now: u64) -> bool {
         now % NAMES_INTERVAL_MS == 0
     }
 
-    /// Whether another process that is in touch has heard of this one: some time after its first start, or at once
-    /// where it came later itself and asks for a list.
-    pub fn is_heard(&self, now: u64, by: &Process) -> bool {
-        let told = now >= self.first_started + NEWS_MS;
-        let was_there = self.first_started <= by.first_started;
-        told || was_there
+    /// Whether another connected process knows this one: some time after its first start, or at
+    /// once if the other started later and requests a list.
+    pub fn is_known_to(&self, now: u64, by: &Process) -> bool {
+        let reported = now >= self.first_started + NAME_PROPAGATION_MS;
+        let existed_before = self.first_started <= by.first_started;
+        reported || existed_before
     }
 
-    /// Whether others know that it does not answer, and not for long.
-    pub fn is_lost(&self, now: u64) -> bool {
+    /// Whether others count it as unresponsive: from `LOSS_DETECTION_MS` to `LOSS_EXPIRY_MS` after
+    /// it was lost.
+    pub fn is_unresponsive(&self, now: u64) -> bool {
         let since = match self.ended {
             Some(ended) => ended,
-            None if now < self.cut_until => self.cut_at,
+            None if now < self.partitioned_until => self.partitioned_at,
             None => return false,
         };
-        (NOTICED_MS..LOST_MS).contains(&(now - since))
+        (LOSS_DETECTION_MS..LOSS_EXPIRY_MS).contains(&(now - since))
     }
 
     pub fn refresh(
         &mut self,
         now: u64,
-        catalog: Seen,
-        heard: Vec<(String, bool)>,
+        catalog: PublishedCatalog,
+        new_names: Vec<(String, bool)>,
         unresponsive: u32,
     ) {
-        if !self.is_in_touch(now) {
+        if !self.is_connected(now) {
             return;
         }
-        if self.seen.as_ref().is_none_or(|(at, _)| *at != catalog.0) {
+        if self.catalog_seen.as_ref().is_none_or(|(at, _)| *at != catalog.0) {
             self.state.observe(Timestamp(now), &catalog.1);
             let record = |number: usize| {
                 let of = |id: &str| id.split(['b', '-']).nth(1).and_then(|n| n.parse().ok());
                 catalog.1.known.values().find(|record| of(&record.id) == Some(number)).cloned()
             };
             self.records = (0..BACK_ENDS).map(record).collect();
-            self.seen = Some(catalog);
+            self.catalog_seen = Some(catalog);
         }
         let before = self.names.len();
-        self.names.extend(heard);
+        self.names.extend(new_names);
         if self.names.len() > before || self.unresponsive != unresponsive {
             self.unresponsive = unresponsive;
             self.state.set_names(Arc::new(self.known_names()));
@@ -159,9 +161,9 @@
         }
     }
 
-    fn news_age_ms(&self, now: u64) -> u64 {
-        match now < self.cut_until {
-            true => now - self.cut_at,
+    fn state_age_ms(&self, now: u64) -> u64 {
+        match now < self.partitioned_until {
+            true => now - self.partitioned_at,
             false => self.delay_ms + 1_000,
         }
     }
@@ -171,23 +173,23 @@
         &mut self,
         now: u64,
         back_end: &BackEnd,
-        way: Way,
-        wants: bool,
+        mode: SendMode,
+        has_request: bool,
     ) -> Option<String> {
         if !self.is_running(now) {
             return None;
         }
-        let (_, catalog) = self.seen.as_ref()?;
+        let (_, catalog) = self.catalog_seen.as_ref()?;
         let record = self.records.get(back_end.number)?.clone()?;
         if catalog.is_evacuated(&record.zone) {
             return None;
         }
-        let age = Some(self.news_age_ms(now));
-        let sends = match way {
-            Way::Unasked => wants || back_end.is_cold(now) && now % 200 == 0,
-            Way::Asked => match self.state.standing(Timestamp(now), age, &record) {
-                Standing::Warm => wants,
-                standing @ Standing::Cold { .. } => standing.may_send(),
+        let age = Some(self.state_age_ms(now));
+        let sends = match mode {
+            SendMode::Unlimited => has_request || back_end.is_cold(now) && now % 200 == 0,
+            SendMode::Limited => match self.state.warm_up_status(Timestamp(now), age, &record) {
+                WarmUpStatus::Warm => has_request,
+                warm_up_status @ WarmUpStatus::Cold { .. } => warm_up_status.may_send(),
             },
         };
         sends.then(|| record.id.clone())
--- a/crates/serving/tests/drawn.rs
+++ b/crates/serving/tests/drawn.rs
@@ -1,4 +1,4 @@
-//! Back ends drawn out of many for one request.
+//! Random samples of candidates for one request.
 
 use std::sync::Arc;
 
@@ -33,21 +33,22 @@
 }
 
 #[test]
-fn few_are_all_looked_at() {
+fn few_candidates_are_not_sampled() {
     let all = backends(200);
     let table: BackendTable = all.iter().collect();
     let mut generator = SmallRng::seed_from_u64(1);
     assert_eq!(CandidateSample::of(&[&table], None, &mut generator), None);
 }
 
-/// A choice out of 10,000 takes 1 ms of a core where it looks at all of them, with nothing known of any.
+/// Guards against a cost that grows with the fleet: a choice among all of 10,000 takes 1 ms of a
+/// core without load data.
 #[test]
-fn as_many_are_drawn_out_of_20_000_as_out_of_1_000() {
+fn the_sample_size_does_not_grow_with_the_fleet() {
     let mut generator = SmallRng::seed_from_u64(1);
     for count in [1_000, 10_000, 20_000] {
         let all = backends(count);
         let table: BackendTable = all.iter().collect();
-        let sample = CandidateSample::of(&[&table], Some(7), &mut generator).expect("out of many");
+        let sample = CandidateSample::of(&[&table], Some(7), &mut generator).expect("a sample");
         assert!((100..=128).contains(&sample.backends.len()), "{}", sample.backends.len());
         assert_eq!(sample.preferred.len(), 2);
         assert!((sample.fraction * count as f64 - sample.backends.len() as f64).abs() < 1e-6);
@@ -55,23 +56,23 @@
 }
 
 #[test]
-fn large_regions_are_drawn_from_more_often() {
+fn large_regions_are_sampled_more_often() {
     let all = backends(4_000);
     let (small, large): (BackendTable, BackendTable) =
         (all[..400].iter().collect(), all[400..].iter().collect());
     let mut generator = SmallRng::seed_from_u64(1);
-    let mut of_small = 0;
+    let mut from_small = 0;
     for _ in 0..100 {
         let sample =
-            CandidateSample::of(&[&small, &large], None, &mut generator).expect("out of many");
-        of_small += sample.backends.iter().filter(|backend| small.contains(&backend.id)).count();
+            CandidateSample::of(&[&small, &large], None, &mut generator).expect("a sample");
+        from_small += sample.backends.iter().filter(|backend| small.contains(&backend.id)).count();
     }
-    // A tenth of 12,800, with five times the spread of so many draws.
-    assert!((1_110..=1_450).contains(&of_small), "{of_small}");
+    // A tenth of 12,800, within five standard deviations.
+    assert!((1_110..=1_450).contains(&from_small), "{from_small}");
 }
 
-/// The load pattern: slots are nearly full, and processes know each other's loads. No request may meet a full back
-/// end while a drawn one has room.
+/// Slots are nearly full, and processes know each other's loads: no request may be sent to a full
+/// back end while a sampled one has capacity.
 #[test]
 fn load_stays_even_up_to_nine_tenths_of_the_slots() {
     let all = backends(1_000);
@@ -79,8 +80,7 @@
     let mut balancer = balancer(1);
     let requests = 1_000 * SLOTS * 9 / 10;
     for _ in 0..requests {
-        let sample =
-            CandidateSample::of(&[&table], None, balancer.generator()).expect("out of many");
+        let sample = CandidateSample::of(&[&table], None, balancer.generator()).expect("a sample");
         let chosen = balancer.choose_from_sample(NOW, &sample, &[]).expect("a back end");
         balancer.record_start(&chosen);
     }
@@ -89,17 +89,17 @@
 }
 
 #[test]
-fn a_prefix_goes_to_the_same_back_end_until_that_has_no_room() {
+fn a_prefix_goes_to_the_same_back_end_while_it_has_capacity() {
     let all = backends(1_000);
     let table: BackendTable = all.iter().collect();
     let (mut one, mut other) = (balancer(1), balancer(2));
     let choose = |balancer: &mut Balancer| {
         let sample =
-            CandidateSample::of(&[&table], Some(7), balancer.generator()).expect("out of many");
+            CandidateSample::of(&[&table], Some(7), balancer.generator()).expect("a sample");
         balancer.choose_from_sample(NOW, &sample, &[]).expect("a back end")
     };
     let first = choose(&mut one);
-    assert_eq!(first, choose(&mut other), "two processes send a prefix to the same one");
+    assert_eq!(first, choose(&mut other), "two processes choose the same back end for a prefix");
     let full = InFlight { online: SLOTS, items: 0 };
     one.update_totals(NOW, std::iter::once((&first.incarnation(), full)), |_| 0);
     let second = choose(&mut one);
@@ -107,10 +107,10 @@
     assert_eq!(second, choose(&mut one));
 }
 
-/// Nine tenths of a service are left out for failures: a draw may hold none of the others, which are then looked for
-/// among all.
+/// With 999 of 1,000 back ends ejected, a sample may hold only ejected ones; the remaining one is
+/// then found by looking at all.
 #[test]
-fn where_all_drawn_ones_are_left_out_the_choice_is_among_all() {
+fn if_the_whole_sample_is_ejected_the_choice_is_among_all() {
     let all = backends(1_000);
     let cell = empty_catalog();
     cell.store(Arc::new(Catalog::new(None, all.iter())));
@@ -123,7 +123,7 @@
         balancer.record_end(NOW, backend, Outcome::Unreachable);
     }
     let sample =
-        eligibility.sample(&catalog, &requirements, None, balancer.generator()).expect("of many");
+        eligibility.sample(&catalog, &requirements, None, balancer.generator()).expect("a sample");
     if !sample.backends.contains(&all[0]) {
         assert_eq!(balancer.choose_from_sample(NOW, &sample, &[]), None);
     }
--- a/crates/serving/tests/eligibility_cost.rs
+++ b/crates/serving/tests/eligibility_cost.rs
@@ -1,5 +1,8 @@
-//! What it costs a request to learn which back ends may take it. Prints figures and asserts none:
-//! `cargo test --release -p yokefall-serving --test eligibility_cost -- --nocapture`.
+//! Measures the cost of eligibility checks for one request. Prints figures and asserts none:
+//!
+//! ```text
+//! cargo test --release -p yokefall-serving --test eligibility_cost -- --nocapture
+//! ```
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hint::black_box;
@@ -32,8 +35,8 @@
     let region =
         |zone: usize| (format!("zone-{zone}"), format!("region-{}", zone / ZONES_OF_A_REGION));
     let zones = Arc::new(ZoneMap::new((0..ZONES).map(region).collect::<BTreeMap<_, _>>()));
-    let facts = ZoneState { evacuated: BTreeSet::new(), zones };
-    Catalog::with_zones(None, backends.iter(), facts)
+    let zone_state = ZoneState { evacuated: BTreeSet::new(), zones };
+    Catalog::with_zones(None, backends.iter(), zone_state)
 }
 
 fn nanoseconds(mut step: impl FnMut()) -> u128 {
@@ -54,7 +57,7 @@
         cell.store(Arc::new(fleet(count)));
         let eligibility = Eligibility::new(cell.clone());
         let catalog = cell.load_full();
-        let held = catalog.ready("models")[count / 2].clone();
+        let chosen = catalog.ready("models")[count / 2].clone();
         let mut figures = Vec::new();
         for residency in [Residency::Anywhere, within(1), within(2)] {
             let requirements = Requirements { service: "models", residency: &residency };
@@ -63,9 +66,9 @@
             }));
         }
         let requirements = Requirements { service: "models", residency: &Residency::Anywhere };
-        let permit = nanoseconds(|| drop(black_box(eligibility.permit(&held, &requirements))));
+        let permit = nanoseconds(|| drop(black_box(eligibility.permit(&chosen, &requirements))));
         let ready = nanoseconds(|| {
-            black_box(catalog.is_ready(&held.id));
+            black_box(catalog.is_ready(&chosen.id));
         });
         println!(
             "{count} back ends: candidates anywhere {} ns, in one region {} ns, in two {} ns; permit {permit} ns; is_ready {ready} ns",
--- a/crates/serving/tests/nearness.rs
+++ b/crates/serving/tests/nearness.rs
@@ -1,11 +1,11 @@
-//! Whether back ends of other regions are needed.
+//! Whether requests stay in the local region.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::locality::own_part;
-use yokefall_serving::water_filling::Level;
+use yokefall_serving::locality::local_fraction;
+use yokefall_serving::water_filling::LoadLevel;
 use yokefall_serving::{
     Backend, BackendIncarnation, BackendState, Balancer, InFlight, Policy, ZoneMap,
 };
@@ -14,17 +14,17 @@
 const REGIONS: [&str; 3] = ["north", "south", "west"];
 const NOW: Timestamp = Timestamp(10_000);
 
-fn levels(count: usize, load: f64) -> Vec<Level> {
-    vec![Level { load, slots: 6.0 }; count]
+fn levels(count: usize, load: f64) -> Vec<LoadLevel> {
+    vec![LoadLevel { load, slots: 6.0 }; count]
 }
 
 #[test]
-fn a_region_keeps_its_part_of_what_is_expected_of_all() {
-    assert_eq!(own_part(&levels(2, 0.2), &levels(4, 0.5), 6.0), Some(1.0 / 3.0));
-    assert_eq!(own_part(&levels(2, 0.2), &levels(4, 0.5), 9.0), None);
-    assert_eq!(own_part(&levels(2, 0.9), &levels(4, 0.5), 0.0), None);
-    assert_eq!(own_part(&[], &levels(4, 0.5), 0.0), None);
-    assert_eq!(own_part(&levels(2, 0.9), &[], 100.0), Some(1.0));
+fn a_region_keeps_its_fraction_of_expected_requests() {
+    assert_eq!(local_fraction(&levels(2, 0.2), &levels(4, 0.5), 6.0), Some(1.0 / 3.0));
+    assert_eq!(local_fraction(&levels(2, 0.2), &levels(4, 0.5), 9.0), None);
+    assert_eq!(local_fraction(&levels(2, 0.9), &levels(4, 0.5), 0.0), None);
+    assert_eq!(local_fraction(&[], &levels(4, 0.5), 0.0), None);
+    assert_eq!(local_fraction(&levels(2, 0.9), &[], 100.0), Some(1.0));
 }
 
 /// Two servers with six slots in each region.
@@ -43,7 +43,8 @@
     REGIONS.iter().flat_map(both).collect()
 }
 
-/// A balancer in the north that knows arrivals of all, and so many requests at each back end.
+/// A balancer in the north that knows the total arrival rate, and `requests` in flight at each back
+/// end.
 fn balancer(seed: u64, per_ms: f64, requests: u32) -> Balancer {
     let zones = REGIONS.map(|region| (format!("{region}-hall"), region.to_owned()));
     let zones = Arc::new(ZoneMap::new(BTreeMap::from(zones)));
@@ -53,14 +54,14 @@
     balancer.record_service_time(SERVICE, 60.0);
     balancer.set_total_arrival_rate(NOW, SERVICE.into(), per_ms);
     let total = InFlight { online: requests, items: 0 };
-    let lives: Vec<BackendIncarnation> =
+    let incarnations: Vec<BackendIncarnation> =
         backends().iter().map(|backend| backend.incarnation()).collect();
-    balancer.update_totals(NOW, lives.iter().map(|incarnation| (incarnation, total)), |_| 0);
+    balancer.update_totals(NOW, incarnations.iter().map(|incarnation| (incarnation, total)), |_| 0);
     balancer
 }
 
-/// Of a hundred processes that choose once, those that leave their region.
-fn leave(per_ms: f64, requests: u32) -> usize {
+/// How many of 100 processes, each choosing once, leave their region.
+fn count_leaving(per_ms: f64, requests: u32) -> usize {
     let chosen = (0..100).map(|seed| {
         let backend = balancer(seed, per_ms, requests).choose(NOW, &backends(), &[], None);
         backend.expect("a back end")
@@ -68,15 +69,15 @@
     chosen.filter(|backend| !backend.zone.starts_with("north")).count()
 }
 
-/// Symptom: 61 of 100 requests for pages left their region, whose servers had a fifth of their slots taken. Cause:
-/// each process reckoned with all requests that it had not heard of yet, those of other regions and those that had
-/// ended included, as if they came to the servers of its own region.
+/// Guards against counting all unreported requests for the local region, including those of other
+/// regions and those that have ended: 61 of 100 requests then left their region although a fifth of
+/// its slots was taken.
 #[test]
-fn requests_stay_where_a_fifth_of_the_slots_is_taken() {
-    assert_eq!(leave(0.129, 1), 0);
+fn requests_stay_in_a_region_with_a_fifth_of_its_slots_taken() {
+    assert_eq!(count_leaving(0.129, 1), 0);
 }
 
 #[test]
-fn requests_leave_a_region_that_cannot_take_its_part() {
-    assert!(leave(0.600, 3) > 30);
+fn requests_leave_a_region_that_cannot_take_its_fraction() {
+    assert!(count_leaving(0.600, 3) > 30);
 }
--- a/crates/serving/tests/spread.rs
+++ b/crates/serving/tests/spread.rs
@@ -1,9 +1,9 @@
-//! Draws of back ends by many processes that know the same, somewhat old loads.
+//! Choices by many processes that know the same, slightly old loads.
 
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use yokefall_core::Timestamp;
-use yokefall_serving::water_filling::{draw, Level};
+use yokefall_serving::water_filling::{choose_weighted, LoadLevel};
 use yokefall_serving::{Backend, BackendIncarnation, BackendState, Balancer, InFlight, Policy};
 
 use std::collections::HashMap;
@@ -12,37 +12,37 @@
 const BACK_ENDS: usize = 72;
 const GATEWAYS: u64 = 76;
 const SLOTS: u32 = 9;
-const TELLING_INTERVAL_MS: u64 = 100;
+const REPORT_INTERVAL_MS: u64 = 100;
 
 fn online(requests: u32) -> InFlight {
     InFlight { online: requests, items: 0 }
 }
 
-fn level(load: f64) -> Level {
-    Level { load, slots: 10.0 }
+fn level(load: f64) -> LoadLevel {
+    LoadLevel { load, slots: 10.0 }
 }
 
 #[test]
-fn one_request_goes_to_the_emptiest() {
+fn one_request_goes_to_the_least_loaded() {
     let mut generator = SmallRng::seed_from_u64(1);
     let levels = [level(0.5), level(0.1), level(0.5)];
     for _ in 0..50 {
-        assert_eq!(draw(&mut generator, &levels, 1.0), Some(1));
+        assert_eq!(choose_weighted(&mut generator, &levels, 1.0), Some(1));
     }
-    assert_eq!(draw(&mut generator, &[], 1.0), None);
+    assert_eq!(choose_weighted(&mut generator, &[], 1.0), None);
 }
 
 #[test]
-fn many_requests_go_where_there_is_room_in_proportion() {
+fn many_requests_are_distributed_in_proportion_to_free_slots() {
     let mut generator = SmallRng::seed_from_u64(2);
-    // 4 slots are free at the first and 2 at the second below the third: six requests fill them.
+    // Below the third, 4 slots are free at the first and 2 at the second: six requests fill them.
     let levels = [level(0.0), level(0.2), level(0.4)];
-    let mut drawn = [0; 3];
+    let mut counts = [0; 3];
     for _ in 0..6_000 {
-        drawn[draw(&mut generator, &levels, 6.0).expect("a back end")] += 1;
+        counts[choose_weighted(&mut generator, &levels, 6.0).expect("a back end")] += 1;
     }
-    assert_eq!(drawn[2], 0);
-    assert!((3_700..4_300).contains(&drawn[0]), "{drawn:?}");
+    assert_eq!(counts[2], 0);
+    assert!((3_700..4_300).contains(&counts[0]), "{counts:?}");
 }
 
 fn back_ends() -> Vec<Arc<Backend>> {
@@ -59,14 +59,14 @@
     (0..BACK_ENDS).map(|index| Arc::new(back_end(index))).collect()
 }
 
-/// Found on the grown deployments: gateways took what everybody has in flight only for back ends that
-/// they had used themselves, and all of them chose the one that looked emptiest.
+/// Guards against gateways that ignore the requests of others at back ends which they have not used
+/// themselves: all of them then chose the one that looked least loaded.
 #[test]
-fn gateways_that_know_the_same_do_not_choose_the_same() {
+fn gateways_with_equal_loads_do_not_choose_the_same_back_end() {
     let all = back_ends();
     let mut balancers: Vec<Balancer> =
         (0..GATEWAYS).map(|seed| Balancer::new("hall-1".into(), seed, Policy::default())).collect();
-    // Back end i-0 is the emptiest, i-1 to i-35 have room, the others are full.
+    // Back end i-0 is the least loaded, i-1 to i-35 have free slots, the others are full.
     let load = |index: usize| match index {
         0 => 2,
         1..=35 => 4,
@@ -78,7 +78,7 @@
     for round in 0..40 {
         let now = Timestamp(10_000 + round * 250);
         for balancer in &mut balancers {
-            balancer.set_balancer_count(GATEWAYS as usize, TELLING_INTERVAL_MS);
+            balancer.set_balancer_count(GATEWAYS as usize, REPORT_INTERVAL_MS);
             balancer.update_totals(
                 now,
                 totals.iter().map(|(incarnation, count)| (incarnation, online(*count))),
