--- a/crates/serving/tests/news_exchange.rs
+++ b/crates/serving/tests/news_exchange.rs
@@ -1,4 +1,4 @@
-//! What processes learn of configuration and back ends from each other.
+//! Exchange of configuration and back ends between peers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     process_on(SuspensionSource::Machine).0
 }
 
-/// A process that follows evacuations, and what it knows of the age of its news.
+/// A process that watches evacuations, with the age of its state.
 fn process_on(suspension: SuspensionSource) -> (Process, Freshness) {
     let freshness = Freshness::new(suspension);
     let following = Following { evacuations: true, ages: true, freshness: freshness.clone() };
@@ -49,7 +49,7 @@
     Sink::<Evacuation>::apply(process, changes, revision);
 }
 
-/// Zones that are known to be evacuated, in order; `None` where none was heard of.
+/// Evacuated zones in order; `None` if nothing has been received.
 fn evacuated(process: &Process) -> Option<Vec<String>> {
     let knowledge = process.knowledge.borrow();
     let zones = knowledge.evacuations().values().map(|evacuation| evacuation.zone.clone());
@@ -89,11 +89,11 @@
     process.knowledge.borrow_mut().take_configuration(configuration);
 }
 
-/// One exchange, as the tasks make it. Returns how many back ends were sent.
+/// Runs one exchange like the production tasks. Returns the number of back ends sent.
 fn exchange(to: &Process, from: &Process) -> usize {
     let mut sent = 0;
     let mut whole = false;
-    // Each datagram tells what its sender knows.
+    // Each datagram carries the digest of its sender.
     to.knowledge.borrow_mut().confirm_evacuations(from.knowledge.borrow().known());
     for _ in 0..2 {
         let request = NewsRequest { known: to.knowledge.borrow().known(), whole };
@@ -150,7 +150,7 @@
     assert_eq!(new.knowledge.borrow().known().version, 2);
 }
 
-/// Steps of two watchers and a process that hears now of one and now of the other.
+/// Steps of two watchers and a third process that fetches from either.
 #[derive(Clone, Debug)]
 enum Step {
     Change { id: u8, ready: bool },
@@ -176,7 +176,7 @@
 }
 
 quickcheck! {
-    /// Whoever hears of the newest revision holds what the store held then.
+    /// A process that has the newest revision holds what the store held then.
     fn whoever_is_current_holds_what_the_store_holds(steps: Vec<Step>) -> bool {
         let mut store: std::collections::BTreeMap<u8, (u64, BackendState)> = Default::default();
         let mut events: Vec<Change<Backend>> = Vec::new();
@@ -219,7 +219,8 @@
     }
 }
 
-/// Steps of the store's evacuations, of two watchers, and of two others that hear now of one and now of another.
+/// Steps of the store's evacuations, of two watchers, and of two other processes that fetch from
+/// any.
 #[derive(Clone, Debug)]
 enum EvacuationStep {
     Set { zone: u8 },
@@ -247,14 +248,14 @@
     }
 }
 
-/// The evacuations of the store, with what it held at each revision.
+/// The evacuations in the store, with its content at each revision.
 #[derive(Default)]
 struct EvacuationStore {
     revision: u64,
     held: std::collections::BTreeMap<u8, u64>,
     events: Vec<Change<Evacuation>>,
     history: std::collections::BTreeMap<u64, Vec<String>>,
-    /// A list that was answered and is still under way.
+    /// A list response that is still in flight.
     underway: Option<(u64, Vec<Change<Evacuation>>)>,
 }
 
@@ -276,8 +277,8 @@
 }
 
 quickcheck! {
-    /// Whatever a process believes of evacuated zones is what the store held at the revision that it names, and
-    /// that revision never falls. So nobody takes back what was true before for what is true now.
+    /// The evacuated zones known to a process are those that the store held at the process's
+    /// revision, and that revision never decreases. So no outdated state replaces a newer one.
     fn what_is_believed_of_evacuations_is_what_the_store_held(steps: Vec<EvacuationStep>) -> bool {
         let mut store = EvacuationStore::default();
         store.step();
@@ -338,7 +339,7 @@
     }
 }
 
-/// What happens: a process was cut off while a zone was evacuated, and is back with what it knew before.
+/// A process is partitioned while a zone is evacuated, and rejoins with its old state.
 #[test]
 fn a_peer_that_was_cut_off_learns_and_takes_nothing_back() {
     let (watcher, other, cut) = (process(), process(), process());
@@ -353,7 +354,7 @@
     assert_eq!(evacuated(&cut), Some(vec!["hall-1".to_owned()]));
 }
 
-/// Nobody is told that no zone is evacuated by a peer that has not heard of any either.
+/// A peer that has received nothing itself must not report that no zone is evacuated.
 #[test]
 fn that_no_zone_is_evacuated_is_news_for_who_has_heard_nothing() {
     let (watcher, new, newer) = (process(), process(), process());
@@ -364,7 +365,8 @@
     assert_eq!(evacuated(&newer), Some(Vec::new()));
 }
 
-/// Each kind of object is as old as whoever knows it best tells, and the whole as old as its oldest kind.
+/// Each kind is as recent as the best source reports, and the whole state is as old as its oldest
+/// kind.
 #[test]
 fn the_age_of_news_is_that_of_the_oldest_kind_and_of_what_is_known_here() {
     let passed = Arc::new(AtomicU64::new(0));
@@ -376,13 +378,13 @@
         let known = watcher.knowledge.borrow().known();
         other.knowledge.borrow_mut().hear_ages(known, ages(&watcher), 100);
     };
-    // Both have run for a while: nothing is older than they are.
+    // Both have run for a while; ages are limited by the time since the start.
     pass(10_000);
     configure(&watcher, 1);
     list(&watcher, 5, vec![change(1, 5, Some(BackendState::Ready))]);
     list_evacuations(&watcher, 5, Vec::new());
-    // Asked now, answered 4 s later: the first told a change, the second that nothing changed for 3 s, the third
-    // came early.
+    // Requested now, answered 4 s later: the first response reports a change, the second that
+    // nothing changed for 3 s, and the third arrives early.
     let asked = Sink::<Backend>::now(&watcher);
     pass(4_000);
     Sink::<Configuration>::answered(&watcher, asked, 3_000);
@@ -392,14 +394,14 @@
     assert_eq!(told.configuration_ms.map(|ms| ms / 500), Some(2));
     assert_eq!(told.backends_ms.map(|ms| ms / 500), Some(8));
     assert_eq!(told.evacuations_ms.map(|ms| ms / 500), Some(8));
-    // What this process has not learnt itself is not made new by who knows it.
+    // State that this process has not received does not become recent because a peer has it.
     hear();
     assert_eq!(freshness.age_ms(), None);
     exchange(&other, &watcher);
     hear();
     let age_ms = freshness.age_ms().expect("an age");
     assert!((4_100..4_600).contains(&age_ms), "{age_ms}");
-    // One kind alone is no proof of the others.
+    // Confirmation of one kind proves nothing about the others.
     pass(2_000);
     Sink::<Backend>::answered(&other, Sink::<Backend>::now(&other), 0);
     assert!(freshness.age_ms().is_some_and(|age_ms| age_ms >= 6_000));
@@ -407,8 +409,8 @@
     assert!(freshness.age_ms().is_some_and(|age_ms| (3_000..4_000).contains(&age_ms)));
 }
 
-/// Steps of a back end that starts again under its id, whose old beats reach the store late, and of processes that
-/// watch, list, and tell each other.
+/// Steps of a back end that restarts under its id, whose old heartbeats reach the store late, and
+/// of processes that watch, list and exchange state.
 #[derive(Clone, Debug)]
 enum LifeStep {
     Beat { life: u64, ready: bool },
@@ -433,8 +435,9 @@
 }
 
 quickcheck! {
-    /// Whatever order news of a back end's lives arrive in, and with whatever revisions, no process goes back from a
-    /// later life to one before, and no neighbour is lost.
+    /// In whatever order and with whatever revisions the records of a back end's incarnations
+    /// arrive, no process goes back from a later incarnation to an earlier one, and no other back
+    /// end is lost.
     fn nobody_goes_back_to_an_older_life(steps: Vec<LifeStep>) -> bool {
         let mut events: Vec<Change<Backend>> = Vec::new();
         let beat = |life: u64, revision: u64, state: BackendState| {
@@ -486,7 +489,7 @@
     }
 }
 
-/// Has a process answer peers, on the present `LocalSet`.
+/// Serves peers from a process, on the current `LocalSet`.
 async fn start_answering(process: &Process) -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -522,8 +525,8 @@
     assert_eq!((error.step, error.peer), ("connect", address));
 }
 
-/// After a restart of all, everybody asks the first who know everything: one that answered all of them at
-/// once would answer none in time.
+/// After a restart of the whole fleet, all processes ask the first ones that have the state.
+/// Serving all of them at once would serve none in time.
 #[tokio::test]
 async fn a_peer_that_answers_many_turns_the_next_one_away_at_once() {
     let local = tokio::task::LocalSet::new();
@@ -531,7 +534,7 @@
         .run_until(async {
             let watcher = process();
             let address = start_answering(&watcher).await;
-            // Peers that ask and then say nothing hold their places.
+            // Peers that connect and send nothing occupy the slots.
             let mut silent = Vec::new();
             for _ in 0..8 {
                 silent.push(tokio::net::TcpStream::connect(address).await.expect("a connection"));
@@ -540,7 +543,7 @@
             let error = fetch(address, request).await.expect_err("turned away");
             assert_ne!(error.step, "await answer");
             drop(silent);
-            // Their places are free again.
+            // The slots are free again.
             let mut answered = false;
             for _ in 0..500 {
                 answered = fetch(address, request).await.is_ok();
@@ -554,7 +557,7 @@
         .await;
 }
 
-/// Found on reading the change again: whoever asked one peer forgot another that knew more.
+/// A process that was asking one peer forgot another that was ahead of it.
 #[tokio::test]
 async fn the_newer_of_two_peers_is_asked_after_the_older() {
     let local = tokio::task::LocalSet::new();
@@ -584,8 +587,8 @@
         .await;
 }
 
-/// Eight askers at once shared a link of 30 Mbit/s for a list of 10,000 back ends each: after 1.5 s all of them gave
-/// up, and asked again.
+/// Eight peers shared a link of 30 Mbit/s, each for a list of 10,000 back ends: after 1.5 s all of
+/// them timed out and asked again.
 #[test]
 fn no_more_whole_lists_are_told_at_once_than_a_link_takes_in_time() {
     const LINK_BYTES_PER_MS: usize = 30_000 / 8;
@@ -604,8 +607,8 @@
     }
 }
 
-/// A service that is replaced changes many times a second, and each change went by an exchange of its own to each of
-/// 986 processes: 119 exchanges for each within 7 s of a start of all.
+/// A service that is being replaced changes many times per second, and each change reached each of
+/// 986 processes by an exchange of its own: 119 exchanges per process within 7 s of a start of all.
 #[tokio::test]
 async fn changes_of_back_ends_are_gathered_where_members_are_many() {
     let local = tokio::task::LocalSet::new();
@@ -635,17 +638,18 @@
             while known(&asking) != known(&told) {
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
-            // The first at once, and one after each rest that has passed.
+            // The first at once, and one after each interval.
             let most = 2 + (began.elapsed().as_millis() / exchange_rest(1_000).as_millis()) as u32;
             assert!(exchanges.get() <= most, "{} exchanges, {most} at most", exchanges.get());
         })
         .await;
-    // Few members exchange each change as soon as it is known.
+    // A small fleet exchanges each change immediately.
     assert!(exchange_rest(11).as_millis() < 3);
     assert_eq!(exchange_rest(2_000), exchange_rest(20_000));
 }
 
-/// A configuration and evacuated zones wait for nothing, also while back ends rest.
+/// A configuration and evacuated zones are not delayed, even during the interval between exchanges
+/// of back ends.
 #[tokio::test]
 async fn a_configuration_does_not_wait_for_back_ends_to_be_gathered() {
     let local = tokio::task::LocalSet::new();
@@ -670,7 +674,7 @@
                 news.hear(Timestamp(1), known(&told), address);
                 tokio::task::yield_now().await;
             }
-            // One that knows less is heard after it, and must not take its place.
+            // A digest that is behind, received afterwards, must not replace it.
             let before = known(&told);
             configure(&told, 7);
             news.hear(Timestamp(1), known(&told), address);
@@ -683,8 +687,8 @@
         .await;
 }
 
-/// After a restart of all nobody served for 8 s and more: back ends came with a list of 1 MB, from few who had read it
-/// to its end in 50 pages.
+/// After a restart of the whole fleet no request was served for 8 s and more: back ends arrived as
+/// a list of 1 MB, from the few processes that had read it to its end in 50 pages.
 #[test]
 fn a_process_that_knows_no_back_ends_is_told_some_first_and_then_all() {
     let (watcher, new) = (process(), process());
@@ -708,7 +712,7 @@
     assert_eq!(held(&new).len(), PART_BACKENDS);
     let knows_some = new.knowledge.borrow().known();
     assert_eq!(knows_some.backends_revision, 0, "nobody takes it for the whole");
-    // Others learn the part from this process, and lose nothing by it.
+    // Others receive the subset from this process and lose nothing by it.
     let third = process();
     apply(&third, Vec::new(), 0);
     let request =
@@ -718,11 +722,11 @@
     assert_eq!(held(&third).len(), PART_BACKENDS);
     assert_eq!(exchange(&third, &process()), 0);
     assert_eq!(held(&third).len(), PART_BACKENDS, "one that knows none takes none away");
-    // Then all come.
+    // Then the whole list arrives.
     let (_, whole) = ask(knows_some);
     assert!(!new.take_news(whole));
     assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
-    // And no part takes any away after that.
+    // A subset removes nothing after that.
     let (_, late) = ask(none.asking_for_part());
     new.take_news(late);
     assert_eq!(held(&new).len(), 10_000);
@@ -739,7 +743,7 @@
     assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
 }
 
-/// Pages of a list that is being read are used before it has been read to its end.
+/// Pages are used before the list has been read to its end.
 #[test]
 fn what_a_page_tells_is_known_before_the_list_is() {
     let process = process();
@@ -752,7 +756,8 @@
     assert_eq!(held(&process).len(), 1, "a page of a list that is older adds nothing");
 }
 
-/// Soon after a start a process without back ends asks peers of its zone for the list; what can't wait comes from any.
+/// Soon after a start, a process without back ends requests the list from peers in its zone; urgent
+/// state comes from any peer.
 #[tokio::test]
 async fn a_configuration_comes_from_another_zone_where_the_list_does_not() {
     let local = tokio::task::LocalSet::new();
@@ -779,7 +784,7 @@
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
             assert_eq!((held(&asking).len(), known(&asking).backends_revision), (PART_BACKENDS, 0));
-            // Another one is known there before the list is.
+            // The next configuration also arrives before the list.
             configure(&told, 8);
             news.hear_far(Timestamp(2), known(&told), address);
             while known(&asking).version != 8 {
