--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -72,7 +72,7 @@
     /// Age of the sender's state.
     pub ages: NewsAges,
     /// TCP port at which peers can fetch the sender's state; 0 if it does not offer this.
-    pub news_port: u16,
+    pub exchange_port: u16,
     /// Digest of the sender's member list.
     pub digest: u64,
     /// Kind of the message, with its content.
@@ -118,7 +118,7 @@
         target: NodeName,
     },
     /// Carries updates only, between probes; the receiver forwards those that are new to it.
-    News,
+    Gossip,
 }
 
 /// An outgoing datagram.
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -20,7 +20,7 @@
 use yokefall_types::NodeName;
 
 use self::digest::ListDigests;
-use self::gossip::NewsQueue;
+use self::gossip::UpdateQueue;
 pub use self::message::{
     Datagram, DatagramKind, MemberRecord, MemberState, NewsAges, ObjectDigest, Outgoing,
 };
@@ -30,9 +30,9 @@
 /// Interval between two probes by one member, in milliseconds.
 pub const PROBE_INTERVAL_MS: u64 = 500;
 /// Time for which a suspect may refute the suspicion, in milliseconds.
-const SUSPICION_MS: u64 = 2_500;
+const SUSPICION_TIMEOUT_MS: u64 = 2_500;
 /// Time for which dead members are retained, in milliseconds.
-const TOMBSTONE_MS: u64 = 600_000;
+const TOMBSTONE_RETENTION_MS: u64 = 600_000;
 /// Interval between join requests to the seeds while no member is known, in milliseconds.
 const JOIN_INTERVAL_MS: u64 = 500;
 /// Interval between join requests to a seed that is not a live member, in milliseconds.
@@ -55,13 +55,13 @@
 /// could revive dead members.
 #[derive(Debug)]
 pub struct Membership {
-    me: MemberRecord,
+    own_record: MemberRecord,
     seeds: Vec<String>,
     members: BTreeMap<NodeName, Entry>,
-    /// Digests of `members` and `me`. Invariant: updated with each change of a record.
+    /// Digests of `members` and `own_record`. Invariant: updated with each change of a record.
     digests: ListDigests,
     next_expiry_at: Timestamp,
-    news: NewsQueue,
+    updates: UpdateQueue,
     next_gossip_at: Timestamp,
     order: Vec<NodeName>,
     probes: Vec<Probe>,
@@ -73,28 +73,28 @@
     next_exchange_at: Timestamp,
     exchanges: u64,
     /// Whether members have been discovered since the last comparison of lists.
-    learnt_of_members: bool,
+    discovered_members: bool,
     /// Time of the first call of `tick`.
     started_at: Option<Timestamp>,
     configuration_version: u64,
     backends: ObjectDigest,
     evacuations: ObjectDigest,
     ages: NewsAges,
-    news_port: u16,
-    generator: SmallRng,
+    exchange_port: u16,
+    rng: SmallRng,
     changed: bool,
 }
 
 impl Membership {
     /// Creates a member list that contains only this member and its seeds.
-    pub fn new(me: MemberRecord, seeds: Vec<String>, seed: u64) -> Self {
+    pub fn new(own_record: MemberRecord, seeds: Vec<String>, seed: u64) -> Self {
         let mut membership = Self {
-            seeds: seeds.into_iter().filter(|address| *address != me.address).collect(),
-            me,
+            seeds: seeds.into_iter().filter(|address| *address != own_record.address).collect(),
+            own_record,
             members: BTreeMap::new(),
             digests: ListDigests::default(),
             next_expiry_at: Timestamp(0),
-            news: NewsQueue::default(),
+            updates: UpdateQueue::default(),
             next_gossip_at: Timestamp(0),
             order: Vec::new(),
             probes: Vec::new(),
@@ -105,25 +105,26 @@
             next_repair_at: Timestamp(0),
             next_exchange_at: Timestamp(0),
             exchanges: 0,
-            learnt_of_members: false,
+            discovered_members: false,
             started_at: None,
             configuration_version: 0,
             backends: ObjectDigest::default(),
             evacuations: ObjectDigest::default(),
             ages: NewsAges::default(),
-            news_port: 0,
-            generator: SmallRng::seed_from_u64(seed),
+            exchange_port: 0,
+            rng: SmallRng::seed_from_u64(seed),
             changed: true,
         };
-        membership.digests.add(&membership.me);
-        let me = membership.me.clone();
-        membership.spread(me);
+        membership.digests.add(&membership.own_record);
+        let own_record = membership.own_record.clone();
+        membership.queue_update(own_record);
         membership
     }
 
     /// Replaces the seeds; known members stay.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
-        self.seeds = seeds.into_iter().filter(|address| *address != self.me.address).collect();
+        self.seeds =
+            seeds.into_iter().filter(|address| *address != self.own_record.address).collect();
         self.next_join_at = Timestamp(0);
     }
 
@@ -160,8 +161,8 @@
     }
 
     /// Sets the TCP port at which peers can fetch the local state.
-    pub fn set_news_port(&mut self, port: u16) {
-        self.news_port = port;
+    pub fn set_exchange_port(&mut self, port: u16) {
+        self.exchange_port = port;
     }
 
     /// Whether the list of usable members changed since the last call.
@@ -170,8 +171,8 @@
     }
 
     /// Whether a member is known to be in the own zone.
-    pub fn is_near(&self, node: &NodeName) -> bool {
-        self.members.get(node).is_some_and(|entry| entry.record.zone == self.me.zone)
+    pub fn is_in_own_zone(&self, node: &NodeName) -> bool {
+        self.members.get(node).is_some_and(|entry| entry.record.zone == self.own_record.zone)
     }
 
     /// Whether `take_changed` would return true.
@@ -182,16 +183,16 @@
     /// Announces that this member is shutting down or gone.
     pub fn announce(&mut self, state: MemberState) {
         self.changed = true;
-        self.change_own_record(self.me.incarnation + 1, state);
+        self.change_own_record(self.own_record.incarnation + 1, state);
     }
 
     fn change_own_record(&mut self, incarnation: u64, state: MemberState) {
-        self.digests.remove(&self.me);
-        self.me.incarnation = incarnation;
-        self.me.state = state;
-        self.digests.add(&self.me);
-        let me = self.me.clone();
-        self.spread(me);
+        self.digests.remove(&self.own_record);
+        self.own_record.incarnation = incarnation;
+        self.own_record.state = state;
+        self.digests.add(&self.own_record);
+        let own_record = self.own_record.clone();
+        self.queue_update(own_record);
     }
 
     /// Returns datagrams that announce the own state to every member.
@@ -204,8 +205,8 @@
     /// Returns datagrams that announce the local state to a few random members: `near` of the own
     /// zone, where traffic is not billed, and `far` of other zones.
     pub fn tell_some(&mut self, near: usize, far: usize) -> Vec<Outgoing> {
-        let drawn = self.draw(near, far);
-        drawn.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
+        let chosen = self.choose_members(near, far);
+        chosen.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
     }
 
     /// Returns datagrams that broadcast a message to every member. They carry no updates, so that
@@ -221,7 +222,7 @@
     }
 
     /// Returns datagrams that tell the named members that this one watches the platform's store.
-    pub fn tell_watching(&mut self, names: &[String]) -> Vec<Outgoing> {
+    pub fn announce_watching(&mut self, names: &[String]) -> Vec<Outgoing> {
         let named = |entry: &&Entry| names.iter().any(|name| name == entry.record.node.as_str());
         let addresses: Vec<String> =
             self.live().filter(named).map(|entry| entry.record.address.clone()).collect();
@@ -234,8 +235,8 @@
 
     /// Returns the members that are not dead, including this one, ordered by name.
     pub fn members(&self) -> Vec<MemberInfo> {
-        let mut members: Vec<MemberInfo> = self.live().map(|e| info(&e.record)).collect();
-        members.push(info(&self.me));
+        let mut members: Vec<MemberInfo> = self.live().map(|e| member_info(&e.record)).collect();
+        members.push(member_info(&self.own_record));
         members.sort_by(|left, right| left.node.cmp(&right.node));
         members
     }
@@ -247,7 +248,7 @@
             .values()
             .map(|entry| (entry.record.clone(), entry.configuration_version))
             .collect();
-        all.push((self.me.clone(), self.configuration_version));
+        all.push((self.own_record.clone(), self.configuration_version));
         all.sort_by(|left, right| left.0.node.cmp(&right.0.node));
         all
     }
@@ -290,20 +291,20 @@
             return;
         }
         self.next_expiry_at = now.plus_millis(EXPIRY_INTERVAL_MS);
-        let lapsed = |entry: &&Entry| {
+        let expired = |entry: &&Entry| {
             entry.record.state == MemberState::Suspect
-                && now.millis_since(entry.since) >= SUSPICION_MS
+                && now.millis_since(entry.since) >= SUSPICION_TIMEOUT_MS
         };
         let dead: Vec<MemberRecord> =
-            self.members.values().filter(lapsed).map(|e| e.record.clone()).collect();
+            self.members.values().filter(expired).map(|e| e.record.clone()).collect();
         for mut record in dead {
             record.state = MemberState::Dead;
-            self.take(now, record, true);
+            self.merge(now, record, true);
         }
         let digests = &mut self.digests;
         self.members.retain(|_, entry| {
             let stays = entry.record.state != MemberState::Dead
-                || now.millis_since(entry.since) < TOMBSTONE_MS;
+                || now.millis_since(entry.since) < TOMBSTONE_RETENTION_MS;
             if !stays {
                 digests.remove(&entry.record);
             }
@@ -314,9 +315,9 @@
     /// Processes a datagram.
     pub fn receive(&mut self, now: Timestamp, datagram: Datagram, source: &str) -> Vec<Outgoing> {
         // Lists are sent only on request of this member; other members have their content already.
-        let is_news = datagram.kind != DatagramKind::Members;
+        let is_update = datagram.kind != DatagramKind::Members;
         for record in datagram.updates {
-            self.take(now, record, is_news);
+            self.merge(now, record, is_update);
         }
         if let Some(entry) = self.members.get_mut(&datagram.from) {
             entry.configuration_version =
@@ -330,15 +331,15 @@
     fn answer(&mut self, now: Timestamp, kind: DatagramKind, source: &str) -> Vec<Outgoing> {
         match kind {
             DatagramKind::Join => {
-                let members = self.first_members();
-                self.list(source, members)
+                let members = self.join_sample();
+                self.split_into_datagrams(source, members)
             }
             DatagramKind::Repair { buckets } => {
-                let members = self.differing(&buckets);
-                self.list(source, members)
+                let members = self.differing_records(&buckets);
+                self.split_into_datagrams(source, members)
             }
             DatagramKind::Members
-            | DatagramKind::News
+            | DatagramKind::Gossip
             | DatagramKind::Watching
             | DatagramKind::Notice { .. } => Vec::new(),
             DatagramKind::Ping { sequence } => {
@@ -353,12 +354,12 @@
 
     fn datagram(&self, kind: DatagramKind, updates: Vec<MemberRecord>) -> Datagram {
         Datagram {
-            from: self.me.node.clone(),
+            from: self.own_record.node.clone(),
             configuration_version: self.configuration_version,
             backends: self.backends,
             evacuations: self.evacuations,
             ages: self.ages,
-            news_port: self.news_port,
+            exchange_port: self.exchange_port,
             digest: self.digest(),
             kind,
             updates,
@@ -366,8 +367,8 @@
     }
 
     /// Merges a record of a member, and forwards it if it is an update.
-    fn take(&mut self, now: Timestamp, record: MemberRecord, is_news: bool) {
-        if record.node == self.me.node {
+    fn merge(&mut self, now: Timestamp, record: MemberRecord, is_update: bool) {
+        if record.node == self.own_record.node {
             self.refute(&record);
             return;
         }
@@ -381,39 +382,40 @@
             return;
         }
         let held = self.members.get(&record.node);
-        self.changed |= held.map(|entry| told(&entry.record)) != Some(told(&record));
+        self.changed |=
+            held.map(|entry| visible_state(&entry.record)) != Some(visible_state(&record));
         let configuration_version = held.map_or(0, |entry| entry.configuration_version);
         let entry = Entry { record: record.clone(), since: now, configuration_version };
         self.digests.add(&record);
         match self.members.insert(record.node.clone(), entry) {
             Some(before) => self.digests.remove(&before.record),
-            None => self.learnt_of_members = true,
+            None => self.discovered_members = true,
         }
-        if is_news {
-            self.spread(record);
+        if is_update {
+            self.queue_update(record);
         }
     }
 
     /// A wrong record of this member is refuted with a higher incarnation.
     fn refute(&mut self, record: &MemberRecord) {
-        let wrong = record.incarnation >= self.me.incarnation && *record != self.me;
+        let wrong = record.incarnation >= self.own_record.incarnation && *record != self.own_record;
         if wrong {
-            self.change_own_record(record.incarnation + 1, self.me.state);
+            self.change_own_record(record.incarnation + 1, self.own_record.state);
         }
     }
 
     fn outgoing(&mut self, to: String, kind: DatagramKind) -> Outgoing {
-        let mut updates = self.news.next();
+        let mut updates = self.updates.next();
         if matches!(kind, DatagramKind::Join | DatagramKind::Members)
-            && !updates.iter().any(|record| record.node == self.me.node)
+            && !updates.iter().any(|record| record.node == self.own_record.node)
         {
-            updates.push(self.me.clone());
+            updates.push(self.own_record.clone());
         }
         Outgoing { to, datagram: self.datagram(kind, updates) }
     }
 }
 
-fn info(record: &MemberRecord) -> MemberInfo {
+fn member_info(record: &MemberRecord) -> MemberInfo {
     MemberInfo {
         node: record.node.clone(),
         incarnation: record.incarnation,
@@ -427,6 +429,6 @@
 
 /// The part of a record that is visible to the application: all members but the dead, with their
 /// state.
-fn told(record: &MemberRecord) -> Option<(MemberInfo, MemberState)> {
-    (record.state != MemberState::Dead).then(|| (info(record), record.state))
+fn visible_state(record: &MemberRecord) -> Option<(MemberInfo, MemberState)> {
+    (record.state != MemberState::Dead).then(|| (member_info(record), record.state))
 }
--- a/crates/core/src/membership/probes.rs
+++ b/crates/core/src/membership/probes.rs
@@ -12,7 +12,7 @@
 /// Interval between probes while one is unanswered, in milliseconds: if one member failed, others
 /// of its zone may have failed too. At the regular interval it took 3 s to detect the failure of a
 /// third of 30, 100 or 300 members.
-const HURRIED_INTERVAL_MS: u64 = 100;
+const FAST_PROBE_INTERVAL_MS: u64 = 100;
 /// Number of members asked to probe one that did not answer.
 const INDIRECT_PROBES: usize = 3;
 
@@ -38,11 +38,11 @@
 impl Membership {
     /// Advances the probes in flight and starts the next one.
     pub(super) fn probe(&mut self, now: Timestamp) -> Vec<Outgoing> {
-        let mut outgoing = self.ask_others(now);
-        self.conclude_probes(now);
+        let mut outgoing = self.start_indirect_probes(now);
+        self.finish_probes(now);
         if self.next_probe_at <= now {
-            let hurried = self.probes.iter().any(|probe| probe.indirect);
-            let interval = if hurried { HURRIED_INTERVAL_MS } else { PROBE_INTERVAL_MS };
+            let is_fast = self.probes.iter().any(|probe| probe.indirect);
+            let interval = if is_fast { FAST_PROBE_INTERVAL_MS } else { PROBE_INTERVAL_MS };
             self.next_probe_at = now.plus_millis(interval);
             outgoing.extend(self.begin_probe(now));
         }
@@ -73,7 +73,7 @@
         loop {
             if self.order.is_empty() {
                 self.order = self.live().map(|entry| entry.record.node.clone()).collect();
-                self.order.shuffle(&mut self.generator);
+                self.order.shuffle(&mut self.rng);
             }
             let target = self.order.pop()?;
             if self.members.get(&target).is_some_and(|e| e.record.state != MemberState::Dead) {
@@ -83,7 +83,7 @@
     }
 
     /// Requests indirect probes of members that did not answer, and shortens the probe interval.
-    fn ask_others(&mut self, now: Timestamp) -> Vec<Outgoing> {
+    fn start_indirect_probes(&mut self, now: Timestamp) -> Vec<Outgoing> {
         let is_due = |probe: &&mut Probe| {
             !probe.indirect && now.millis_since(probe.sent_at) >= PROBE_TIMEOUT_MS
         };
@@ -105,7 +105,7 @@
             .map(|entry| entry.record.address.clone())
             .collect();
         let chosen: Vec<String> =
-            helpers.choose_multiple(&mut self.generator, INDIRECT_PROBES).cloned().collect();
+            helpers.choose_multiple(&mut self.rng, INDIRECT_PROBES).cloned().collect();
         let kind =
             DatagramKind::PingRequest { sequence: probe.sequence, target: probe.target.clone() };
         let mut outgoing: Vec<Outgoing> =
@@ -119,17 +119,17 @@
         outgoing
     }
 
-    fn conclude_probes(&mut self, now: Timestamp) {
-        let lapsed = |probe: &Probe| now.millis_since(probe.sent_at) >= PROBE_INTERVAL_MS;
-        let (ended, open) = std::mem::take(&mut self.probes).into_iter().partition(lapsed);
+    fn finish_probes(&mut self, now: Timestamp) {
+        let expired = |probe: &Probe| now.millis_since(probe.sent_at) >= PROBE_INTERVAL_MS;
+        let (ended, open) = std::mem::take(&mut self.probes).into_iter().partition(expired);
         self.probes = open;
         let ended: Vec<Probe> = ended;
         for probe in ended {
-            self.conclude(now, &probe);
+            self.finish_probe(now, &probe);
         }
     }
 
-    fn conclude(&mut self, now: Timestamp, probe: &Probe) {
+    fn finish_probe(&mut self, now: Timestamp, probe: &Probe) {
         let Some(entry) = self.members.get(&probe.target) else { return };
         if !matches!(entry.record.state, MemberState::Alive | MemberState::Leaving) {
             return;
@@ -139,7 +139,7 @@
         // work.
         let leaving = record.state == MemberState::Leaving;
         record.state = if leaving { MemberState::Dead } else { MemberState::Suspect };
-        self.take(now, record, true);
+        self.merge(now, record, true);
     }
 
     /// Processes an acknowledgement of a probe by this member, or of one made for another.
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -33,7 +33,7 @@
     now: u64,
     queue: VecDeque<(u64, usize, Outgoing)>,
     loss: f64,
-    cut: HashSet<usize>,
+    partitioned: HashSet<usize>,
     /// Paused members neither send nor receive.
     frozen: HashSet<usize>,
     generator: SmallRng,
@@ -49,7 +49,7 @@
             now: 1,
             queue: VecDeque::new(),
             loss,
-            cut: HashSet::new(),
+            partitioned: HashSet::new(),
             frozen: HashSet::new(),
             generator: SmallRng::seed_from_u64(5),
             by_address: (0..size).map(|n| (address(n), n)).collect(),
@@ -88,9 +88,12 @@
             while self.queue.front().is_some_and(|(at, ..)| *at < self.now + STEP_MS) {
                 let Some((at, from, outgoing)) = self.queue.pop_front() else { break };
                 let target = self.by_address[&outgoing.to];
-                let parted = self.cut.contains(&from) != self.cut.contains(&target)
+                let is_dropped = self.partitioned.contains(&from)
+                    != self.partitioned.contains(&target)
                     || self.frozen.contains(&target);
-                let Some(node) = self.nodes[target].as_mut().filter(|_| !parted) else { continue };
+                let Some(node) = self.nodes[target].as_mut().filter(|_| !is_dropped) else {
+                    continue;
+                };
                 let replies = node.receive(Timestamp(at), outgoing.datagram, &address(from));
                 self.send(at, target, replies);
             }
@@ -99,7 +102,7 @@
         }
     }
 
-    fn live_at(&self, number: usize) -> HashSet<String> {
+    fn live_members_at(&self, number: usize) -> HashSet<String> {
         let node = self.nodes[number].as_ref().expect("the node runs");
         node.members().into_iter().map(|member| member.node.to_string()).collect()
     }
@@ -108,26 +111,26 @@
         (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).collect()
     }
 
-    fn all_see(&self, wanted: usize) -> bool {
-        self.running().into_iter().all(|number| self.live_at(number).len() == wanted)
+    fn all_list(&self, expected: usize) -> bool {
+        self.running().into_iter().all(|number| self.live_members_at(number).len() == expected)
     }
 }
 
 #[test]
-fn a_death_is_acted_on_everywhere_within_five_seconds() {
+fn a_failure_is_known_everywhere_within_five_seconds() {
     let mut fleet = Fleet::new(40, 0.01);
     fleet.run(20_000, |_| {});
-    assert!(fleet.all_see(40));
+    assert!(fleet.all_list(40));
     fleet.nodes[7] = None;
     fleet.run(5_000, |_| {});
-    assert!(fleet.all_see(39));
+    assert!(fleet.all_list(39));
 }
 
 #[test]
-fn nobody_who_lives_is_evicted_at_one_percent_loss() {
+fn no_live_member_is_evicted_at_one_percent_loss() {
     let mut fleet = Fleet::new(20, 0.01);
     fleet.run(20_000, |_| {});
-    fleet.run(10 * MINUTE_MS, |fleet| assert!(fleet.all_see(20)));
+    fleet.run(10 * MINUTE_MS, |fleet| assert!(fleet.all_list(20)));
 }
 
 #[test]
@@ -136,49 +139,49 @@
     fleet.run(20_000, |_| {});
     let others = |fleet: &Fleet| {
         let running = fleet.running().into_iter().filter(|number| *number != 4);
-        running.map(|number| fleet.live_at(number).len()).collect::<Vec<usize>>()
+        running.map(|number| fleet.live_members_at(number).len()).collect::<Vec<usize>>()
     };
     fleet.frozen.insert(4);
     fleet.run(2_000, |fleet| assert_eq!(others(fleet), vec![20; 19]));
     fleet.frozen.clear();
     fleet.run(10_000, |fleet| assert_eq!(others(fleet), vec![20; 19]));
-    assert!(fleet.all_see(20));
+    assert!(fleet.all_list(20));
 }
 
 #[test]
-fn a_restart_is_seen_and_old_news_of_the_death_stays_old() {
+fn a_restart_overrides_older_updates_of_the_failure() {
     let mut fleet = Fleet::new(12, 0.0);
     fleet.run(10_000, |_| {});
     fleet.nodes[5] = None;
     fleet.run(6_000, |_| {});
-    assert!(fleet.all_see(11));
+    assert!(fleet.all_list(11));
     let restarted = fleet.member(5, 2);
     fleet.nodes[5] = Some(restarted);
     fleet.run(10_000, |_| {});
-    assert!(fleet.all_see(12));
+    assert!(fleet.all_list(12));
 }
 
 #[test]
-fn two_halves_come_together_after_a_cut() {
+fn a_partitioned_fleet_merges_again() {
     let mut fleet = Fleet::new(12, 0.0);
     fleet.run(10_000, |_| {});
-    fleet.cut = (6..12).collect();
+    fleet.partitioned = (6..12).collect();
     fleet.run(30_000, |_| {});
-    assert!(fleet.all_see(6));
-    fleet.cut.clear();
+    assert!(fleet.all_list(6));
+    fleet.partitioned.clear();
     fleet.run(20_000, |_| {});
-    assert!(fleet.all_see(12));
+    assert!(fleet.all_list(12));
 }
 
 #[test]
-fn a_fleet_that_starts_at_once_comes_together() {
+fn a_fleet_that_starts_at_once_converges() {
     let mut fleet = Fleet::new(150, 0.01);
     fleet.run(20_000, |_| {});
-    assert!(fleet.all_see(150));
+    assert!(fleet.all_list(150));
 }
 
 /// Share of the records of ended members, over all live members, that still say alive.
-fn believed_alive(fleet: &Fleet, ended: &[usize]) -> f64 {
+fn share_seen_alive(fleet: &Fleet, ended: &[usize]) -> f64 {
     let names: HashSet<String> = ended.iter().map(|n| record(*n, 1).node.to_string()).collect();
     let of_ended = |number: usize| {
         let node = fleet.nodes[number].as_ref().expect("the node runs");
@@ -194,17 +197,20 @@
 /// piggybacked on probes alone, eight at a time, a hundred failures queued up, and clients were
 /// sent to gateways of the failed zone for 5 s and more.
 #[test]
-fn a_lost_zone_is_left_out_as_soon_in_a_large_fleet_as_in_a_small_one() {
+fn a_failed_zone_is_detected_as_fast_in_a_large_fleet_as_in_a_small_one() {
     for size in [30, 100, 300] {
         let mut fleet = Fleet::new(size, 0.01);
         fleet.run(15_000, |_| {});
-        let lost: Vec<usize> = (0..size).filter(|number| number % 3 == 1).collect();
-        for number in &lost {
+        let failed: Vec<usize> = (0..size).filter(|number| number % 3 == 1).collect();
+        for number in &failed {
             fleet.nodes[*number] = None;
         }
         fleet.run(3_000, |_| {});
-        let share = believed_alive(&fleet, &lost);
-        assert!(share < 0.05, "{size} members: {share} of the lost count as alive after 3 s");
+        let share = share_seen_alive(&fleet, &failed);
+        assert!(
+            share < 0.05,
+            "{size} members: {share} of the failed members are listed as alive after 3 s"
+        );
     }
 }
 
@@ -212,7 +218,7 @@
 /// gateways knew no job store for 1.9 s and rejected requests because they could not reach the
 /// rate-limit accounting.
 #[test]
-fn restarted_members_know_those_that_stayed_within_a_second() {
+fn restarted_members_discover_the_others_within_a_second() {
     for (size, staying) in [(30, 5), (100, 16), (300, 48)] {
         let mut fleet = Fleet::new(size, 0.01);
         fleet.run(15_000, |_| {});
@@ -223,7 +229,7 @@
         fleet.run(1_000, |_| {});
         let stayed: HashSet<String> =
             (size - staying..size).map(|number| record(number, 1).node.to_string()).collect();
-        let knows_none = |number: &usize| fleet.live_at(*number).is_disjoint(&stayed);
+        let knows_none = |number: &usize| fleet.live_members_at(*number).is_disjoint(&stayed);
         let without = (0..size - staying).filter(knows_none).count();
         assert_eq!(without, 0, "of {size} members");
     }
@@ -232,20 +238,20 @@
 /// All processes start at once. Discovery was so slow that the job stores needed 5.7 s to find each
 /// other and elect a leader.
 #[test]
-fn two_hundred_that_start_at_once_know_each_other_within_two_seconds() {
+fn two_hundred_members_converge_within_two_seconds_of_a_start() {
     let mut fleet = Fleet::new(195, 0.01);
-    let mut together_at = None;
+    let mut converged_at = None;
     fleet.run(8_000, |fleet| {
-        if together_at.is_none() && fleet.all_see(195) {
-            together_at = Some(fleet.now);
+        if converged_at.is_none() && fleet.all_list(195) {
+            converged_at = Some(fleet.now);
         }
     });
-    let at = together_at.expect("they come together");
+    let at = converged_at.expect("the fleet converges");
     assert!(at <= 2_000, "after {at} ms");
 }
 
 #[test]
-fn a_leaving_member_is_known_as_such_before_it_is_gone() {
+fn a_leaving_member_is_marked_before_it_is_gone() {
     let mut fleet = Fleet::new(10, 0.0);
     fleet.run(10_000, |_| {});
     let farewell = {
@@ -258,8 +264,8 @@
     fleet.run(100, |_| {});
     for number in fleet.running() {
         let node = fleet.nodes[number].as_ref().expect("the node runs");
-        let leaver = node.members().into_iter().find(|m| m.node.as_str() == "daemon-3");
-        assert!(leaver.is_some_and(|member| !member.accepting));
+        let leaving_member = node.members().into_iter().find(|m| m.node.as_str() == "daemon-3");
+        assert!(leaving_member.is_some_and(|member| !member.accepting));
     }
 }
 
@@ -267,7 +273,7 @@
 /// once, as in the loss of a region, must not be listed any more three seconds after the platform
 /// knows of it.
 #[test]
-fn nobody_counts_a_lost_third_of_a_fleet_as_alive_after_seven_seconds() {
+fn a_failed_third_of_a_fleet_is_not_listed_as_alive_after_seven_seconds() {
     let mut fleet = Fleet::new(91, 0.01);
     fleet.run(20_000, |_| {});
     for number in (0..91).step_by(3) {
@@ -280,7 +286,7 @@
         let alive = alive.filter(|record| record.state == MemberState::Alive);
         let named: Vec<String> =
             alive.filter(is_third).map(|record| record.node.to_string()).collect();
-        assert!(named.is_empty(), "{number} still counts {named:?}");
+        assert!(named.is_empty(), "{number} still lists {named:?}");
     }
 }
 
@@ -292,10 +298,10 @@
 
 /// Bytes and datagrams sent by the members of a fleet in the ten seconds after a simultaneous
 /// start: the mean, and those of the member that sends most.
-fn cost_of_a_start(size: usize) -> ((usize, usize), (usize, usize)) {
+fn start_cost(size: usize) -> ((usize, usize), (usize, usize)) {
     let mut fleet = Fleet::new(size, 0.01);
     fleet.run(10_000, |_| {});
-    assert!(fleet.all_see(size), "{size} members know each other");
+    assert!(fleet.all_list(size), "{size} members discover each other");
     let sum = |pick: fn(&(usize, usize)) -> usize| fleet.sent.iter().map(pick).sum::<usize>();
     let mean = (sum(|sent| sent.0) / size, sum(|sent| sent.1) / size);
     (mean, fleet.sent.iter().copied().max().expect("a member"))
@@ -305,9 +311,9 @@
 /// with the square of the fleet: 99 MB within ten seconds of a start of 1,000 members, for which a
 /// link of 30 Mbit/s needs 26 s.
 #[test]
-fn a_start_of_all_costs_a_seed_no_more_than_its_members_grow() {
-    let (_, small) = cost_of_a_start(100);
-    let (mean, large) = cost_of_a_start(400);
+fn the_cost_of_a_start_for_seeds_grows_linearly_with_the_fleet() {
+    let (_, small) = start_cost(100);
+    let (mean, large) = start_cost(400);
     assert!(large.0 <= small.0 * 6, "the busiest sent {small:?} among 100, {large:?} among 400");
     assert!(large.0 <= mean.0 * 20, "the busiest sent {large:?} where the mean is {mean:?}");
 }
--- a/crates/serving/src/ages.rs
+++ b/crates/serving/src/ages.rs
@@ -35,7 +35,7 @@
 
 /// For each kind, the latest time at which the store is known to have held the local state.
 #[derive(Debug)]
-pub struct Ages {
+pub struct AgeTracker {
     clock: ElapsedClock,
     configuration: Option<Timestamp>,
     backends: Option<Timestamp>,
@@ -45,7 +45,7 @@
     freshness: Freshness,
 }
 
-impl Ages {
+impl AgeTracker {
     /// Creates a tracker with nothing confirmed yet.
     pub fn new(freshness: Freshness, follows_evacuations: bool) -> Self {
         Self {
@@ -64,22 +64,22 @@
     }
 
     /// Records that the store held the local state of `kind` `age_ms` milliseconds ago.
-    pub fn note(&mut self, kind: Followed, age_ms: u64) {
+    pub fn record(&mut self, kind: Followed, age_ms: u64) {
         // Nothing was known here before this clock started, so the time is clamped at 0.
         let at = Timestamp(self.clock.now().0.saturating_sub(age_ms));
-        let held = match kind {
+        let latest = match kind {
             Followed::Configuration => &mut self.configuration,
             Followed::Backends => &mut self.backends,
             Followed::Evacuations => &mut self.evacuations,
         };
-        *held = (*held).max(Some(at));
+        *latest = (*latest).max(Some(at));
         if let Some(oldest) = self.oldest() {
             self.freshness.note(self.clock.now().millis_since(oldest));
         }
     }
 
     /// Returns the ages to advertise to peers.
-    pub fn told(&self) -> NewsAges {
+    pub fn snapshot(&self) -> NewsAges {
         let now = self.clock.now();
         let age =
             |at: Option<Timestamp>| at.and_then(|at| u32::try_from(now.millis_since(at)).ok());
--- a/crates/serving/src/catalog.rs
+++ b/crates/serving/src/catalog.rs
@@ -9,7 +9,7 @@
 use yokefall_types::{KeyIndex, Tenant, TenantName};
 
 use crate::backend_table::BackendTable;
-use crate::catalog_lists::{Lists, TakenLists};
+use crate::catalog_lists::{BackendLists, ListUpdates};
 use crate::eligibility::{Residency, ZoneMap};
 use crate::model::{Backend, BackendLife, BackendState, Configuration, Route};
 use crate::objects::Changed;
@@ -26,9 +26,9 @@
     /// Tenants by API key; `None` if the configuration has none.
     pub tenants: Option<Arc<KeyIndex<Arc<Tenant>>>>,
     /// Back ends that accept work, by service.
-    pub(crate) ready: Lists,
+    pub(crate) ready: BackendLists,
     /// The same by service and region, for requests restricted to certain regions.
-    pub(crate) ready_by_region: HashMap<String, Lists>,
+    pub(crate) ready_by_region: HashMap<String, BackendLists>,
     /// All back ends by id, including those that accept no work.
     pub known: BackendTable,
     /// Whether only a subset of the back ends is known so far.
@@ -64,9 +64,9 @@
     pub fn with_zones<'a>(
         configuration: Option<Arc<Configuration>>,
         backends: impl Iterator<Item = &'a Arc<Backend>>,
-        facts: ZoneFacts,
+        zone_state: ZoneFacts,
     ) -> Self {
-        let ZoneFacts { evacuated, zones } = facts;
+        let ZoneFacts { evacuated, zones } = zone_state;
         let catalog = Self { known: backends.collect(), evacuated, zones, ..Self::default() };
         catalog.with_configuration(configuration).with_lists()
     }
@@ -79,8 +79,8 @@
     }
 
     /// Replaces the zone data and re-evaluates every back end.
-    pub fn with_zone_facts(self, facts: ZoneFacts) -> Self {
-        let ZoneFacts { evacuated, zones } = facts;
+    pub fn with_zone_state(self, zone_state: ZoneFacts) -> Self {
+        let ZoneFacts { evacuated, zones } = zone_state;
         Self { evacuated, zones, awaits_evacuations: false, ..self }.with_lists()
     }
 
@@ -99,8 +99,8 @@
         if self.awaits_evacuations {
             return self;
         }
-        let is_listed = |backend: &&Arc<Backend>| takes_work(backend, &self.evacuated);
-        let mut lists = TakenLists::default();
+        let is_listed = |backend: &&Arc<Backend>| accepts_work(backend, &self.evacuated);
+        let mut lists = ListUpdates::default();
         // Changes are applied in order because one batch may add and remove the same back end.
         for change in changes {
             if let Some(before) = change.before.as_ref().filter(is_listed) {
@@ -110,7 +110,7 @@
                 lists.insert(&self, after);
             }
         }
-        lists.put_into(&mut self);
+        lists.store_into(&mut self);
         self
     }
 
@@ -118,17 +118,18 @@
     fn with_lists(mut self) -> Self {
         self.ready.clear();
         self.ready_by_region.clear();
-        let mut lists = TakenLists::default();
-        for backend in self.known.values().filter(|backend| takes_work(backend, &self.evacuated)) {
+        let mut lists = ListUpdates::default();
+        for backend in self.known.values().filter(|backend| accepts_work(backend, &self.evacuated))
+        {
             lists.insert(&self, backend);
         }
-        lists.put_into(&mut self);
+        lists.store_into(&mut self);
         self
     }
 
     /// Marks the set of evacuated zones as unknown. A process that starts during an evacuation may
     /// receive the configuration and back ends before it learns of the evacuation.
-    pub fn awaiting_evacuations(mut self) -> Self {
+    pub fn with_evacuations_unknown(mut self) -> Self {
         self.ready.clear();
         self.ready_by_region.clear();
         self.awaits_evacuations = true;
@@ -193,8 +194,8 @@
     /// Whether a back end accepts work.
     pub fn is_ready(&self, id: &str) -> bool {
         self.known.get(id).is_some_and(|backend| {
-            let takes_work = backend.state == BackendState::Ready && !self.awaits_evacuations;
-            takes_work && !self.is_evacuated(&backend.zone)
+            let accepts_work = backend.state == BackendState::Ready && !self.awaits_evacuations;
+            accepts_work && !self.is_evacuated(&backend.zone)
         })
     }
 
@@ -259,7 +260,7 @@
 }
 
 /// Whether a back end may receive new work.
-fn takes_work(backend: &Backend, evacuated: &BTreeSet<String>) -> bool {
+fn accepts_work(backend: &Backend, evacuated: &BTreeSet<String>) -> bool {
     backend.state == BackendState::Ready && !evacuated.contains(&backend.zone)
 }
 
--- a/crates/serving/src/catalog_lists.rs
+++ b/crates/serving/src/catalog_lists.rs
@@ -8,28 +8,28 @@
 use crate::model::Backend;
 
 /// Back ends that accept work, by service or by region.
-pub(crate) type Lists = HashMap<String, Arc<BackendList>>;
+pub(crate) type BackendLists = HashMap<String, Arc<BackendList>>;
 
 /// Lists being modified; each is copied from the catalog on first access.
 #[derive(Default)]
-pub(crate) struct TakenLists {
+pub(crate) struct ListUpdates {
     services: HashMap<String, BackendTable>,
     regions: HashMap<(String, String), BackendTable>,
 }
 
-impl TakenLists {
+impl ListUpdates {
     /// Adds a back end to the lists that it belongs to.
     pub(crate) fn insert(&mut self, catalog: &Catalog, backend: &Arc<Backend>) {
-        self.each_of(catalog, backend, |table| table.insert(backend.clone()));
+        self.update_lists(catalog, backend, |table| table.insert(backend.clone()));
     }
 
     /// Removes a back end from the lists that it belongs to.
     pub(crate) fn remove(&mut self, catalog: &Catalog, backend: &Arc<Backend>) {
-        self.each_of(catalog, backend, |table| table.remove(&backend.id));
+        self.update_lists(catalog, backend, |table| table.remove(&backend.id));
     }
 
     /// Applies a change to each list that a back end belongs to.
-    fn each_of(
+    fn update_lists(
         &mut self,
         catalog: &Catalog,
         backend: &Backend,
@@ -46,17 +46,17 @@
     }
 
     /// Stores the modified lists in the catalog and drops empty ones.
-    pub(crate) fn put_into(self, catalog: &mut Catalog) {
-        put(&mut catalog.ready, self.services.into_iter());
+    pub(crate) fn store_into(self, catalog: &mut Catalog) {
+        store_lists(&mut catalog.ready, self.services.into_iter());
         for ((service, region), table) in self.regions {
             let lists = catalog.ready_by_region.entry(service).or_default();
-            put(lists, std::iter::once((region, table)));
+            store_lists(lists, std::iter::once((region, table)));
         }
         catalog.ready_by_region.retain(|_, lists| !lists.is_empty());
     }
 }
 
-fn put(lists: &mut Lists, changed: impl Iterator<Item = (String, BackendTable)>) {
+fn store_lists(lists: &mut BackendLists, changed: impl Iterator<Item = (String, BackendTable)>) {
     for (name, table) in changed {
         match table.is_empty() {
             true => lists.remove(&name),
--- a/crates/serving/src/discovery.rs
+++ b/crates/serving/src/discovery.rs
@@ -25,7 +25,7 @@
 use crate::observer::LineObserver;
 use crate::shared_knowledge::SharedKnowledge;
 use crate::source::Platform;
-use crate::watch::{follow, Follow, Waits};
+use crate::watch::{run_watch, WatchOptions, WatchWaits};
 use crate::{CatalogCell, FleetCell};
 
 /// Interval at which the age of the local state is exported as a metric.
@@ -71,24 +71,24 @@
     leaving: channel::Receiver<bool>,
 ) {
     let follows_evacuations = options.placement.evacuation_ms.is_some();
-    let following = Following {
+    let state_options = Following {
         evacuations: follows_evacuations,
         ages: options.placement.needs_fresh_news(),
         freshness: options.freshness.clone(),
     };
     let zones = options.zones.len();
-    let knowledge = Knowledge::following(catalog, options.zones, following);
+    let knowledge = Knowledge::following(catalog, options.zones, state_options);
     let knowledge = Rc::new(RefCell::new(knowledge));
     let observer = Rc::new(LineObserver::new(changed));
     let shared = SharedKnowledge { knowledge: knowledge.clone(), observer };
     let roster = Roster::new(Timestamp(0), options.is_first_start, rand::random());
-    let take = {
+    let apply_response = {
         let shared = shared.clone();
         Box::new(move |answer| shared.take_news(answer))
     };
-    let (news, duties) = News::new(knowledge.clone(), take, roster);
+    let (news, duties) = News::new(knowledge.clone(), apply_response, roster);
     let refresh = news.refresh.clone();
-    let news_port = ports.news.local_addr().map_or(0, |address| address.port());
+    let exchange_port = ports.news.local_addr().map_or(0, |address| address.port());
     tokio::task::spawn_local(serve(ports.news, knowledge));
     tokio::task::spawn_local(run_membership(Membership {
         socket: ports.datagrams,
@@ -96,45 +96,45 @@
         seeds: options.seeds,
         cell: fleet,
         news,
-        news_port,
+        exchange_port,
         leaving,
         notices: options.notices,
         clock: options.clock,
     }));
-    tokio::task::spawn_local(tell_freshness(options.freshness));
+    tokio::task::spawn_local(report_freshness(options.freshness));
     let waits = match options.placement.needs_fresh_news() {
-        true => Waits::Fresh { zones },
-        false => Waits::Long,
+        true => WatchWaits::Fresh { zones },
+        false => WatchWaits::Long,
     };
     let (configuration, backends) = (refresh.configuration(), refresh.backends());
     let evacuations = refresh.evacuations();
-    let following = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], duty| Follow {
+    let watch_options = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], duty| WatchOptions {
         refresh: refresh.clone(),
         others: others.into_iter().cloned().collect(),
         duty,
         waits,
     };
-    tokio::task::spawn_local(follow(
+    tokio::task::spawn_local(run_watch(
         platform.configurations(),
         shared.clone(),
-        following(&configuration, [&backends, &evacuations], duties.configuration),
+        watch_options(&configuration, [&backends, &evacuations], duties.configuration),
     ));
-    tokio::task::spawn_local(follow(
+    tokio::task::spawn_local(run_watch(
         platform.backends(),
         shared.clone(),
-        following(&backends, [&configuration, &evacuations], duties.backends),
+        watch_options(&backends, [&configuration, &evacuations], duties.backends),
     ));
     if follows_evacuations {
-        tokio::task::spawn_local(follow(
+        tokio::task::spawn_local(run_watch(
             platform.evacuations(),
             shared,
-            following(&evacuations, [&configuration, &backends], duties.evacuations),
+            watch_options(&evacuations, [&configuration, &backends], duties.evacuations),
         ));
     }
 }
 
 /// Exports the age of the local state periodically.
-async fn tell_freshness(freshness: Freshness) {
+async fn report_freshness(freshness: Freshness) {
     loop {
         if let Some(age_ms) = freshness.age_ms() {
             metrics::gauge!("platform_news_age_seconds").set(age_ms as f64 / 1_000.0);
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -27,8 +27,8 @@
 /// Number of members of the own zone and of other zones that are notified at once of a change of
 /// the local state. Each of them does the same, so that 300 members are reached after four or five
 /// rounds.
-const NEAR_FANOUT: usize = 3;
-const FAR_FANOUT: usize = 1;
+const SAME_ZONE_FANOUT: usize = 3;
+const OTHER_ZONE_FANOUT: usize = 1;
 /// Number of members of the own zone and of other zones that are notified when the store has
 /// confirmed the local state. They pass the age on with their probes; starting with more members
 /// saves one round.
@@ -36,14 +36,14 @@
 /// Minimum interval between two rebuilds of the fleet view, in milliseconds. Listing 1,000 members
 /// takes 0.2 ms of CPU time, and after a simultaneous start of all processes every datagram brings
 /// a change. The first change after a quiet period is published at once.
-const VIEW_INTERVAL_MS: u64 = 50;
+const MIN_VIEW_INTERVAL_MS: u64 = 50;
 /// Interval at which the history of unreachable members is pruned, in milliseconds; entries are
 /// retained for minutes.
-const NAMES_INTERVAL_MS: u64 = 10_000;
+const PRUNE_INTERVAL_MS: u64 = 10_000;
 /// The same while some members count as unresponsive, a state that lasts for seconds.
-const LOST_INTERVAL_MS: u64 = 1_000;
+const UNRESPONSIVE_INTERVAL_MS: u64 = 1_000;
 /// Size of the receive buffer for datagrams, in bytes.
-const DATAGRAM_BYTES: usize = 16_384;
+const MAX_DATAGRAM_BYTES: usize = 16_384;
 
 /// One process of the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -133,7 +133,7 @@
     /// State synchronization with peers.
     pub news: Rc<News>,
     /// TCP port at which peers can fetch the state.
-    pub news_port: u16,
+    pub exchange_port: u16,
     /// Becomes true when shutdown begins.
     pub leaving: watch::Receiver<bool>,
     /// Messages broadcast to all members.
@@ -173,22 +173,30 @@
 /// Runs the membership loop until the process ends.
 pub async fn run_membership(parts: Membership) {
     let Membership {
-        socket, identity, mut seeds, cell, news, news_port, mut leaving, clock, ..
+        socket,
+        identity,
+        mut seeds,
+        cell,
+        news,
+        exchange_port,
+        mut leaving,
+        clock,
+        ..
     } = parts;
     let Notices { mut outgoing, incoming } = parts.notices;
     let (name, zone) = (identity.name.clone(), identity.zone.clone());
     let own_address = identity.address;
-    let first_seeds = texts(&seeds.borrow_and_update());
+    let first_seeds = to_texts(&seeds.borrow_and_update());
     let incarnation = identity.incarnation;
     let mut members = MemberList::new(record_of(identity), first_seeds, incarnation);
-    members.set_news_port(news_port);
-    let mut names = NameMemory::default();
-    let mut names_at = Timestamp(0);
+    members.set_exchange_port(exchange_port);
+    let mut history = NameMemory::default();
+    let mut prune_at = Timestamp(0);
     let mut view_at = Timestamp(0);
-    let mut may_change = true;
-    let mut buffer = vec![0; DATAGRAM_BYTES];
-    let mut told_leaving = false;
-    let mut told = Known::default();
+    let mut seeds_may_change = true;
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    let mut leaving_announced = false;
+    let mut announced = Known::default();
     let mut heartbeat_at = Timestamp(0);
     let mut lateness = Lateness::default();
     let mut backlog = Backlog::default();
@@ -196,34 +204,35 @@
         let now = clock.now();
         backlog.woken(now);
         let has_changed = now >= view_at && members.take_changed();
-        if has_changed || now >= names_at {
+        if has_changed || now >= prune_at {
             let records = members.records();
-            names.take(now, &records);
+            history.take(now, &records);
             let has_seeds = seeds.borrow().iter().any(|seed| *seed != own_address);
-            let known = names.names(now, &name, has_seeds);
-            let interval = if known.lost > 0 { LOST_INTERVAL_MS } else { NAMES_INTERVAL_MS };
-            names_at = now.plus_millis(interval);
-            publish(records, known, &cell);
+            let processes = history.names(now, &name, has_seeds);
+            let interval =
+                if processes.lost > 0 { UNRESPONSIVE_INTERVAL_MS } else { PRUNE_INTERVAL_MS };
+            prune_at = now.plus_millis(interval);
+            publish(records, processes, &cell);
         }
         if has_changed {
-            view_at = now.plus_millis(VIEW_INTERVAL_MS);
+            view_at = now.plus_millis(MIN_VIEW_INTERVAL_MS);
             let fleet = cell.load();
             news.rank(now, Ranking::new(&fleet.members, &zone, &name), fleet.members.len());
         }
         news.tick(now);
-        let own = news.own();
-        tell(&mut members, own);
+        let own = news.digest();
+        set_digests(&mut members, own);
         members.set_news_ages(news.ages());
-        if own.is_news_after(told) {
+        if own.is_news_after(announced) {
             // These members notify others in turn once they have fetched the change.
-            send(&socket, members.tell_some(NEAR_FANOUT, FAR_FANOUT)).await;
-            told = own;
+            send(&socket, members.tell_some(SAME_ZONE_FANOUT, OTHER_ZONE_FANOUT)).await;
+            announced = own;
         } else if news.take_confirmed() {
-            let (near, far) = CONFIRMATION_FANOUT;
-            send(&socket, members.tell_some(near, far)).await;
+            let (same_zone, other_zones) = CONFIRMATION_FANOUT;
+            send(&socket, members.tell_some(same_zone, other_zones)).await;
         }
         if now >= heartbeat_at {
-            send(&socket, members.tell_watching(&news.standbys())).await;
+            send(&socket, members.announce_watching(&news.standbys())).await;
             heartbeat_at = now.plus_millis(HEARTBEAT_INTERVAL_MS);
         }
         send(&socket, members.tick(now)).await;
@@ -242,13 +251,13 @@
                     let now = clock.now();
                     if let Ok(datagram) = borsh::from_slice::<Datagram>(&buffer[..length]) {
                         backlog.woken(now);
-                        let is_near = members.is_near(&datagram.from);
-                        hear(&news, now, &datagram, source, is_near);
+                        let is_in_own_zone = members.is_in_own_zone(&datagram.from);
+                        process_state(&news, now, &datagram, source, is_in_own_zone);
                         // A datagram that was queued here for an unknown time proves nothing about
                         // the current age.
-                        let underway = members.asked_ms_ago(now, &datagram);
-                        if let Some(delay_ms) = underway.or_else(|| backlog.delay_ms()) {
-                            news.hear_ages(known(&datagram), datagram.ages, delay_ms);
+                        let round_trip = members.asked_ms_ago(now, &datagram);
+                        if let Some(delay_ms) = round_trip.or_else(|| backlog.delay_ms()) {
+                            news.hear_ages(digest_in(&datagram), datagram.ages, delay_ms);
                         }
                         if let DatagramKind::Notice { content } = &datagram.kind {
                             // Sending fails only if the receiver has shut down, in which case this
@@ -269,18 +278,18 @@
             }
             () = news.changed() => {}
             Some(notice) = outgoing.recv() => send(&socket, members.notify_all(&notice)).await,
-            changed = seeds.changed(), if may_change => {
-                may_change = changed.is_ok();
-                if may_change {
-                    members.set_seeds(texts(&seeds.borrow_and_update()));
+            changed = seeds.changed(), if seeds_may_change => {
+                seeds_may_change = changed.is_ok();
+                if seeds_may_change {
+                    members.set_seeds(to_texts(&seeds.borrow_and_update()));
                 }
             }
-            changed = leaving.changed(), if !told_leaving => {
+            changed = leaving.changed(), if !leaving_announced => {
                 if changed.is_ok() && *leaving.borrow() {
                     members.announce(MemberState::Leaving);
                     send(&socket, members.farewell()).await;
                 }
-                told_leaving = true;
+                leaving_announced = true;
             }
         }
     }
@@ -308,22 +317,28 @@
 }
 
 /// Processes the parts of a datagram that do not concern membership.
-fn hear(news: &Rc<News>, now: Timestamp, datagram: &Datagram, source: SocketAddr, is_near: bool) {
-    let address = SocketAddr::new(source.ip(), datagram.news_port);
-    match is_near {
-        true => news.hear(now, known(datagram), address),
-        false => news.hear_far(now, known(datagram), address),
+fn process_state(
+    news: &Rc<News>,
+    now: Timestamp,
+    datagram: &Datagram,
+    source: SocketAddr,
+    is_in_own_zone: bool,
+) {
+    let address = SocketAddr::new(source.ip(), datagram.exchange_port);
+    match is_in_own_zone {
+        true => news.receive_digest(now, digest_in(datagram), address),
+        false => news.receive_cross_zone_digest(now, digest_in(datagram), address),
     }
     if datagram.kind == DatagramKind::Watching {
         news.heard_watcher(now, datagram.from.as_str());
     }
 }
 
-fn texts(addresses: &[SocketAddr]) -> Vec<String> {
+fn to_texts(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(SocketAddr::to_string).collect()
 }
 
-fn tell(membership: &mut MemberList, own: Known) {
+fn set_digests(membership: &mut MemberList, own: Known) {
     membership.set_configuration_version(own.version);
     membership.set_backends(ObjectDigest {
         digest: own.backends_digest,
@@ -332,7 +347,7 @@
     membership.set_evacuations(own.evacuations);
 }
 
-fn known(datagram: &Datagram) -> Known {
+fn digest_in(datagram: &Datagram) -> Known {
     Known {
         version: datagram.configuration_version,
         backends_digest: datagram.backends.digest,
@@ -352,7 +367,7 @@
 }
 
 /// Publishes the members if they changed.
-fn publish(records: Vec<(MemberRecord, u64)>, names: KnownNames, cell: &FleetCell) {
+fn publish(records: Vec<(MemberRecord, u64)>, processes: KnownNames, cell: &FleetCell) {
     let member = |(record, _): (MemberRecord, u64)| {
         Some(FleetMember {
             name: record.node.to_string(),
@@ -366,7 +381,7 @@
     };
     let alive = |(record, _): &(MemberRecord, u64)| record.state != MemberState::Dead;
     let members = records.into_iter().filter(alive).filter_map(member).collect();
-    let fleet = Fleet { members, names: Arc::new(names) };
+    let fleet = Fleet { members, names: Arc::new(processes) };
     if fleet != **cell.load() {
         cell.store(Arc::new(fleet));
     }
--- a/crates/serving/src/knowledge.rs
+++ b/crates/serving/src/knowledge.rs
@@ -17,13 +17,13 @@
 use yokefall_core::membership::{NewsAges, ObjectDigest};
 use yokefall_core::Timestamp;
 
-use crate::ages::{Ages, Followed};
+use crate::ages::{AgeTracker, Followed};
 use crate::catalog::{Catalog, CatalogCell, ZoneFacts};
 use crate::eligibility::{Freshness, ZoneMap};
 use crate::model::{Backend, BackendState, Configuration, Evacuation};
 use crate::news::Known;
 use crate::news_exchange::{
-    BackendNews, NamedBackend, NamedEvacuation, NewsAnswer, NewsRequest, Teller,
+    BackendUpdates, NewsAnswer, NewsRequest, StateProvider, VersionedBackend, VersionedEvacuation,
 };
 use crate::objects::{Changed, Objects};
 use crate::source::{Change, Listing, Revision, SourceError};
@@ -31,7 +31,7 @@
 /// Number of back ends sent first to a process that has none: enough to serve requests until it has
 /// received all, and 60 kB, which takes 16 ms on a link of 30 Mbit/s. A list of 10,000 takes 0.3 s,
 /// and as long again at each peer that sends it.
-pub const PART_BACKENDS: usize = 512;
+pub const SUBSET_BACKENDS: usize = 512;
 
 /// All objects known, and the cell from which other threads read them.
 #[derive(Debug)]
@@ -45,15 +45,15 @@
     /// Region of each zone.
     zones: Arc<ZoneMap>,
     /// Digest of the back ends and their states.
-    digest: u64,
+    backends_digest: u64,
     pub(crate) cell: CatalogCell,
     /// Notified when the state changes.
     changed: Rc<Notify>,
     /// Kinds of objects whose last call to the store succeeded.
-    answered: BTreeSet<Followed>,
-    pub(crate) ages: Ages,
+    reachable_kinds: BTreeSet<Followed>,
+    pub(crate) ages: AgeTracker,
     /// Whether peers are notified each time the store confirms the state.
-    tells_confirmations: bool,
+    announces_confirmations: bool,
     /// Whether the store has confirmed the state since the last call of `take_confirmed`.
     confirmed: bool,
 }
@@ -95,12 +95,12 @@
             evacuations: Objects::default(),
             follows_evacuations: following.evacuations,
             zones,
-            digest: 0,
+            backends_digest: 0,
             cell,
             changed: Rc::default(),
-            answered: BTreeSet::new(),
-            ages: Ages::new(following.freshness, following.evacuations),
-            tells_confirmations: following.ages,
+            reachable_kinds: BTreeSet::new(),
+            ages: AgeTracker::new(following.freshness, following.evacuations),
+            announces_confirmations: following.ages,
             confirmed: false,
         };
         knowledge.publish_zones();
@@ -108,28 +108,28 @@
     }
 
     /// Whether the last calls to the store of every kind succeeded.
-    pub fn is_in_touch(&self) -> bool {
+    pub fn is_store_reachable(&self) -> bool {
         let kinds = 2 + usize::from(self.follows_evacuations);
-        self.answered.len() == kinds
+        self.reachable_kinds.len() == kinds
     }
 
-    pub(crate) fn note_ended(&mut self, kind: Followed, error: Option<&SourceError>) {
+    pub(crate) fn record_outcome(&mut self, kind: Followed, error: Option<&SourceError>) {
         match error {
-            None => self.answered.insert(kind),
-            Some(_) => self.answered.remove(&kind),
+            None => self.reachable_kinds.insert(kind),
+            Some(_) => self.reachable_kinds.remove(&kind),
         };
     }
 
     /// Records that the store answered a call made at `asked`. The store may have held the response
     /// back for `held_back_ms` because nothing changed; the response is valid as of the end of that
     /// time.
-    pub(crate) fn note_answered(&mut self, kind: Followed, asked: Timestamp, held_back_ms: u64) {
+    pub(crate) fn record_response(&mut self, kind: Followed, asked: Timestamp, held_back_ms: u64) {
         let since_asked = self.ages.now().millis_since(asked);
         // A response that arrived before the end of the wait is only valid as of the time of the
         // request.
         let age_ms = since_asked.checked_sub(held_back_ms).unwrap_or(since_asked);
-        self.ages.note(kind, age_ms);
-        if self.tells_confirmations {
+        self.ages.record(kind, age_ms);
+        if self.announces_confirmations {
             self.confirmed = true;
             self.changed.notify_one();
         }
@@ -143,12 +143,12 @@
 
     /// Returns, by kind, how long ago the store confirmed the state.
     pub fn ages(&self) -> NewsAges {
-        self.ages.told()
+        self.ages.snapshot()
     }
 
     /// Returns the ages advertised to peers; empty if no decision depends on them.
-    pub fn told_ages(&self) -> NewsAges {
-        match self.tells_confirmations {
+    pub fn advertised_ages(&self) -> NewsAges {
+        match self.announces_confirmations {
             true => self.ages(),
             false => NewsAges::default(),
         }
@@ -158,20 +158,20 @@
     /// not ahead, the local state is as recent as the peer's.
     pub fn hear_ages(&mut self, peer: Known, ages: NewsAges, delay_ms: u64) {
         let own = self.known();
-        let told = [
+        let reported = [
             (Followed::Configuration, ages.configuration_ms, own.version < peer.version),
             (Followed::Backends, ages.backends_ms, own.lacks_backends(peer)),
             (Followed::Evacuations, ages.evacuations_ms, own.lacks_evacuations(peer)),
         ];
-        for (kind, age_ms, lacks) in told {
+        for (kind, age_ms, lacks) in reported {
             if let Some(age_ms) = age_ms.filter(|_| !lacks) {
-                self.ages.note(kind, u64::from(age_ms).saturating_add(delay_ms));
+                self.ages.record(kind, u64::from(age_ms).saturating_add(delay_ms));
             }
         }
     }
 
     /// Applies a configuration; returns whether it is newer than the current one.
-    pub fn take_configuration(&mut self, configuration: Configuration) -> bool {
+    pub fn apply_configuration(&mut self, configuration: Configuration) -> bool {
         let held = self.configuration.as_ref().map_or(0, |held| held.version);
         if configuration.version <= held {
             return false;
@@ -221,7 +221,7 @@
         };
         Known {
             version: self.configuration.as_ref().map_or(0, |held| held.version),
-            backends_digest: self.digest,
+            backends_digest: self.backends_digest,
             backends_revision: self.backends.revision(),
             evacuations: ObjectDigest {
                 digest: self.evacuations.named().map(hash).fold(0, u64::wrapping_add),
@@ -235,32 +235,32 @@
         let held = self.configuration.as_ref();
         let configuration = held.filter(|held| held.version > request.known.version);
         let own = self.known();
-        let (backends, backends_revision) = match self.tells_part(request) {
+        let (backends, backends_revision) = match self.sends_subset(request) {
             // Revision 0 marks the response as incomplete.
-            true => (self.part(), 0),
-            false => (self.backend_news(request), own.backends_revision),
+            true => (self.random_subset(), 0),
+            false => (self.backend_updates(request), own.backends_revision),
         };
         NewsAnswer {
             known: Known { backends_revision, ..own },
             configuration: configuration.map(|held| Configuration::clone(held)),
             backends,
-            evacuations: request.known.lacks_evacuations(own).then(|| self.evacuation_news()),
+            evacuations: request.known.lacks_evacuations(own).then(|| self.evacuation_updates()),
         }
     }
 
     /// Returns the revision after which changes are sent to a peer; `None` if the whole list is
     /// sent.
-    fn told_since(&self, request: &NewsRequest) -> Option<Revision> {
+    fn changes_since(&self, request: &NewsRequest) -> Option<Revision> {
         let known = request.known.backends_revision;
         (!request.whole && self.backends.covers(known)).then_some(known)
     }
 
     /// Number of back ends in the response to a peer.
-    pub fn backends_to_tell(&self, request: &NewsRequest) -> usize {
-        if self.tells_part(request) {
-            return self.backends.len().min(PART_BACKENDS);
+    pub fn response_backends(&self, request: &NewsRequest) -> usize {
+        if self.sends_subset(request) {
+            return self.backends.len().min(SUBSET_BACKENDS);
         }
-        match self.told_since(request) {
+        match self.changes_since(request) {
             None => self.backends.len(),
             Some(revision) => self.backends.changed_after(revision).count(),
         }
@@ -268,50 +268,50 @@
 
     /// Whether a peer is sent a subset of the back ends: it asked for no more, or no more are known
     /// here.
-    fn tells_part(&self, request: &NewsRequest) -> bool {
-        let is_many = self.backends.len() > PART_BACKENDS;
-        self.backends.revision() == 0 || (request.known.wants_part() && is_many)
+    fn sends_subset(&self, request: &NewsRequest) -> bool {
+        let is_many = self.backends.len() > SUBSET_BACKENDS;
+        self.backends.revision() == 0 || (request.known.requests_subset() && is_many)
     }
 
     /// Returns a random subset of the back ends, so that processes that start together do not all
     /// use the same ones.
-    fn part(&self) -> BackendNews {
+    fn random_subset(&self) -> BackendUpdates {
         let all = self.backends.named();
-        let drawn = all.choose_multiple(&mut rand::rng(), PART_BACKENDS);
-        let named = drawn.into_iter().map(|(name, revision, backend)| NamedBackend {
+        let chosen = all.choose_multiple(&mut rand::rng(), SUBSET_BACKENDS);
+        let named = chosen.into_iter().map(|(name, revision, backend)| VersionedBackend {
             name: name.clone(),
             revision,
             backend: Backend::clone(backend),
         });
-        BackendNews { since: None, changed: named.collect(), removed: Vec::new() }
+        BackendUpdates { since: None, changed: named.collect(), removed: Vec::new() }
     }
 
-    fn backend_news(&self, request: &NewsRequest) -> BackendNews {
-        let since = self.told_since(request);
+    fn backend_updates(&self, request: &NewsRequest) -> BackendUpdates {
+        let since = self.changes_since(request);
         let after = since.unwrap_or(0);
         let changed = |(name, revision, backend): (&String, Revision, &Arc<Backend>)| {
             let (name, backend) = (name.clone(), Backend::clone(backend));
-            NamedBackend { name, revision, backend }
+            VersionedBackend { name, revision, backend }
         };
-        BackendNews {
+        BackendUpdates {
             since,
             changed: self.backends.changed_after(after).map(changed).collect(),
             removed: self.backends.removed_after(after).cloned().collect(),
         }
     }
 
-    fn evacuation_news(&self) -> Vec<NamedEvacuation> {
+    fn evacuation_updates(&self) -> Vec<VersionedEvacuation> {
         let named = |(_, revision, evacuation): (&String, Revision, &Arc<Evacuation>)| {
-            NamedEvacuation { revision, evacuation: Evacuation::clone(evacuation) }
+            VersionedEvacuation { revision, evacuation: Evacuation::clone(evacuation) }
         };
         self.evacuations.named().map(named).collect()
     }
 
     /// Applies back ends received from a peer. Returns whether the local state now equals the
     /// peer's; if not, the whole list must be requested.
-    pub fn take_backend_news(&mut self, peer: Known, news: BackendNews) -> bool {
+    pub fn apply_backend_updates(&mut self, peer: Known, updates: BackendUpdates) -> bool {
         let revision = peer.backends_revision;
-        let BackendNews { since, changed, removed } = news;
+        let BackendUpdates { since, changed, removed } = updates;
         let changes = changed.into_iter().map(Change::from);
         let changed = match since {
             None => {
@@ -327,12 +327,12 @@
             }
         };
         self.publish_backends(&changed);
-        self.backends.revision() != revision || self.digest == peer.backends_digest
+        self.backends.revision() != revision || self.backends_digest == peer.backends_digest
     }
 
     /// Applies a subset of the back ends, received from a peer or as one page of a list, until the
     /// whole list is known. Removes none. Returns whether any of them was new.
-    pub fn take_part(&mut self, changes: Vec<Change<Backend>>) -> bool {
+    pub fn apply_subset(&mut self, changes: Vec<Change<Backend>>) -> bool {
         if self.backends.revision() > 0 {
             return false;
         }
@@ -359,7 +359,7 @@
         };
         let before = sum(&mut changes.iter().filter_map(|change| change.before.as_ref()));
         let after = sum(&mut changes.iter().filter_map(|change| change.after.as_ref()));
-        self.digest = self.digest.wrapping_sub(before).wrapping_add(after);
+        self.backends_digest = self.backends_digest.wrapping_sub(before).wrapping_add(after);
         let mut catalog = Catalog::clone(&self.cell.load()).with_changes(changes);
         catalog.is_partial = self.backends.revision() == 0;
         self.publish(catalog);
@@ -368,10 +368,10 @@
     /// Publishes the zone data.
     pub(crate) fn publish_zones(&mut self) {
         let evacuated = self.evacuations.values().map(|evacuation| evacuation.zone.clone());
-        let facts = ZoneFacts { evacuated: evacuated.collect(), zones: self.zones.clone() };
-        let catalog = Catalog::clone(&self.cell.load()).with_zone_facts(facts);
+        let zone_state = ZoneFacts { evacuated: evacuated.collect(), zones: self.zones.clone() };
+        let catalog = Catalog::clone(&self.cell.load()).with_zone_state(zone_state);
         let catalog = match self.awaits_evacuations() {
-            true => catalog.awaiting_evacuations(),
+            true => catalog.with_evacuations_unknown(),
             false => catalog,
         };
         self.publish(catalog);
@@ -383,9 +383,9 @@
     }
 }
 
-impl Teller for RefCell<Knowledge> {
-    fn backends_to_tell(&self, request: &NewsRequest) -> usize {
-        self.borrow().backends_to_tell(request)
+impl StateProvider for RefCell<Knowledge> {
+    fn response_backends(&self, request: &NewsRequest) -> usize {
+        self.borrow().response_backends(request)
     }
 
     fn answer(&self, request: &NewsRequest) -> NewsAnswer {
@@ -398,6 +398,6 @@
 fn digest_of(backend: &Arc<Backend>) -> u64 {
     let ready = backend.state == BackendState::Ready;
     let cold = backend.cold_remaining_ms > 0;
-    let facts = (&backend.id, backend.started_ms, ready, cold, backend.address, &backend.zone);
-    xxh3_64(format!("{facts:?} {}", backend.service).as_bytes())
+    let zone_state = (&backend.id, backend.started_ms, ready, cold, backend.address, &backend.zone);
+    xxh3_64(format!("{zone_state:?} {}", backend.service).as_bytes())
 }
--- a/crates/serving/src/comparison.rs
+++ b/crates/serving/src/lag.rs
@@ -2,30 +2,30 @@
 
 use yokefall_core::Timestamp;
 
-use crate::known::Known;
+use crate::state_digest::Known;
 
 /// Time for which a peer must be ahead before the store is queried again, in milliseconds. Updates
 /// normally reach all processes within this time of each other.
-const PATIENCE_MS: u64 = 300;
+const LAG_TOLERANCE_MS: u64 = 300;
 /// Minimum interval between two such queries, in milliseconds.
-const LEAST_INTERVAL_MS: u64 = 1_000;
+const MIN_QUERY_INTERVAL_MS: u64 = 1_000;
 
 /// Detects that peers have been ahead for longer than updates normally take to arrive.
 #[derive(Debug, Default)]
-pub struct Comparison {
+pub struct LagDetector {
     /// Since when a peer has been ahead, with the local state and the peer's state at that time.
     behind_since: Option<(Timestamp, Known, Known)>,
-    asked_at: Option<Timestamp>,
+    queried_at: Option<Timestamp>,
 }
 
-impl Comparison {
+impl LagDetector {
     /// Processes a peer's state digest. Returns whether the store should be queried again.
     pub fn is_behind(&mut self, now: Timestamp, own: Known, peer: Known) -> bool {
         if !own.lacks(peer) {
             return false;
         }
         match &mut self.behind_since {
-            Some((_, known, told)) if *known == own => *told = peer,
+            Some((_, known, last)) if *known == own => *last = peer,
             _ => self.behind_since = Some((now, own, peer)),
         }
         self.is_due(now, own)
@@ -42,19 +42,20 @@
             self.behind_since = Some((now, own, peer));
             return false;
         }
-        let patient = now.millis_since(since) >= PATIENCE_MS;
-        let rested = self.asked_at.is_none_or(|at| now.millis_since(at) >= LEAST_INTERVAL_MS);
-        if patient && rested {
-            self.asked_at = Some(now);
+        let overdue = now.millis_since(since) >= LAG_TOLERANCE_MS;
+        let interval_passed =
+            self.queried_at.is_none_or(|at| now.millis_since(at) >= MIN_QUERY_INTERVAL_MS);
+        if overdue && interval_passed {
+            self.queried_at = Some(now);
         }
-        patient && rested
+        overdue && interval_passed
     }
 
     /// Returns when `is_due` should be called next; `None` while no peer is ahead.
     pub fn next_look(&self) -> Option<Timestamp> {
         let (since, _, _) = self.behind_since?;
-        let patient = since.plus_millis(PATIENCE_MS);
-        let rested = self.asked_at.map(|at| at.plus_millis(LEAST_INTERVAL_MS));
-        Some(rested.map_or(patient, |rested| rested.max(patient)))
+        let overdue_at = since.plus_millis(LAG_TOLERANCE_MS);
+        let allowed_at = self.queried_at.map(|at| at.plus_millis(MIN_QUERY_INTERVAL_MS));
+        Some(allowed_at.map_or(overdue_at, |allowed_at| allowed_at.max(overdue_at)))
     }
 }
--- a/crates/serving/src/listing.rs
+++ b/crates/serving/src/listing.rs
@@ -12,7 +12,7 @@
 /// Maximum age of the first page, after which reading starts over. It is well within the time for
 /// which a store keeps its history (20 s); changes made between the pages are delivered by the
 /// first watch.
-const PAGES_LIFETIME: Duration = Duration::from_secs(8);
+const MAX_PAGES_AGE: Duration = Duration::from_secs(8);
 
 /// The pages of a list read so far.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
 
     /// Name after which the next page begins. Discards pages that are too old.
     pub fn after(&mut self) -> Option<&str> {
-        if self.first.is_some_and(|(_, at)| at.elapsed() >= PAGES_LIFETIME) {
+        if self.first.is_some_and(|(_, at)| at.elapsed() >= MAX_PAGES_AGE) {
             *self = Self::default();
         }
         self.next.as_deref()
--- a/crates/serving/src/model.rs
+++ b/crates/serving/src/model.rs
@@ -5,7 +5,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use yokefall_types::Tenant;
 
-use crate::objects::Lived;
+use crate::objects::Incarnated;
 
 /// Delivery semantics of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -196,13 +196,13 @@
     pub zone: String,
 }
 
-impl Lived for Backend {
+impl Incarnated for Backend {
     fn started_ms(&self) -> u64 {
         self.started_ms
     }
 }
 
-impl Lived for Evacuation {
+impl Incarnated for Evacuation {
     /// An evacuation has a single incarnation.
     fn started_ms(&self) -> u64 {
         0
--- a/crates/serving/src/names.rs
+++ b/crates/serving/src/names.rs
@@ -11,12 +11,12 @@
 /// Time for which a process counts after it was last seen alive, in milliseconds: as long as
 /// membership keeps dead members. In a network partition that lasts longer, each side takes over
 /// all shares.
-const REMEMBERED_MS: u64 = 600_000;
+const RETENTION_MS: u64 = 600_000;
 
 /// Time for which a process counts as unresponsive, in milliseconds: it is declared dead after 2.5
 /// s, and after another 5 s it knows that its state is out of date (the usual value of
 /// `placement.evacuation_ms`).
-const LOST_MS: u64 = 8_000;
+const UNRESPONSIVE_MS: u64 = 8_000;
 
 /// Names of processes, including this one once membership runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct Seen {
     job_store: bool,
     alive: bool,
     last_alive: Timestamp,
@@ -54,45 +54,44 @@
 /// Keeps the names of processes that are gone or unreachable for some time.
 #[derive(Debug, Default)]
 pub struct NameMemory {
-    heard: BTreeMap<String, Heard>,
+    seen: BTreeMap<String, Seen>,
 }
 
 impl NameMemory {
     /// Processes the current membership records. A dead member counts from the last time it was
     /// seen alive; one that was dead when first seen, from then on.
     pub fn take(&mut self, now: Timestamp, records: &[(MemberRecord, u64)]) {
-        for heard in self.heard.values_mut() {
-            heard.pass(now);
+        for seen in self.seen.values_mut() {
+            seen.advance_to(now);
         }
         for (record, _) in records {
-            let fresh = Heard {
+            let first_seen = Seen {
                 job_store: record.data,
                 alive: false,
                 last_alive: now,
                 last_answered: now,
                 answers: false,
             };
-            let heard = self.heard.entry(record.node.to_string()).or_insert(fresh);
-            heard.job_store = record.data;
-            heard.alive = record.state != MemberState::Dead;
-            heard.answers = matches!(record.state, MemberState::Alive | MemberState::Leaving);
+            let seen = self.seen.entry(record.node.to_string()).or_insert(first_seen);
+            seen.job_store = record.data;
+            seen.alive = record.state != MemberState::Dead;
+            seen.answers = matches!(record.state, MemberState::Alive | MemberState::Leaving);
         }
         // Members still present in the records are kept so that they do not count anew.
-        let told = |name: &str| records.iter().any(|(record, _)| record.node.as_str() == name);
-        self.heard.retain(|name, heard| heard.counts(now) || told(name));
+        let is_listed = |name: &str| records.iter().any(|(record, _)| record.node.as_str() == name);
+        self.seen.retain(|name, seen| seen.counts(now) || is_listed(name));
     }
 
     /// Returns the names that count now. `has_seeds` is whether this process was configured with
     /// peers.
     pub fn names(&self, now: Timestamp, own: &str, has_seeds: bool) -> KnownNames {
         let counting = |job_store: bool| {
-            let heard = self.heard.iter();
-            let counting =
-                heard.filter(|(_, heard)| heard.job_store == job_store && heard.counts(now));
+            let seen = self.seen.iter();
+            let counting = seen.filter(|(_, seen)| seen.job_store == job_store && seen.counts(now));
             counting.map(|(name, _)| name.clone()).collect()
         };
-        let has_met = self.heard.iter().any(|(name, heard)| heard.alive && name != own);
-        let lost = self.heard.values().filter(|heard| heard.is_lost(now)).count();
+        let has_met = self.seen.iter().any(|(name, seen)| seen.alive && name != own);
+        let lost = self.seen.values().filter(|seen| seen.is_unresponsive(now)).count();
         KnownNames {
             lost: lost as u32,
             gateways: counting(false),
@@ -102,9 +101,9 @@
     }
 }
 
-impl Heard {
+impl Seen {
     /// Extends the last recorded state up to `now`.
-    fn pass(&mut self, now: Timestamp) {
+    fn advance_to(&mut self, now: Timestamp) {
         if self.alive {
             self.last_alive = now;
         }
@@ -115,11 +114,11 @@
         self.answers = false;
     }
 
-    fn is_lost(&self, now: Timestamp) -> bool {
-        !self.answers && now.millis_since(self.last_answered) < LOST_MS
+    fn is_unresponsive(&self, now: Timestamp) -> bool {
+        !self.answers && now.millis_since(self.last_answered) < UNRESPONSIVE_MS
     }
 
     fn counts(&self, now: Timestamp) -> bool {
-        self.alive || now.millis_since(self.last_alive) < REMEMBERED_MS
+        self.alive || now.millis_since(self.last_alive) < RETENTION_MS
     }
 }
--- a/crates/serving/src/news.rs
+++ b/crates/serving/src/news.rs
@@ -13,30 +13,30 @@
 use yokefall_core::Timestamp;
 use yokefall_telemetry::{EventName, Line};
 
-pub use crate::comparison::Comparison;
 use crate::duty::{Duty, Ranking, Roster};
-pub use crate::known::Known;
+pub use crate::lag::LagDetector;
 use crate::news_exchange::{fetch, ExchangeError, NewsAnswer, NewsRequest};
+pub use crate::state_digest::Known;
 use crate::watch::Knowledge;
 
 /// Time after its start for which a process without back ends requests the list only from peers in
 /// its own zone, in milliseconds: as long as watchers need to read a list of 10,000 in 50 pages and
 /// their first peers to copy it.
-const NEAR_PATIENCE_MS: u64 = 2_500;
+const SAME_ZONE_ONLY_MS: u64 = 2_500;
 
 /// Interval between two exchanges that fetch only back ends, per member of the fleet. Each change
 /// reaches each member by an exchange of its own, so this limits a fleet to 4,000 exchanges per
 /// second.
-const REST_PER_MEMBER: Duration = Duration::from_micros(250);
+const EXCHANGE_INTERVAL_PER_MEMBER: Duration = Duration::from_micros(250);
 /// Maximum of that interval. With it a change reached all of 150 processes out of 986 within 1.9 s,
 /// well within the 5 s after which a leaving back end must receive no requests.
-const LONGEST_REST: Duration = Duration::from_millis(300);
+const MAX_EXCHANGE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Returns how long a process in a fleet of `members` waits after an exchange before it requests
 /// back ends again.
-pub fn exchange_rest(members: usize) -> Duration {
+pub fn exchange_interval(members: usize) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
-    REST_PER_MEMBER.saturating_mul(members).min(LONGEST_REST)
+    EXCHANGE_INTERVAL_PER_MEMBER.saturating_mul(members).min(MAX_EXCHANGE_INTERVAL)
 }
 
 /// A peer that is ahead.
@@ -50,17 +50,17 @@
 }
 
 /// State of the exchanges with peers.
-struct Sources {
+struct Exchanges {
     /// Whether an exchange is in progress.
-    asking: bool,
+    in_progress: bool,
     /// The peer to ask next.
     next: Option<Peer>,
     /// Whether the last exchange failed.
-    failed: bool,
+    last_failed: bool,
     /// When back ends may be requested again.
-    rested_at: Instant,
+    next_at: Instant,
     /// Interval between exchanges that fetch only back ends.
-    rest: Duration,
+    interval: Duration,
 }
 
 /// Which kinds of objects this process reads from the platform's store.
@@ -74,14 +74,14 @@
 }
 
 /// Applies a response of a peer; returns whether its whole list is needed.
-pub type TakeNews = Box<dyn Fn(NewsAnswer) -> bool>;
+pub type ApplyResponse = Box<dyn Fn(NewsAnswer) -> bool>;
 
 /// Synchronizes the local state with peers.
 pub struct News {
     knowledge: Rc<RefCell<Knowledge>>,
-    take: TakeNews,
-    comparison: RefCell<Comparison>,
-    sources: RefCell<Sources>,
+    apply_response: ApplyResponse,
+    lag: RefCell<LagDetector>,
+    exchanges: RefCell<Exchanges>,
     roster: RefCell<Roster>,
     /// Whether this process watches the platform's store.
     watches: watch::Sender<bool>,
@@ -123,7 +123,7 @@
     /// Creates the synchronization of `knowledge`, with the duties that it controls.
     pub fn new(
         knowledge: Rc<RefCell<Knowledge>>,
-        take: TakeNews,
+        apply_response: ApplyResponse,
         roster: Roster,
     ) -> (Rc<Self>, Duties) {
         let changed = knowledge.borrow().changed();
@@ -131,14 +131,14 @@
         let (reads_backends, backends) = Duty::told();
         let news = Self {
             knowledge,
-            take,
-            comparison: RefCell::default(),
-            sources: RefCell::new(Sources {
-                asking: false,
+            apply_response,
+            lag: RefCell::default(),
+            exchanges: RefCell::new(Exchanges {
+                in_progress: false,
                 next: None,
-                failed: false,
-                rested_at: Instant::now(),
-                rest: Duration::ZERO,
+                last_failed: false,
+                next_at: Instant::now(),
+                interval: Duration::ZERO,
             }),
             urgent: Notify::new(),
             roster: RefCell::new(roster),
@@ -152,13 +152,13 @@
     }
 
     /// Digest of the local state.
-    pub fn own(&self) -> Known {
+    pub fn digest(&self) -> Known {
         self.knowledge.borrow().known()
     }
 
     /// Age of the local state as advertised to peers.
     pub fn ages(&self) -> NewsAges {
-        self.knowledge.borrow().told_ages()
+        self.knowledge.borrow().advertised_ages()
     }
 
     /// Whether the store has confirmed the local state since the last call, so that peers are to be
@@ -175,95 +175,100 @@
     /// Processes the digest of a peer in another zone. Soon after a start, the whole list is
     /// requested only from peers in the own zone: each zone has watchers that read it, and traffic
     /// between zones is billed. Small or urgent state is requested from any peer.
-    pub fn hear_far(self: &Rc<Self>, now: Timestamp, peer: Known, address: SocketAddr) {
-        let whole_list = self.knows_backends() || now >= Timestamp(NEAR_PATIENCE_MS);
-        let own = self.own();
-        if whole_list || own.lacks_any_backend(peer) || own.lacks_urgently(peer) {
-            self.hear_peer(now, Peer { known: peer, address, whole_list });
+    pub fn receive_cross_zone_digest(
+        self: &Rc<Self>,
+        now: Timestamp,
+        peer: Known,
+        address: SocketAddr,
+    ) {
+        let whole_list = self.knows_backends() || now >= Timestamp(SAME_ZONE_ONLY_MS);
+        let own = self.digest();
+        if whole_list || own.lacks_any_backend(peer) || own.lacks_urgent_state(peer) {
+            self.handle_digest(now, Peer { known: peer, address, whole_list });
         }
     }
 
     /// Processes the digest of a peer; `address` is that of its state exchange.
-    pub fn hear(self: &Rc<Self>, now: Timestamp, peer: Known, address: SocketAddr) {
-        self.hear_peer(now, Peer { known: peer, address, whole_list: true });
+    pub fn receive_digest(self: &Rc<Self>, now: Timestamp, peer: Known, address: SocketAddr) {
+        self.handle_digest(now, Peer { known: peer, address, whole_list: true });
     }
 
-    fn hear_peer(self: &Rc<Self>, now: Timestamp, peer: Peer) {
+    fn handle_digest(self: &Rc<Self>, now: Timestamp, peer: Peer) {
         let known = peer.known;
         self.knowledge.borrow_mut().confirm_evacuations(known);
-        let own = self.own();
+        let own = self.digest();
         if own.backends_revision == 0 && known.backends_revision > 0 {
             self.roster.borrow_mut().heard_of_backends(now);
         }
-        if !own.wants_of(known) {
+        if !own.should_fetch_from(known) {
             return;
         }
         if peer.address.port() > 0 {
-            self.ask(peer);
+            self.request_from(peer);
         }
-        if self.comparison.borrow_mut().is_behind(now, own, known) {
-            self.ask_store(now);
+        if self.lag.borrow_mut().is_behind(now, own, known) {
+            self.query_store(now);
         }
     }
 
     /// Requests state from a peer. If an exchange is in progress, the peer is asked next if it is
     /// still ahead by then.
-    fn ask(self: &Rc<Self>, peer: Peer) {
-        let mut sources = self.sources.borrow_mut();
-        let own = self.own();
-        let is_urgent = own.lacks_urgently(peer.known);
-        if is_urgent || !sources.next.is_some_and(|next| own.lacks_urgently(next.known)) {
-            sources.next = Some(peer);
+    fn request_from(self: &Rc<Self>, peer: Peer) {
+        let mut exchanges = self.exchanges.borrow_mut();
+        let own = self.digest();
+        let is_urgent = own.lacks_urgent_state(peer.known);
+        if is_urgent || !exchanges.next.is_some_and(|next| own.lacks_urgent_state(next.known)) {
+            exchanges.next = Some(peer);
         }
         if is_urgent {
             self.urgent.notify_one();
         }
-        if !std::mem::replace(&mut sources.asking, true) {
-            tokio::task::spawn_local(self.clone().ask_peers());
+        if !std::mem::replace(&mut exchanges.in_progress, true) {
+            tokio::task::spawn_local(self.clone().run_exchanges());
         }
     }
 
-    async fn ask_peers(self: Rc<Self>) {
+    async fn run_exchanges(self: Rc<Self>) {
         loop {
-            self.rest().await;
-            let next = self.sources.borrow_mut().next.take();
-            let Some(peer) = next.filter(|peer| self.own().wants_of(peer.known)) else {
-                self.sources.borrow_mut().asking = false;
+            self.wait_for_interval().await;
+            let next = self.exchanges.borrow_mut().next.take();
+            let Some(peer) = next.filter(|peer| self.digest().should_fetch_from(peer.known)) else {
+                self.exchanges.borrow_mut().in_progress = false;
                 return;
             };
-            let outcome = self.ask_one(peer).await;
-            let mut sources = self.sources.borrow_mut();
-            sources.failed = outcome.is_err();
-            sources.rested_at = Instant::now() + sources.rest;
+            let outcome = self.exchange_with(peer).await;
+            let mut exchanges = self.exchanges.borrow_mut();
+            exchanges.last_failed = outcome.is_err();
+            exchanges.next_at = Instant::now() + exchanges.interval;
         }
     }
 
     /// Waits until back ends may be requested again or other state is available that must not be
     /// delayed.
-    async fn rest(&self) {
-        let (rested_at, next) = {
-            let sources = self.sources.borrow();
-            (sources.rested_at, sources.next)
+    async fn wait_for_interval(&self) {
+        let (next_at, next) = {
+            let exchanges = self.exchanges.borrow();
+            (exchanges.next_at, exchanges.next)
         };
-        let is_urgent = next.is_some_and(|next| self.own().lacks_urgently(next.known));
+        let is_urgent = next.is_some_and(|next| self.digest().lacks_urgent_state(next.known));
         if next.is_some() && !is_urgent {
-            let _ = tokio::time::timeout_at(rested_at, self.urgent.notified()).await;
+            let _ = tokio::time::timeout_at(next_at, self.urgent.notified()).await;
         }
     }
 
-    async fn ask_one(&self, peer: Peer) -> Result<(), ExchangeError> {
+    async fn exchange_with(&self, peer: Peer) -> Result<(), ExchangeError> {
         let Peer { address, whole_list, .. } = peer;
-        let own = self.own();
+        let own = self.digest();
         let knows_none = own.backends_revision == 0 && own.backends_digest == 0;
-        let wants_part = own.backends_revision == 0 && (knows_none || !whole_list);
-        let known = if wants_part { own.asking_for_part() } else { own };
+        let requests_subset = own.backends_revision == 0 && (knows_none || !whole_list);
+        let known = if requests_subset { own.requesting_subset() } else { own };
         let answer = fetch(address, NewsRequest { known, whole: false }).await;
         count_exchange(&answer);
-        if (self.take)(answer?) {
-            let request = NewsRequest { known: self.own(), whole: true };
+        if (self.apply_response)(answer?) {
+            let request = NewsRequest { known: self.digest(), whole: true };
             let answer = fetch(address, request).await;
             count_exchange(&answer);
-            (self.take)(answer?);
+            (self.apply_response)(answer?);
         }
         Ok(())
     }
@@ -276,16 +281,16 @@
     /// The live members changed.
     pub fn rank(&self, now: Timestamp, ranking: Ranking, members: usize) {
         self.roster.borrow_mut().rank(now, ranking);
-        self.sources.borrow_mut().rest = exchange_rest(members);
+        self.exchanges.borrow_mut().interval = exchange_interval(members);
     }
 
     /// Queries the store again if a peer has been ahead for long enough, and starts or stops
     /// watching.
     pub fn tick(&self, now: Timestamp) {
-        if self.comparison.borrow_mut().is_due(now, self.own()) {
-            self.ask_store(now);
+        if self.lag.borrow_mut().is_due(now, self.digest()) {
+            self.query_store(now);
         }
-        let knows = self.knows_what_serving_needs();
+        let knows = self.can_serve();
         let watches = self.roster.borrow_mut().watches(now, knows);
         let reads = self.roster.borrow_mut().reads_backends(now, self.knows_backends());
         self.reads_backends.send_if_modified(|held| std::mem::replace(held, reads) != reads);
@@ -302,7 +307,7 @@
     }
 
     /// Whether the configuration is known and, if evacuations are watched, the evacuated zones.
-    fn knows_what_serving_needs(&self) -> bool {
+    fn can_serve(&self) -> bool {
         let knowledge = self.knowledge.borrow();
         knowledge.configuration().is_some() && !knowledge.awaits_evacuations()
     }
@@ -314,7 +319,7 @@
     /// Members to which this process announces that it watches; empty if it does not watch or the
     /// store does not answer it.
     pub fn standbys(&self) -> Vec<String> {
-        if !*self.watches.borrow() || !self.knowledge.borrow().is_in_touch() {
+        if !*self.watches.borrow() || !self.knowledge.borrow().is_store_reachable() {
             return Vec::new();
         }
         self.roster.borrow().standbys().to_vec()
@@ -327,9 +332,9 @@
 
     /// Returns when `tick` should be called next.
     pub fn next_look(&self, now: Timestamp) -> Timestamp {
-        let (configuration, backends) = (self.knows_what_serving_needs(), self.knows_backends());
+        let (configuration, backends) = (self.can_serve(), self.knows_backends());
         let look = self.roster.borrow().next_look(now, configuration, backends);
-        self.comparison.borrow().next_look().map_or(look, |comparison| comparison.min(look))
+        self.lag.borrow().next_look().map_or(look, |lag| lag.min(look))
     }
 
     /// Waits until the local state has changed.
@@ -339,12 +344,12 @@
 
     /// Queries the store again. A process that does not watch does so only if its peers do not
     /// respond.
-    fn ask_store(&self, now: Timestamp) {
+    fn query_store(&self, now: Timestamp) {
         if *self.watches.borrow() {
             self.refresh.configuration.notify_one();
             self.refresh.backends.notify_one();
             self.refresh.evacuations.notify_one();
-        } else if self.sources.borrow().failed {
+        } else if self.exchanges.borrow().last_failed {
             self.roster.borrow_mut().catch_up(now);
         }
     }
--- a/crates/serving/src/news_exchange.rs
+++ b/crates/serving/src/news_exchange.rs
@@ -23,18 +23,18 @@
 /// Maximum number of peers served concurrently. Further ones are rejected and ask another peer:
 /// after a restart of the whole fleet, all processes ask the first ones that have the state, and
 /// none would receive its response in time.
-const MOST_ANSWERED: usize = 8;
+const MAX_CONCURRENT_RESPONSES: usize = 8;
 /// Maximum size of concurrent responses in bytes, except for a single larger one; a link of 30
 /// Mbit/s takes 0.7 s for them. Eight lists of 10,000 back ends, 1 MB each, would take 2.3 s
 /// together, and no peer would receive one in time.
-const MOST_BYTES_AT_ONCE: usize = 2_700_000;
+const MAX_IN_FLIGHT_BYTES: usize = 2_700_000;
 /// Size of one back end in a response, with the longest names in use.
 const BACKEND_BYTES: usize = 130;
 /// Maximum message size in bytes: a configuration of 1 MB, the maximum size of an object in the
 /// platform's store, and 10,000 back ends.
 const MAX_MESSAGE_BYTES: u32 = 4 * 1024 * 1024;
 /// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Requests the state of a peer that is newer than the sender's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -53,14 +53,14 @@
     /// The configuration, if it is newer.
     pub configuration: Option<Configuration>,
     /// Back ends.
-    pub backends: BackendNews,
+    pub backends: BackendUpdates,
     /// All evacuated zones, if the responder is ahead. There are few of them.
-    pub evacuations: Option<Vec<NamedEvacuation>>,
+    pub evacuations: Option<Vec<VersionedEvacuation>>,
 }
 
 /// An evacuation with its revision in the store.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct NamedEvacuation {
+pub struct VersionedEvacuation {
     /// Revision of the object's last change.
     pub revision: Revision,
     /// The evacuation.
@@ -69,18 +69,18 @@
 
 /// Back ends that changed.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct BackendNews {
+pub struct BackendUpdates {
     /// Revision after which these are the changes; `None` if the list is complete.
     pub since: Option<Revision>,
     /// Back ends that were added or changed.
-    pub changed: Vec<NamedBackend>,
+    pub changed: Vec<VersionedBackend>,
     /// Back ends that were removed.
     pub removed: Vec<Removal>,
 }
 
 /// A back end with its revision in the store.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct NamedBackend {
+pub struct VersionedBackend {
     /// Name of the object.
     pub name: String,
     /// Revision of the object's last change.
@@ -89,9 +89,9 @@
     pub backend: Backend,
 }
 
-impl From<NamedBackend> for Change<Backend> {
-    fn from(named: NamedBackend) -> Self {
-        let NamedBackend { name, revision, backend } = named;
+impl From<VersionedBackend> for Change<Backend> {
+    fn from(named: VersionedBackend) -> Self {
+        let VersionedBackend { name, revision, backend } = named;
         Self { name, revision, value: Some(backend) }
     }
 }
@@ -137,7 +137,7 @@
     match tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await {
         Ok(answer) => answer,
         Err(_) => {
-            let cause = format!("none within {EXCHANGE_TIMEOUT:?}");
+            let cause = format!("no response within {EXCHANGE_TIMEOUT:?}");
             Err(ExchangeError { step: "await answer", peer, cause })
         }
     }
@@ -145,73 +145,79 @@
 
 /// Number of bytes of responses in flight.
 #[derive(Debug, Default)]
-pub struct AnswerBytes {
-    under_way: Cell<usize>,
+pub struct ResponseBudget {
+    in_flight: Cell<usize>,
 }
 
 /// Reservation for the bytes of one response, released on drop.
 #[derive(Debug)]
-pub struct AnswerRoom {
-    bytes: Rc<AnswerBytes>,
-    taken: usize,
+pub struct ResponseReservation {
+    bytes: Rc<ResponseBudget>,
+    reserved: usize,
 }
 
-impl AnswerBytes {
+impl ResponseBudget {
     /// Reserves space for a response with about `backends` back ends; `None` if those in flight
     /// leave too little. A response that exceeds the limit by itself is sent alone.
-    pub fn take(self: &Rc<Self>, backends: usize) -> Option<AnswerRoom> {
-        let taken = backends * BACKEND_BYTES;
-        let under_way = self.under_way.get();
-        if under_way > 0 && under_way + taken > MOST_BYTES_AT_ONCE {
+    pub fn reserve(self: &Rc<Self>, backends: usize) -> Option<ResponseReservation> {
+        let reserved = backends * BACKEND_BYTES;
+        let in_flight = self.in_flight.get();
+        if in_flight > 0 && in_flight + reserved > MAX_IN_FLIGHT_BYTES {
             return None;
         }
-        self.under_way.set(under_way + taken);
-        Some(AnswerRoom { bytes: self.clone(), taken })
+        self.in_flight.set(in_flight + reserved);
+        Some(ResponseReservation { bytes: self.clone(), reserved })
     }
 }
 
-impl Drop for AnswerRoom {
+impl Drop for ResponseReservation {
     fn drop(&mut self) {
-        self.bytes.under_way.set(self.bytes.under_way.get() - self.taken);
+        self.bytes.in_flight.set(self.bytes.in_flight.get() - self.reserved);
     }
 }
 
 /// Provides the state that peers request.
-pub trait Teller {
+pub trait StateProvider {
     /// Number of back ends that a response would contain.
-    fn backends_to_tell(&self, request: &NewsRequest) -> usize;
+    fn response_backends(&self, request: &NewsRequest) -> usize;
     /// Builds the response.
     fn answer(&self, request: &NewsRequest) -> NewsAnswer;
 }
 
 /// Serves peers indefinitely.
-pub async fn serve(listener: TcpListener, teller: Rc<dyn Teller>) {
-    let free = Arc::new(Semaphore::new(MOST_ANSWERED));
-    let bytes = Rc::new(AnswerBytes::default());
+pub async fn serve(listener: TcpListener, provider: Rc<dyn StateProvider>) {
+    let free = Arc::new(Semaphore::new(MAX_CONCURRENT_RESPONSES));
+    let bytes = Rc::new(ResponseBudget::default());
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let Ok(permit) = free.clone().try_acquire_owned() else { continue };
-                let answering = serve_one(stream, teller.clone(), bytes.clone());
+                let answering = serve_one(stream, provider.clone(), bytes.clone());
                 tokio::task::spawn_local(async move {
                     answering.await;
                     drop(permit);
                 });
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-async fn serve_one(mut stream: TcpStream, teller: Rc<dyn Teller>, bytes: Rc<AnswerBytes>) {
+async fn serve_one(
+    mut stream: TcpStream,
+    provider: Rc<dyn StateProvider>,
+    bytes: Rc<ResponseBudget>,
+) {
     let exchange = async {
         let request: NewsRequest = receive(&mut stream).await?;
-        let Some(room) = bytes.take(teller.backends_to_tell(&request)) else { return Ok(()) };
-        let sent = send(&mut stream, &teller.answer(&request)).await;
+        let Some(reservation) = bytes.reserve(provider.response_backends(&request)) else {
+            return Ok(());
+        };
+        let sent = send(&mut stream, &provider.answer(&request)).await;
         // The write completes once the data is in the kernel's buffers; the peer has received it
         // when it closes the connection.
         let _ = stream.read(&mut [0]).await;
-        drop(room);
+        drop(reservation);
         sent
     };
     // A peer that received no response asks another one.
@@ -229,7 +235,9 @@
 async fn receive<T: BorshDeserialize>(stream: &mut TcpStream) -> std::io::Result<T> {
     let length = stream.read_u32().await?;
     if length > MAX_MESSAGE_BYTES {
-        return Err(std::io::Error::other(format!("a message of {length} bytes")));
+        return Err(std::io::Error::other(format!(
+            "message of {length} bytes exceeds the limit of {MAX_MESSAGE_BYTES}"
+        )));
     }
     let mut body = vec![0; length as usize];
     stream.read_exact(&mut body).await?;
--- a/crates/serving/src/objects.rs
+++ b/crates/serving/src/objects.rs
@@ -8,16 +8,16 @@
 
 /// Maximum number of removals retained for peers: several minutes of a fleet of 3,000 back ends
 /// that are replaced once a day, or one simultaneous replacement of a sixth of them.
-const MOST_REMOVALS: usize = 512;
+const MAX_REMOVALS: usize = 512;
 
 /// An object that may have had several incarnations under one name.
-pub trait Lived {
+pub trait Incarnated {
     /// Start of its incarnation, in milliseconds since the Unix epoch; 0 if it reports none.
     fn started_ms(&self) -> u64;
 
     /// Whether `other` describes an earlier incarnation. The last write of an ended incarnation may
     /// reach the store late, with a higher revision than the record of its successor.
-    fn outlives(&self, other: &Self) -> bool {
+    fn supersedes(&self, other: &Self) -> bool {
         other.started_ms() > 0 && self.started_ms() > other.started_ms()
     }
 }
@@ -59,7 +59,7 @@
     }
 }
 
-impl<T: Lived + PartialEq> Objects<T> {
+impl<T: Incarnated + PartialEq> Objects<T> {
     /// Replaces all objects with a list and returns the changes; `None` if the list is older than
     /// the current state.
     pub fn replace(&mut self, listing: Listing<T>) -> Option<Vec<Changed<T>>> {
@@ -77,14 +77,14 @@
             let Some(value) = item.value else { continue };
             let held = before.remove(&item.name);
             let stays = |(revision, held): &&(Revision, Arc<T>)| {
-                held.outlives(&value) || (*revision == item.revision && **held == value)
+                held.supersedes(&value) || (*revision == item.revision && **held == value)
             };
             if let Some(held) = held.as_ref().filter(stays) {
-                self.hold(item.name, held.0, held.1.clone());
+                self.insert(item.name, held.0, held.1.clone());
                 continue;
             }
             let value = Arc::new(value);
-            self.hold(item.name, item.revision, value.clone());
+            self.insert(item.name, item.revision, value.clone());
             changed.push(Changed { before: held.map(|(_, held)| held), after: Some(value) });
         }
         let gone =
@@ -94,7 +94,7 @@
     }
 
     /// Stores an object at a revision and returns the object it replaces.
-    fn hold(&mut self, name: String, revision: Revision, value: Arc<T>) -> Option<Arc<T>> {
+    fn insert(&mut self, name: String, revision: Revision, value: Arc<T>) -> Option<Arc<T>> {
         self.order.insert((revision, name.clone()));
         let (before_at, before) = self.held.insert(name.clone(), (revision, value))?;
         if before_at != revision {
@@ -103,15 +103,15 @@
         Some(before)
     }
 
-    fn drop_object(&mut self, name: &str) -> Option<Arc<T>> {
+    fn remove_object(&mut self, name: &str) -> Option<Arc<T>> {
         let (revision, before) = self.held.remove(name)?;
         self.order.remove(&(revision, name.to_owned()));
         Some(before)
     }
 
-    fn note_removal(&mut self, name: String, revision: Revision) {
+    fn record_removal(&mut self, name: String, revision: Revision) {
         self.removals.push_back(Removal { name, revision });
-        if self.removals.len() > MOST_REMOVALS {
+        if self.removals.len() > MAX_REMOVALS {
             if let Some(oldest) = self.removals.pop_front() {
                 self.removals_after = self.removals_after.max(oldest.revision);
             }
@@ -149,9 +149,9 @@
         for Removal { name, revision } in removals {
             let is_older = |(held, _): &(Revision, Arc<T>)| *held <= revision;
             if self.held.get(&name).is_some_and(is_older) {
-                changed.push(Changed { before: self.drop_object(&name), after: None });
+                changed.push(Changed { before: self.remove_object(&name), after: None });
             }
-            self.note_removal(name, revision);
+            self.record_removal(name, revision);
         }
         changed
     }
@@ -169,8 +169,8 @@
         match change.value {
             // Not every store assigns a removal a revision above that of the object's last change.
             None => {
-                let before = self.drop_object(&change.name)?;
-                self.note_removal(change.name, revision);
+                let before = self.remove_object(&change.name)?;
+                self.record_removal(change.name, revision);
                 Some(Changed { before: Some(before), after: None })
             }
             Some(value) => {
@@ -179,7 +179,7 @@
                     return None;
                 }
                 let value = Arc::new(value);
-                let before = self.hold(change.name, change.revision, value.clone());
+                let before = self.insert(change.name, change.revision, value.clone());
                 Some(Changed { before, after: Some(value) })
             }
         }
@@ -218,7 +218,7 @@
 
 /// Whether the held object supersedes a reported one: it is of a later incarnation, or of the same
 /// one and not at a lower revision.
-fn is_newer<T: Lived>(held: &(Revision, Arc<T>), told_at: Revision, told: &T) -> bool {
+fn is_newer<T: Incarnated>(held: &(Revision, Arc<T>), reported_at: Revision, reported: &T) -> bool {
     let (revision, held) = held;
-    held.outlives(told) || (*revision >= told_at && !told.outlives(held))
+    held.supersedes(reported) || (*revision >= reported_at && !reported.supersedes(held))
 }
--- a/crates/serving/src/observer.rs
+++ b/crates/serving/src/observer.rs
@@ -8,7 +8,7 @@
 use crate::source::{Revision, SourceError};
 
 /// Maximum number of names in a log line.
-const MOST_NAMES: usize = 10;
+const MAX_NAMES: usize = 10;
 
 /// Writes log lines and notifies a callback of changes.
 pub struct LineObserver {
@@ -33,7 +33,7 @@
         Line::new(EventName::RegionUnknown)
             .field("version", version)
             .field("count", unknown.len())
-            .field("some", &unknown[..unknown.len().min(MOST_NAMES)])
+            .field("some", &unknown[..unknown.len().min(MAX_NAMES)])
             .write();
     }
 
--- a/crates/serving/src/shared_knowledge.rs
+++ b/crates/serving/src/shared_knowledge.rs
@@ -10,7 +10,7 @@
 use crate::eligibility::unknown_regions;
 use crate::knowledge::Knowledge;
 use crate::model::{Backend, Configuration, Evacuation};
-use crate::news_exchange::{NamedEvacuation, NewsAnswer};
+use crate::news_exchange::{NewsAnswer, VersionedEvacuation};
 use crate::objects::{Changed, Objects};
 use crate::source::{Change, Listing, Revision, SourceError};
 use crate::watch::Sink;
@@ -65,10 +65,10 @@
     /// Applies a response of a peer. Returns whether its whole list of back ends is needed.
     pub fn take_news(&self, answer: NewsAnswer) -> bool {
         if let Some(configuration) = answer.configuration {
-            self.take_configuration(configuration);
+            self.apply_configuration(configuration);
         }
         if let Some(named) = answer.evacuations {
-            let change = |named: NamedEvacuation| Change {
+            let change = |named: VersionedEvacuation| Change {
                 name: named.evacuation.zone.clone(),
                 revision: named.revision,
                 value: Some(named.evacuation),
@@ -81,36 +81,36 @@
         }
         if answer.known.backends_revision == 0 {
             // The peer sent only a subset, or has no complete list itself.
-            self.take_part(answer.backends.changed.into_iter().map(Change::from).collect());
+            self.apply_subset(answer.backends.changed.into_iter().map(Change::from).collect());
             return false;
         }
         let own = self.knowledge.borrow().known();
         let is_same = own.backends_digest == answer.known.backends_digest;
-        let (held, told) = (own.backends_revision, answer.known.backends_revision);
-        if held > told || (held == told && is_same) {
+        let (held, reported) = (own.backends_revision, answer.known.backends_revision);
+        if held > reported || (held == reported && is_same) {
             return false;
         }
         let is_same = {
             let mut knowledge = self.knowledge.borrow_mut();
-            knowledge.take_backend_news(answer.known, answer.backends)
+            knowledge.apply_backend_updates(answer.known, answer.backends)
         };
-        self.tell_backends();
+        self.report_backends();
         !is_same
     }
 
     /// Applies a subset of the back ends before the whole list is known, and reports it if any was
     /// new.
-    fn take_part(&self, changes: Vec<Change<Backend>>) {
-        let any = self.knowledge.borrow_mut().take_part(changes);
+    fn apply_subset(&self, changes: Vec<Change<Backend>>) {
+        let any = self.knowledge.borrow_mut().apply_subset(changes);
         if any {
-            self.tell_backends();
+            self.report_backends();
         }
     }
 
-    fn take_configuration(&self, configuration: Configuration) {
+    fn apply_configuration(&self, configuration: Configuration) {
         let version = configuration.version;
         let unknown = unknown_regions(&configuration, self.knowledge.borrow().zones());
-        if self.knowledge.borrow_mut().take_configuration(configuration) {
+        if self.knowledge.borrow_mut().apply_configuration(configuration) {
             self.observer.configuration(version);
             if !unknown.is_empty() {
                 self.observer.unknown_regions(version, &unknown);
@@ -125,12 +125,12 @@
         change: impl FnOnce(&mut Objects<Evacuation>),
     ) {
         let mut knowledge = self.knowledge.borrow_mut();
-        let (known, awaited) = (knowledge.known().evacuations, knowledge.awaits_evacuations());
+        let (known, was_unknown) = (knowledge.known().evacuations, knowledge.awaits_evacuations());
         let before = knowledge.cell.load_full();
         let age_ms = knowledge.ages().evacuations_ms;
         change(&mut knowledge.evacuations);
         if knowledge.known().evacuations.digest == known.digest
-            && knowledge.awaits_evacuations() == awaited
+            && knowledge.awaits_evacuations() == was_unknown
         {
             return;
         }
@@ -167,11 +167,11 @@
             changed.map(|changed| knowledge.publish_backends(&changed))
         };
         if changed.is_some() {
-            self.tell_backends();
+            self.report_backends();
         }
     }
 
-    fn tell_backends(&self) {
+    fn report_backends(&self) {
         let knowledge = self.knowledge.borrow();
         let ready = knowledge.cell.load().ready_count();
         self.observer.backends(ready, knowledge.backends.revision());
@@ -181,12 +181,12 @@
         self.knowledge.borrow().ages.now()
     }
 
-    fn note_answered(&self, kind: Followed, asked: Timestamp, held_back_ms: u64) {
-        self.knowledge.borrow_mut().note_answered(kind, asked, held_back_ms);
+    fn record_response(&self, kind: Followed, asked: Timestamp, held_back_ms: u64) {
+        self.knowledge.borrow_mut().record_response(kind, asked, held_back_ms);
     }
 
-    fn note_ended(&self, kind: Followed, error: Option<&SourceError>) {
-        self.knowledge.borrow_mut().note_ended(kind, error);
+    fn record_outcome(&self, kind: Followed, error: Option<&SourceError>) {
+        self.knowledge.borrow_mut().record_outcome(kind, error);
         self.observer.reachable(kind.name(), error);
     }
 }
@@ -198,12 +198,12 @@
 
     fn apply(&self, changes: Vec<Change<Configuration>>, _revision: Revision) {
         for configuration in changes.into_iter().filter_map(|change| change.value) {
-            self.take_configuration(configuration);
+            self.apply_configuration(configuration);
         }
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(Followed::Configuration, error);
+        self.record_outcome(Followed::Configuration, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -211,7 +211,7 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(Followed::Configuration, asked, held_back_ms);
+        self.record_response(Followed::Configuration, asked, held_back_ms);
     }
 }
 
@@ -220,8 +220,8 @@
         self.change_backends(|held| held.replace(listing));
     }
 
-    fn part(&self, items: &[Change<Backend>]) {
-        self.take_part(items.to_vec());
+    fn apply_page(&self, items: &[Change<Backend>]) {
+        self.apply_subset(items.to_vec());
     }
 
     fn apply(&self, changes: Vec<Change<Backend>>, revision: Revision) {
@@ -233,7 +233,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(Followed::Backends, error);
+        self.record_outcome(Followed::Backends, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -241,7 +241,7 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(Followed::Backends, asked, held_back_ms);
+        self.record_response(Followed::Backends, asked, held_back_ms);
     }
 }
 
@@ -261,7 +261,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(Followed::Evacuations, error);
+        self.record_outcome(Followed::Evacuations, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -269,6 +269,6 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(Followed::Evacuations, asked, held_back_ms);
+        self.record_response(Followed::Evacuations, asked, held_back_ms);
     }
 }
--- a/crates/serving/src/source.rs
+++ b/crates/serving/src/source.rs
@@ -78,7 +78,7 @@
             SourceError::Failed { step, peer, cause } => {
                 write!(formatter, "{step} {peer}: {cause}")
             }
-            SourceError::Refused { status } => write!(formatter, "refused with {status}"),
+            SourceError::Refused { status } => write!(formatter, "rejected with status {status}"),
         }
     }
 }
--- a/crates/serving/src/known.rs
+++ b/crates/serving/src/state_digest.rs
@@ -4,7 +4,7 @@
 use yokefall_core::membership::ObjectDigest;
 
 /// Digest sent by a process without back ends to request a subset of them. No list has this digest.
-const PART_WANTED: u64 = 1;
+const SUBSET_REQUEST_DIGEST: u64 = 1;
 
 /// Digest of the state of one process; fits into a datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -21,15 +21,15 @@
 
 impl Known {
     /// Whether this state has to be announced, given the state announced last.
-    pub fn is_news_after(self, told: Known) -> bool {
-        self.version > told.version
-            || self.backends_digest != told.backends_digest
-            || self.evacuations.digest != told.evacuations.digest
-            || (self.evacuations.revision > 0) != (told.evacuations.revision > 0)
+    pub fn is_news_after(self, announced: Known) -> bool {
+        self.version > announced.version
+            || self.backends_digest != announced.backends_digest
+            || self.evacuations.digest != announced.evacuations.digest
+            || (self.evacuations.revision > 0) != (announced.evacuations.revision > 0)
     }
 
     /// Whether a peer should be asked for its state.
-    pub(crate) fn wants_of(self, peer: Known) -> bool {
+    pub(crate) fn should_fetch_from(self, peer: Known) -> bool {
         self.lacks(peer) || self.lacks_any_backend(peer)
     }
 
@@ -45,17 +45,17 @@
 
     /// Returns the digest for a request that wants only a subset of the back ends. Peers of older
     /// builds send all of them.
-    pub fn asking_for_part(self) -> Self {
-        Self { backends_digest: PART_WANTED, ..self }
+    pub fn requesting_subset(self) -> Self {
+        Self { backends_digest: SUBSET_REQUEST_DIGEST, ..self }
     }
 
     /// Whether a request wants only a subset of the back ends.
-    pub fn wants_part(self) -> bool {
-        self.backends_revision == 0 && self.backends_digest == PART_WANTED
+    pub fn requests_subset(self) -> bool {
+        self.backends_revision == 0 && self.backends_digest == SUBSET_REQUEST_DIGEST
     }
 
     /// Whether a peer is ahead in anything other than back ends, which must not be delayed.
-    pub(crate) fn lacks_urgently(self, peer: Known) -> bool {
+    pub(crate) fn lacks_urgent_state(self, peer: Known) -> bool {
         self.version < peer.version || self.lacks_evacuations(peer)
     }
 
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -13,7 +13,7 @@
 use crate::source::{Change, Listing, Revision, Source, SourceError, Watched};
 
 /// Maximum time for which one watch waits.
-pub const WATCH_WAIT: Duration = Duration::from_millis(12_000);
+pub const MAX_WATCH_WAIT: Duration = Duration::from_millis(12_000);
 /// Range of the wait of the first watch after a list or a change, chosen at random each time. All
 /// watchers restart at the same moment then. If the store stops responding right after, each of
 /// these calls is lost, which is noticed only when its wait ends. With random waits the first of
@@ -34,22 +34,22 @@
     Duration::from_millis(700)..Duration::from_millis(3_000);
 /// Pause after a watch that returned changes. Changes come in bursts, for example when a service
 /// starts or is replaced, and every process pays for each call.
-const GATHER_PAUSE: Duration = Duration::from_millis(200);
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 /// Time beyond the wait after which an unanswered watch counts as failed.
-const WATCH_SLACK: Duration = Duration::from_millis(700);
+const WATCH_GRACE: Duration = Duration::from_millis(700);
 /// Timeout for one page of a list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Initial pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Maximum pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Receives the results of lists and watches.
 pub trait Sink<T> {
     /// Replaces all objects with a list.
     fn replace(&self, listing: Listing<T>);
     /// Receives one page of a list that is still being read.
-    fn part(&self, _items: &[Change<T>]) {}
+    fn apply_page(&self, _items: &[Change<T>]) {}
     /// Applies changes.
     fn apply(&self, changes: Vec<Change<T>>, revision: Revision);
     /// Reports the outcome of a call; `None` for success.
@@ -65,7 +65,7 @@
 
 /// How long watches wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waits {
+pub enum WatchWaits {
     /// As long as the store allows, so that few calls are made.
     Long,
     /// Short enough that the state is confirmed every few seconds. Each zone has its own watchers,
@@ -76,32 +76,32 @@
     },
 }
 
-impl Waits {
+impl WatchWaits {
     /// Wait of the first watch after a list or a change.
     fn first(self) -> Duration {
         match self {
-            Waits::Long => rand::random_range(FIRST_WATCH_WAIT),
-            Waits::Fresh { zones } => fresh(FRESH_FIRST_WATCH_WAIT, zones),
+            WatchWaits::Long => rand::random_range(FIRST_WATCH_WAIT),
+            WatchWaits::Fresh { zones } => scaled_wait(FRESH_FIRST_WATCH_WAIT, zones),
         }
     }
 
     /// Wait of subsequent watches.
     fn next(self) -> Duration {
         match self {
-            Waits::Long => WATCH_WAIT,
-            Waits::Fresh { zones } => fresh(FRESH_WATCH_WAIT, zones),
+            WatchWaits::Long => MAX_WATCH_WAIT,
+            WatchWaits::Fresh { zones } => scaled_wait(FRESH_WATCH_WAIT, zones),
         }
     }
 }
 
 /// Returns a random wait out of a range, scaled up if there are more than three zones.
-fn fresh(range: std::ops::Range<Duration>, zones: usize) -> Duration {
+fn scaled_wait(range: std::ops::Range<Duration>, zones: usize) -> Duration {
     let factor = (zones as f64 / FRESH_WAIT_ZONES).max(1.0);
-    rand::random_range(range).mul_f64(factor).min(WATCH_WAIT)
+    rand::random_range(range).mul_f64(factor).min(MAX_WATCH_WAIT)
 }
 
 /// Controls the list-and-watch loop of one kind.
-pub struct Follow {
+pub struct WatchOptions {
     /// Ends the current watch so that the store is queried again.
     pub refresh: Rc<Notify>,
     /// Handles that end the watches of other kinds.
@@ -109,54 +109,59 @@
     /// Whether the store is to be queried.
     pub duty: Duty,
     /// How long watches wait.
-    pub waits: Waits,
+    pub waits: WatchWaits,
 }
 
 /// Lists, then watches, for as long as this process has the duty to. Lists again after a watch that
 /// failed, has lost its history or was ended by `refresh`. When the store answers after a failure,
 /// the watches of other kinds are ended too: a connection on which a response was lost may deliver
 /// nothing more, which would go unnoticed until the wait ends.
-pub async fn follow<T, S: Source<T>>(mut source: S, sink: impl Sink<T>, mut follow: Follow) {
-    let mut pause = FIRST_PAUSE;
+pub async fn run_watch<T, S: Source<T>>(
+    mut source: S,
+    sink: impl Sink<T>,
+    mut options: WatchOptions,
+) {
+    let mut backoff = INITIAL_BACKOFF;
     let mut failed = false;
     let mut list = PartialList::default();
     loop {
-        follow.duty.begun().await;
+        options.duty.begun().await;
         let once =
-            follow_once(&mut source, &mut list, &sink, &mut follow, &mut failed, &mut pause).await;
+            list_and_watch(&mut source, &mut list, &sink, &mut options, &mut failed, &mut backoff)
+                .await;
         if let Err(error) = once {
             failed = true;
             sink.ended(Some(&error));
             source.reset();
             // Jitter keeps processes that failed together from retrying together.
-            tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.5))).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            tokio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.5))).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
 
-async fn follow_once<T, S: Source<T>>(
+async fn list_and_watch<T, S: Source<T>>(
     source: &mut S,
     list: &mut PartialList<T>,
     sink: &impl Sink<T>,
-    follow: &mut Follow,
+    options: &mut WatchOptions,
     failed: &mut bool,
-    pause: &mut Duration,
+    backoff: &mut Duration,
 ) -> Result<(), SourceError> {
     while !list.is_complete() {
         // The list is not read further if a peer has supplied it in the meantime.
-        if !follow.duty.holds() {
+        if !options.duty.holds() {
             return Ok(());
         }
         let asked = sink.now();
-        let page = within(LIST_TIMEOUT, source.list(list.after())).await;
-        count(source.kind(), "list", &page);
+        let page = with_timeout(LIST_TIMEOUT, source.list(list.after())).await;
+        count_call(source.kind(), "list", &page);
         let page = page?;
         if page.next.is_some() {
-            sink.part(&page.items);
+            sink.apply_page(&page.items);
         }
         list.add(page, asked);
-        *pause = FIRST_PAUSE;
+        *backoff = INITIAL_BACKOFF;
     }
     let asked = list.asked();
     let listing = list.take();
@@ -165,34 +170,34 @@
     sink.answered(asked, 0);
     sink.ended(None);
     if std::mem::take(failed) {
-        follow.others.iter().for_each(|other| other.notify_one());
+        options.others.iter().for_each(|other| other.notify_one());
     }
-    *pause = FIRST_PAUSE;
-    let mut wait = follow.waits.first();
+    *backoff = INITIAL_BACKOFF;
+    let mut wait = options.waits.first();
     loop {
         let asked = sink.now();
         let watched = tokio::select! {
-            watched = within(wait + WATCH_SLACK, source.watch(revision, wait)) => {
+            watched = with_timeout(wait + WATCH_GRACE, source.watch(revision, wait)) => {
                 Some(watched)
             }
-            () = follow.refresh.notified() => None,
-            () = follow.duty.ended() => None,
+            () = options.refresh.notified() => None,
+            () = options.duty.ended() => None,
         };
         let Some(watched) = watched else {
             source.reset();
             return Ok(());
         };
-        count(source.kind(), "watch", &watched);
+        count_call(source.kind(), "watch", &watched);
         match watched? {
             Watched::Changes { changes, revision: next } => {
                 revision = revision.max(next);
                 let changed = !changes.is_empty();
                 sink.apply(changes, revision);
                 sink.answered(asked, if changed { 0 } else { wait.as_millis() as u64 });
-                wait = follow.waits.next();
+                wait = options.waits.next();
                 if changed {
-                    wait = follow.waits.first();
-                    tokio::time::sleep(GATHER_PAUSE).await;
+                    wait = options.waits.first();
+                    tokio::time::sleep(BATCH_INTERVAL).await;
                 }
             }
             Watched::HistoryLost => return Ok(()),
@@ -201,7 +206,7 @@
 }
 
 /// Counts a call to the platform's store by outcome.
-fn count<T>(kind: &'static str, call: &'static str, answer: &Result<T, SourceError>) {
+fn count_call<T>(kind: &'static str, call: &'static str, answer: &Result<T, SourceError>) {
     let outcome = match answer {
         Ok(_) => "ok",
         Err(SourceError::Refused { .. }) => "refused",
@@ -211,7 +216,7 @@
         .increment(1);
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
     call: impl std::future::Future<Output = Result<T, SourceError>>,
 ) -> Result<T, SourceError> {
@@ -220,7 +225,7 @@
         Err(_) => Err(SourceError::Failed {
             step: "await answer",
             peer: String::new(),
-            cause: format!("none within {limit:?}"),
+            cause: format!("no response within {limit:?}"),
         }),
     }
 }
--- a/crates/serving/tests/catalog.rs
+++ b/crates/serving/tests/catalog.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use yokefall_serving::catalog::empty_catalog;
-use yokefall_serving::objects::{Lived, Objects};
+use yokefall_serving::objects::{Incarnated, Objects};
 use yokefall_serving::table::{RouteTable, Splitter};
 use yokefall_serving::watch::Knowledge;
 use yokefall_serving::{Change, Configuration, Listing, Route, RouteKind, SplitPart};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_counts() {
+fn the_longest_matching_prefix_of_the_host_wins() {
     let routes = vec![
         route("root", "a.example", "/", &[("s", 1)]),
         route("deep", "a.example", "/x/y/", &[("s", 1)]),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn shares_are_exact_over_any_whole_round() {
+fn split_shares_are_exact_over_each_cycle() {
     let route = route("r", "a.example", "/", &[("s", 7), ("t", 2), ("u", 1), ("none", 0)]);
     let mut splitter = Splitter::default();
     for _ in 0..3 {
@@ -65,12 +65,12 @@
 }
 
 #[test]
-fn an_older_configuration_does_not_come_into_force() {
+fn an_older_configuration_is_ignored() {
     let cell = empty_catalog();
     let mut knowledge = Knowledge::new(cell.clone(), Default::default());
-    assert!(knowledge.take_configuration(configuration(5, Vec::new())));
-    assert!(!knowledge.take_configuration(configuration(4, Vec::new())));
-    assert!(!knowledge.take_configuration(configuration(5, Vec::new())));
+    assert!(knowledge.apply_configuration(configuration(5, Vec::new())));
+    assert!(!knowledge.apply_configuration(configuration(4, Vec::new())));
+    assert!(!knowledge.apply_configuration(configuration(5, Vec::new())));
     assert_eq!(cell.load().version(), 5);
 }
 
@@ -81,17 +81,22 @@
     started_ms: u64,
 }
 
-impl Lived for Number {
+impl Incarnated for Number {
     fn started_ms(&self) -> u64 {
         self.started_ms
     }
 }
 
 fn change(name: &str, revision: u64, value: Option<u32>) -> Change<Number> {
-    in_life(name, revision, value, 0)
+    in_incarnation(name, revision, value, 0)
 }
 
-fn in_life(name: &str, revision: u64, value: Option<u32>, started_ms: u64) -> Change<Number> {
+fn in_incarnation(
+    name: &str,
+    revision: u64,
+    value: Option<u32>,
+    started_ms: u64,
+) -> Change<Number> {
     let value = value.map(|value| Number { value, started_ms });
     Change { name: name.into(), revision, value }
 }
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn an_older_list_changes_nothing() {
+fn an_older_list_is_ignored() {
     let mut objects = Objects::default();
     let items = vec![change("a", 3, Some(1))];
     assert!(objects.replace(Listing { items, revision: 10 }).is_some());
@@ -113,7 +118,7 @@
 }
 
 #[test]
-fn older_changes_of_an_object_are_left_out() {
+fn older_changes_of_an_object_are_ignored() {
     let mut objects = Objects::default();
     objects.apply(vec![change("a", 5, Some(5)), change("b", 6, Some(6))], 6);
     objects.apply(vec![change("a", 4, Some(4)), change("b", 7, None)], 7);
@@ -124,21 +129,23 @@
 /// A back end restarts under the same id, and the last write of the ended incarnation reaches the
 /// store after the new record, with a higher revision. It must not replace the new record.
 #[test]
-fn an_entry_of_an_older_life_replaces_none_of_a_newer_one() {
+fn a_record_of_an_older_incarnation_does_not_replace_a_newer_one() {
     let mut objects = Objects::default();
-    objects.apply(vec![in_life("a", 5, Some(1), 100), in_life("b", 5, Some(8), 0)], 5);
-    objects.apply(vec![in_life("a", 6, Some(2), 200)], 6);
-    objects.apply(vec![in_life("a", 7, Some(1), 100)], 7);
+    objects
+        .apply(vec![in_incarnation("a", 5, Some(1), 100), in_incarnation("b", 5, Some(8), 0)], 5);
+    objects.apply(vec![in_incarnation("a", 6, Some(2), 200)], 6);
+    objects.apply(vec![in_incarnation("a", 7, Some(1), 100)], 7);
     assert_eq!(values(&objects), [2, 8], "in a change");
-    let items = vec![in_life("a", 8, Some(1), 100), in_life("b", 5, Some(8), 0)];
+    let items = vec![in_incarnation("a", 8, Some(1), 100), in_incarnation("b", 5, Some(8), 0)];
     assert!(objects.replace(Listing { items, revision: 8 }).is_some());
     assert_eq!(values(&objects), [2, 8], "in a list");
     // Within one incarnation, or if the incarnation is unknown, the higher revision wins.
-    objects.apply(vec![in_life("a", 9, Some(3), 200), in_life("b", 9, Some(9), 0)], 9);
+    objects
+        .apply(vec![in_incarnation("a", 9, Some(3), 200), in_incarnation("b", 9, Some(9), 0)], 9);
     assert_eq!(values(&objects), [3, 9]);
     // A newer incarnation wins even at a lower revision, as reported by a peer.
-    objects.apply(vec![in_life("a", 4, Some(4), 300)], 9);
+    objects.apply(vec![in_incarnation("a", 4, Some(4), 300)], 9);
     assert_eq!(values(&objects), [4, 9]);
-    objects.apply(vec![in_life("a", 10, None, 0)], 10);
-    assert_eq!(values(&objects), [9], "what is gone is gone");
+    objects.apply(vec![in_incarnation("a", 10, None, 0)], 10);
+    assert_eq!(values(&objects), [9], "the object was removed");
 }
--- a/crates/serving/tests/fleet_cost.rs
+++ b/crates/serving/tests/fleet_cost.rs
@@ -73,31 +73,31 @@
             0 => BackendState::Draining,
             _ => BackendState::Ready,
         };
-        let learnt = mean(|round| {
+        let applied = mean(|round| {
             let revision = 2 + u64::from(round);
             let changes = vec![change(count / 2, revision, state(round))];
             Sink::<Backend>::apply(&process.shared, changes, revision);
         });
         let mut known = process.shared.knowledge.borrow().known();
         known.backends_revision -= 1;
-        let told = mean(|_| {
+        let answered = mean(|_| {
             let request = NewsRequest { known, whole: false };
             black_box(process.shared.knowledge.borrow().answer(&request));
         });
         let catalog = process.cell.load_full();
         let mut balancer = Balancer::new("zone-1".into(), 1, Policy::default());
         let all = catalog.ready("models");
-        let chosen_of_all = mean(|_| {
+        let chosen_from_all = mean(|_| {
             black_box(balancer.choose(NOW, all, &[], None));
         });
         let eligibility = Eligibility::new(process.cell.clone());
         let need = Need { service: "models", residency: &Residency::Anywhere };
-        let chosen_of_drawn = mean(|_| {
-            let drawn = eligibility.draw(&catalog, &need, Some(7), balancer.generator());
-            black_box(drawn.and_then(|drawn| balancer.choose_drawn(NOW, &drawn, &[])));
+        let chosen_from_sample = mean(|_| {
+            let sample = eligibility.draw(&catalog, &need, Some(7), balancer.generator());
+            black_box(sample.and_then(|sample| balancer.choose_drawn(NOW, &sample, &[])));
         });
         println!(
-            "{count} back ends: a change learnt {learnt:?}, told {told:?}; chosen of all {chosen_of_all:?}, of those drawn {chosen_of_drawn:?}"
+            "{count} back ends: change applied {applied:?}, response built {answered:?}; chosen from all {chosen_from_all:?}, from a sample {chosen_from_sample:?}"
         );
     }
 }
@@ -120,8 +120,8 @@
         let mut members = Membership::new(record(0), Vec::new(), 1);
         let began = Instant::now();
         for index in 1..count {
-            let mut newcomer = Membership::new(record(index), vec![record(0).address], 3);
-            for joining in newcomer.tick(NOW) {
+            let mut new_member = Membership::new(record(index), vec![record(0).address], 3);
+            for joining in new_member.tick(NOW) {
                 black_box(members.receive(NOW, joining.datagram, "10.9.9.9:1"));
             }
         }
--- a/crates/serving/tests/follow.rs
+++ b/crates/serving/tests/follow.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use yokefall_serving::duty::Duty;
 use yokefall_serving::source::{Revision, Source, SourceError, Watched};
-use yokefall_serving::watch::{follow, Follow, Sink, Waits};
+use yokefall_serving::watch::{run_watch, Sink, WatchOptions, WatchWaits};
 use yokefall_serving::{Change, ListPage, Listing};
 
 /// Result of the next watch; without a step it waits for the requested time and returns no change.
@@ -17,16 +17,16 @@
     Fail,
 }
 
-struct Script {
+struct ScriptedSource {
     steps: VecDeque<Step>,
     watches: Rc<RefCell<Vec<tokio::time::Instant>>>,
 }
 
 fn failed() -> SourceError {
-    SourceError::Failed { step: "watch", peer: "store".into(), cause: "the script says so".into() }
+    SourceError::Failed { step: "watch", peer: "store".into(), cause: "scripted failure".into() }
 }
 
-impl Source<u64> for Script {
+impl Source<u64> for ScriptedSource {
     fn kind(&self) -> &'static str {
         "numbers"
     }
@@ -53,19 +53,19 @@
     fn reset(&mut self) {}
 }
 
-struct Nobody;
+struct NullSink;
 
-fn told(duty: Duty) -> Follow {
-    Follow { refresh: Rc::default(), others: Vec::new(), duty, waits: Waits::Long }
+fn options(duty: Duty) -> WatchOptions {
+    WatchOptions { refresh: Rc::default(), others: Vec::new(), duty, waits: WatchWaits::Long }
 }
 
 /// Only a few processes may watch the store, because each call is billed.
 #[tokio::test(start_paused = true)]
-async fn the_store_is_asked_only_while_the_duty_lasts() {
+async fn the_store_is_queried_only_while_the_duty_lasts() {
     let watches = Rc::new(RefCell::new(Vec::new()));
-    let script = Script { steps: VecDeque::new(), watches: watches.clone() };
+    let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
     let (sender, duty) = Duty::told();
-    let following = follow(script, Nobody, told(duty));
+    let watching = run_watch(script, NullSink, options(duty));
     let steps = async {
         let pause = || tokio::time::sleep(Duration::from_secs(1));
         pause().await;
@@ -80,25 +80,28 @@
         assert_eq!(watches.borrow().len(), 2);
     };
     tokio::select! {
-        () = following => {}
+        () = watching => {}
         () = steps => {}
     }
 }
 
-impl Sink<u64> for Nobody {
+impl Sink<u64> for NullSink {
     fn replace(&self, _listing: Listing<u64>) {}
     fn apply(&self, _changes: Vec<Change<u64>>, _revision: Revision) {}
     fn ended(&self, _error: Option<&SourceError>) {}
 }
 
 /// Runs a script; returns whether the other watch was ended, and when watches began.
-async fn play(steps: Vec<Step>) -> (bool, Vec<tokio::time::Instant>) {
+async fn run_script(steps: Vec<Step>) -> (bool, Vec<tokio::time::Instant>) {
     let watches = Rc::new(RefCell::new(Vec::new()));
-    let script = Script { steps: steps.into(), watches: watches.clone() };
+    let script = ScriptedSource { steps: steps.into(), watches: watches.clone() };
     let other = Rc::new(Notify::new());
-    let following =
-        follow(script, Nobody, Follow { others: vec![other.clone()], ..told(Duty::always()) });
-    let _ = tokio::time::timeout(Duration::from_secs(5), following).await;
+    let watching = run_watch(
+        script,
+        NullSink,
+        WatchOptions { others: vec![other.clone()], ..options(Duty::always()) },
+    );
+    let _ = tokio::time::timeout(Duration::from_secs(5), watching).await;
     let ended = tokio::time::timeout(Duration::from_millis(1), other.notified()).await.is_ok();
     let watches = watches.borrow().clone();
     (ended, watches)
@@ -108,34 +111,34 @@
 /// configurations must be ended too: it was left waiting on a connection that delivered nothing
 /// more.
 #[tokio::test(start_paused = true)]
-async fn when_the_store_answers_again_the_other_watch_is_ended() {
-    let (ended, _) = play(vec![Step::Fail]).await;
+async fn other_watches_end_when_the_store_recovers() {
+    let (ended, _) = run_script(vec![Step::Fail]).await;
     assert!(ended);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_answers_ends_no_other_watch() {
-    let (ended, _) = play(vec![Step::Changes(2), Step::Changes(3)]).await;
+async fn other_watches_continue_while_the_store_responds() {
+    let (ended, _) = run_script(vec![Step::Changes(2), Step::Changes(3)]).await;
     assert!(!ended);
 }
 
 /// Each watch that returns a single change costs one call per process.
 #[tokio::test(start_paused = true)]
-async fn changes_are_gathered_between_two_watches() {
-    let (_, watches) = play((2..6).map(Step::Changes).collect()).await;
+async fn changes_are_batched_between_watches() {
+    let (_, watches) = run_script((2..6).map(Step::Changes).collect()).await;
     let least = watches.windows(2).map(|pair| pair[1] - pair[0]).min().expect("watches");
     assert!(least >= Duration::from_millis(100) && least <= Duration::from_millis(500));
 }
 
 /// A store with `PAGES` pages that rejects every third call.
-struct Paged {
+struct PagedSource {
     calls: u32,
     asked: Rc<RefCell<Vec<Option<String>>>>,
 }
 
 const PAGES: u64 = 5;
 
-impl Source<u64> for Paged {
+impl Source<u64> for PagedSource {
     fn kind(&self) -> &'static str {
         "numbers"
     }
@@ -162,9 +165,9 @@
 
 /// Stores the lists that it receives.
 #[derive(Clone, Default)]
-struct Kept(Rc<RefCell<Vec<Listing<u64>>>>);
+struct RecordingSink(Rc<RefCell<Vec<Listing<u64>>>>);
 
-impl Sink<u64> for Kept {
+impl Sink<u64> for RecordingSink {
     fn replace(&self, listing: Listing<u64>) {
         self.0.borrow_mut().push(listing);
     }
@@ -177,30 +180,34 @@
 /// The list of a large fleet takes many calls. A rejected call must not discard the pages before
 /// it.
 #[tokio::test(start_paused = true)]
-async fn a_list_goes_on_after_a_call_that_was_turned_away() {
+async fn a_list_resumes_after_a_rejected_call() {
     let asked: Rc<RefCell<Vec<Option<String>>>> = Rc::default();
-    let kept = Kept::default();
-    let source = Paged { calls: 0, asked: asked.clone() };
-    let following = follow(source, kept.clone(), told(Duty::always()));
+    let sink = RecordingSink::default();
+    let source = PagedSource { calls: 0, asked: asked.clone() };
+    let watching = run_watch(source, sink.clone(), options(Duty::always()));
     tokio::select! {
-        () = following => {}
+        () = watching => {}
         () = tokio::time::sleep(Duration::from_secs(5)) => {}
     }
-    let lists = kept.0.borrow();
+    let lists = sink.0.borrow();
     assert_eq!(lists.len(), 1);
     assert_eq!(lists[0].items.len() as u64, PAGES);
-    assert_eq!(lists[0].revision, 100, "a watch goes on from the first page");
+    assert_eq!(lists[0].revision, 100, "the watch starts from the revision of the first page");
     let first_pages = asked.borrow().iter().filter(|after| after.is_none()).count();
-    assert_eq!((first_pages, asked.borrow().len()), (1, 7), "five pages, two of them twice");
+    assert_eq!(
+        (first_pages, asked.borrow().len()),
+        (1, 7),
+        "five pages, two of them requested twice"
+    );
 }
 
 /// A store that answers lists and the first watch; all other watches are lost.
-struct Silent {
+struct UnresponsiveSource {
     lists: Rc<RefCell<u32>>,
-    told: bool,
+    change_sent: bool,
 }
 
-impl Source<u64> for Silent {
+impl Source<u64> for UnresponsiveSource {
     fn kind(&self) -> &'static str {
         "numbers"
     }
@@ -215,7 +222,7 @@
         _from: Revision,
         _wait: Duration,
     ) -> Result<Watched<u64>, SourceError> {
-        if std::mem::replace(&mut self.told, true) {
+        if std::mem::replace(&mut self.change_sent, true) {
             return std::future::pending().await;
         }
         let change = Change { name: "a".into(), revision: 2, value: Some(2) };
@@ -228,25 +235,25 @@
 /// All watchers restart after a change. If the store stops responding at that moment, it must be
 /// noticed long before a full wait has passed.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_was_lost_after_a_change_is_found_out_soon() {
+async fn a_watch_lost_after_a_change_is_detected_soon() {
     let lists: Rc<RefCell<u32>> = Rc::default();
-    let source = Silent { lists: lists.clone(), told: false };
-    let following = follow(source, Nobody, told(Duty::always()));
+    let source = UnresponsiveSource { lists: lists.clone(), change_sent: false };
+    let watching = run_watch(source, NullSink, options(Duty::always()));
     tokio::select! {
-        () = following => {}
+        () = watching => {}
         () = tokio::time::sleep(Duration::from_millis(7_200)) => {}
     }
-    assert!(*lists.borrow() >= 2, "listed again");
+    assert!(*lists.borrow() >= 2, "the list is read again");
 }
 
 /// Only the response to a watch without changes proves that the state is still current.
 #[tokio::test(start_paused = true)]
-async fn where_news_is_to_be_fresh_each_watch_ends_within_seconds() {
+async fn watches_end_within_seconds_if_recent_state_is_required() {
     let watches = Rc::new(RefCell::new(Vec::new()));
-    let script = Script { steps: VecDeque::new(), watches: watches.clone() };
-    let waits = Follow { waits: Waits::Fresh { zones: 3 }, ..told(Duty::always()) };
-    let following = follow(script, Nobody, waits);
-    let _ = tokio::time::timeout(Duration::from_secs(60), following).await;
+    let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
+    let waits = WatchOptions { waits: WatchWaits::Fresh { zones: 3 }, ..options(Duty::always()) };
+    let watching = run_watch(script, NullSink, waits);
+    let _ = tokio::time::timeout(Duration::from_secs(60), watching).await;
     let watches = watches.borrow();
     let longest = watches.windows(2).map(|pair| pair[1] - pair[0]).max().expect("watches");
     assert!(longest <= Duration::from_millis(6_000), "{longest:?}");
--- a/crates/serving/tests/identity.rs
+++ b/crates/serving/tests/identity.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_key_names_its_tenant_in_any_spelling_of_the_scheme() {
+fn a_key_identifies_its_tenant_with_any_case_of_the_scheme() {
     for scheme in ["Bearer", "bearer", "BEARER"] {
         assert_eq!(outcome(&[&format!("{scheme} {KEY}")]), Ok("huka270".into()));
     }
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_is_no_key_of_a_tenant_has_its_own_cause() {
+fn each_kind_of_invalid_key_has_its_own_error() {
     let both = [format!("Bearer {KEY}"), "Bearer other".to_owned()];
     assert_eq!(outcome(&[]), Err(KeyError::Missing));
     assert_eq!(outcome(&[&both[0], &both[1]]), Err(KeyError::Repeated));
@@ -66,11 +66,11 @@
     assert_eq!(outcome(&[&list]), Err(KeyError::Malformed));
     assert_eq!(outcome(&["Bearer nobodys"]), Err(KeyError::Unknown));
     let upper = format!("Bearer {}", KEY.to_uppercase());
-    assert_eq!(outcome(&[&upper]), Err(KeyError::Unknown), "keys have one spelling");
+    assert_eq!(outcome(&[&upper]), Err(KeyError::Unknown), "keys are case-sensitive");
 }
 
 #[test]
-fn an_exempt_route_takes_anybody_and_knows_who_has_a_key() {
+fn an_exempt_route_accepts_any_caller_and_still_identifies_tenants() {
     let known = headers(&[&format!("Bearer {KEY}")]);
     let caller = identify(Some(&index()), &known, true).expect("a caller");
     assert_eq!(caller.name(), "huka270");
@@ -80,12 +80,12 @@
 }
 
 #[test]
-fn nobody_is_asked_where_the_configuration_holds_no_tenants() {
+fn no_key_is_required_without_tenants() {
     assert_eq!(identify(None, &headers(&["x"]), false), Ok(Caller::Unchecked));
 }
 
 #[test]
-fn a_back_end_is_told_the_tenant_and_never_the_key() {
+fn a_back_end_receives_the_tenant_name_and_never_the_key() {
     let sent = || {
         let mut headers = headers(&[&format!("Bearer {KEY}"), "Bearer other"]);
         for name in ["Tenant", "tenant", "TENANT"] {
@@ -102,15 +102,15 @@
 
     let mut marked = sent();
     Caller::Anonymous.mark(&TENANT_HEADER, &mut marked);
-    assert!(marked.is_empty(), "nobody's request names no tenant");
+    assert!(marked.is_empty(), "an anonymous request names no tenant");
 
     let mut marked = sent();
     Caller::Unchecked.mark(&TENANT_HEADER, &mut marked);
-    assert_eq!(marked, sent(), "without tenants these are headers like others");
+    assert_eq!(marked, sent(), "without tenants these headers are passed through");
 }
 
 #[test]
-fn a_tenants_rank_takes_the_place_of_the_routes() {
+fn a_tenants_rank_overrides_that_of_the_route() {
     assert_eq!(Caller::Tenant(tenant("a", &[])).rank(7), 1);
     assert_eq!(Caller::Anonymous.rank(7), 7);
     let unranked = Tenant { rank: None, ..Tenant::clone(&tenant("a", &[])) };
@@ -118,12 +118,12 @@
 }
 
 #[test]
-fn jobs_are_their_tenants() {
+fn jobs_are_accessible_only_to_their_tenant() {
     let (mine, other) = (TenantName::new("mine"), TenantName::new("other"));
     let tenant = Requester::Tenant(mine.clone());
     assert!(tenant.may_use(Some(&mine)));
     assert!(!tenant.may_use(Some(&other)));
-    assert!(tenant.may_use(None), "a job of nobody is open to all");
+    assert!(tenant.may_use(None), "a job without an owner is open to all");
     assert!(!Requester::Anonymous.may_use(Some(&mine)));
     assert!(Requester::Unchecked.may_use(Some(&mine)));
     assert_eq!(tenant.owner(), Some(mine));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn no_text_of_a_configuration_shows_a_key() {
+fn debug_output_contains_no_key() {
     let text = format!("{:?} {:?}", tenant("huka270", &[KEY]), index());
     assert!(!text.contains(KEY));
     assert!(!text.contains(&KeyDigest::of(KEY).hex()));
--- a/crates/serving/tests/news_exchange.rs
+++ b/crates/serving/tests/news_exchange.rs
@@ -9,9 +9,9 @@
 use yokefall_clock::SuspensionSource;
 use yokefall_core::Timestamp;
 use yokefall_serving::duty::{Ranking, Roster};
-use yokefall_serving::knowledge::PART_BACKENDS;
-use yokefall_serving::news::{exchange_rest, Known, News};
-use yokefall_serving::news_exchange::{fetch, serve, AnswerBytes, NewsAnswer, NewsRequest};
+use yokefall_serving::knowledge::SUBSET_BACKENDS;
+use yokefall_serving::news::{exchange_interval, Known, News};
+use yokefall_serving::news_exchange::{fetch, serve, NewsAnswer, NewsRequest, ResponseBudget};
 use yokefall_serving::observer::LineObserver;
 use yokefall_serving::watch::{Following, Knowledge, SharedKnowledge, Sink};
 use yokefall_serving::{
@@ -86,7 +86,7 @@
 
 fn configure(process: &Process, version: u64) {
     let configuration = Configuration { version, ..Configuration::default() };
-    process.knowledge.borrow_mut().take_configuration(configuration);
+    process.knowledge.borrow_mut().apply_configuration(configuration);
 }
 
 /// Runs one exchange like the production tasks. Returns the number of back ends sent.
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_process_that_starts_learns_all_from_one_peer() {
+fn a_new_process_fetches_all_state_from_one_peer() {
     let (watcher, new) = (process(), process());
     configure(&watcher, 7);
     list(&watcher, 10, (0..100).map(|id| change(id, 5, Some(BackendState::Ready))).collect());
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn one_change_costs_one_back_end_and_not_all() {
+fn a_change_transfers_one_back_end_and_not_all() {
     let (watcher, other) = (process(), process());
     list(&watcher, 10, (0..100).map(|id| change(id, 5, Some(BackendState::Ready))).collect());
     exchange(&other, &watcher);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_older_peer_takes_nothing_back() {
+fn a_peer_that_is_behind_reverts_nothing() {
     let (old, new) = (process(), process());
     configure(&old, 1);
     list(&old, 10, vec![change(1, 5, Some(BackendState::Ready))]);
@@ -157,8 +157,8 @@
     Remove { id: u8 },
     WatchFirst,
     ListSecond,
-    HearFirst,
-    HearSecond,
+    FetchFromFirst,
+    FetchFromSecond,
 }
 
 impl Arbitrary for Step {
@@ -169,15 +169,15 @@
             2 => Step::Remove { id },
             3 => Step::WatchFirst,
             4 => Step::ListSecond,
-            5 | 6 => Step::HearFirst,
-            _ => Step::HearSecond,
+            5 | 6 => Step::FetchFromFirst,
+            _ => Step::FetchFromSecond,
         }
     }
 }
 
 quickcheck! {
     /// A process that has the newest revision holds what the store held then.
-    fn whoever_is_current_holds_what_the_store_holds(steps: Vec<Step>) -> bool {
+    fn a_current_process_holds_the_content_of_the_store(steps: Vec<Step>) -> bool {
         let mut store: std::collections::BTreeMap<u8, (u64, BackendState)> = Default::default();
         let mut events: Vec<Change<Backend>> = Vec::new();
         let mut revision = 1;
@@ -202,8 +202,8 @@
                 }
                 Step::WatchFirst => apply(&first, std::mem::take(&mut events), revision),
                 Step::ListSecond => list(&second, revision, listing(&store)),
-                Step::HearFirst => { exchange(&other, &first); }
-                Step::HearSecond => { exchange(&other, &second); }
+                Step::FetchFromFirst => { exchange(&other, &first); }
+                Step::FetchFromSecond => { exchange(&other, &second); }
             }
         }
         apply(&first, events, revision);
@@ -224,7 +224,7 @@
 #[derive(Clone, Debug)]
 enum EvacuationStep {
     Set { zone: u8 },
-    TakeBack { zone: u8 },
+    Remove { zone: u8 },
     WatchFirst,
     ListSecond,
     ListSecondLate,
@@ -236,7 +236,7 @@
         let zone = u8::arbitrary(generator) % 3;
         match u8::arbitrary(generator) % 9 {
             0 | 1 => EvacuationStep::Set { zone },
-            2 | 3 => EvacuationStep::TakeBack { zone },
+            2 | 3 => EvacuationStep::Remove { zone },
             4 => EvacuationStep::WatchFirst,
             5 => EvacuationStep::ListSecond,
             6 => EvacuationStep::ListSecondLate,
@@ -256,7 +256,7 @@
     events: Vec<Change<Evacuation>>,
     history: std::collections::BTreeMap<u64, Vec<String>>,
     /// A list response that is still in flight.
-    underway: Option<(u64, Vec<Change<Evacuation>>)>,
+    in_flight: Option<(u64, Vec<Change<Evacuation>>)>,
 }
 
 impl EvacuationStore {
@@ -279,7 +279,7 @@
 quickcheck! {
     /// The evacuated zones known to a process are those that the store held at the process's
     /// revision, and that revision never decreases. So no outdated state replaces a newer one.
-    fn what_is_believed_of_evacuations_is_what_the_store_held(steps: Vec<EvacuationStep>) -> bool {
+    fn evacuations_match_the_store_at_the_same_revision(steps: Vec<EvacuationStep>) -> bool {
         let mut store = EvacuationStore::default();
         store.step();
         store.note();
@@ -299,7 +299,7 @@
                     store.held.insert(zone, at);
                     store.events.push(evacuation(zone, at, false));
                 }
-                EvacuationStep::TakeBack { zone } => {
+                EvacuationStep::Remove { zone } => {
                     if let Some(at) = store.held.remove(&zone) {
                         store.step();
                         store.events.push(evacuation(zone, at, true));
@@ -315,7 +315,7 @@
                 }
                 EvacuationStep::ListSecondLate => {
                     let next = store.listing();
-                    if let Some((revision, all)) = store.underway.replace(next) {
+                    if let Some((revision, all)) = store.in_flight.replace(next) {
                         list_evacuations(&processes[1], revision, all);
                     }
                 }
@@ -327,9 +327,9 @@
             store.note();
             for (index, process) in processes.iter().enumerate() {
                 let revision = process.knowledge.borrow().known().evacuations.revision;
-                let believed = evacuated(process);
+                let known = evacuated(process);
                 let held = store.history.get(&revision).cloned();
-                if revision < revisions[index] || (revision > 0 && believed != held) {
+                if revision < revisions[index] || (revision > 0 && known != held) {
                     return false;
                 }
                 revisions[index] = revision;
@@ -341,22 +341,22 @@
 
 /// A process is partitioned while a zone is evacuated, and rejoins with its old state.
 #[test]
-fn a_peer_that_was_cut_off_learns_and_takes_nothing_back() {
-    let (watcher, other, cut) = (process(), process(), process());
+fn a_partitioned_peer_catches_up_and_reverts_nothing() {
+    let (watcher, other, partitioned) = (process(), process(), process());
     list_evacuations(&watcher, 5, Vec::new());
     exchange(&other, &watcher);
-    exchange(&cut, &watcher);
+    exchange(&partitioned, &watcher);
     apply_evacuations(&watcher, vec![evacuation(1, 8, false)], 8);
     exchange(&other, &watcher);
-    exchange(&other, &cut);
+    exchange(&other, &partitioned);
     assert_eq!(evacuated(&other), Some(vec!["hall-1".to_owned()]));
-    exchange(&cut, &other);
-    assert_eq!(evacuated(&cut), Some(vec!["hall-1".to_owned()]));
+    exchange(&partitioned, &other);
+    assert_eq!(evacuated(&partitioned), Some(vec!["hall-1".to_owned()]));
 }
 
 /// A peer that has received nothing itself must not report that no zone is evacuated.
 #[test]
-fn that_no_zone_is_evacuated_is_news_for_who_has_heard_nothing() {
+fn the_absence_of_evacuations_is_propagated() {
     let (watcher, new, newer) = (process(), process(), process());
     exchange(&newer, &new);
     assert_eq!(evacuated(&newer), None);
@@ -368,10 +368,10 @@
 /// Each kind is as recent as the best source reports, and the whole state is as old as its oldest
 /// kind.
 #[test]
-fn the_age_of_news_is_that_of_the_oldest_kind_and_of_what_is_known_here() {
-    let passed = Arc::new(AtomicU64::new(0));
-    let pass = |ms: u64| passed.fetch_add(ms, Ordering::Relaxed);
-    let of = || process_on(SuspensionSource::Told(passed.clone()));
+fn the_age_of_the_state_is_that_of_its_oldest_kind() {
+    let elapsed = Arc::new(AtomicU64::new(0));
+    let advance = |ms: u64| elapsed.fetch_add(ms, Ordering::Relaxed);
+    let of = || process_on(SuspensionSource::Told(elapsed.clone()));
     let ((watcher, _), (other, freshness)) = (of(), of());
     let ages = |process: &Process| process.knowledge.borrow().ages();
     let hear = || {
@@ -379,21 +379,21 @@
         other.knowledge.borrow_mut().hear_ages(known, ages(&watcher), 100);
     };
     // Both have run for a while; ages are limited by the time since the start.
-    pass(10_000);
+    advance(10_000);
     configure(&watcher, 1);
     list(&watcher, 5, vec![change(1, 5, Some(BackendState::Ready))]);
     list_evacuations(&watcher, 5, Vec::new());
     // Requested now, answered 4 s later: the first response reports a change, the second that
     // nothing changed for 3 s, and the third arrives early.
     let asked = Sink::<Backend>::now(&watcher);
-    pass(4_000);
+    advance(4_000);
     Sink::<Configuration>::answered(&watcher, asked, 3_000);
     Sink::<Backend>::answered(&watcher, asked, 0);
     Sink::<Evacuation>::answered(&watcher, asked, 9_000);
-    let told = ages(&watcher);
-    assert_eq!(told.configuration_ms.map(|ms| ms / 500), Some(2));
-    assert_eq!(told.backends_ms.map(|ms| ms / 500), Some(8));
-    assert_eq!(told.evacuations_ms.map(|ms| ms / 500), Some(8));
+    let source = ages(&watcher);
+    assert_eq!(source.configuration_ms.map(|ms| ms / 500), Some(2));
+    assert_eq!(source.backends_ms.map(|ms| ms / 500), Some(8));
+    assert_eq!(source.evacuations_ms.map(|ms| ms / 500), Some(8));
     // State that this process has not received does not become recent because a peer has it.
     hear();
     assert_eq!(freshness.age_ms(), None);
@@ -402,7 +402,7 @@
     let age_ms = freshness.age_ms().expect("an age");
     assert!((4_100..4_600).contains(&age_ms), "{age_ms}");
     // Confirmation of one kind proves nothing about the others.
-    pass(2_000);
+    advance(2_000);
     Sink::<Backend>::answered(&other, Sink::<Backend>::now(&other), 0);
     assert!(freshness.age_ms().is_some_and(|age_ms| age_ms >= 6_000));
     Sink::<Evacuation>::answered(&other, Sink::<Evacuation>::now(&other), 0);
@@ -412,24 +412,24 @@
 /// Steps of a back end that restarts under its id, whose old heartbeats reach the store late, and
 /// of processes that watch, list and exchange state.
 #[derive(Clone, Debug)]
-enum LifeStep {
-    Beat { life: u64, ready: bool },
+enum RestartStep {
+    Heartbeat { life: u64, ready: bool },
     Watch { process: usize },
     List { process: usize },
     Exchange { to: usize, from: usize },
 }
 
-impl Arbitrary for LifeStep {
+impl Arbitrary for RestartStep {
     fn arbitrary(generator: &mut Gen) -> Self {
         let process = usize::arbitrary(generator) % 3;
         match u8::arbitrary(generator) % 4 {
-            0 => LifeStep::Beat {
+            0 => RestartStep::Heartbeat {
                 life: u64::arbitrary(generator) % 4 + 1,
                 ready: bool::arbitrary(generator),
             },
-            1 => LifeStep::Watch { process },
-            2 => LifeStep::List { process },
-            _ => LifeStep::Exchange { to: process, from: usize::arbitrary(generator) % 3 },
+            1 => RestartStep::Watch { process },
+            2 => RestartStep::List { process },
+            _ => RestartStep::Exchange { to: process, from: usize::arbitrary(generator) % 3 },
         }
     }
 }
@@ -438,9 +438,9 @@
     /// In whatever order and with whatever revisions the records of a back end's incarnations
     /// arrive, no process goes back from a later incarnation to an earlier one, and no other back
     /// end is lost.
-    fn nobody_goes_back_to_an_older_life(steps: Vec<LifeStep>) -> bool {
+    fn no_process_reverts_to_an_older_incarnation(steps: Vec<RestartStep>) -> bool {
         let mut events: Vec<Change<Backend>> = Vec::new();
-        let beat = |life: u64, revision: u64, state: BackendState| {
+        let heartbeat = |life: u64, revision: u64, state: BackendState| {
             let mut change = change(1, revision, Some(state));
             if let Some(backend) = &mut change.value {
                 backend.started_ms = life;
@@ -448,32 +448,32 @@
             change
         };
         let neighbour = || change(2, 1, Some(BackendState::Ready));
-        let mut entry = beat(1, 1, BackendState::Ready);
+        let mut entry = heartbeat(1, 1, BackendState::Ready);
         let processes: Vec<Process> = (0..3).map(|_| process()).collect();
         let mut watched = [0; 3];
         let mut lives = [0; 3];
         list(&processes[0], 1, vec![entry.clone(), neighbour()]);
         for step in steps {
             match step {
-                LifeStep::Beat { life, ready } => {
+                RestartStep::Heartbeat { life, ready } => {
                     let state = if ready { BackendState::Ready } else { BackendState::Draining };
-                    entry = beat(life, events.len() as u64 + 2, state);
+                    entry = heartbeat(life, events.len() as u64 + 2, state);
                     events.push(entry.clone());
                 }
-                LifeStep::Watch { process } if processes[process].knowledge.borrow().backends().revision() > 0 => {
+                RestartStep::Watch { process } if processes[process].knowledge.borrow().backends().revision() > 0 => {
                     let new = events[watched[process]..].to_vec();
                     watched[process] = events.len();
                     apply(&processes[process], new, events.len() as u64 + 1);
                 }
-                LifeStep::Watch { .. } => {}
-                LifeStep::List { process } => {
+                RestartStep::Watch { .. } => {}
+                RestartStep::List { process } => {
                     watched[process] = events.len();
                     list(&processes[process], events.len() as u64 + 1, vec![entry.clone(), neighbour()]);
                 }
-                LifeStep::Exchange { to, from } if to != from => {
+                RestartStep::Exchange { to, from } if to != from => {
                     exchange(&processes[to], &processes[from]);
                 }
-                LifeStep::Exchange { .. } => {}
+                RestartStep::Exchange { .. } => {}
             }
             for (index, process) in processes.iter().enumerate() {
                 let knowledge = process.knowledge.borrow();
@@ -490,7 +490,7 @@
 }
 
 /// Serves peers from a process, on the current `LocalSet`.
-async fn start_answering(process: &Process) -> std::net::SocketAddr {
+async fn start_serving(process: &Process) -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::task::spawn_local(serve(listener, process.knowledge.clone()));
@@ -498,14 +498,14 @@
 }
 
 #[tokio::test]
-async fn peers_answer_over_a_connection() {
+async fn peers_serve_their_state_over_tcp() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
             let watcher = process();
             configure(&watcher, 3);
             list(&watcher, 4, vec![change(1, 2, Some(BackendState::Ready))]);
-            let address = start_answering(&watcher).await;
+            let address = start_serving(&watcher).await;
             let new = process();
             let request = NewsRequest { known: new.knowledge.borrow().known(), whole: false };
             let answer = fetch(address, request).await.expect("an answer");
@@ -516,7 +516,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_gone_gives_an_error_with_step_and_address() {
+async fn an_unreachable_peer_gives_an_error_with_step_and_address() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
@@ -528,19 +528,19 @@
 /// After a restart of the whole fleet, all processes ask the first ones that have the state.
 /// Serving all of them at once would serve none in time.
 #[tokio::test]
-async fn a_peer_that_answers_many_turns_the_next_one_away_at_once() {
+async fn a_busy_peer_rejects_further_requests_at_once() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
             let watcher = process();
-            let address = start_answering(&watcher).await;
+            let address = start_serving(&watcher).await;
             // Peers that connect and send nothing occupy the slots.
             let mut silent = Vec::new();
             for _ in 0..8 {
                 silent.push(tokio::net::TcpStream::connect(address).await.expect("a connection"));
             }
             let request = NewsRequest { known: Default::default(), whole: false };
-            let error = fetch(address, request).await.expect_err("turned away");
+            let error = fetch(address, request).await.expect_err("a rejection");
             assert_ne!(error.step, "await answer");
             drop(silent);
             // The slots are free again.
@@ -559,30 +559,30 @@
 
 /// A process that was asking one peer forgot another that was ahead of it.
 #[tokio::test]
-async fn the_newer_of_two_peers_is_asked_after_the_older() {
+async fn a_peer_ahead_of_the_one_being_asked_is_asked_next() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
             let (older, newer, asking) = (process(), process(), process());
             configure(&older, 2);
             configure(&newer, 3);
-            let known = |process: &Process| process.knowledge.borrow().known();
-            let addresses = (start_answering(&older).await, start_answering(&newer).await);
-            let take = {
+            let digest_of = |process: &Process| process.knowledge.borrow().known();
+            let addresses = (start_serving(&older).await, start_serving(&newer).await);
+            let apply_response = {
                 let asking = asking.clone();
                 Box::new(move |answer| asking.take_news(answer))
             };
             let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), take, roster);
-            news.hear(Timestamp(1), known(&older), addresses.0);
-            news.hear(Timestamp(1), known(&newer), addresses.1);
+            let (news, _duty) = News::new(asking.knowledge.clone(), apply_response, roster);
+            news.receive_digest(Timestamp(1), digest_of(&older), addresses.0);
+            news.receive_digest(Timestamp(1), digest_of(&newer), addresses.1);
             for _ in 0..200 {
-                if known(&asking).version == 3 {
+                if digest_of(&asking).version == 3 {
                     return;
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
-            panic!("version {} after both were heard", known(&asking).version);
+            panic!("version {} after both digests were received", digest_of(&asking).version);
         })
         .await;
 }
@@ -590,34 +590,35 @@
 /// Eight peers shared a link of 30 Mbit/s, each for a list of 10,000 back ends: after 1.5 s all of
 /// them timed out and asked again.
 #[test]
-fn no_more_whole_lists_are_told_at_once_than_a_link_takes_in_time() {
+fn concurrent_lists_are_limited_to_the_capacity_of_a_link() {
     const LINK_BYTES_PER_MS: usize = 30_000 / 8;
-    const ASKERS_PATIENCE_MS: usize = 1_500;
+    const EXCHANGE_TIMEOUT_MS: usize = 1_500;
     for backends in [3_000, 10_000, 20_000] {
-        let bytes = Rc::new(AnswerBytes::default());
-        let rooms: Vec<_> = std::iter::from_fn(|| bytes.take(backends)).take(100).collect();
-        let told_ms = rooms.len() * backends * 110 / LINK_BYTES_PER_MS;
+        let bytes = Rc::new(ResponseBudget::default());
+        let reservations: Vec<_> =
+            std::iter::from_fn(|| bytes.reserve(backends)).take(100).collect();
+        let transfer_ms = reservations.len() * backends * 110 / LINK_BYTES_PER_MS;
         assert!(
-            !rooms.is_empty() && told_ms < ASKERS_PATIENCE_MS / 2 + 200,
-            "{backends}: {told_ms} ms"
+            !reservations.is_empty() && transfer_ms < EXCHANGE_TIMEOUT_MS / 2 + 200,
+            "{backends}: {transfer_ms} ms"
         );
-        assert!(bytes.take(1).is_some() || rooms.len() == 1, "small answers find room");
-        drop(rooms);
-        assert!(bytes.take(backends).is_some(), "room is given back");
+        assert!(bytes.reserve(1).is_some() || reservations.len() == 1, "small responses fit");
+        drop(reservations);
+        assert!(bytes.reserve(backends).is_some(), "the reservation is released");
     }
 }
 
 /// A service that is being replaced changes many times per second, and each change reached each of
 /// 986 processes by an exchange of its own: 119 exchanges per process within 7 s of a start of all.
 #[tokio::test]
-async fn changes_of_back_ends_are_gathered_where_members_are_many() {
+async fn back_end_changes_are_batched_in_large_fleets() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
-            let (told, asking) = (process(), process());
-            let address = start_answering(&told).await;
+            let (source, asking) = (process(), process());
+            let address = start_serving(&source).await;
             let exchanges = Rc::new(Cell::new(0_u32));
-            let take = {
+            let apply_response = {
                 let (asking, exchanges) = (asking.clone(), exchanges.clone());
                 Box::new(move |answer| {
                     exchanges.set(exchanges.get() + 1);
@@ -625,40 +626,41 @@
                 })
             };
             let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), take, roster);
+            let (news, _duty) = News::new(asking.knowledge.clone(), apply_response, roster);
             news.rank(Timestamp(0), Ranking::default(), 1_000);
-            let known = |process: &Process| process.knowledge.borrow().known();
+            let digest_of = |process: &Process| process.knowledge.borrow().known();
             let began = std::time::Instant::now();
             for revision in 1..=50_u64 {
                 let ready = Some(BackendState::Ready);
-                apply(&told, vec![change(revision as u8, revision, ready)], revision);
-                news.hear(Timestamp(1), known(&told), address);
+                apply(&source, vec![change(revision as u8, revision, ready)], revision);
+                news.receive_digest(Timestamp(1), digest_of(&source), address);
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
-            while known(&asking) != known(&told) {
+            while digest_of(&asking) != digest_of(&source) {
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
             // The first at once, and one after each interval.
-            let most = 2 + (began.elapsed().as_millis() / exchange_rest(1_000).as_millis()) as u32;
+            let most =
+                2 + (began.elapsed().as_millis() / exchange_interval(1_000).as_millis()) as u32;
             assert!(exchanges.get() <= most, "{} exchanges, {most} at most", exchanges.get());
         })
         .await;
     // A small fleet exchanges each change immediately.
-    assert!(exchange_rest(11).as_millis() < 3);
-    assert_eq!(exchange_rest(2_000), exchange_rest(20_000));
+    assert!(exchange_interval(11).as_millis() < 3);
+    assert_eq!(exchange_interval(2_000), exchange_interval(20_000));
 }
 
 /// A configuration and evacuated zones are not delayed, even during the interval between exchanges
 /// of back ends.
 #[tokio::test]
-async fn a_configuration_does_not_wait_for_back_ends_to_be_gathered() {
+async fn a_configuration_does_not_wait_for_batched_back_ends() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
-            let (told, asking) = (process(), process());
-            let address = start_answering(&told).await;
+            let (source, asking) = (process(), process());
+            let address = start_serving(&source).await;
             let order = Rc::new(RefCell::new(Vec::new()));
-            let take = {
+            let apply_response = {
                 let (asking, order) = (asking.clone(), order.clone());
                 Box::new(move |answer: NewsAnswer| {
                     order.borrow_mut().push(answer.known.version);
@@ -666,23 +668,26 @@
                 })
             };
             let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), take, roster);
+            let (news, _duty) = News::new(asking.knowledge.clone(), apply_response, roster);
             news.rank(Timestamp(0), Ranking::default(), 1_000);
-            let known = |process: &Process| process.knowledge.borrow().known();
+            let digest_of = |process: &Process| process.knowledge.borrow().known();
             for step in 1..=3_u64 {
-                apply(&told, vec![change(step as u8, step, Some(BackendState::Ready))], step);
-                news.hear(Timestamp(1), known(&told), address);
+                apply(&source, vec![change(step as u8, step, Some(BackendState::Ready))], step);
+                news.receive_digest(Timestamp(1), digest_of(&source), address);
                 tokio::task::yield_now().await;
             }
             // A digest that is behind, received afterwards, must not replace it.
-            let before = known(&told);
-            configure(&told, 7);
-            news.hear(Timestamp(1), known(&told), address);
-            news.hear(Timestamp(1), before, address);
-            while known(&asking).version != 7 {
+            let before = digest_of(&source);
+            configure(&source, 7);
+            news.receive_digest(Timestamp(1), digest_of(&source), address);
+            news.receive_digest(Timestamp(1), before, address);
+            while digest_of(&asking).version != 7 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
-            assert!(order.borrow().len() <= 2, "asked for the configuration at once: {order:?}");
+            assert!(
+                order.borrow().len() <= 2,
+                "the configuration was not requested at once: {order:?}"
+            );
         })
         .await;
 }
@@ -690,7 +695,7 @@
 /// After a restart of the whole fleet no request was served for 8 s and more: back ends arrived as
 /// a list of 1 MB, from the few processes that had read it to its end in 50 pages.
 #[test]
-fn a_process_that_knows_no_back_ends_is_told_some_first_and_then_all() {
+fn a_process_without_back_ends_receives_a_subset_and_then_all() {
     let (watcher, new) = (process(), process());
     let many = |index: u64| Change {
         name: format!("i-{index}"),
@@ -701,43 +706,43 @@
     let ask = |known: Known| {
         let request = NewsRequest { known, whole: false };
         (
-            watcher.knowledge.borrow().backends_to_tell(&request),
+            watcher.knowledge.borrow().response_backends(&request),
             watcher.knowledge.borrow().answer(&request),
         )
     };
     let none = new.knowledge.borrow().known();
-    let (reckoned, part) = ask(none.asking_for_part());
-    assert_eq!((reckoned, part.backends.changed.len()), (PART_BACKENDS, PART_BACKENDS));
+    let (estimated, part) = ask(none.requesting_subset());
+    assert_eq!((estimated, part.backends.changed.len()), (SUBSET_BACKENDS, SUBSET_BACKENDS));
     assert!(!new.take_news(part));
-    assert_eq!(held(&new).len(), PART_BACKENDS);
+    assert_eq!(held(&new).len(), SUBSET_BACKENDS);
     let knows_some = new.knowledge.borrow().known();
-    assert_eq!(knows_some.backends_revision, 0, "nobody takes it for the whole");
+    assert_eq!(knows_some.backends_revision, 0, "a subset is not mistaken for the whole list");
     // Others receive the subset from this process and lose nothing by it.
     let third = process();
     apply(&third, Vec::new(), 0);
     let request =
-        NewsRequest { known: third.knowledge.borrow().known().asking_for_part(), whole: false };
+        NewsRequest { known: third.knowledge.borrow().known().requesting_subset(), whole: false };
     let answer = new.knowledge.borrow().answer(&request);
     third.take_news(answer);
-    assert_eq!(held(&third).len(), PART_BACKENDS);
+    assert_eq!(held(&third).len(), SUBSET_BACKENDS);
     assert_eq!(exchange(&third, &process()), 0);
-    assert_eq!(held(&third).len(), PART_BACKENDS, "one that knows none takes none away");
+    assert_eq!(held(&third).len(), SUBSET_BACKENDS, "a peer without back ends removes none");
     // Then the whole list arrives.
     let (_, whole) = ask(knows_some);
     assert!(!new.take_news(whole));
     assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
     // A subset removes nothing after that.
-    let (_, late) = ask(none.asking_for_part());
+    let (_, late) = ask(none.requesting_subset());
     new.take_news(late);
     assert_eq!(held(&new).len(), 10_000);
 }
 
 #[test]
-fn few_back_ends_are_told_at_once() {
+fn a_short_list_is_sent_whole() {
     let (watcher, new) = (process(), process());
     list(&watcher, 4, vec![change(1, 2, Some(BackendState::Ready))]);
     let request =
-        NewsRequest { known: new.knowledge.borrow().known().asking_for_part(), whole: false };
+        NewsRequest { known: new.knowledge.borrow().known().requesting_subset(), whole: false };
     let answer = watcher.knowledge.borrow().answer(&request);
     assert!(!new.take_news(answer));
     assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
@@ -745,54 +750,60 @@
 
 /// Pages are used before the list has been read to its end.
 #[test]
-fn what_a_page_tells_is_known_before_the_list_is() {
+fn pages_are_applied_before_the_list_is_complete() {
     let process = process();
-    Sink::<Backend>::part(&process, &[change(1, 2, Some(BackendState::Ready))]);
+    Sink::<Backend>::apply_page(&process, &[change(1, 2, Some(BackendState::Ready))]);
     assert_eq!(held(&process).len(), 1);
     assert_eq!(process.knowledge.borrow().known().backends_revision, 0);
     list(&process, 9, vec![change(2, 3, Some(BackendState::Ready))]);
     assert_eq!(held(&process), [("i-2".to_owned(), BackendState::Ready)]);
-    Sink::<Backend>::part(&process, &[change(1, 2, Some(BackendState::Ready))]);
-    assert_eq!(held(&process).len(), 1, "a page of a list that is older adds nothing");
+    Sink::<Backend>::apply_page(&process, &[change(1, 2, Some(BackendState::Ready))]);
+    assert_eq!(held(&process).len(), 1, "a page of an older list adds nothing");
 }
 
 /// Soon after a start, a process without back ends requests the list from peers in its zone; urgent
 /// state comes from any peer.
 #[tokio::test]
-async fn a_configuration_comes_from_another_zone_where_the_list_does_not() {
+async fn another_zone_supplies_the_configuration_but_not_the_list() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
-            let (told, asking) = (process(), process());
-            configure(&told, 7);
+            let (source, asking) = (process(), process());
+            configure(&source, 7);
             let many = |index: u64| Change {
                 name: format!("i-{index}"),
                 revision: index,
                 value: Some(backend(&format!("i-{index}"), BackendState::Ready)),
             };
-            list(&told, 2_000, (1..=1_000).map(many).collect());
-            let address = start_answering(&told).await;
-            let take = {
+            list(&source, 2_000, (1..=1_000).map(many).collect());
+            let address = start_serving(&source).await;
+            let apply_response = {
                 let asking = asking.clone();
                 Box::new(move |answer| asking.take_news(answer))
             };
-            let (news, _duty) =
-                News::new(asking.knowledge.clone(), take, Roster::new(Timestamp(0), false, 1.0));
-            let known = |process: &Process| process.knowledge.borrow().known();
-            news.hear_far(Timestamp(1), known(&told), address);
-            while known(&asking).version != 7 {
+            let (news, _duty) = News::new(
+                asking.knowledge.clone(),
+                apply_response,
+                Roster::new(Timestamp(0), false, 1.0),
+            );
+            let digest_of = |process: &Process| process.knowledge.borrow().known();
+            news.receive_cross_zone_digest(Timestamp(1), digest_of(&source), address);
+            while digest_of(&asking).version != 7 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
-            assert_eq!((held(&asking).len(), known(&asking).backends_revision), (PART_BACKENDS, 0));
+            assert_eq!(
+                (held(&asking).len(), digest_of(&asking).backends_revision),
+                (SUBSET_BACKENDS, 0)
+            );
             // The next configuration also arrives before the list.
-            configure(&told, 8);
-            news.hear_far(Timestamp(2), known(&told), address);
-            while known(&asking).version != 8 {
+            configure(&source, 8);
+            news.receive_cross_zone_digest(Timestamp(2), digest_of(&source), address);
+            while digest_of(&asking).version != 8 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
-            assert_eq!(known(&asking).backends_revision, 0);
-            news.hear(Timestamp(3), known(&told), address);
-            while known(&asking) != known(&told) {
+            assert_eq!(digest_of(&asking).backends_revision, 0);
+            news.receive_digest(Timestamp(3), digest_of(&source), address);
+            while digest_of(&asking) != digest_of(&source) {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
         })
