--- a/crates/serving/src/knowledge.rs
+++ b/crates/serving/src/knowledge.rs
@@ -398,6 +398,6 @@
 fn digest_of(backend: &Arc<Backend>) -> u64 {
     let ready = backend.state == BackendState::Ready;
     let cold = backend.cold_remaining_ms > 0;
-    let zone_state = (&backend.id, backend.started_ms, ready, cold, backend.address, &backend.zone);
-    xxh3_64(format!("{zone_state:?} {}", backend.service).as_bytes())
+    let properties = (&backend.id, backend.started_ms, ready, cold, backend.address, &backend.zone);
+    xxh3_64(format!("{properties:?} {}", backend.service).as_bytes())
 }
