--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -49,7 +49,7 @@
 /// Time since the platform's store last confirmed the state of a member, in milliseconds and by
 /// kind; `None` if it never has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct NewsAges {
+pub struct StateAges {
     /// The configuration.
     pub configuration_ms: Option<u32>,
     /// Back ends.
@@ -70,7 +70,7 @@
     /// Evacuated zones known to the sender.
     pub evacuations: ObjectDigest,
     /// Age of the sender's state.
-    pub ages: NewsAges,
+    pub ages: StateAges,
     /// TCP port at which peers can fetch the sender's state; 0 if it does not offer this.
     pub exchange_port: u16,
     /// Digest of the sender's member list.
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -22,7 +22,7 @@
 use self::digest::ListDigests;
 use self::gossip::UpdateQueue;
 pub use self::message::{
-    Datagram, DatagramKind, MemberRecord, MemberState, NewsAges, ObjectDigest, Outgoing,
+    Datagram, DatagramKind, MemberRecord, MemberState, ObjectDigest, Outgoing, StateAges,
 };
 use self::probes::{Probe, Relay};
 use crate::time::Timestamp;
@@ -79,7 +79,7 @@
     configuration_version: u64,
     backends: ObjectDigest,
     evacuations: ObjectDigest,
-    ages: NewsAges,
+    ages: StateAges,
     exchange_port: u16,
     rng: SmallRng,
     changed: bool,
@@ -110,7 +110,7 @@
             configuration_version: 0,
             backends: ObjectDigest::default(),
             evacuations: ObjectDigest::default(),
-            ages: NewsAges::default(),
+            ages: StateAges::default(),
             exchange_port: 0,
             rng: SmallRng::seed_from_u64(seed),
             changed: true,
@@ -144,14 +144,14 @@
     }
 
     /// Sets the age of the local state of the platform's objects.
-    pub fn set_news_ages(&mut self, ages: NewsAges) {
+    pub fn set_state_ages(&mut self, ages: StateAges) {
         self.ages = ages;
     }
 
     /// Returns how long ago the probe acknowledged by a datagram was sent, in milliseconds; `None`
     /// for all other datagrams. The sender answered after that time, so its state is at most this
     /// much older than it reports.
-    pub fn asked_ms_ago(&self, now: Timestamp, datagram: &Datagram) -> Option<u64> {
+    pub fn probe_age_ms(&self, now: Timestamp, datagram: &Datagram) -> Option<u64> {
         let is_answered = |probe: &&Probe| {
             datagram.kind == DatagramKind::Ack { sequence: probe.sequence }
                 && datagram.from == probe.target
@@ -204,7 +204,7 @@
 
     /// Returns datagrams that announce the local state to a few random members: `near` of the own
     /// zone, where traffic is not billed, and `far` of other zones.
-    pub fn tell_some(&mut self, near: usize, far: usize) -> Vec<Outgoing> {
+    pub fn gossip_to_some(&mut self, near: usize, far: usize) -> Vec<Outgoing> {
         let chosen = self.choose_members(near, far);
         chosen.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
     }
--- a/crates/serving/src/ages.rs
+++ b/crates/serving/src/ages.rs
@@ -6,14 +6,14 @@
 //! combine across the fleet.
 
 use yokefall_clock::ElapsedClock;
-use yokefall_core::membership::NewsAges;
+use yokefall_core::membership::StateAges;
 use yokefall_core::Timestamp;
 
 use crate::eligibility::Freshness;
 
 /// A kind of object that processes watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Followed {
+pub enum ObjectKind {
     /// The configuration.
     Configuration,
     /// Back ends.
@@ -22,13 +22,13 @@
     Evacuations,
 }
 
-impl Followed {
+impl ObjectKind {
     /// Name used in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Followed::Configuration => "configuration",
-            Followed::Backends => "backends",
-            Followed::Evacuations => "evacuations",
+            ObjectKind::Configuration => "configuration",
+            ObjectKind::Backends => "backends",
+            ObjectKind::Evacuations => "evacuations",
         }
     }
 }
@@ -64,13 +64,13 @@
     }
 
     /// Records that the store held the local state of `kind` `age_ms` milliseconds ago.
-    pub fn record(&mut self, kind: Followed, age_ms: u64) {
+    pub fn record(&mut self, kind: ObjectKind, age_ms: u64) {
         // Nothing was known here before this clock started, so the time is clamped at 0.
         let at = Timestamp(self.clock.now().0.saturating_sub(age_ms));
         let latest = match kind {
-            Followed::Configuration => &mut self.configuration,
-            Followed::Backends => &mut self.backends,
-            Followed::Evacuations => &mut self.evacuations,
+            ObjectKind::Configuration => &mut self.configuration,
+            ObjectKind::Backends => &mut self.backends,
+            ObjectKind::Evacuations => &mut self.evacuations,
         };
         *latest = (*latest).max(Some(at));
         if let Some(oldest) = self.oldest() {
@@ -79,11 +79,11 @@
     }
 
     /// Returns the ages to advertise to peers.
-    pub fn snapshot(&self) -> NewsAges {
+    pub fn snapshot(&self) -> StateAges {
         let now = self.clock.now();
         let age =
             |at: Option<Timestamp>| at.and_then(|at| u32::try_from(now.millis_since(at)).ok());
-        NewsAges {
+        StateAges {
             configuration_ms: age(self.configuration),
             backends_ms: age(self.backends),
             evacuations_ms: age(self.evacuations),
--- a/crates/serving/src/catalog.rs
+++ b/crates/serving/src/catalog.rs
@@ -11,8 +11,8 @@
 use crate::backend_table::BackendTable;
 use crate::catalog_lists::{BackendLists, ListUpdates};
 use crate::eligibility::{Residency, ZoneMap};
-use crate::model::{Backend, BackendLife, BackendState, Configuration, Route};
-use crate::objects::Changed;
+use crate::model::{Backend, BackendIncarnation, BackendState, Configuration, Route};
+use crate::objects::ObjectChange;
 use crate::table::RouteTable;
 
 /// Configuration and back ends at one point in time. A new version shares unchanged data with its
@@ -39,12 +39,12 @@
     pub zones: Arc<ZoneMap>,
     /// Whether it is not known yet which zones are evacuated, in which case no back end may be
     /// used.
-    pub awaits_evacuations: bool,
+    pub evacuations_unknown: bool,
 }
 
 /// Zone data other than the back ends located there.
 #[derive(Clone, Debug, Default)]
-pub struct ZoneFacts {
+pub struct ZoneState {
     /// Zones whose back ends receive no new work.
     pub evacuated: BTreeSet<String>,
     /// Region of each zone.
@@ -57,16 +57,16 @@
         configuration: Option<Arc<Configuration>>,
         backends: impl Iterator<Item = &'a Arc<Backend>>,
     ) -> Self {
-        Self::with_zones(configuration, backends, ZoneFacts::default())
+        Self::with_zones(configuration, backends, ZoneState::default())
     }
 
     /// Builds a snapshot.
     pub fn with_zones<'a>(
         configuration: Option<Arc<Configuration>>,
         backends: impl Iterator<Item = &'a Arc<Backend>>,
-        zone_state: ZoneFacts,
+        zone_state: ZoneState,
     ) -> Self {
-        let ZoneFacts { evacuated, zones } = zone_state;
+        let ZoneState { evacuated, zones } = zone_state;
         let catalog = Self { known: backends.collect(), evacuated, zones, ..Self::default() };
         catalog.with_configuration(configuration).with_lists()
     }
@@ -79,15 +79,15 @@
     }
 
     /// Replaces the zone data and re-evaluates every back end.
-    pub fn with_zone_state(self, zone_state: ZoneFacts) -> Self {
-        let ZoneFacts { evacuated, zones } = zone_state;
-        Self { evacuated, zones, awaits_evacuations: false, ..self }.with_lists()
+    pub fn with_zone_state(self, zone_state: ZoneState) -> Self {
+        let ZoneState { evacuated, zones } = zone_state;
+        Self { evacuated, zones, evacuations_unknown: false, ..self }.with_lists()
     }
 
     /// Applies back-end changes. The cost is proportional to the number of changes, not to the
     /// number of back ends: rebuilding everything takes 17.7 ms of CPU time per change with 10,000
     /// back ends, an incremental update 17 us.
-    pub fn with_changes(mut self, changes: &[Changed<Backend>]) -> Self {
+    pub fn with_changes(mut self, changes: &[ObjectChange<Backend>]) -> Self {
         for change in changes {
             if let Some(before) = &change.before {
                 self.known.remove(&before.id);
@@ -96,7 +96,7 @@
                 self.known.insert(after.clone());
             }
         }
-        if self.awaits_evacuations {
+        if self.evacuations_unknown {
             return self;
         }
         let is_listed = |backend: &&Arc<Backend>| accepts_work(backend, &self.evacuated);
@@ -132,13 +132,13 @@
     pub fn with_evacuations_unknown(mut self) -> Self {
         self.ready.clear();
         self.ready_by_region.clear();
-        self.awaits_evacuations = true;
+        self.evacuations_unknown = true;
         self
     }
 
     /// Whether everything required to serve requests has been received.
     pub fn can_serve(&self) -> bool {
-        self.configuration.is_some() && !self.awaits_evacuations
+        self.configuration.is_some() && !self.evacuations_unknown
     }
 
     /// Returns the back ends of a service that accept work.
@@ -194,15 +194,15 @@
     /// Whether a back end accepts work.
     pub fn is_ready(&self, id: &str) -> bool {
         self.known.get(id).is_some_and(|backend| {
-            let accepts_work = backend.state == BackendState::Ready && !self.awaits_evacuations;
+            let accepts_work = backend.state == BackendState::Ready && !self.evacuations_unknown;
             accepts_work && !self.is_evacuated(&backend.zone)
         })
     }
 
     /// Whether this incarnation of a back end accepts work.
-    pub fn is_ready_life(&self, life: &BackendLife) -> bool {
-        let is_same = |known: &Arc<Backend>| known.started_ms == life.started_ms;
-        self.known.get(&life.id).is_some_and(is_same) && self.is_ready(&life.id)
+    pub fn is_ready_incarnation(&self, incarnation: &BackendIncarnation) -> bool {
+        let is_same = |known: &Arc<Backend>| known.started_ms == incarnation.started_ms;
+        self.known.get(&incarnation.id).is_some_and(is_same) && self.is_ready(&incarnation.id)
     }
 
     /// Whether the back ends of a zone receive no new work.
--- a/crates/serving/src/dialect.rs
+++ b/crates/serving/src/dialect.rs
@@ -109,7 +109,7 @@
     /// Names of the headers.
     fn headers(&self) -> &HeaderNames;
     /// Whether back ends echo the request id in their responses and sign them.
-    fn marks_answers(&self) -> bool {
+    fn signs_responses(&self) -> bool {
         true
     }
     /// Whether a request is the platform's readiness check.
--- a/crates/serving/src/discovery.rs
+++ b/crates/serving/src/discovery.rs
@@ -1,8 +1,8 @@
 //! Starts the tasks that keep the view of the fleet and of the platform's objects current.
 //!
 //! Membership is maintained with datagrams (`fleet`). Each process is ranked among those of its
-//! zone (`duty`); a few of them watch the platform's store (`watch`), and the others fetch the
-//! state from these peers (`news`).
+//! zone (`watch_role`); a few of them watch the platform's store (`watch`), and the others fetch the
+//! state from these peers (`peer_sync`).
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 use yokefall_core::Timestamp;
 use yokefall_types::PlacementBounds;
 
-use crate::duty::Roster;
 use crate::eligibility::{Freshness, ZoneMap};
 use crate::fleet::{run_membership, Identity, Membership, Notices};
-use crate::knowledge::{Following, Knowledge};
-use crate::news::News;
-use crate::news_exchange::serve;
-use crate::observer::LineObserver;
-use crate::shared_knowledge::SharedKnowledge;
+use crate::observer::LoggingObserver;
+use crate::peer_sync::PeerSync;
+use crate::platform_state::{PlatformState, StateOptions};
+use crate::shared_state::SharedPlatformState;
 use crate::source::Platform;
-use crate::watch::{run_watch, WatchOptions, WatchWaits};
+use crate::state_exchange::serve;
+use crate::watch::{follow, Follow, Waits};
+use crate::watch_role::WatcherElection;
 use crate::{CatalogCell, FleetCell};
 
 /// Interval at which the age of the local state is exported as a metric.
@@ -36,7 +36,7 @@
     /// Membership datagrams.
     pub datagrams: UdpSocket,
     /// Exchange of configuration and back ends.
-    pub news: TcpListener,
+    pub exchange: TcpListener,
 }
 
 /// Identity and initial parameters of this process.
@@ -71,61 +71,61 @@
     leaving: channel::Receiver<bool>,
 ) {
     let follows_evacuations = options.placement.evacuation_ms.is_some();
-    let state_options = Following {
+    let state_options = StateOptions {
         evacuations: follows_evacuations,
-        ages: options.placement.needs_fresh_news(),
+        ages: options.placement.needs_fresh_state(),
         freshness: options.freshness.clone(),
     };
     let zones = options.zones.len();
-    let knowledge = Knowledge::following(catalog, options.zones, state_options);
-    let knowledge = Rc::new(RefCell::new(knowledge));
-    let observer = Rc::new(LineObserver::new(changed));
-    let shared = SharedKnowledge { knowledge: knowledge.clone(), observer };
-    let roster = Roster::new(Timestamp(0), options.is_first_start, rand::random());
+    let platform_state = PlatformState::with_options(catalog, options.zones, state_options);
+    let platform_state = Rc::new(RefCell::new(platform_state));
+    let observer = Rc::new(LoggingObserver::new(changed));
+    let shared = SharedPlatformState { platform_state: platform_state.clone(), observer };
+    let election = WatcherElection::new(Timestamp(0), options.is_first_start, rand::random());
     let apply_response = {
         let shared = shared.clone();
-        Box::new(move |answer| shared.take_news(answer))
+        Box::new(move |answer| shared.apply_response(answer))
     };
-    let (news, duties) = News::new(knowledge.clone(), apply_response, roster);
-    let refresh = news.refresh.clone();
-    let exchange_port = ports.news.local_addr().map_or(0, |address| address.port());
-    tokio::task::spawn_local(serve(ports.news, knowledge));
+    let (peer_sync, duties) = PeerSync::new(platform_state.clone(), apply_response, election);
+    let refresh = peer_sync.refresh.clone();
+    let exchange_port = ports.exchange.local_addr().map_or(0, |address| address.port());
+    tokio::task::spawn_local(serve(ports.exchange, platform_state));
     tokio::task::spawn_local(run_membership(Membership {
         socket: ports.datagrams,
         identity: options.identity,
         seeds: options.seeds,
         cell: fleet,
-        news,
+        peer_sync,
         exchange_port,
         leaving,
         notices: options.notices,
         clock: options.clock,
     }));
     tokio::task::spawn_local(report_freshness(options.freshness));
-    let waits = match options.placement.needs_fresh_news() {
-        true => WatchWaits::Fresh { zones },
-        false => WatchWaits::Long,
+    let waits = match options.placement.needs_fresh_state() {
+        true => Waits::Fresh { zones },
+        false => Waits::Long,
     };
     let (configuration, backends) = (refresh.configuration(), refresh.backends());
     let evacuations = refresh.evacuations();
-    let watch_options = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], duty| WatchOptions {
+    let watch_options = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], watch_role| Follow {
         refresh: refresh.clone(),
         others: others.into_iter().cloned().collect(),
-        duty,
+        watch_role,
         waits,
     };
-    tokio::task::spawn_local(run_watch(
+    tokio::task::spawn_local(follow(
         platform.configurations(),
         shared.clone(),
         watch_options(&configuration, [&backends, &evacuations], duties.configuration),
     ));
-    tokio::task::spawn_local(run_watch(
+    tokio::task::spawn_local(follow(
         platform.backends(),
         shared.clone(),
         watch_options(&backends, [&configuration, &evacuations], duties.backends),
     ));
     if follows_evacuations {
-        tokio::task::spawn_local(run_watch(
+        tokio::task::spawn_local(follow(
             platform.evacuations(),
             shared,
             watch_options(&evacuations, [&configuration, &backends], duties.evacuations),
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -18,11 +18,11 @@
 };
 use yokefall_core::Timestamp;
 
-use crate::backlog::Backlog;
-use crate::duty::{Ranking, HEARTBEAT_INTERVAL_MS};
+use crate::known_processes::{KnownProcesses, ProcessHistory};
 use crate::lateness::Lateness;
-use crate::names::{KnownNames, NameMemory};
-use crate::news::{Known, News};
+use crate::peer_sync::{PeerSync, StateDigest};
+use crate::stall_detector::StallDetector;
+use crate::watch_role::{Ranking, HEARTBEAT_INTERVAL_MS};
 
 /// Number of members of the own zone and of other zones that are notified at once of a change of
 /// the local state. Each of them does the same, so that 300 members are reached after four or five
@@ -73,7 +73,7 @@
     /// The members.
     pub members: Vec<FleetMember>,
     /// Names of all processes seen recently, including unreachable ones.
-    pub names: Arc<KnownNames>,
+    pub names: Arc<KnownProcesses>,
 }
 
 impl Fleet {
@@ -115,7 +115,7 @@
 
 /// Returns the incarnation of a new start, which is higher than that of earlier starts. If the
 /// system clock was set back, it is raised as soon as other members report a higher one.
-pub fn start_number() -> u64 {
+pub fn new_incarnation() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(1, |elapsed| elapsed.as_millis() as u64)
 }
@@ -131,7 +131,7 @@
     /// The view to update.
     pub cell: FleetCell,
     /// State synchronization with peers.
-    pub news: Rc<News>,
+    pub peer_sync: Rc<PeerSync>,
     /// TCP port at which peers can fetch the state.
     pub exchange_port: u16,
     /// Becomes true when shutdown begins.
@@ -177,7 +177,7 @@
         identity,
         mut seeds,
         cell,
-        news,
+        peer_sync,
         exchange_port,
         mut leaving,
         clock,
@@ -190,74 +190,77 @@
     let incarnation = identity.incarnation;
     let mut members = MemberList::new(record_of(identity), first_seeds, incarnation);
     members.set_exchange_port(exchange_port);
-    let mut history = NameMemory::default();
+    let mut history = ProcessHistory::default();
     let mut prune_at = Timestamp(0);
     let mut view_at = Timestamp(0);
     let mut seeds_may_change = true;
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut leaving_announced = false;
-    let mut announced = Known::default();
+    let mut announced = StateDigest::default();
     let mut heartbeat_at = Timestamp(0);
     let mut lateness = Lateness::default();
-    let mut backlog = Backlog::default();
+    let mut stall_detector = StallDetector::default();
     loop {
         let now = clock.now();
-        backlog.woken(now);
+        stall_detector.record_wakeup(now);
         let has_changed = now >= view_at && members.take_changed();
         if has_changed || now >= prune_at {
             let records = members.records();
-            history.take(now, &records);
+            history.update(now, &records);
             let has_seeds = seeds.borrow().iter().any(|seed| *seed != own_address);
-            let processes = history.names(now, &name, has_seeds);
-            let interval =
-                if processes.lost > 0 { UNRESPONSIVE_INTERVAL_MS } else { PRUNE_INTERVAL_MS };
+            let processes = history.known_processes(now, &name, has_seeds);
+            let interval = if processes.unresponsive > 0 {
+                UNRESPONSIVE_INTERVAL_MS
+            } else {
+                PRUNE_INTERVAL_MS
+            };
             prune_at = now.plus_millis(interval);
             publish(records, processes, &cell);
         }
         if has_changed {
             view_at = now.plus_millis(MIN_VIEW_INTERVAL_MS);
             let fleet = cell.load();
-            news.rank(now, Ranking::new(&fleet.members, &zone, &name), fleet.members.len());
+            peer_sync.rank(now, Ranking::new(&fleet.members, &zone, &name), fleet.members.len());
         }
-        news.tick(now);
-        let own = news.digest();
+        peer_sync.tick(now);
+        let own = peer_sync.digest();
         set_digests(&mut members, own);
-        members.set_news_ages(news.ages());
-        if own.is_news_after(announced) {
+        members.set_state_ages(peer_sync.ages());
+        if own.differs_from(announced) {
             // These members notify others in turn once they have fetched the change.
-            send(&socket, members.tell_some(SAME_ZONE_FANOUT, OTHER_ZONE_FANOUT)).await;
+            send(&socket, members.gossip_to_some(SAME_ZONE_FANOUT, OTHER_ZONE_FANOUT)).await;
             announced = own;
-        } else if news.take_confirmed() {
+        } else if peer_sync.take_confirmation() {
             let (same_zone, other_zones) = CONFIRMATION_FANOUT;
-            send(&socket, members.tell_some(same_zone, other_zones)).await;
+            send(&socket, members.gossip_to_some(same_zone, other_zones)).await;
         }
         if now >= heartbeat_at {
-            send(&socket, members.announce_watching(&news.standbys())).await;
+            send(&socket, members.announce_watching(&peer_sync.standbys())).await;
             heartbeat_at = now.plus_millis(HEARTBEAT_INTERVAL_MS);
         }
         send(&socket, members.tick(now)).await;
-        let mut deadline = members.next_deadline(now).min(news.next_look(now));
-        if news.watches() {
+        let mut deadline = members.next_deadline(now).min(peer_sync.next_check(now));
+        if peer_sync.watches() {
             deadline = deadline.min(heartbeat_at);
         }
         if members.has_changed() {
             deadline = deadline.min(view_at);
         }
         let wait = deadline.millis_since(now).max(1);
-        backlog.waits(now, wait);
+        stall_detector.start_wait(now, wait);
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 if let Ok((length, source)) = received {
                     let now = clock.now();
                     if let Ok(datagram) = borsh::from_slice::<Datagram>(&buffer[..length]) {
-                        backlog.woken(now);
+                        stall_detector.record_wakeup(now);
                         let is_in_own_zone = members.is_in_own_zone(&datagram.from);
-                        process_state(&news, now, &datagram, source, is_in_own_zone);
+                        process_state(&peer_sync, now, &datagram, source, is_in_own_zone);
                         // A datagram that was queued here for an unknown time proves nothing about
                         // the current age.
-                        let round_trip = members.asked_ms_ago(now, &datagram);
-                        if let Some(delay_ms) = round_trip.or_else(|| backlog.delay_ms()) {
-                            news.hear_ages(digest_in(&datagram), datagram.ages, delay_ms);
+                        let round_trip = members.probe_age_ms(now, &datagram);
+                        if let Some(delay_ms) = round_trip.or_else(|| stall_detector.delay_ms()) {
+                            peer_sync.receive_ages(digest_in(&datagram), datagram.ages, delay_ms);
                         }
                         if let DatagramKind::Notice { content } = &datagram.kind {
                             // Sending fails only if the receiver has shut down, in which case this
@@ -270,13 +273,13 @@
             }
             () = tokio::time::sleep(Duration::from_millis(wait)) => {
                 let woken = clock.now();
-                lateness.note_and_tell(woken.millis_since(now.plus_millis(wait)));
-                backlog.woken(woken);
+                lateness.record_and_report(woken.millis_since(now.plus_millis(wait)));
+                stall_detector.record_wakeup(woken);
                 if is_empty(&socket).await {
-                    backlog.drained();
+                    stall_detector.drained();
                 }
             }
-            () = news.changed() => {}
+            () = peer_sync.changed() => {}
             Some(notice) = outgoing.recv() => send(&socket, members.notify_all(&notice)).await,
             changed = seeds.changed(), if seeds_may_change => {
                 seeds_may_change = changed.is_ok();
@@ -318,7 +321,7 @@
 
 /// Processes the parts of a datagram that do not concern membership.
 fn process_state(
-    news: &Rc<News>,
+    peer_sync: &Rc<PeerSync>,
     now: Timestamp,
     datagram: &Datagram,
     source: SocketAddr,
@@ -326,11 +329,11 @@
 ) {
     let address = SocketAddr::new(source.ip(), datagram.exchange_port);
     match is_in_own_zone {
-        true => news.receive_digest(now, digest_in(datagram), address),
-        false => news.receive_cross_zone_digest(now, digest_in(datagram), address),
+        true => peer_sync.receive_digest(now, digest_in(datagram), address),
+        false => peer_sync.receive_cross_zone_digest(now, digest_in(datagram), address),
     }
     if datagram.kind == DatagramKind::Watching {
-        news.heard_watcher(now, datagram.from.as_str());
+        peer_sync.record_watcher_heartbeat(now, datagram.from.as_str());
     }
 }
 
@@ -338,7 +341,7 @@
     addresses.iter().map(SocketAddr::to_string).collect()
 }
 
-fn set_digests(membership: &mut MemberList, own: Known) {
+fn set_digests(membership: &mut MemberList, own: StateDigest) {
     membership.set_configuration_version(own.version);
     membership.set_backends(ObjectDigest {
         digest: own.backends_digest,
@@ -347,8 +350,8 @@
     membership.set_evacuations(own.evacuations);
 }
 
-fn digest_in(datagram: &Datagram) -> Known {
-    Known {
+fn digest_in(datagram: &Datagram) -> StateDigest {
+    StateDigest {
         version: datagram.configuration_version,
         backends_digest: datagram.backends.digest,
         backends_revision: datagram.backends.revision,
@@ -367,7 +370,7 @@
 }
 
 /// Publishes the members if they changed.
-fn publish(records: Vec<(MemberRecord, u64)>, processes: KnownNames, cell: &FleetCell) {
+fn publish(records: Vec<(MemberRecord, u64)>, processes: KnownProcesses, cell: &FleetCell) {
     let member = |(record, _): (MemberRecord, u64)| {
         Some(FleetMember {
             name: record.node.to_string(),
--- a/crates/serving/src/names.rs
+++ b/crates/serving/src/known_processes.rs
@@ -20,20 +20,20 @@
 
 /// Names of processes, including this one once membership runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KnownNames {
+pub struct KnownProcesses {
     /// Gateways.
     pub gateways: Vec<String>,
     /// Job stores.
     pub job_stores: Vec<String>,
     /// Number of processes that stopped answering recently. They may be partitioned and lack the
     /// current state.
-    pub lost: u32,
+    pub unresponsive: u32,
     /// Whether this process has met others or knows that there are none; until then the names are
     /// incomplete.
     pub joined: bool,
 }
 
-impl KnownNames {
+impl KnownProcesses {
     /// Names of job stores, or of gateways.
     pub fn of_kind(&self, job_store: bool) -> impl Iterator<Item = &str> {
         let names = if job_store { &self.job_stores } else { &self.gateways };
@@ -53,14 +53,14 @@
 
 /// Keeps the names of processes that are gone or unreachable for some time.
 #[derive(Debug, Default)]
-pub struct NameMemory {
+pub struct ProcessHistory {
     seen: BTreeMap<String, Seen>,
 }
 
-impl NameMemory {
+impl ProcessHistory {
     /// Processes the current membership records. A dead member counts from the last time it was
     /// seen alive; one that was dead when first seen, from then on.
-    pub fn take(&mut self, now: Timestamp, records: &[(MemberRecord, u64)]) {
+    pub fn update(&mut self, now: Timestamp, records: &[(MemberRecord, u64)]) {
         for seen in self.seen.values_mut() {
             seen.advance_to(now);
         }
@@ -84,16 +84,16 @@
 
     /// Returns the names that count now. `has_seeds` is whether this process was configured with
     /// peers.
-    pub fn names(&self, now: Timestamp, own: &str, has_seeds: bool) -> KnownNames {
+    pub fn known_processes(&self, now: Timestamp, own: &str, has_seeds: bool) -> KnownProcesses {
         let counting = |job_store: bool| {
             let seen = self.seen.iter();
             let counting = seen.filter(|(_, seen)| seen.job_store == job_store && seen.counts(now));
             counting.map(|(name, _)| name.clone()).collect()
         };
         let has_met = self.seen.iter().any(|(name, seen)| seen.alive && name != own);
-        let lost = self.seen.values().filter(|seen| seen.is_unresponsive(now)).count();
-        KnownNames {
-            lost: lost as u32,
+        let unresponsive = self.seen.values().filter(|seen| seen.is_unresponsive(now)).count();
+        KnownProcesses {
+            unresponsive: unresponsive as u32,
             gateways: counting(false),
             job_stores: counting(true),
             joined: has_met || !has_seeds,
--- a/crates/serving/src/lag.rs
+++ b/crates/serving/src/lag.rs
@@ -2,7 +2,7 @@
 
 use yokefall_core::Timestamp;
 
-use crate::state_digest::Known;
+use crate::state_digest::StateDigest;
 
 /// Time for which a peer must be ahead before the store is queried again, in milliseconds. Updates
 /// normally reach all processes within this time of each other.
@@ -14,13 +14,13 @@
 #[derive(Debug, Default)]
 pub struct LagDetector {
     /// Since when a peer has been ahead, with the local state and the peer's state at that time.
-    behind_since: Option<(Timestamp, Known, Known)>,
+    behind_since: Option<(Timestamp, StateDigest, StateDigest)>,
     queried_at: Option<Timestamp>,
 }
 
 impl LagDetector {
     /// Processes a peer's state digest. Returns whether the store should be queried again.
-    pub fn is_behind(&mut self, now: Timestamp, own: Known, peer: Known) -> bool {
+    pub fn is_behind(&mut self, now: Timestamp, own: StateDigest, peer: StateDigest) -> bool {
         if !own.lacks(peer) {
             return false;
         }
@@ -32,7 +32,7 @@
     }
 
     /// Returns whether the store should be queried again, based on digests received earlier.
-    pub fn is_due(&mut self, now: Timestamp, own: Known) -> bool {
+    pub fn is_due(&mut self, now: Timestamp, own: StateDigest) -> bool {
         let Some((since, known, peer)) = self.behind_since else { return false };
         if !own.lacks(peer) {
             self.behind_since = None;
@@ -52,7 +52,7 @@
     }
 
     /// Returns when `is_due` should be called next; `None` while no peer is ahead.
-    pub fn next_look(&self) -> Option<Timestamp> {
+    pub fn next_check(&self) -> Option<Timestamp> {
         let (since, _, _) = self.behind_since?;
         let overdue_at = since.plus_millis(LAG_TOLERANCE_MS);
         let allowed_at = self.queried_at.map(|at| at.plus_millis(MIN_QUERY_INTERVAL_MS));
--- a/crates/serving/src/model.rs
+++ b/crates/serving/src/model.rs
@@ -37,7 +37,7 @@
     /// Time after the first submission at which an item may be abandoned, in milliseconds.
     pub max_queue_ms: u64,
     /// Maximum number of tokens of queued items on the route; `None` for no limit.
-    pub most_queued_tokens: Option<u64>,
+    pub max_queued_tokens: Option<u64>,
 }
 
 /// Maps requests of a host and path to services.
@@ -173,15 +173,15 @@
 
 impl Backend {
     /// The incarnation described by this record.
-    pub fn life(&self) -> BackendLife {
-        BackendLife { id: self.id.clone(), started_ms: self.started_ms }
+    pub fn incarnation(&self) -> BackendIncarnation {
+        BackendIncarnation { id: self.id.clone(), started_ms: self.started_ms }
     }
 }
 
 /// One incarnation of a back end. Load, outcomes, connections and cached data of one incarnation
 /// say nothing about a later one under the same id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
-pub struct BackendLife {
+pub struct BackendIncarnation {
     /// Id of the back end.
     pub id: String,
     /// Start time, in milliseconds since the Unix epoch; 0 if it reports none.
--- a/crates/serving/src/objects.rs
+++ b/crates/serving/src/objects.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-use crate::news_exchange::Removal;
 use crate::source::{Change, Listing, Revision};
+use crate::state_exchange::Removal;
 
 /// Maximum number of removals retained for peers: several minutes of a fleet of 3,000 back ends
 /// that are replaced once a day, or one simultaneous replacement of a sixth of them.
@@ -24,7 +24,7 @@
 
 /// An object before and after a change; `None` where it did not exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Changed<T> {
+pub struct ObjectChange<T> {
     /// The previous value.
     pub before: Option<Arc<T>>,
     /// The new value.
@@ -62,7 +62,7 @@
 impl<T: Incarnated + PartialEq> Objects<T> {
     /// Replaces all objects with a list and returns the changes; `None` if the list is older than
     /// the current state.
-    pub fn replace(&mut self, listing: Listing<T>) -> Option<Vec<Changed<T>>> {
+    pub fn replace(&mut self, listing: Listing<T>) -> Option<Vec<ObjectChange<T>>> {
         if listing.revision < self.revision {
             return None;
         }
@@ -85,10 +85,10 @@
             }
             let value = Arc::new(value);
             self.insert(item.name, item.revision, value.clone());
-            changed.push(Changed { before: held.map(|(_, held)| held), after: Some(value) });
+            changed.push(ObjectChange { before: held.map(|(_, held)| held), after: Some(value) });
         }
         let gone =
-            before.into_values().map(|(_, held)| Changed { before: Some(held), after: None });
+            before.into_values().map(|(_, held)| ObjectChange { before: Some(held), after: None });
         changed.extend(gone);
         Some(changed)
     }
@@ -144,12 +144,12 @@
 
     /// Applies removals reported by a peer and returns those that were new here. An object that
     /// changed later has been re-created and stays.
-    pub fn remove(&mut self, removals: Vec<Removal>) -> Vec<Changed<T>> {
+    pub fn remove(&mut self, removals: Vec<Removal>) -> Vec<ObjectChange<T>> {
         let mut changed = Vec::new();
         for Removal { name, revision } in removals {
             let is_older = |(held, _): &(Revision, Arc<T>)| *held <= revision;
             if self.held.get(&name).is_some_and(is_older) {
-                changed.push(Changed { before: self.remove_object(&name), after: None });
+                changed.push(ObjectChange { before: self.remove_object(&name), after: None });
             }
             self.record_removal(name, revision);
         }
@@ -158,20 +158,20 @@
 
     /// Applies changes up to a revision and returns those that took effect; outdated ones are
     /// ignored.
-    pub fn apply(&mut self, changes: Vec<Change<T>>, revision: Revision) -> Vec<Changed<T>> {
+    pub fn apply(&mut self, changes: Vec<Change<T>>, revision: Revision) -> Vec<ObjectChange<T>> {
         let changed =
             changes.into_iter().filter_map(|change| self.apply_one(change, revision)).collect();
         self.revision = self.revision.max(revision);
         changed
     }
 
-    fn apply_one(&mut self, change: Change<T>, revision: Revision) -> Option<Changed<T>> {
+    fn apply_one(&mut self, change: Change<T>, revision: Revision) -> Option<ObjectChange<T>> {
         match change.value {
             // Not every store assigns a removal a revision above that of the object's last change.
             None => {
                 let before = self.remove_object(&change.name)?;
                 self.record_removal(change.name, revision);
-                Some(Changed { before: Some(before), after: None })
+                Some(ObjectChange { before: Some(before), after: None })
             }
             Some(value) => {
                 let stays = |held: &(Revision, Arc<T>)| is_newer(held, change.revision, &value);
@@ -180,7 +180,7 @@
                 }
                 let value = Arc::new(value);
                 let before = self.insert(change.name, change.revision, value.clone());
-                Some(Changed { before, after: Some(value) })
+                Some(ObjectChange { before, after: Some(value) })
             }
         }
     }
--- a/crates/serving/src/news.rs
+++ b/crates/serving/src/peer_sync.rs
@@ -9,15 +9,15 @@
 
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
-use yokefall_core::membership::NewsAges;
+use yokefall_core::membership::StateAges;
 use yokefall_core::Timestamp;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
-use crate::duty::{Duty, Ranking, Roster};
 pub use crate::lag::LagDetector;
-use crate::news_exchange::{fetch, ExchangeError, NewsAnswer, NewsRequest};
-pub use crate::state_digest::Known;
-use crate::watch::Knowledge;
+pub use crate::state_digest::StateDigest;
+use crate::state_exchange::{fetch, ExchangeError, StateRequest, StateResponse};
+use crate::watch::PlatformState;
+use crate::watch_role::{Ranking, WatchRole, WatcherElection};
 
 /// Time after its start for which a process without back ends requests the list only from peers in
 /// its own zone, in milliseconds: as long as watchers need to read a list of 10,000 in 50 pages and
@@ -42,7 +42,7 @@
 /// A peer that is ahead.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    known: Known,
+    known: StateDigest,
     /// Address of its state exchange.
     address: SocketAddr,
     /// Whether the whole list of back ends may be requested from it, or only a subset.
@@ -66,23 +66,23 @@
 /// Which kinds of objects this process reads from the platform's store.
 pub struct Duties {
     /// Configurations.
-    pub configuration: Duty,
+    pub configuration: WatchRole,
     /// Evacuated zones.
-    pub evacuations: Duty,
+    pub evacuations: WatchRole,
     /// Back ends.
-    pub backends: Duty,
+    pub backends: WatchRole,
 }
 
 /// Applies a response of a peer; returns whether its whole list is needed.
-pub type ApplyResponse = Box<dyn Fn(NewsAnswer) -> bool>;
+pub type ApplyResponse = Box<dyn Fn(StateResponse) -> bool>;
 
 /// Synchronizes the local state with peers.
-pub struct News {
-    knowledge: Rc<RefCell<Knowledge>>,
+pub struct PeerSync {
+    platform_state: Rc<RefCell<PlatformState>>,
     apply_response: ApplyResponse,
     lag: RefCell<LagDetector>,
     exchanges: RefCell<Exchanges>,
-    roster: RefCell<Roster>,
+    election: RefCell<WatcherElection>,
     /// Whether this process watches the platform's store.
     watches: watch::Sender<bool>,
     /// Whether it reads back ends from the store.
@@ -119,18 +119,18 @@
     }
 }
 
-impl News {
-    /// Creates the synchronization of `knowledge`, with the duties that it controls.
+impl PeerSync {
+    /// Creates the synchronization of `platform_state`, with the duties that it controls.
     pub fn new(
-        knowledge: Rc<RefCell<Knowledge>>,
+        platform_state: Rc<RefCell<PlatformState>>,
         apply_response: ApplyResponse,
-        roster: Roster,
+        election: WatcherElection,
     ) -> (Rc<Self>, Duties) {
-        let changed = knowledge.borrow().changed();
-        let (watches, configuration) = Duty::told();
-        let (reads_backends, backends) = Duty::told();
+        let changed = platform_state.borrow().changed();
+        let (watches, configuration) = WatchRole::controlled();
+        let (reads_backends, backends) = WatchRole::controlled();
         let news = Self {
-            knowledge,
+            platform_state,
             apply_response,
             lag: RefCell::default(),
             exchanges: RefCell::new(Exchanges {
@@ -141,7 +141,7 @@
                 interval: Duration::ZERO,
             }),
             urgent: Notify::new(),
-            roster: RefCell::new(roster),
+            election: RefCell::new(election),
             watches,
             reads_backends,
             changed,
@@ -152,24 +152,24 @@
     }
 
     /// Digest of the local state.
-    pub fn digest(&self) -> Known {
-        self.knowledge.borrow().known()
+    pub fn digest(&self) -> StateDigest {
+        self.platform_state.borrow().digest()
     }
 
     /// Age of the local state as advertised to peers.
-    pub fn ages(&self) -> NewsAges {
-        self.knowledge.borrow().advertised_ages()
+    pub fn ages(&self) -> StateAges {
+        self.platform_state.borrow().advertised_ages()
     }
 
     /// Whether the store has confirmed the local state since the last call, so that peers are to be
     /// notified.
-    pub fn take_confirmed(&self) -> bool {
-        self.knowledge.borrow_mut().take_confirmed()
+    pub fn take_confirmation(&self) -> bool {
+        self.platform_state.borrow_mut().take_confirmation()
     }
 
     /// Processes the ages reported by a peer at most `delay_ms` ago.
-    pub fn hear_ages(&self, peer: Known, ages: NewsAges, delay_ms: u64) {
-        self.knowledge.borrow_mut().hear_ages(peer, ages, delay_ms);
+    pub fn receive_ages(&self, peer: StateDigest, ages: StateAges, delay_ms: u64) {
+        self.platform_state.borrow_mut().receive_ages(peer, ages, delay_ms);
     }
 
     /// Processes the digest of a peer in another zone. Soon after a start, the whole list is
@@ -178,7 +178,7 @@
     pub fn receive_cross_zone_digest(
         self: &Rc<Self>,
         now: Timestamp,
-        peer: Known,
+        peer: StateDigest,
         address: SocketAddr,
     ) {
         let whole_list = self.knows_backends() || now >= Timestamp(SAME_ZONE_ONLY_MS);
@@ -189,16 +189,16 @@
     }
 
     /// Processes the digest of a peer; `address` is that of its state exchange.
-    pub fn receive_digest(self: &Rc<Self>, now: Timestamp, peer: Known, address: SocketAddr) {
+    pub fn receive_digest(self: &Rc<Self>, now: Timestamp, peer: StateDigest, address: SocketAddr) {
         self.handle_digest(now, Peer { known: peer, address, whole_list: true });
     }
 
     fn handle_digest(self: &Rc<Self>, now: Timestamp, peer: Peer) {
         let known = peer.known;
-        self.knowledge.borrow_mut().confirm_evacuations(known);
+        self.platform_state.borrow_mut().confirm_evacuations(known);
         let own = self.digest();
         if own.backends_revision == 0 && known.backends_revision > 0 {
-            self.roster.borrow_mut().heard_of_backends(now);
+            self.election.borrow_mut().record_peer_with_backends(now);
         }
         if !own.should_fetch_from(known) {
             return;
@@ -262,10 +262,10 @@
         let knows_none = own.backends_revision == 0 && own.backends_digest == 0;
         let requests_subset = own.backends_revision == 0 && (knows_none || !whole_list);
         let known = if requests_subset { own.requesting_subset() } else { own };
-        let answer = fetch(address, NewsRequest { known, whole: false }).await;
+        let answer = fetch(address, StateRequest { known, whole: false }).await;
         count_exchange(&answer);
         if (self.apply_response)(answer?) {
-            let request = NewsRequest { known: self.digest(), whole: true };
+            let request = StateRequest { known: self.digest(), whole: true };
             let answer = fetch(address, request).await;
             count_exchange(&answer);
             (self.apply_response)(answer?);
@@ -274,13 +274,13 @@
     }
 
     /// A member of this zone watches the store, and the store answers it.
-    pub fn heard_watcher(&self, now: Timestamp, name: &str) {
-        self.roster.borrow_mut().heard_watcher(now, name);
+    pub fn record_watcher_heartbeat(&self, now: Timestamp, name: &str) {
+        self.election.borrow_mut().record_watcher_heartbeat(now, name);
     }
 
     /// The live members changed.
     pub fn rank(&self, now: Timestamp, ranking: Ranking, members: usize) {
-        self.roster.borrow_mut().rank(now, ranking);
+        self.election.borrow_mut().rank(now, ranking);
         self.exchanges.borrow_mut().interval = exchange_interval(members);
     }
 
@@ -291,38 +291,38 @@
             self.query_store(now);
         }
         let knows = self.can_serve();
-        let watches = self.roster.borrow_mut().watches(now, knows);
-        let reads = self.roster.borrow_mut().reads_backends(now, self.knows_backends());
+        let watches = self.election.borrow_mut().watches(now, knows);
+        let reads = self.election.borrow_mut().reads_backends(now, self.knows_backends());
         self.reads_backends.send_if_modified(|held| std::mem::replace(held, reads) != reads);
         let changed =
             self.watches.send_if_modified(|held| std::mem::replace(held, watches) != watches);
         if changed {
             metrics::gauge!("platform_watcher").set(if watches { 1.0 } else { 0.0 });
-            Line::new(EventName::WatchDutyChanged)
+            LogLine::new(EventName::WatchDutyChanged)
                 .field("watches", watches)
                 .field("knows_configuration", knows)
-                .field("rank", self.roster.borrow().rank_of_this())
+                .field("rank", self.election.borrow().own_rank())
                 .write();
         }
     }
 
     /// Whether the configuration is known and, if evacuations are watched, the evacuated zones.
     fn can_serve(&self) -> bool {
-        let knowledge = self.knowledge.borrow();
-        knowledge.configuration().is_some() && !knowledge.awaits_evacuations()
+        let platform_state = self.platform_state.borrow();
+        platform_state.configuration().is_some() && !platform_state.evacuations_unknown()
     }
 
     fn knows_backends(&self) -> bool {
-        self.knowledge.borrow().known().backends_revision > 0
+        self.platform_state.borrow().digest().backends_revision > 0
     }
 
     /// Members to which this process announces that it watches; empty if it does not watch or the
     /// store does not answer it.
     pub fn standbys(&self) -> Vec<String> {
-        if !*self.watches.borrow() || !self.knowledge.borrow().is_store_reachable() {
+        if !*self.watches.borrow() || !self.platform_state.borrow().is_store_reachable() {
             return Vec::new();
         }
-        self.roster.borrow().standbys().to_vec()
+        self.election.borrow().standbys().to_vec()
     }
 
     /// Whether this process watches the store.
@@ -331,10 +331,10 @@
     }
 
     /// Returns when `tick` should be called next.
-    pub fn next_look(&self, now: Timestamp) -> Timestamp {
+    pub fn next_check(&self, now: Timestamp) -> Timestamp {
         let (configuration, backends) = (self.can_serve(), self.knows_backends());
-        let look = self.roster.borrow().next_look(now, configuration, backends);
-        self.lag.borrow().next_look().map_or(look, |lag| lag.min(look))
+        let look = self.election.borrow().next_check(now, configuration, backends);
+        self.lag.borrow().next_check().map_or(look, |lag| lag.min(look))
     }
 
     /// Waits until the local state has changed.
@@ -350,13 +350,13 @@
             self.refresh.backends.notify_one();
             self.refresh.evacuations.notify_one();
         } else if self.exchanges.borrow().last_failed {
-            self.roster.borrow_mut().catch_up(now);
+            self.election.borrow_mut().catch_up(now);
         }
     }
 }
 
 /// Counts an exchange with a peer by outcome.
-fn count_exchange(answer: &Result<NewsAnswer, ExchangeError>) {
+fn count_exchange(answer: &Result<StateResponse, ExchangeError>) {
     let outcome = if answer.is_ok() { "ok" } else { "failed" };
     metrics::counter!("news_exchanges_total", "outcome" => outcome).increment(1);
 }
--- a/crates/serving/src/knowledge.rs
+++ b/crates/serving/src/platform_state.rs
@@ -14,19 +14,20 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 use yokefall_clock::SuspensionSource;
-use yokefall_core::membership::{NewsAges, ObjectDigest};
+use yokefall_core::membership::{ObjectDigest, StateAges};
 use yokefall_core::Timestamp;
 
-use crate::ages::{AgeTracker, Followed};
-use crate::catalog::{Catalog, CatalogCell, ZoneFacts};
+use crate::ages::{AgeTracker, ObjectKind};
+use crate::catalog::{Catalog, CatalogCell, ZoneState};
 use crate::eligibility::{Freshness, ZoneMap};
 use crate::model::{Backend, BackendState, Configuration, Evacuation};
-use crate::news::Known;
-use crate::news_exchange::{
-    BackendUpdates, NewsAnswer, NewsRequest, StateProvider, VersionedBackend, VersionedEvacuation,
-};
-use crate::objects::{Changed, Objects};
+use crate::objects::{ObjectChange, Objects};
+use crate::peer_sync::StateDigest;
 use crate::source::{Change, Listing, Revision, SourceError};
+use crate::state_exchange::{
+    BackendUpdates, StateProvider, StateRequest, StateResponse, VersionedBackend,
+    VersionedEvacuation,
+};
 
 /// Number of back ends sent first to a process that has none: enough to serve requests until it has
 /// received all, and 60 kB, which takes 16 ms on a link of 30 Mbit/s. A list of 10,000 takes 0.3 s,
@@ -35,7 +36,7 @@
 
 /// All objects known, and the cell from which other threads read them.
 #[derive(Debug)]
-pub struct Knowledge {
+pub struct PlatformState {
     configuration: Option<Arc<Configuration>>,
     pub(crate) backends: Objects<Backend>,
     /// Zones evacuated by operators, by object name.
@@ -50,17 +51,17 @@
     /// Notified when the state changes.
     changed: Rc<Notify>,
     /// Kinds of objects whose last call to the store succeeded.
-    reachable_kinds: BTreeSet<Followed>,
+    reachable_kinds: BTreeSet<ObjectKind>,
     pub(crate) ages: AgeTracker,
     /// Whether peers are notified each time the store confirms the state.
     announces_confirmations: bool,
-    /// Whether the store has confirmed the state since the last call of `take_confirmed`.
+    /// Whether the store has confirmed the state since the last call of `take_confirmation`.
     confirmed: bool,
 }
 
 /// What a process watches in addition to configuration and back ends.
 #[derive(Debug)]
-pub struct Following {
+pub struct StateOptions {
     /// Whether evacuations are watched. If so, no request is served before the evacuated zones are
     /// known.
     pub evacuations: bool,
@@ -71,7 +72,7 @@
     pub freshness: Freshness,
 }
 
-impl Default for Following {
+impl Default for StateOptions {
     fn default() -> Self {
         Self {
             evacuations: false,
@@ -81,15 +82,15 @@
     }
 }
 
-impl Knowledge {
+impl PlatformState {
     /// Creates an empty state that does not watch evacuations.
     pub fn new(cell: CatalogCell, zones: Arc<ZoneMap>) -> Self {
-        Self::following(cell, zones, Following::default())
+        Self::with_options(cell, zones, StateOptions::default())
     }
 
     /// Creates an empty state.
-    pub fn following(cell: CatalogCell, zones: Arc<ZoneMap>, following: Following) -> Self {
-        let mut knowledge = Self {
+    pub fn with_options(cell: CatalogCell, zones: Arc<ZoneMap>, following: StateOptions) -> Self {
+        let mut platform_state = Self {
             configuration: None,
             backends: Objects::default(),
             evacuations: Objects::default(),
@@ -103,8 +104,8 @@
             announces_confirmations: following.ages,
             confirmed: false,
         };
-        knowledge.publish_zones();
-        knowledge
+        platform_state.publish_zones();
+        platform_state
     }
 
     /// Whether the last calls to the store of every kind succeeded.
@@ -113,7 +114,7 @@
         self.reachable_kinds.len() == kinds
     }
 
-    pub(crate) fn record_outcome(&mut self, kind: Followed, error: Option<&SourceError>) {
+    pub(crate) fn record_outcome(&mut self, kind: ObjectKind, error: Option<&SourceError>) {
         match error {
             None => self.reachable_kinds.insert(kind),
             Some(_) => self.reachable_kinds.remove(&kind),
@@ -123,7 +124,12 @@
     /// Records that the store answered a call made at `asked`. The store may have held the response
     /// back for `held_back_ms` because nothing changed; the response is valid as of the end of that
     /// time.
-    pub(crate) fn record_response(&mut self, kind: Followed, asked: Timestamp, held_back_ms: u64) {
+    pub(crate) fn record_response(
+        &mut self,
+        kind: ObjectKind,
+        asked: Timestamp,
+        held_back_ms: u64,
+    ) {
         let since_asked = self.ages.now().millis_since(asked);
         // A response that arrived before the end of the wait is only valid as of the time of the
         // request.
@@ -137,31 +143,31 @@
 
     /// Whether the store has confirmed something since the last call, so that peers are to be
     /// notified.
-    pub fn take_confirmed(&mut self) -> bool {
+    pub fn take_confirmation(&mut self) -> bool {
         std::mem::take(&mut self.confirmed)
     }
 
     /// Returns, by kind, how long ago the store confirmed the state.
-    pub fn ages(&self) -> NewsAges {
+    pub fn ages(&self) -> StateAges {
         self.ages.snapshot()
     }
 
     /// Returns the ages advertised to peers; empty if no decision depends on them.
-    pub fn advertised_ages(&self) -> NewsAges {
+    pub fn advertised_ages(&self) -> StateAges {
         match self.announces_confirmations {
             true => self.ages(),
-            false => NewsAges::default(),
+            false => StateAges::default(),
         }
     }
 
     /// Processes the ages reported by a peer at most `delay_ms` ago. For kinds in which the peer is
     /// not ahead, the local state is as recent as the peer's.
-    pub fn hear_ages(&mut self, peer: Known, ages: NewsAges, delay_ms: u64) {
-        let own = self.known();
+    pub fn receive_ages(&mut self, peer: StateDigest, ages: StateAges, delay_ms: u64) {
+        let own = self.digest();
         let reported = [
-            (Followed::Configuration, ages.configuration_ms, own.version < peer.version),
-            (Followed::Backends, ages.backends_ms, own.lacks_backends(peer)),
-            (Followed::Evacuations, ages.evacuations_ms, own.lacks_evacuations(peer)),
+            (ObjectKind::Configuration, ages.configuration_ms, own.version < peer.version),
+            (ObjectKind::Backends, ages.backends_ms, own.lacks_backends(peer)),
+            (ObjectKind::Evacuations, ages.evacuations_ms, own.lacks_evacuations(peer)),
         ];
         for (kind, age_ms, lacks) in reported {
             if let Some(age_ms) = age_ms.filter(|_| !lacks) {
@@ -203,7 +209,7 @@
     }
 
     /// Whether it is not known yet which zones are evacuated.
-    pub fn awaits_evacuations(&self) -> bool {
+    pub fn evacuations_unknown(&self) -> bool {
         self.follows_evacuations && self.evacuations.revision() == 0
     }
 
@@ -213,13 +219,13 @@
     }
 
     /// Returns the digest of the state that is advertised to peers.
-    pub fn known(&self) -> Known {
+    pub fn digest(&self) -> StateDigest {
         // The hash includes the revisions: lists with equal digests are equal, so the higher
         // revision is valid for both.
         let hash = |(name, revision, _): (&String, Revision, &Arc<Evacuation>)| {
             xxh3_64_with_seed(name.as_bytes(), revision)
         };
-        Known {
+        StateDigest {
             version: self.configuration.as_ref().map_or(0, |held| held.version),
             backends_digest: self.backends_digest,
             backends_revision: self.backends.revision(),
@@ -231,17 +237,17 @@
     }
 
     /// Builds the response to a peer that is behind.
-    pub fn answer(&self, request: &NewsRequest) -> NewsAnswer {
+    pub fn answer(&self, request: &StateRequest) -> StateResponse {
         let held = self.configuration.as_ref();
         let configuration = held.filter(|held| held.version > request.known.version);
-        let own = self.known();
+        let own = self.digest();
         let (backends, backends_revision) = match self.sends_subset(request) {
             // Revision 0 marks the response as incomplete.
             true => (self.random_subset(), 0),
             false => (self.backend_updates(request), own.backends_revision),
         };
-        NewsAnswer {
-            known: Known { backends_revision, ..own },
+        StateResponse {
+            known: StateDigest { backends_revision, ..own },
             configuration: configuration.map(|held| Configuration::clone(held)),
             backends,
             evacuations: request.known.lacks_evacuations(own).then(|| self.evacuation_updates()),
@@ -250,13 +256,13 @@
 
     /// Returns the revision after which changes are sent to a peer; `None` if the whole list is
     /// sent.
-    fn changes_since(&self, request: &NewsRequest) -> Option<Revision> {
+    fn changes_since(&self, request: &StateRequest) -> Option<Revision> {
         let known = request.known.backends_revision;
         (!request.whole && self.backends.covers(known)).then_some(known)
     }
 
     /// Number of back ends in the response to a peer.
-    pub fn response_backends(&self, request: &NewsRequest) -> usize {
+    pub fn response_backends(&self, request: &StateRequest) -> usize {
         if self.sends_subset(request) {
             return self.backends.len().min(SUBSET_BACKENDS);
         }
@@ -268,7 +274,7 @@
 
     /// Whether a peer is sent a subset of the back ends: it asked for no more, or no more are known
     /// here.
-    fn sends_subset(&self, request: &NewsRequest) -> bool {
+    fn sends_subset(&self, request: &StateRequest) -> bool {
         let is_many = self.backends.len() > SUBSET_BACKENDS;
         self.backends.revision() == 0 || (request.known.requests_subset() && is_many)
     }
@@ -286,7 +292,7 @@
         BackendUpdates { since: None, changed: named.collect(), removed: Vec::new() }
     }
 
-    fn backend_updates(&self, request: &NewsRequest) -> BackendUpdates {
+    fn backend_updates(&self, request: &StateRequest) -> BackendUpdates {
         let since = self.changes_since(request);
         let after = since.unwrap_or(0);
         let changed = |(name, revision, backend): (&String, Revision, &Arc<Backend>)| {
@@ -309,7 +315,7 @@
 
     /// Applies back ends received from a peer. Returns whether the local state now equals the
     /// peer's; if not, the whole list must be requested.
-    pub fn apply_backend_updates(&mut self, peer: Known, updates: BackendUpdates) -> bool {
+    pub fn apply_backend_updates(&mut self, peer: StateDigest, updates: BackendUpdates) -> bool {
         let revision = peer.backends_revision;
         let BackendUpdates { since, changed, removed } = updates;
         let changes = changed.into_iter().map(Change::from);
@@ -345,15 +351,15 @@
 
     /// Raises the revision of the evacuations if a peer holds the same ones at a higher revision.
     /// Otherwise an older peer could restore an outdated state.
-    pub fn confirm_evacuations(&mut self, peer: Known) {
-        let own = self.known().evacuations;
+    pub fn confirm_evacuations(&mut self, peer: StateDigest) {
+        let own = self.digest().evacuations;
         if own.revision > 0 && own.digest == peer.evacuations.digest {
             self.evacuations.confirm(peer.evacuations.revision);
         }
     }
 
     /// Publishes changes that `backends` already contains.
-    pub(crate) fn publish_backends(&mut self, changes: &[Changed<Backend>]) {
+    pub(crate) fn publish_backends(&mut self, changes: &[ObjectChange<Backend>]) {
         let sum = |backends: &mut dyn Iterator<Item = &Arc<Backend>>| {
             backends.map(digest_of).fold(0, u64::wrapping_add)
         };
@@ -368,9 +374,9 @@
     /// Publishes the zone data.
     pub(crate) fn publish_zones(&mut self) {
         let evacuated = self.evacuations.values().map(|evacuation| evacuation.zone.clone());
-        let zone_state = ZoneFacts { evacuated: evacuated.collect(), zones: self.zones.clone() };
+        let zone_state = ZoneState { evacuated: evacuated.collect(), zones: self.zones.clone() };
         let catalog = Catalog::clone(&self.cell.load()).with_zone_state(zone_state);
-        let catalog = match self.awaits_evacuations() {
+        let catalog = match self.evacuations_unknown() {
             true => catalog.with_evacuations_unknown(),
             false => catalog,
         };
@@ -383,12 +389,12 @@
     }
 }
 
-impl StateProvider for RefCell<Knowledge> {
-    fn response_backends(&self, request: &NewsRequest) -> usize {
+impl StateProvider for RefCell<PlatformState> {
+    fn response_backends(&self, request: &StateRequest) -> usize {
         self.borrow().response_backends(request)
     }
 
-    fn answer(&self, request: &NewsRequest) -> NewsAnswer {
+    fn answer(&self, request: &StateRequest) -> StateResponse {
         self.borrow().answer(request)
     }
 }
--- a/crates/serving/src/shared_knowledge.rs
+++ b/crates/serving/src/shared_state.rs
@@ -6,13 +6,13 @@
 
 use yokefall_core::Timestamp;
 
-use crate::ages::Followed;
+use crate::ages::ObjectKind;
 use crate::eligibility::unknown_regions;
-use crate::knowledge::Knowledge;
 use crate::model::{Backend, Configuration, Evacuation};
-use crate::news_exchange::{NewsAnswer, VersionedEvacuation};
-use crate::objects::{Changed, Objects};
+use crate::objects::{ObjectChange, Objects};
+use crate::platform_state::PlatformState;
 use crate::source::{Change, Listing, Revision, SourceError};
+use crate::state_exchange::{StateResponse, VersionedEvacuation};
 use crate::watch::Sink;
 
 /// Receives each change of the state of a process.
@@ -48,22 +48,22 @@
 }
 
 /// The state of one process, usable as a sink for all kinds of objects.
-pub struct SharedKnowledge<O> {
+pub struct SharedPlatformState<O> {
     /// The state.
-    pub knowledge: Rc<RefCell<Knowledge>>,
+    pub platform_state: Rc<RefCell<PlatformState>>,
     /// Receives the changes.
     pub observer: Rc<O>,
 }
 
-impl<O> Clone for SharedKnowledge<O> {
+impl<O> Clone for SharedPlatformState<O> {
     fn clone(&self) -> Self {
-        Self { knowledge: self.knowledge.clone(), observer: self.observer.clone() }
+        Self { platform_state: self.platform_state.clone(), observer: self.observer.clone() }
     }
 }
 
-impl<O: Observer> SharedKnowledge<O> {
+impl<O: Observer> SharedPlatformState<O> {
     /// Applies a response of a peer. Returns whether its whole list of back ends is needed.
-    pub fn take_news(&self, answer: NewsAnswer) -> bool {
+    pub fn apply_response(&self, answer: StateResponse) -> bool {
         if let Some(configuration) = answer.configuration {
             self.apply_configuration(configuration);
         }
@@ -84,15 +84,15 @@
             self.apply_subset(answer.backends.changed.into_iter().map(Change::from).collect());
             return false;
         }
-        let own = self.knowledge.borrow().known();
+        let own = self.platform_state.borrow().digest();
         let is_same = own.backends_digest == answer.known.backends_digest;
         let (held, reported) = (own.backends_revision, answer.known.backends_revision);
         if held > reported || (held == reported && is_same) {
             return false;
         }
         let is_same = {
-            let mut knowledge = self.knowledge.borrow_mut();
-            knowledge.apply_backend_updates(answer.known, answer.backends)
+            let mut platform_state = self.platform_state.borrow_mut();
+            platform_state.apply_backend_updates(answer.known, answer.backends)
         };
         self.report_backends();
         !is_same
@@ -101,7 +101,7 @@
     /// Applies a subset of the back ends before the whole list is known, and reports it if any was
     /// new.
     fn apply_subset(&self, changes: Vec<Change<Backend>>) {
-        let any = self.knowledge.borrow_mut().apply_subset(changes);
+        let any = self.platform_state.borrow_mut().apply_subset(changes);
         if any {
             self.report_backends();
         }
@@ -109,8 +109,8 @@
 
     fn apply_configuration(&self, configuration: Configuration) {
         let version = configuration.version;
-        let unknown = unknown_regions(&configuration, self.knowledge.borrow().zones());
-        if self.knowledge.borrow_mut().apply_configuration(configuration) {
+        let unknown = unknown_regions(&configuration, self.platform_state.borrow().zones());
+        if self.platform_state.borrow_mut().apply_configuration(configuration) {
             self.observer.configuration(version);
             if !unknown.is_empty() {
                 self.observer.unknown_regions(version, &unknown);
@@ -124,19 +124,20 @@
         source: &'static str,
         change: impl FnOnce(&mut Objects<Evacuation>),
     ) {
-        let mut knowledge = self.knowledge.borrow_mut();
-        let (known, was_unknown) = (knowledge.known().evacuations, knowledge.awaits_evacuations());
-        let before = knowledge.cell.load_full();
-        let age_ms = knowledge.ages().evacuations_ms;
-        change(&mut knowledge.evacuations);
-        if knowledge.known().evacuations.digest == known.digest
-            && knowledge.awaits_evacuations() == was_unknown
+        let mut platform_state = self.platform_state.borrow_mut();
+        let (known, was_unknown) =
+            (platform_state.digest().evacuations, platform_state.evacuations_unknown());
+        let before = platform_state.cell.load_full();
+        let age_ms = platform_state.ages().evacuations_ms;
+        change(&mut platform_state.evacuations);
+        if platform_state.digest().evacuations.digest == known.digest
+            && platform_state.evacuations_unknown() == was_unknown
         {
             return;
         }
-        knowledge.publish_zones();
-        let after = knowledge.cell.load_full();
-        let named = knowledge.evacuations.named();
+        platform_state.publish_zones();
+        let after = platform_state.cell.load_full();
+        let named = platform_state.evacuations.named();
         let begun = named.filter(|(_, _, evacuation)| !before.is_evacuated(&evacuation.zone)).map(
             |(_, revision, evacuation)| {
                 let zone = &evacuation.zone;
@@ -148,23 +149,23 @@
             begun: begun.collect(),
             ended: before.evacuated.difference(&after.evacuated).cloned().collect(),
             evacuated: after.evacuated.len(),
-            revision: knowledge.evacuations.revision(),
+            revision: platform_state.evacuations.revision(),
             source,
             age_ms,
         };
-        drop(knowledge);
+        drop(platform_state);
         self.observer.evacuations(&change);
     }
 
     /// Changes the back ends and reports it; `None` if there was nothing to apply.
     fn change_backends(
         &self,
-        change: impl FnOnce(&mut Objects<Backend>) -> Option<Vec<Changed<Backend>>>,
+        change: impl FnOnce(&mut Objects<Backend>) -> Option<Vec<ObjectChange<Backend>>>,
     ) {
         let changed = {
-            let mut knowledge = self.knowledge.borrow_mut();
-            let changed = change(&mut knowledge.backends);
-            changed.map(|changed| knowledge.publish_backends(&changed))
+            let mut platform_state = self.platform_state.borrow_mut();
+            let changed = change(&mut platform_state.backends);
+            changed.map(|changed| platform_state.publish_backends(&changed))
         };
         if changed.is_some() {
             self.report_backends();
@@ -172,26 +173,26 @@
     }
 
     fn report_backends(&self) {
-        let knowledge = self.knowledge.borrow();
-        let ready = knowledge.cell.load().ready_count();
-        self.observer.backends(ready, knowledge.backends.revision());
+        let platform_state = self.platform_state.borrow();
+        let ready = platform_state.cell.load().ready_count();
+        self.observer.backends(ready, platform_state.backends.revision());
     }
 
     fn now(&self) -> Timestamp {
-        self.knowledge.borrow().ages.now()
+        self.platform_state.borrow().ages.now()
     }
 
-    fn record_response(&self, kind: Followed, asked: Timestamp, held_back_ms: u64) {
-        self.knowledge.borrow_mut().record_response(kind, asked, held_back_ms);
+    fn record_response(&self, kind: ObjectKind, asked: Timestamp, held_back_ms: u64) {
+        self.platform_state.borrow_mut().record_response(kind, asked, held_back_ms);
     }
 
-    fn record_outcome(&self, kind: Followed, error: Option<&SourceError>) {
-        self.knowledge.borrow_mut().record_outcome(kind, error);
+    fn record_outcome(&self, kind: ObjectKind, error: Option<&SourceError>) {
+        self.platform_state.borrow_mut().record_outcome(kind, error);
         self.observer.reachable(kind.name(), error);
     }
 }
 
-impl<O: Observer> Sink<Configuration> for SharedKnowledge<O> {
+impl<O: Observer> Sink<Configuration> for SharedPlatformState<O> {
     fn replace(&self, listing: Listing<Configuration>) {
         self.apply(listing.items, listing.revision);
     }
@@ -203,7 +204,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.record_outcome(Followed::Configuration, error);
+        self.record_outcome(ObjectKind::Configuration, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -211,11 +212,11 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.record_response(Followed::Configuration, asked, held_back_ms);
+        self.record_response(ObjectKind::Configuration, asked, held_back_ms);
     }
 }
 
-impl<O: Observer> Sink<Backend> for SharedKnowledge<O> {
+impl<O: Observer> Sink<Backend> for SharedPlatformState<O> {
     fn replace(&self, listing: Listing<Backend>) {
         self.change_backends(|held| held.replace(listing));
     }
@@ -233,7 +234,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.record_outcome(Followed::Backends, error);
+        self.record_outcome(ObjectKind::Backends, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -241,11 +242,11 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.record_response(Followed::Backends, asked, held_back_ms);
+        self.record_response(ObjectKind::Backends, asked, held_back_ms);
     }
 }
 
-impl<O: Observer> Sink<Evacuation> for SharedKnowledge<O> {
+impl<O: Observer> Sink<Evacuation> for SharedPlatformState<O> {
     fn replace(&self, mut listing: Listing<Evacuation>) {
         // Revision 0 means that nothing has been received yet.
         listing.revision = listing.revision.max(1);
@@ -261,7 +262,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.record_outcome(Followed::Evacuations, error);
+        self.record_outcome(ObjectKind::Evacuations, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -269,6 +270,6 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.record_response(Followed::Evacuations, asked, held_back_ms);
+        self.record_response(ObjectKind::Evacuations, asked, held_back_ms);
     }
 }
--- a/crates/serving/src/source.rs
+++ b/crates/serving/src/source.rs
@@ -40,7 +40,7 @@
 
 /// The response to a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched<T> {
+pub enum WatchResponse<T> {
     /// Changes, oldest first, and the revision to continue from.
     Changes {
         /// The changes; empty if the wait ended first.
@@ -101,7 +101,7 @@
         &mut self,
         revision: Revision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Watched<T>, SourceError>>;
+    ) -> impl Future<Output = Result<WatchResponse<T>, SourceError>>;
 
     /// Drops the connection; the next call opens a new one.
     fn reset(&mut self);
--- a/crates/serving/src/state_digest.rs
+++ b/crates/serving/src/state_digest.rs
@@ -8,7 +8,7 @@
 
 /// Digest of the state of one process; fits into a datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Known {
+pub struct StateDigest {
     /// Version of the configuration.
     pub version: u64,
     /// Digest of the back ends and their states.
@@ -19,9 +19,9 @@
     pub evacuations: ObjectDigest,
 }
 
-impl Known {
+impl StateDigest {
     /// Whether this state has to be announced, given the state announced last.
-    pub fn is_news_after(self, announced: Known) -> bool {
+    pub fn differs_from(self, announced: StateDigest) -> bool {
         self.version > announced.version
             || self.backends_digest != announced.backends_digest
             || self.evacuations.digest != announced.evacuations.digest
@@ -29,17 +29,17 @@
     }
 
     /// Whether a peer should be asked for its state.
-    pub(crate) fn should_fetch_from(self, peer: Known) -> bool {
+    pub(crate) fn should_fetch_from(self, peer: StateDigest) -> bool {
         self.lacks(peer) || self.lacks_any_backend(peer)
     }
 
     /// Whether a peer is ahead.
-    pub(crate) fn lacks(self, peer: Known) -> bool {
+    pub(crate) fn lacks(self, peer: StateDigest) -> bool {
         self.version < peer.version || self.lacks_backends(peer) || self.lacks_evacuations(peer)
     }
 
     /// Whether no back ends are known here and the peer knows some.
-    pub(crate) fn lacks_any_backend(self, peer: Known) -> bool {
+    pub(crate) fn lacks_any_backend(self, peer: StateDigest) -> bool {
         self.backends_revision == 0 && self.backends_digest == 0 && peer.backends_digest != 0
     }
 
@@ -55,19 +55,19 @@
     }
 
     /// Whether a peer is ahead in anything other than back ends, which must not be delayed.
-    pub(crate) fn lacks_urgent_state(self, peer: Known) -> bool {
+    pub(crate) fn lacks_urgent_state(self, peer: StateDigest) -> bool {
         self.version < peer.version || self.lacks_evacuations(peer)
     }
 
     /// Whether a peer is ahead in back ends.
-    pub fn lacks_backends(self, peer: Known) -> bool {
+    pub fn lacks_backends(self, peer: StateDigest) -> bool {
         self.backends_digest != peer.backends_digest
             && self.backends_revision < peer.backends_revision
     }
 
     /// Whether a peer is ahead in evacuated zones. A process without any information also lacks the
     /// fact that no zone is evacuated.
-    pub fn lacks_evacuations(self, peer: Known) -> bool {
+    pub fn lacks_evacuations(self, peer: StateDigest) -> bool {
         let (own, peer) = (self.evacuations, peer.evacuations);
         own.revision < peer.revision && (own.digest != peer.digest || own.revision == 0)
     }
--- a/crates/serving/src/news_exchange.rs
+++ b/crates/serving/src/state_exchange.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Semaphore;
 
 use crate::model::{Backend, Configuration, Evacuation};
-use crate::news::Known;
+use crate::peer_sync::StateDigest;
 use crate::source::{Change, Revision};
 
 /// Timeout of an exchange: twice the time the largest set of concurrent responses takes on a link
@@ -38,18 +38,18 @@
 
 /// Requests the state of a peer that is newer than the sender's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct NewsRequest {
+pub struct StateRequest {
     /// Digest of the sender's state.
-    pub known: Known,
+    pub known: StateDigest,
     /// Whether all back ends are requested, instead of changes only.
     pub whole: bool,
 }
 
 /// The state that is newer than the requester's.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct NewsAnswer {
+pub struct StateResponse {
     /// Digest of the responder's state.
-    pub known: Known,
+    pub known: StateDigest,
     /// The configuration, if it is newer.
     pub configuration: Option<Configuration>,
     /// Back ends.
@@ -125,7 +125,10 @@
 impl std::error::Error for ExchangeError {}
 
 /// Requests the state of a peer.
-pub async fn fetch(peer: SocketAddr, request: NewsRequest) -> Result<NewsAnswer, ExchangeError> {
+pub async fn fetch(
+    peer: SocketAddr,
+    request: StateRequest,
+) -> Result<StateResponse, ExchangeError> {
     let failed = |step: &'static str| {
         move |cause: std::io::Error| ExchangeError { step, peer, cause: cause.to_string() }
     };
@@ -179,9 +182,9 @@
 /// Provides the state that peers request.
 pub trait StateProvider {
     /// Number of back ends that a response would contain.
-    fn response_backends(&self, request: &NewsRequest) -> usize;
+    fn response_backends(&self, request: &StateRequest) -> usize;
     /// Builds the response.
-    fn answer(&self, request: &NewsRequest) -> NewsAnswer;
+    fn answer(&self, request: &StateRequest) -> StateResponse;
 }
 
 /// Serves peers indefinitely.
@@ -209,7 +212,7 @@
     bytes: Rc<ResponseBudget>,
 ) {
     let exchange = async {
-        let request: NewsRequest = receive(&mut stream).await?;
+        let request: StateRequest = receive(&mut stream).await?;
         let Some(reservation) = bytes.reserve(provider.response_backends(&request)) else {
             return Ok(());
         };
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -6,11 +6,11 @@
 use tokio::sync::Notify;
 use yokefall_core::Timestamp;
 
-use crate::duty::Duty;
-pub use crate::knowledge::{Following, Knowledge};
 use crate::listing::PartialList;
-pub use crate::shared_knowledge::{EvacuationChange, Observer, SharedKnowledge};
-use crate::source::{Change, Listing, Revision, Source, SourceError, Watched};
+pub use crate::platform_state::{PlatformState, StateOptions};
+pub use crate::shared_state::{EvacuationChange, Observer, SharedPlatformState};
+use crate::source::{Change, Listing, Revision, Source, SourceError, WatchResponse};
+use crate::watch_role::WatchRole;
 
 /// Maximum time for which one watch waits.
 pub const MAX_WATCH_WAIT: Duration = Duration::from_millis(12_000);
@@ -65,7 +65,7 @@
 
 /// How long watches wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WatchWaits {
+pub enum Waits {
     /// As long as the store allows, so that few calls are made.
     Long,
     /// Short enough that the state is confirmed every few seconds. Each zone has its own watchers,
@@ -76,20 +76,20 @@
     },
 }
 
-impl WatchWaits {
+impl Waits {
     /// Wait of the first watch after a list or a change.
     fn first(self) -> Duration {
         match self {
-            WatchWaits::Long => rand::random_range(FIRST_WATCH_WAIT),
-            WatchWaits::Fresh { zones } => scaled_wait(FRESH_FIRST_WATCH_WAIT, zones),
+            Waits::Long => rand::random_range(FIRST_WATCH_WAIT),
+            Waits::Fresh { zones } => scaled_wait(FRESH_FIRST_WATCH_WAIT, zones),
         }
     }
 
     /// Wait of subsequent watches.
     fn next(self) -> Duration {
         match self {
-            WatchWaits::Long => MAX_WATCH_WAIT,
-            WatchWaits::Fresh { zones } => scaled_wait(FRESH_WATCH_WAIT, zones),
+            Waits::Long => MAX_WATCH_WAIT,
+            Waits::Fresh { zones } => scaled_wait(FRESH_WATCH_WAIT, zones),
         }
     }
 }
@@ -101,31 +101,27 @@
 }
 
 /// Controls the list-and-watch loop of one kind.
-pub struct WatchOptions {
+pub struct Follow {
     /// Ends the current watch so that the store is queried again.
     pub refresh: Rc<Notify>,
     /// Handles that end the watches of other kinds.
     pub others: Vec<Rc<Notify>>,
     /// Whether the store is to be queried.
-    pub duty: Duty,
+    pub watch_role: WatchRole,
     /// How long watches wait.
-    pub waits: WatchWaits,
+    pub waits: Waits,
 }
 
 /// Lists, then watches, for as long as this process has the duty to. Lists again after a watch that
 /// failed, has lost its history or was ended by `refresh`. When the store answers after a failure,
 /// the watches of other kinds are ended too: a connection on which a response was lost may deliver
 /// nothing more, which would go unnoticed until the wait ends.
-pub async fn run_watch<T, S: Source<T>>(
-    mut source: S,
-    sink: impl Sink<T>,
-    mut options: WatchOptions,
-) {
+pub async fn follow<T, S: Source<T>>(mut source: S, sink: impl Sink<T>, mut options: Follow) {
     let mut backoff = INITIAL_BACKOFF;
     let mut failed = false;
     let mut list = PartialList::default();
     loop {
-        options.duty.begun().await;
+        options.watch_role.started().await;
         let once =
             list_and_watch(&mut source, &mut list, &sink, &mut options, &mut failed, &mut backoff)
                 .await;
@@ -144,13 +140,13 @@
     source: &mut S,
     list: &mut PartialList<T>,
     sink: &impl Sink<T>,
-    options: &mut WatchOptions,
+    options: &mut Follow,
     failed: &mut bool,
     backoff: &mut Duration,
 ) -> Result<(), SourceError> {
     while !list.is_complete() {
         // The list is not read further if a peer has supplied it in the meantime.
-        if !options.duty.holds() {
+        if !options.watch_role.is_active() {
             return Ok(());
         }
         let asked = sink.now();
@@ -181,7 +177,7 @@
                 Some(watched)
             }
             () = options.refresh.notified() => None,
-            () = options.duty.ended() => None,
+            () = options.watch_role.ended() => None,
         };
         let Some(watched) = watched else {
             source.reset();
@@ -189,7 +185,7 @@
         };
         count_call(source.kind(), "watch", &watched);
         match watched? {
-            Watched::Changes { changes, revision: next } => {
+            WatchResponse::Changes { changes, revision: next } => {
                 revision = revision.max(next);
                 let changed = !changes.is_empty();
                 sink.apply(changes, revision);
@@ -200,7 +196,7 @@
                     tokio::time::sleep(BATCH_INTERVAL).await;
                 }
             }
-            Watched::HistoryLost => return Ok(()),
+            WatchResponse::HistoryLost => return Ok(()),
         }
     }
 }
--- a/crates/serving/tests/follow.rs
+++ b/crates/serving/tests/follow.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use tokio::sync::Notify;
-use yokefall_serving::duty::Duty;
-use yokefall_serving::source::{Revision, Source, SourceError, Watched};
-use yokefall_serving::watch::{run_watch, Sink, WatchOptions, WatchWaits};
+use yokefall_serving::source::{Revision, Source, SourceError, WatchResponse};
+use yokefall_serving::watch::{follow, Follow, Sink, Waits};
+use yokefall_serving::watch_role::WatchRole;
 use yokefall_serving::{Change, ListPage, Listing};
 
 /// Result of the next watch; without a step it waits for the requested time and returns no change.
@@ -35,17 +35,21 @@
         Ok(ListPage { items: Vec::new(), revision: 1, next: None })
     }
 
-    async fn watch(&mut self, from: Revision, wait: Duration) -> Result<Watched<u64>, SourceError> {
+    async fn watch(
+        &mut self,
+        from: Revision,
+        wait: Duration,
+    ) -> Result<WatchResponse<u64>, SourceError> {
         self.watches.borrow_mut().push(tokio::time::Instant::now());
         match self.steps.pop_front() {
             Some(Step::Changes(revision)) => {
                 let change = Change { name: "a".into(), revision, value: Some(revision) };
-                Ok(Watched::Changes { changes: vec![change], revision })
+                Ok(WatchResponse::Changes { changes: vec![change], revision })
             }
             Some(Step::Fail) => Err(failed()),
             None => {
                 tokio::time::sleep(wait).await;
-                Ok(Watched::Changes { changes: Vec::new(), revision: from })
+                Ok(WatchResponse::Changes { changes: Vec::new(), revision: from })
             }
         }
     }
@@ -55,8 +59,8 @@
 
 struct NullSink;
 
-fn options(duty: Duty) -> WatchOptions {
-    WatchOptions { refresh: Rc::default(), others: Vec::new(), duty, waits: WatchWaits::Long }
+fn options(watch_role: WatchRole) -> Follow {
+    Follow { refresh: Rc::default(), others: Vec::new(), watch_role, waits: Waits::Long }
 }
 
 /// Only a few processes may watch the store, because each call is billed.
@@ -64,8 +68,8 @@
 async fn the_store_is_queried_only_while_the_duty_lasts() {
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
-    let (sender, duty) = Duty::told();
-    let watching = run_watch(script, NullSink, options(duty));
+    let (sender, watch_role) = WatchRole::controlled();
+    let watching = follow(script, NullSink, options(watch_role));
     let steps = async {
         let pause = || tokio::time::sleep(Duration::from_secs(1));
         pause().await;
@@ -96,10 +100,10 @@
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = ScriptedSource { steps: steps.into(), watches: watches.clone() };
     let other = Rc::new(Notify::new());
-    let watching = run_watch(
+    let watching = follow(
         script,
         NullSink,
-        WatchOptions { others: vec![other.clone()], ..options(Duty::always()) },
+        Follow { others: vec![other.clone()], ..options(WatchRole::always()) },
     );
     let _ = tokio::time::timeout(Duration::from_secs(5), watching).await;
     let ended = tokio::time::timeout(Duration::from_millis(1), other.notified()).await.is_ok();
@@ -155,9 +159,13 @@
         Ok(ListPage { items: vec![item], revision: 100 + number, next })
     }
 
-    async fn watch(&mut self, from: Revision, wait: Duration) -> Result<Watched<u64>, SourceError> {
+    async fn watch(
+        &mut self,
+        from: Revision,
+        wait: Duration,
+    ) -> Result<WatchResponse<u64>, SourceError> {
         tokio::time::sleep(wait).await;
-        Ok(Watched::Changes { changes: Vec::new(), revision: from })
+        Ok(WatchResponse::Changes { changes: Vec::new(), revision: from })
     }
 
     fn reset(&mut self) {}
@@ -184,7 +192,7 @@
     let asked: Rc<RefCell<Vec<Option<String>>>> = Rc::default();
     let sink = RecordingSink::default();
     let source = PagedSource { calls: 0, asked: asked.clone() };
-    let watching = run_watch(source, sink.clone(), options(Duty::always()));
+    let watching = follow(source, sink.clone(), options(WatchRole::always()));
     tokio::select! {
         () = watching => {}
         () = tokio::time::sleep(Duration::from_secs(5)) => {}
@@ -221,12 +229,12 @@
         &mut self,
         _from: Revision,
         _wait: Duration,
-    ) -> Result<Watched<u64>, SourceError> {
+    ) -> Result<WatchResponse<u64>, SourceError> {
         if std::mem::replace(&mut self.change_sent, true) {
             return std::future::pending().await;
         }
         let change = Change { name: "a".into(), revision: 2, value: Some(2) };
-        Ok(Watched::Changes { changes: vec![change], revision: 2 })
+        Ok(WatchResponse::Changes { changes: vec![change], revision: 2 })
     }
 
     fn reset(&mut self) {}
@@ -238,7 +246,7 @@
 async fn a_watch_lost_after_a_change_is_detected_soon() {
     let lists: Rc<RefCell<u32>> = Rc::default();
     let source = UnresponsiveSource { lists: lists.clone(), change_sent: false };
-    let watching = run_watch(source, NullSink, options(Duty::always()));
+    let watching = follow(source, NullSink, options(WatchRole::always()));
     tokio::select! {
         () = watching => {}
         () = tokio::time::sleep(Duration::from_millis(7_200)) => {}
@@ -251,8 +259,8 @@
 async fn watches_end_within_seconds_if_recent_state_is_required() {
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
-    let waits = WatchOptions { waits: WatchWaits::Fresh { zones: 3 }, ..options(Duty::always()) };
-    let watching = run_watch(script, NullSink, waits);
+    let waits = Follow { waits: Waits::Fresh { zones: 3 }, ..options(WatchRole::always()) };
+    let watching = follow(script, NullSink, waits);
     let _ = tokio::time::timeout(Duration::from_secs(60), watching).await;
     let watches = watches.borrow();
     let longest = watches.windows(2).map(|pair| pair[1] - pair[0]).max().expect("watches");
--- a/crates/serving/tests/news.rs
+++ b/crates/serving/tests/lag.rs
@@ -1,10 +1,15 @@
 //! State digests of peers, and when a process queries the store again.
 
 use yokefall_core::Timestamp;
-use yokefall_serving::news::{Known, LagDetector};
+use yokefall_serving::peer_sync::{LagDetector, StateDigest};
 
-fn known(version: u64, digest: u64, revision: u64) -> Known {
-    Known { version, backends_digest: digest, backends_revision: revision, ..Known::default() }
+fn known(version: u64, digest: u64, revision: u64) -> StateDigest {
+    StateDigest {
+        version,
+        backends_digest: digest,
+        backends_revision: revision,
+        ..StateDigest::default()
+    }
 }
 
 #[test]
@@ -50,10 +55,10 @@
     let mut detector = LagDetector::default();
     let (own, peer) = (known(1, 7, 10), known(2, 7, 10));
     assert!(!detector.is_behind(Timestamp(100), own, peer));
-    let check_at = detector.next_look().expect("a time to look again");
+    let check_at = detector.next_check().expect("a time to look again");
     assert!(check_at > Timestamp(100) && check_at <= Timestamp(600));
     assert!(detector.is_due(check_at, own));
     // Once the process has caught up, there is nothing to wait for.
     assert!(!detector.is_due(Timestamp(5_000), known(2, 7, 11)));
-    assert_eq!(detector.next_look(), None);
+    assert_eq!(detector.next_check(), None);
 }
--- a/crates/serving/tests/news_exchange.rs
+++ b/crates/serving/tests/state_exchange.rs
@@ -8,17 +8,17 @@
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use yokefall_clock::SuspensionSource;
 use yokefall_core::Timestamp;
-use yokefall_serving::duty::{Ranking, Roster};
-use yokefall_serving::knowledge::SUBSET_BACKENDS;
-use yokefall_serving::news::{exchange_interval, Known, News};
-use yokefall_serving::news_exchange::{fetch, serve, NewsAnswer, NewsRequest, ResponseBudget};
-use yokefall_serving::observer::LineObserver;
-use yokefall_serving::watch::{Following, Knowledge, SharedKnowledge, Sink};
+use yokefall_serving::observer::LoggingObserver;
+use yokefall_serving::peer_sync::{exchange_interval, PeerSync, StateDigest};
+use yokefall_serving::platform_state::SUBSET_BACKENDS;
+use yokefall_serving::state_exchange::{fetch, serve, ResponseBudget, StateRequest, StateResponse};
+use yokefall_serving::watch::{PlatformState, SharedPlatformState, Sink, StateOptions};
+use yokefall_serving::watch_role::{Ranking, WatcherElection};
 use yokefall_serving::{
     empty_catalog, Backend, BackendState, Change, Configuration, Evacuation, Freshness, Listing,
 };
 
-type Process = SharedKnowledge<LineObserver>;
+type Process = SharedPlatformState<LoggingObserver>;
 
 fn process() -> Process {
     process_on(SuspensionSource::Machine).0
@@ -27,11 +27,12 @@
 /// A process that watches evacuations, with the age of its state.
 fn process_on(suspension: SuspensionSource) -> (Process, Freshness) {
     let freshness = Freshness::new(suspension);
-    let following = Following { evacuations: true, ages: true, freshness: freshness.clone() };
-    let knowledge = Knowledge::following(empty_catalog(), Default::default(), following);
-    let process = SharedKnowledge {
-        knowledge: Rc::new(RefCell::new(knowledge)),
-        observer: Rc::new(LineObserver::new(|| {})),
+    let following = StateOptions { evacuations: true, ages: true, freshness: freshness.clone() };
+    let platform_state =
+        PlatformState::with_options(empty_catalog(), Default::default(), following);
+    let process = SharedPlatformState {
+        platform_state: Rc::new(RefCell::new(platform_state)),
+        observer: Rc::new(LoggingObserver::new(|| {})),
     };
     (process, freshness)
 }
@@ -51,11 +52,11 @@
 
 /// Evacuated zones in order; `None` if nothing has been received.
 fn evacuated(process: &Process) -> Option<Vec<String>> {
-    let knowledge = process.knowledge.borrow();
-    let zones = knowledge.evacuations().values().map(|evacuation| evacuation.zone.clone());
+    let platform_state = process.platform_state.borrow();
+    let zones = platform_state.evacuations().values().map(|evacuation| evacuation.zone.clone());
     let mut zones: Vec<String> = zones.collect();
     zones.sort_unstable();
-    (!knowledge.awaits_evacuations()).then_some(zones)
+    (!platform_state.evacuations_unknown()).then_some(zones)
 }
 
 fn backend(id: &str, state: BackendState) -> Backend {
@@ -86,7 +87,7 @@
 
 fn configure(process: &Process, version: u64) {
     let configuration = Configuration { version, ..Configuration::default() };
-    process.knowledge.borrow_mut().apply_configuration(configuration);
+    process.platform_state.borrow_mut().apply_configuration(configuration);
 }
 
 /// Runs one exchange like the production tasks. Returns the number of back ends sent.
@@ -94,12 +95,12 @@
     let mut sent = 0;
     let mut whole = false;
     // Each datagram carries the digest of its sender.
-    to.knowledge.borrow_mut().confirm_evacuations(from.knowledge.borrow().known());
+    to.platform_state.borrow_mut().confirm_evacuations(from.platform_state.borrow().digest());
     for _ in 0..2 {
-        let request = NewsRequest { known: to.knowledge.borrow().known(), whole };
-        let answer = from.knowledge.borrow().answer(&request);
+        let request = StateRequest { known: to.platform_state.borrow().digest(), whole };
+        let answer = from.platform_state.borrow().answer(&request);
         sent += answer.backends.changed.len();
-        whole = to.take_news(answer);
+        whole = to.apply_response(answer);
         if !whole {
             break;
         }
@@ -109,9 +110,9 @@
 
 /// Back ends with their states, in order.
 fn held(process: &Process) -> Vec<(String, BackendState)> {
-    let knowledge = process.knowledge.borrow();
+    let platform_state = process.platform_state.borrow();
     let mut all: Vec<_> =
-        knowledge.backends().values().map(|held| (held.id.clone(), held.state)).collect();
+        platform_state.backends().values().map(|held| (held.id.clone(), held.state)).collect();
     all.sort_by(|left, right| left.0.cmp(&right.0));
     all
 }
@@ -123,7 +124,7 @@
     list(&watcher, 10, (0..100).map(|id| change(id, 5, Some(BackendState::Ready))).collect());
     exchange(&new, &watcher);
     assert_eq!(held(&new), held(&watcher));
-    assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
+    assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
 }
 
 #[test]
@@ -134,7 +135,7 @@
     apply(&watcher, vec![change(3, 11, Some(BackendState::Draining)), change(4, 5, None)], 12);
     assert_eq!(exchange(&other, &watcher), 1);
     assert_eq!(held(&other), held(&watcher));
-    assert!(!other.knowledge.borrow().backends().values().any(|held| held.id == "i-4"));
+    assert!(!other.platform_state.borrow().backends().values().any(|held| held.id == "i-4"));
 }
 
 #[test]
@@ -147,7 +148,7 @@
     apply(&new, vec![change(1, 11, Some(BackendState::Draining))], 11);
     exchange(&new, &old);
     assert_eq!(held(&new), [("i-1".to_owned(), BackendState::Draining)]);
-    assert_eq!(new.knowledge.borrow().known().version, 2);
+    assert_eq!(new.platform_state.borrow().digest().version, 2);
 }
 
 /// Steps of two watchers and a third process that fetches from either.
@@ -326,7 +327,7 @@
             }
             store.note();
             for (index, process) in processes.iter().enumerate() {
-                let revision = process.knowledge.borrow().known().evacuations.revision;
+                let revision = process.platform_state.borrow().digest().evacuations.revision;
                 let known = evacuated(process);
                 let held = store.history.get(&revision).cloned();
                 if revision < revisions[index] || (revision > 0 && known != held) {
@@ -371,12 +372,12 @@
 fn the_age_of_the_state_is_that_of_its_oldest_kind() {
     let elapsed = Arc::new(AtomicU64::new(0));
     let advance = |ms: u64| elapsed.fetch_add(ms, Ordering::Relaxed);
-    let of = || process_on(SuspensionSource::Told(elapsed.clone()));
+    let of = || process_on(SuspensionSource::Simulated(elapsed.clone()));
     let ((watcher, _), (other, freshness)) = (of(), of());
-    let ages = |process: &Process| process.knowledge.borrow().ages();
+    let ages = |process: &Process| process.platform_state.borrow().ages();
     let hear = || {
-        let known = watcher.knowledge.borrow().known();
-        other.knowledge.borrow_mut().hear_ages(known, ages(&watcher), 100);
+        let known = watcher.platform_state.borrow().digest();
+        other.platform_state.borrow_mut().receive_ages(known, ages(&watcher), 100);
     };
     // Both have run for a while; ages are limited by the time since the start.
     advance(10_000);
@@ -413,7 +414,7 @@
 /// of processes that watch, list and exchange state.
 #[derive(Clone, Debug)]
 enum RestartStep {
-    Heartbeat { life: u64, ready: bool },
+    Heartbeat { incarnation: u64, ready: bool },
     Watch { process: usize },
     List { process: usize },
     Exchange { to: usize, from: usize },
@@ -424,7 +425,7 @@
         let process = usize::arbitrary(generator) % 3;
         match u8::arbitrary(generator) % 4 {
             0 => RestartStep::Heartbeat {
-                life: u64::arbitrary(generator) % 4 + 1,
+                incarnation: u64::arbitrary(generator) % 4 + 1,
                 ready: bool::arbitrary(generator),
             },
             1 => RestartStep::Watch { process },
@@ -440,10 +441,10 @@
     /// end is lost.
     fn no_process_reverts_to_an_older_incarnation(steps: Vec<RestartStep>) -> bool {
         let mut events: Vec<Change<Backend>> = Vec::new();
-        let heartbeat = |life: u64, revision: u64, state: BackendState| {
+        let heartbeat = |incarnation: u64, revision: u64, state: BackendState| {
             let mut change = change(1, revision, Some(state));
             if let Some(backend) = &mut change.value {
-                backend.started_ms = life;
+                backend.started_ms = incarnation;
             }
             change
         };
@@ -455,12 +456,12 @@
         list(&processes[0], 1, vec![entry.clone(), neighbour()]);
         for step in steps {
             match step {
-                RestartStep::Heartbeat { life, ready } => {
+                RestartStep::Heartbeat { incarnation, ready } => {
                     let state = if ready { BackendState::Ready } else { BackendState::Draining };
-                    entry = heartbeat(life, events.len() as u64 + 2, state);
+                    entry = heartbeat(incarnation, events.len() as u64 + 2, state);
                     events.push(entry.clone());
                 }
-                RestartStep::Watch { process } if processes[process].knowledge.borrow().backends().revision() > 0 => {
+                RestartStep::Watch { process } if processes[process].platform_state.borrow().backends().revision() > 0 => {
                     let new = events[watched[process]..].to_vec();
                     watched[process] = events.len();
                     apply(&processes[process], new, events.len() as u64 + 1);
@@ -476,13 +477,13 @@
                 RestartStep::Exchange { .. } => {}
             }
             for (index, process) in processes.iter().enumerate() {
-                let knowledge = process.knowledge.borrow();
-                let held: Vec<_> = knowledge.backends().values().collect();
-                let life = held.iter().find(|held| held.id == "i-1").map_or(0, |held| held.started_ms);
-                if life < lives[index] || (knowledge.backends().revision() > 0 && held.len() != 2) {
+                let platform_state = process.platform_state.borrow();
+                let held: Vec<_> = platform_state.backends().values().collect();
+                let incarnation = held.iter().find(|held| held.id == "i-1").map_or(0, |held| held.started_ms);
+                if incarnation < lives[index] || (platform_state.backends().revision() > 0 && held.len() != 2) {
                     return false;
                 }
-                lives[index] = life;
+                lives[index] = incarnation;
             }
         }
         true
@@ -493,7 +494,7 @@
 async fn start_serving(process: &Process) -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    tokio::task::spawn_local(serve(listener, process.knowledge.clone()));
+    tokio::task::spawn_local(serve(listener, process.platform_state.clone()));
     address
 }
 
@@ -507,10 +508,14 @@
             list(&watcher, 4, vec![change(1, 2, Some(BackendState::Ready))]);
             let address = start_serving(&watcher).await;
             let new = process();
-            let request = NewsRequest { known: new.knowledge.borrow().known(), whole: false };
+            let request =
+                StateRequest { known: new.platform_state.borrow().digest(), whole: false };
             let answer = fetch(address, request).await.expect("an answer");
-            assert!(!new.take_news(answer));
-            assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
+            assert!(!new.apply_response(answer));
+            assert_eq!(
+                new.platform_state.borrow().digest(),
+                watcher.platform_state.borrow().digest()
+            );
         })
         .await;
 }
@@ -520,7 +525,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let request = NewsRequest { known: Default::default(), whole: false };
+    let request = StateRequest { known: Default::default(), whole: false };
     let error = fetch(address, request).await.expect_err("an error");
     assert_eq!((error.step, error.peer), ("connect", address));
 }
@@ -539,7 +544,7 @@
             for _ in 0..8 {
                 silent.push(tokio::net::TcpStream::connect(address).await.expect("a connection"));
             }
-            let request = NewsRequest { known: Default::default(), whole: false };
+            let request = StateRequest { known: Default::default(), whole: false };
             let error = fetch(address, request).await.expect_err("a rejection");
             assert_ne!(error.step, "await answer");
             drop(silent);
@@ -566,16 +571,17 @@
             let (older, newer, asking) = (process(), process(), process());
             configure(&older, 2);
             configure(&newer, 3);
-            let digest_of = |process: &Process| process.knowledge.borrow().known();
+            let digest_of = |process: &Process| process.platform_state.borrow().digest();
             let addresses = (start_serving(&older).await, start_serving(&newer).await);
             let apply_response = {
                 let asking = asking.clone();
-                Box::new(move |answer| asking.take_news(answer))
+                Box::new(move |answer| asking.apply_response(answer))
             };
-            let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), apply_response, roster);
-            news.receive_digest(Timestamp(1), digest_of(&older), addresses.0);
-            news.receive_digest(Timestamp(1), digest_of(&newer), addresses.1);
+            let election = WatcherElection::new(Timestamp(0), false, 1.0);
+            let (peer_sync, _duty) =
+                PeerSync::new(asking.platform_state.clone(), apply_response, election);
+            peer_sync.receive_digest(Timestamp(1), digest_of(&older), addresses.0);
+            peer_sync.receive_digest(Timestamp(1), digest_of(&newer), addresses.1);
             for _ in 0..200 {
                 if digest_of(&asking).version == 3 {
                     return;
@@ -622,18 +628,19 @@
                 let (asking, exchanges) = (asking.clone(), exchanges.clone());
                 Box::new(move |answer| {
                     exchanges.set(exchanges.get() + 1);
-                    asking.take_news(answer)
+                    asking.apply_response(answer)
                 })
             };
-            let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), apply_response, roster);
-            news.rank(Timestamp(0), Ranking::default(), 1_000);
-            let digest_of = |process: &Process| process.knowledge.borrow().known();
+            let election = WatcherElection::new(Timestamp(0), false, 1.0);
+            let (peer_sync, _duty) =
+                PeerSync::new(asking.platform_state.clone(), apply_response, election);
+            peer_sync.rank(Timestamp(0), Ranking::default(), 1_000);
+            let digest_of = |process: &Process| process.platform_state.borrow().digest();
             let began = std::time::Instant::now();
             for revision in 1..=50_u64 {
                 let ready = Some(BackendState::Ready);
                 apply(&source, vec![change(revision as u8, revision, ready)], revision);
-                news.receive_digest(Timestamp(1), digest_of(&source), address);
+                peer_sync.receive_digest(Timestamp(1), digest_of(&source), address);
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
             while digest_of(&asking) != digest_of(&source) {
@@ -662,25 +669,26 @@
             let order = Rc::new(RefCell::new(Vec::new()));
             let apply_response = {
                 let (asking, order) = (asking.clone(), order.clone());
-                Box::new(move |answer: NewsAnswer| {
+                Box::new(move |answer: StateResponse| {
                     order.borrow_mut().push(answer.known.version);
-                    asking.take_news(answer)
+                    asking.apply_response(answer)
                 })
             };
-            let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), apply_response, roster);
-            news.rank(Timestamp(0), Ranking::default(), 1_000);
-            let digest_of = |process: &Process| process.knowledge.borrow().known();
+            let election = WatcherElection::new(Timestamp(0), false, 1.0);
+            let (peer_sync, _duty) =
+                PeerSync::new(asking.platform_state.clone(), apply_response, election);
+            peer_sync.rank(Timestamp(0), Ranking::default(), 1_000);
+            let digest_of = |process: &Process| process.platform_state.borrow().digest();
             for step in 1..=3_u64 {
                 apply(&source, vec![change(step as u8, step, Some(BackendState::Ready))], step);
-                news.receive_digest(Timestamp(1), digest_of(&source), address);
+                peer_sync.receive_digest(Timestamp(1), digest_of(&source), address);
                 tokio::task::yield_now().await;
             }
             // A digest that is behind, received afterwards, must not replace it.
             let before = digest_of(&source);
             configure(&source, 7);
-            news.receive_digest(Timestamp(1), digest_of(&source), address);
-            news.receive_digest(Timestamp(1), before, address);
+            peer_sync.receive_digest(Timestamp(1), digest_of(&source), address);
+            peer_sync.receive_digest(Timestamp(1), before, address);
             while digest_of(&asking).version != 7 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
@@ -703,37 +711,39 @@
         value: Some(backend(&format!("i-{index}"), BackendState::Ready)),
     };
     list(&watcher, 20_000, (1..=10_000).map(many).collect());
-    let ask = |known: Known| {
-        let request = NewsRequest { known, whole: false };
+    let ask = |known: StateDigest| {
+        let request = StateRequest { known, whole: false };
         (
-            watcher.knowledge.borrow().response_backends(&request),
-            watcher.knowledge.borrow().answer(&request),
+            watcher.platform_state.borrow().response_backends(&request),
+            watcher.platform_state.borrow().answer(&request),
         )
     };
-    let none = new.knowledge.borrow().known();
+    let none = new.platform_state.borrow().digest();
     let (estimated, part) = ask(none.requesting_subset());
     assert_eq!((estimated, part.backends.changed.len()), (SUBSET_BACKENDS, SUBSET_BACKENDS));
-    assert!(!new.take_news(part));
+    assert!(!new.apply_response(part));
     assert_eq!(held(&new).len(), SUBSET_BACKENDS);
-    let knows_some = new.knowledge.borrow().known();
+    let knows_some = new.platform_state.borrow().digest();
     assert_eq!(knows_some.backends_revision, 0, "a subset is not mistaken for the whole list");
     // Others receive the subset from this process and lose nothing by it.
     let third = process();
     apply(&third, Vec::new(), 0);
-    let request =
-        NewsRequest { known: third.knowledge.borrow().known().requesting_subset(), whole: false };
-    let answer = new.knowledge.borrow().answer(&request);
-    third.take_news(answer);
+    let request = StateRequest {
+        known: third.platform_state.borrow().digest().requesting_subset(),
+        whole: false,
+    };
+    let answer = new.platform_state.borrow().answer(&request);
+    third.apply_response(answer);
     assert_eq!(held(&third).len(), SUBSET_BACKENDS);
     assert_eq!(exchange(&third, &process()), 0);
     assert_eq!(held(&third).len(), SUBSET_BACKENDS, "a peer without back ends removes none");
     // Then the whole list arrives.
     let (_, whole) = ask(knows_some);
-    assert!(!new.take_news(whole));
-    assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
+    assert!(!new.apply_response(whole));
+    assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
     // A subset removes nothing after that.
     let (_, late) = ask(none.requesting_subset());
-    new.take_news(late);
+    new.apply_response(late);
     assert_eq!(held(&new).len(), 10_000);
 }
 
@@ -741,11 +751,13 @@
 fn a_short_list_is_sent_whole() {
     let (watcher, new) = (process(), process());
     list(&watcher, 4, vec![change(1, 2, Some(BackendState::Ready))]);
-    let request =
-        NewsRequest { known: new.knowledge.borrow().known().requesting_subset(), whole: false };
-    let answer = watcher.knowledge.borrow().answer(&request);
-    assert!(!new.take_news(answer));
-    assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
+    let request = StateRequest {
+        known: new.platform_state.borrow().digest().requesting_subset(),
+        whole: false,
+    };
+    let answer = watcher.platform_state.borrow().answer(&request);
+    assert!(!new.apply_response(answer));
+    assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
 }
 
 /// Pages are used before the list has been read to its end.
@@ -754,7 +766,7 @@
     let process = process();
     Sink::<Backend>::apply_page(&process, &[change(1, 2, Some(BackendState::Ready))]);
     assert_eq!(held(&process).len(), 1);
-    assert_eq!(process.knowledge.borrow().known().backends_revision, 0);
+    assert_eq!(process.platform_state.borrow().digest().backends_revision, 0);
     list(&process, 9, vec![change(2, 3, Some(BackendState::Ready))]);
     assert_eq!(held(&process), [("i-2".to_owned(), BackendState::Ready)]);
     Sink::<Backend>::apply_page(&process, &[change(1, 2, Some(BackendState::Ready))]);
@@ -779,15 +791,15 @@
             let address = start_serving(&source).await;
             let apply_response = {
                 let asking = asking.clone();
-                Box::new(move |answer| asking.take_news(answer))
+                Box::new(move |answer| asking.apply_response(answer))
             };
-            let (news, _duty) = News::new(
-                asking.knowledge.clone(),
+            let (peer_sync, _duty) = PeerSync::new(
+                asking.platform_state.clone(),
                 apply_response,
-                Roster::new(Timestamp(0), false, 1.0),
+                WatcherElection::new(Timestamp(0), false, 1.0),
             );
-            let digest_of = |process: &Process| process.knowledge.borrow().known();
-            news.receive_cross_zone_digest(Timestamp(1), digest_of(&source), address);
+            let digest_of = |process: &Process| process.platform_state.borrow().digest();
+            peer_sync.receive_cross_zone_digest(Timestamp(1), digest_of(&source), address);
             while digest_of(&asking).version != 7 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
@@ -797,12 +809,12 @@
             );
             // The next configuration also arrives before the list.
             configure(&source, 8);
-            news.receive_cross_zone_digest(Timestamp(2), digest_of(&source), address);
+            peer_sync.receive_cross_zone_digest(Timestamp(2), digest_of(&source), address);
             while digest_of(&asking).version != 8 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
             assert_eq!(digest_of(&asking).backends_revision, 0);
-            news.receive_digest(Timestamp(3), digest_of(&source), address);
+            peer_sync.receive_digest(Timestamp(3), digest_of(&source), address);
             while digest_of(&asking) != digest_of(&source) {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
