--- a/crates/core/src/membership/repair.rs
+++ b/crates/core/src/membership/repair.rs
@@ -78,7 +78,7 @@
         if now < self.next_repair_at || digest == self.digest() {
             return None;
         }
-        // Soon after a start every member hears from the seeds first; to spread the load, other
+        // Soon after a start every member receives from the seeds first; to spread the load, other
         // members are asked then.
         if self.may_exchange(now) && self.seeds.iter().any(|seed| seed == source) {
             return None;
--- a/crates/serving/src/ages.rs
+++ b/crates/serving/src/ages.rs
@@ -40,20 +40,20 @@
     configuration: Option<Timestamp>,
     backends: Option<Timestamp>,
     evacuations: Option<Timestamp>,
-    follows_evacuations: bool,
+    watches_evacuations: bool,
     /// Receives the age of the oldest kind.
     freshness: Freshness,
 }
 
 impl AgeTracker {
     /// Creates a tracker with nothing confirmed yet.
-    pub fn new(freshness: Freshness, follows_evacuations: bool) -> Self {
+    pub fn new(freshness: Freshness, watches_evacuations: bool) -> Self {
         Self {
             clock: freshness.new_clock(),
             configuration: None,
             backends: None,
             evacuations: None,
-            follows_evacuations,
+            watches_evacuations,
             freshness,
         }
     }
@@ -92,7 +92,7 @@
 
     fn oldest(&self) -> Option<Timestamp> {
         let both = self.configuration?.min(self.backends?);
-        match self.follows_evacuations {
+        match self.watches_evacuations {
             true => Some(both.min(self.evacuations?)),
             false => Some(both),
         }
--- a/crates/serving/src/discovery.rs
+++ b/crates/serving/src/discovery.rs
@@ -1,8 +1,8 @@
 //! Starts the tasks that keep the view of the fleet and of the platform's objects current.
 //!
 //! Membership is maintained with datagrams (`fleet`). Each process is ranked among those of its
-//! zone (`watch_role`); a few of them watch the platform's store (`watch`), and the others fetch the
-//! state from these peers (`peer_sync`).
+//! zone (`watch_role`); a few of them watch the platform's store (`watch`), and the others fetch
+//! the state from these peers (`peer_sync`).
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -70,9 +70,9 @@
     changed: impl Fn() + 'static,
     leaving: channel::Receiver<bool>,
 ) {
-    let follows_evacuations = options.placement.evacuation_ms.is_some();
+    let watches_evacuations = options.placement.evacuation_ms.is_some();
     let state_options = StateOptions {
-        evacuations: follows_evacuations,
+        evacuations: watches_evacuations,
         ages: options.placement.needs_fresh_state(),
         freshness: options.freshness.clone(),
     };
@@ -86,7 +86,7 @@
         let shared = shared.clone();
         Box::new(move |answer| shared.apply_response(answer))
     };
-    let (peer_sync, duties) = PeerSync::new(platform_state.clone(), apply_response, election);
+    let (peer_sync, watch_roles) = PeerSync::new(platform_state.clone(), apply_response, election);
     let refresh = peer_sync.refresh.clone();
     let exchange_port = ports.exchange.local_addr().map_or(0, |address| address.port());
     tokio::task::spawn_local(serve(ports.exchange, platform_state));
@@ -117,18 +117,18 @@
     tokio::task::spawn_local(follow(
         platform.configurations(),
         shared.clone(),
-        watch_options(&configuration, [&backends, &evacuations], duties.configuration),
+        watch_options(&configuration, [&backends, &evacuations], watch_roles.configuration),
     ));
     tokio::task::spawn_local(follow(
         platform.backends(),
         shared.clone(),
-        watch_options(&backends, [&configuration, &evacuations], duties.backends),
+        watch_options(&backends, [&configuration, &evacuations], watch_roles.backends),
     ));
-    if follows_evacuations {
+    if watches_evacuations {
         tokio::task::spawn_local(follow(
             platform.evacuations(),
             shared,
-            watch_options(&evacuations, [&configuration, &backends], duties.evacuations),
+            watch_options(&evacuations, [&configuration, &backends], watch_roles.evacuations),
         ));
     }
 }
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -171,7 +171,7 @@
 }
 
 /// Runs the membership loop until the process ends.
-pub async fn run_membership(parts: Membership) {
+pub async fn run_membership(parameters: Membership) {
     let Membership {
         socket,
         identity,
@@ -182,8 +182,8 @@
         mut leaving,
         clock,
         ..
-    } = parts;
-    let Notices { mut outgoing, incoming } = parts.notices;
+    } = parameters;
+    let Notices { mut outgoing, incoming } = parameters.notices;
     let (name, zone) = (identity.name.clone(), identity.zone.clone());
     let own_address = identity.address;
     let first_seeds = to_texts(&seeds.borrow_and_update());
--- a/crates/serving/src/peer_sync.rs
+++ b/crates/serving/src/peer_sync.rs
@@ -64,7 +64,7 @@
 }
 
 /// Which kinds of objects this process reads from the platform's store.
-pub struct Duties {
+pub struct WatchRoles {
     /// Configurations.
     pub configuration: WatchRole,
     /// Evacuated zones.
@@ -120,16 +120,16 @@
 }
 
 impl PeerSync {
-    /// Creates the synchronization of `platform_state`, with the duties that it controls.
+    /// Creates the synchronization of `platform_state`, with the watch roles that it controls.
     pub fn new(
         platform_state: Rc<RefCell<PlatformState>>,
         apply_response: ApplyResponse,
         election: WatcherElection,
-    ) -> (Rc<Self>, Duties) {
+    ) -> (Rc<Self>, WatchRoles) {
         let changed = platform_state.borrow().changed();
         let (watches, configuration) = WatchRole::controlled();
         let (reads_backends, backends) = WatchRole::controlled();
-        let news = Self {
+        let sync = Self {
             platform_state,
             apply_response,
             lag: RefCell::default(),
@@ -148,7 +148,7 @@
             refresh: Refresh::default(),
         };
         let evacuations = configuration.clone();
-        (Rc::new(news), Duties { configuration, evacuations, backends })
+        (Rc::new(sync), WatchRoles { configuration, evacuations, backends })
     }
 
     /// Digest of the local state.
@@ -262,13 +262,13 @@
         let knows_none = own.backends_revision == 0 && own.backends_digest == 0;
         let requests_subset = own.backends_revision == 0 && (knows_none || !whole_list);
         let known = if requests_subset { own.requesting_subset() } else { own };
-        let answer = fetch(address, StateRequest { known, whole: false }).await;
-        count_exchange(&answer);
-        if (self.apply_response)(answer?) {
+        let response = fetch(address, StateRequest { known, whole: false }).await;
+        count_exchange(&response);
+        if (self.apply_response)(response?) {
             let request = StateRequest { known: self.digest(), whole: true };
-            let answer = fetch(address, request).await;
-            count_exchange(&answer);
-            (self.apply_response)(answer?);
+            let response = fetch(address, request).await;
+            count_exchange(&response);
+            (self.apply_response)(response?);
         }
         Ok(())
     }
@@ -290,8 +290,8 @@
         if self.lag.borrow_mut().is_due(now, self.digest()) {
             self.query_store(now);
         }
-        let knows = self.can_serve();
-        let watches = self.election.borrow_mut().watches(now, knows);
+        let can_serve = self.can_serve();
+        let watches = self.election.borrow_mut().watches(now, can_serve);
         let reads = self.election.borrow_mut().reads_backends(now, self.knows_backends());
         self.reads_backends.send_if_modified(|held| std::mem::replace(held, reads) != reads);
         let changed =
@@ -300,7 +300,7 @@
             metrics::gauge!("platform_watcher").set(if watches { 1.0 } else { 0.0 });
             LogLine::new(EventName::WatchDutyChanged)
                 .field("watches", watches)
-                .field("knows_configuration", knows)
+                .field("knows_configuration", can_serve)
                 .field("rank", self.election.borrow().own_rank())
                 .write();
         }
@@ -333,8 +333,8 @@
     /// Returns when `tick` should be called next.
     pub fn next_check(&self, now: Timestamp) -> Timestamp {
         let (configuration, backends) = (self.can_serve(), self.knows_backends());
-        let look = self.election.borrow().next_check(now, configuration, backends);
-        self.lag.borrow().next_check().map_or(look, |lag| lag.min(look))
+        let check_at = self.election.borrow().next_check(now, configuration, backends);
+        self.lag.borrow().next_check().map_or(check_at, |lag| lag.min(check_at))
     }
 
     /// Waits until the local state has changed.
@@ -356,7 +356,7 @@
 }
 
 /// Counts an exchange with a peer by outcome.
-fn count_exchange(answer: &Result<StateResponse, ExchangeError>) {
-    let outcome = if answer.is_ok() { "ok" } else { "failed" };
+fn count_exchange(response: &Result<StateResponse, ExchangeError>) {
+    let outcome = if response.is_ok() { "ok" } else { "failed" };
     metrics::counter!("news_exchanges_total", "outcome" => outcome).increment(1);
 }
--- a/crates/serving/src/platform_state.rs
+++ b/crates/serving/src/platform_state.rs
@@ -42,7 +42,7 @@
     /// Zones evacuated by operators, by object name.
     pub(crate) evacuations: Objects<Evacuation>,
     /// Whether evacuations are watched.
-    follows_evacuations: bool,
+    watches_evacuations: bool,
     /// Region of each zone.
     zones: Arc<ZoneMap>,
     /// Digest of the back ends and their states.
@@ -89,19 +89,19 @@
     }
 
     /// Creates an empty state.
-    pub fn with_options(cell: CatalogCell, zones: Arc<ZoneMap>, following: StateOptions) -> Self {
+    pub fn with_options(cell: CatalogCell, zones: Arc<ZoneMap>, options: StateOptions) -> Self {
         let mut platform_state = Self {
             configuration: None,
             backends: Objects::default(),
             evacuations: Objects::default(),
-            follows_evacuations: following.evacuations,
+            watches_evacuations: options.evacuations,
             zones,
             backends_digest: 0,
             cell,
             changed: Rc::default(),
             reachable_kinds: BTreeSet::new(),
-            ages: AgeTracker::new(following.freshness, following.evacuations),
-            announces_confirmations: following.ages,
+            ages: AgeTracker::new(options.freshness, options.evacuations),
+            announces_confirmations: options.ages,
             confirmed: false,
         };
         platform_state.publish_zones();
@@ -110,7 +110,7 @@
 
     /// Whether the last calls to the store of every kind succeeded.
     pub fn is_store_reachable(&self) -> bool {
-        let kinds = 2 + usize::from(self.follows_evacuations);
+        let kinds = 2 + usize::from(self.watches_evacuations);
         self.reachable_kinds.len() == kinds
     }
 
@@ -210,7 +210,7 @@
 
     /// Whether it is not known yet which zones are evacuated.
     pub fn evacuations_unknown(&self) -> bool {
-        self.follows_evacuations && self.evacuations.revision() == 0
+        self.watches_evacuations && self.evacuations.revision() == 0
     }
 
     /// Notified when the state changes.
--- a/crates/serving/src/shared_state.rs
+++ b/crates/serving/src/shared_state.rs
@@ -63,36 +63,36 @@
 
 impl<O: Observer> SharedPlatformState<O> {
     /// Applies a response of a peer. Returns whether its whole list of back ends is needed.
-    pub fn apply_response(&self, answer: StateResponse) -> bool {
-        if let Some(configuration) = answer.configuration {
+    pub fn apply_response(&self, response: StateResponse) -> bool {
+        if let Some(configuration) = response.configuration {
             self.apply_configuration(configuration);
         }
-        if let Some(named) = answer.evacuations {
+        if let Some(named) = response.evacuations {
             let change = |named: VersionedEvacuation| Change {
                 name: named.evacuation.zone.clone(),
                 revision: named.revision,
                 value: Some(named.evacuation),
             };
             let items = named.into_iter().map(change).collect();
-            let listing = Listing { items, revision: answer.known.evacuations.revision };
+            let listing = Listing { items, revision: response.known.evacuations.revision };
             self.change_evacuations("peer", |held| {
                 held.replace(listing);
             });
         }
-        if answer.known.backends_revision == 0 {
+        if response.known.backends_revision == 0 {
             // The peer sent only a subset, or has no complete list itself.
-            self.apply_subset(answer.backends.changed.into_iter().map(Change::from).collect());
+            self.apply_subset(response.backends.changed.into_iter().map(Change::from).collect());
             return false;
         }
         let own = self.platform_state.borrow().digest();
-        let is_same = own.backends_digest == answer.known.backends_digest;
-        let (held, reported) = (own.backends_revision, answer.known.backends_revision);
+        let is_same = own.backends_digest == response.known.backends_digest;
+        let (held, reported) = (own.backends_revision, response.known.backends_revision);
         if held > reported || (held == reported && is_same) {
             return false;
         }
         let is_same = {
             let mut platform_state = self.platform_state.borrow_mut();
-            platform_state.apply_backend_updates(answer.known, answer.backends)
+            platform_state.apply_backend_updates(response.known, response.backends)
         };
         self.report_backends();
         !is_same
--- a/crates/serving/src/state_exchange.rs
+++ b/crates/serving/src/state_exchange.rs
@@ -155,7 +155,7 @@
 /// Reservation for the bytes of one response, released on drop.
 #[derive(Debug)]
 pub struct ResponseReservation {
-    bytes: Rc<ResponseBudget>,
+    budget: Rc<ResponseBudget>,
     reserved: usize,
 }
 
@@ -169,13 +169,13 @@
             return None;
         }
         self.in_flight.set(in_flight + reserved);
-        Some(ResponseReservation { bytes: self.clone(), reserved })
+        Some(ResponseReservation { budget: self.clone(), reserved })
     }
 }
 
 impl Drop for ResponseReservation {
     fn drop(&mut self) {
-        self.bytes.in_flight.set(self.bytes.in_flight.get() - self.reserved);
+        self.budget.in_flight.set(self.budget.in_flight.get() - self.reserved);
     }
 }
 
@@ -189,15 +189,15 @@
 
 /// Serves peers indefinitely.
 pub async fn serve(listener: TcpListener, provider: Rc<dyn StateProvider>) {
-    let free = Arc::new(Semaphore::new(MAX_CONCURRENT_RESPONSES));
-    let bytes = Rc::new(ResponseBudget::default());
+    let slots = Arc::new(Semaphore::new(MAX_CONCURRENT_RESPONSES));
+    let budget = Rc::new(ResponseBudget::default());
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let Ok(permit) = free.clone().try_acquire_owned() else { continue };
-                let answering = serve_one(stream, provider.clone(), bytes.clone());
+                let Ok(permit) = slots.clone().try_acquire_owned() else { continue };
+                let serving = serve_one(stream, provider.clone(), budget.clone());
                 tokio::task::spawn_local(async move {
-                    answering.await;
+                    serving.await;
                     drop(permit);
                 });
             }
@@ -209,11 +209,11 @@
 async fn serve_one(
     mut stream: TcpStream,
     provider: Rc<dyn StateProvider>,
-    bytes: Rc<ResponseBudget>,
+    budget: Rc<ResponseBudget>,
 ) {
     let exchange = async {
         let request: StateRequest = receive(&mut stream).await?;
-        let Some(reservation) = bytes.reserve(provider.response_backends(&request)) else {
+        let Some(reservation) = budget.reserve(provider.response_backends(&request)) else {
             return Ok(());
         };
         let sent = send(&mut stream, &provider.answer(&request)).await;
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -112,7 +112,7 @@
     pub waits: Waits,
 }
 
-/// Lists, then watches, for as long as this process has the duty to. Lists again after a watch that
+/// Lists, then watches, while the watch role is active. Lists again after a watch that
 /// failed, has lost its history or was ended by `refresh`. When the store answers after a failure,
 /// the watches of other kinds are ended too: a connection on which a response was lost may deliver
 /// nothing more, which would go unnoticed until the wait ends.
--- a/crates/serving/tests/follow.rs
+++ b/crates/serving/tests/follow.rs
@@ -65,7 +65,7 @@
 
 /// Only a few processes may watch the store, because each call is billed.
 #[tokio::test(start_paused = true)]
-async fn the_store_is_queried_only_while_the_duty_lasts() {
+async fn the_store_is_queried_only_while_the_role_is_active() {
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
     let (sender, watch_role) = WatchRole::controlled();
--- a/crates/serving/tests/state_exchange.rs
+++ b/crates/serving/tests/state_exchange.rs
@@ -336,7 +336,9 @@
                 revisions[index] = revision;
             }
         }
-        processes.iter().all(|process| evacuated(process) == store.history.get(&store.revision).cloned())
+        processes
+            .iter()
+            .all(|process| evacuated(process) == store.history.get(&store.revision).cloned())
     }
 }
 
@@ -452,7 +454,7 @@
         let mut entry = heartbeat(1, 1, BackendState::Ready);
         let processes: Vec<Process> = (0..3).map(|_| process()).collect();
         let mut watched = [0; 3];
-        let mut lives = [0; 3];
+        let mut incarnations = [0; 3];
         list(&processes[0], 1, vec![entry.clone(), neighbour()]);
         for step in steps {
             match step {
@@ -461,7 +463,9 @@
                     entry = heartbeat(incarnation, events.len() as u64 + 2, state);
                     events.push(entry.clone());
                 }
-                RestartStep::Watch { process } if processes[process].platform_state.borrow().backends().revision() > 0 => {
+                RestartStep::Watch { process }
+                    if processes[process].platform_state.borrow().backends().revision() > 0 =>
+                {
                     let new = events[watched[process]..].to_vec();
                     watched[process] = events.len();
                     apply(&processes[process], new, events.len() as u64 + 1);
@@ -469,7 +473,11 @@
                 RestartStep::Watch { .. } => {}
                 RestartStep::List { process } => {
                     watched[process] = events.len();
-                    list(&processes[process], events.len() as u64 + 1, vec![entry.clone(), neighbour()]);
+                    list(
+                        &processes[process],
+                        events.len() as u64 + 1,
+                        vec![entry.clone(), neighbour()],
+                    );
                 }
                 RestartStep::Exchange { to, from } if to != from => {
                     exchange(&processes[to], &processes[from]);
@@ -479,11 +487,16 @@
             for (index, process) in processes.iter().enumerate() {
                 let platform_state = process.platform_state.borrow();
                 let held: Vec<_> = platform_state.backends().values().collect();
-                let incarnation = held.iter().find(|held| held.id == "i-1").map_or(0, |held| held.started_ms);
-                if incarnation < lives[index] || (platform_state.backends().revision() > 0 && held.len() != 2) {
+                let incarnation = held
+                    .iter()
+                    .find(|held| held.id == "i-1")
+                    .map_or(0, |held| held.started_ms);
+                if incarnation < incarnations[index]
+                    || (platform_state.backends().revision() > 0 && held.len() != 2)
+                {
                     return false;
                 }
-                lives[index] = incarnation;
+                incarnations[index] = incarnation;
             }
         }
         true
