--- a/crates/serving/tests/state_exchange.rs
+++ b/crates/serving/tests/state_exchange.rs
@@ -377,7 +377,7 @@
     let of = || process_on(SuspensionSource::Simulated(elapsed.clone()));
     let ((watcher, _), (other, freshness)) = (of(), of());
     let ages = |process: &Process| process.platform_state.borrow().ages();
-    let hear = || {
+    let receive_ages = || {
         let known = watcher.platform_state.borrow().digest();
         other.platform_state.borrow_mut().receive_ages(known, ages(&watcher), 100);
     };
@@ -393,15 +393,15 @@
     Sink::<Configuration>::answered(&watcher, asked, 3_000);
     Sink::<Backend>::answered(&watcher, asked, 0);
     Sink::<Evacuation>::answered(&watcher, asked, 9_000);
-    let source = ages(&watcher);
-    assert_eq!(source.configuration_ms.map(|ms| ms / 500), Some(2));
-    assert_eq!(source.backends_ms.map(|ms| ms / 500), Some(8));
-    assert_eq!(source.evacuations_ms.map(|ms| ms / 500), Some(8));
+    let reported = ages(&watcher);
+    assert_eq!(reported.configuration_ms.map(|ms| ms / 500), Some(2));
+    assert_eq!(reported.backends_ms.map(|ms| ms / 500), Some(8));
+    assert_eq!(reported.evacuations_ms.map(|ms| ms / 500), Some(8));
     // State that this process has not received does not become recent because a peer has it.
-    hear();
+    receive_ages();
     assert_eq!(freshness.age_ms(), None);
     exchange(&other, &watcher);
-    hear();
+    receive_ages();
     let age_ms = freshness.age_ms().expect("an age");
     assert!((4_100..4_600).contains(&age_ms), "{age_ms}");
     // Confirmation of one kind proves nothing about the others.
