--- a/crates/core/src/membership/digest.rs
+++ b/crates/core/src/membership/digest.rs
@@ -27,7 +27,6 @@
 }
 
 impl ListDigests {
-    /// Adds a record.
     pub(super) fn add(&mut self, record: &MemberRecord) {
         let hash = record_hash(record);
         let bucket = &mut self.buckets[bucket_of(&record.node)];
@@ -48,7 +47,6 @@
         self.whole
     }
 
-    /// Digest of each bucket.
     pub(super) fn buckets(&self) -> &[u64; REPAIR_BUCKETS] {
         &self.buckets
     }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -109,7 +109,6 @@
 }
 
 impl Membership {
-    /// Queues an update of a member.
     pub(super) fn queue_update(&mut self, record: MemberRecord) {
         self.updates.push(record, self.members.len());
     }
@@ -129,8 +128,13 @@
         self.updates.has_new().then_some(self.next_gossip_at)
     }
 
-    /// Returns the addresses of random members: `near` of the own zone and `far` of other zones.
-    pub(super) fn choose_members(&mut self, near: usize, far: usize) -> Vec<String> {
+    /// Returns the addresses of random members, given their number in the own zone and in other
+    /// zones.
+    pub(super) fn choose_members(
+        &mut self,
+        same_zone_count: usize,
+        other_zone_count: usize,
+    ) -> Vec<String> {
         let is_in_own_zone = |entry: &&Entry| entry.record.zone == self.own_record.zone;
         let (same_zone, other_zones): (Vec<&Entry>, Vec<&Entry>) = {
             let live =
@@ -138,8 +142,8 @@
             live.partition(is_in_own_zone)
         };
         let mut chosen: Vec<&Entry> =
-            same_zone.choose_multiple(&mut self.rng, near).copied().collect();
-        chosen.extend(other_zones.choose_multiple(&mut self.rng, far).copied());
+            same_zone.choose_multiple(&mut self.rng, same_zone_count).copied().collect();
+        chosen.extend(other_zones.choose_multiple(&mut self.rng, other_zone_count).copied());
         chosen.into_iter().map(|entry| entry.record.address.clone()).collect()
     }
 }
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -84,7 +84,7 @@
 /// Kind of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum DatagramKind {
-    /// Requests the member list.
+    /// Requests some records of the member list.
     Join,
     /// A part of the member list.
     Members,
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -44,15 +44,15 @@
 #[derive(Clone, Debug)]
 struct Entry {
     record: MemberRecord,
-    since: Timestamp,
+    updated_at: Timestamp,
     configuration_version: u64,
 }
 
 /// The member list of one process.
 ///
-/// Invariant: a record replaces another only with a higher incarnation, or with a graver state at
-/// the same incarnation; only the member itself raises its incarnation. Otherwise outdated updates
-/// could revive dead members.
+/// Invariant: a record replaces another only with a higher incarnation, or with a more severe
+/// state at the same incarnation; only the member itself raises its incarnation. Otherwise
+/// outdated updates could revive dead members.
 #[derive(Debug)]
 pub struct Membership {
     own_record: MemberRecord,
@@ -63,7 +63,8 @@
     next_expiry_at: Timestamp,
     updates: UpdateQueue,
     next_gossip_at: Timestamp,
-    order: Vec<NodeName>,
+    /// Members still to be probed in the current round.
+    probe_order: Vec<NodeName>,
     probes: Vec<Probe>,
     relays: Vec<Relay>,
     next_sequence: u64,
@@ -71,7 +72,7 @@
     next_join_at: Timestamp,
     next_repair_at: Timestamp,
     next_exchange_at: Timestamp,
-    exchanges: u64,
+    exchange_count: u64,
     /// Whether members have been discovered since the last comparison of lists.
     discovered_members: bool,
     /// Time of the first call of `tick`.
@@ -96,7 +97,7 @@
             next_expiry_at: Timestamp(0),
             updates: UpdateQueue::default(),
             next_gossip_at: Timestamp(0),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probes: Vec::new(),
             relays: Vec::new(),
             next_sequence: 0,
@@ -104,7 +105,7 @@
             next_join_at: Timestamp(0),
             next_repair_at: Timestamp(0),
             next_exchange_at: Timestamp(0),
-            exchanges: 0,
+            exchange_count: 0,
             discovered_members: false,
             started_at: None,
             configuration_version: 0,
@@ -149,8 +150,8 @@
     }
 
     /// Returns how long ago the probe acknowledged by a datagram was sent, in milliseconds; `None`
-    /// for all other datagrams. The sender answered after that time, so its state is at most this
-    /// much older than it reports.
+    /// for all other datagrams. The sender answered after the probe was sent, so its state is
+    /// older than it reports by at most this much.
     pub fn probe_age_ms(&self, now: Timestamp, datagram: &Datagram) -> Option<u64> {
         let is_answered = |probe: &&Probe| {
             datagram.kind == DatagramKind::Ack { sequence: probe.sequence }
@@ -202,10 +203,14 @@
         addresses.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
     }
 
-    /// Returns datagrams that announce the local state to a few random members: `near` of the own
-    /// zone, where traffic is not billed, and `far` of other zones.
-    pub fn gossip_to_some(&mut self, near: usize, far: usize) -> Vec<Outgoing> {
-        let chosen = self.choose_members(near, far);
+    /// Returns datagrams that announce the local state to a few random members, given their number
+    /// in the own zone, where traffic is not billed, and in other zones.
+    pub fn gossip_to_some(
+        &mut self,
+        same_zone_count: usize,
+        other_zone_count: usize,
+    ) -> Vec<Outgoing> {
+        let chosen = self.choose_members(same_zone_count, other_zone_count);
         chosen.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
     }
 
@@ -277,8 +282,8 @@
         if self.next_join_at > now {
             return Vec::new();
         }
-        let alone = self.live().next().is_none();
-        let interval = if alone { JOIN_INTERVAL_MS } else { SEED_INTERVAL_MS };
+        let is_alone = self.live().next().is_none();
+        let interval = if is_alone { JOIN_INTERVAL_MS } else { SEED_INTERVAL_MS };
         self.next_join_at = now.plus_millis(interval);
         let known: Vec<String> = self.live().map(|e| e.record.address.clone()).collect();
         let missing: Vec<String> =
@@ -293,7 +298,7 @@
         self.next_expiry_at = now.plus_millis(EXPIRY_INTERVAL_MS);
         let expired = |entry: &&Entry| {
             entry.record.state == MemberState::Suspect
-                && now.millis_since(entry.since) >= SUSPICION_TIMEOUT_MS
+                && now.millis_since(entry.updated_at) >= SUSPICION_TIMEOUT_MS
         };
         let dead: Vec<MemberRecord> =
             self.members.values().filter(expired).map(|e| e.record.clone()).collect();
@@ -304,7 +309,7 @@
         let digests = &mut self.digests;
         self.members.retain(|_, entry| {
             let stays = entry.record.state != MemberState::Dead
-                || now.millis_since(entry.since) < TOMBSTONE_RETENTION_MS;
+                || now.millis_since(entry.updated_at) < TOMBSTONE_RETENTION_MS;
             if !stays {
                 digests.remove(&entry.record);
             }
@@ -385,7 +390,7 @@
         self.changed |=
             held.map(|entry| visible_state(&entry.record)) != Some(visible_state(&record));
         let configuration_version = held.map_or(0, |entry| entry.configuration_version);
-        let entry = Entry { record: record.clone(), since: now, configuration_version };
+        let entry = Entry { record: record.clone(), updated_at: now, configuration_version };
         self.digests.add(&record);
         match self.members.insert(record.node.clone(), entry) {
             Some(before) => self.digests.remove(&before.record),
@@ -427,8 +432,7 @@
     }
 }
 
-/// The part of a record that is visible to the application: all members but the dead, with their
-/// state.
+/// The part of a record that is visible to the application; `None` if the member is dead.
 fn visible_state(record: &MemberRecord) -> Option<(MemberInfo, MemberState)> {
     (record.state != MemberState::Dead).then(|| (member_info(record), record.state))
 }
--- a/crates/core/src/membership/probes.rs
+++ b/crates/core/src/membership/probes.rs
@@ -32,7 +32,7 @@
     sequence: u64,
     origin: String,
     origin_sequence: u64,
-    at: Timestamp,
+    sent_at: Timestamp,
 }
 
 impl Membership {
@@ -46,7 +46,7 @@
             self.next_probe_at = now.plus_millis(interval);
             outgoing.extend(self.begin_probe(now));
         }
-        self.relays.retain(|relay| now.millis_since(relay.at) < PROBE_INTERVAL_MS);
+        self.relays.retain(|relay| now.millis_since(relay.sent_at) < PROBE_INTERVAL_MS);
         outgoing
     }
 
@@ -71,11 +71,11 @@
     /// Returns the next member of a shuffled round, so that each is probed within a bounded time.
     fn next_target(&mut self) -> Option<NodeName> {
         loop {
-            if self.order.is_empty() {
-                self.order = self.live().map(|entry| entry.record.node.clone()).collect();
-                self.order.shuffle(&mut self.rng);
+            if self.probe_order.is_empty() {
+                self.probe_order = self.live().map(|entry| entry.record.node.clone()).collect();
+                self.probe_order.shuffle(&mut self.rng);
             }
-            let target = self.order.pop()?;
+            let target = self.probe_order.pop()?;
             if self.members.get(&target).is_some_and(|e| e.record.state != MemberState::Dead) {
                 return Some(target);
             }
@@ -167,7 +167,7 @@
         self.next_sequence += 1;
         let sequence = self.next_sequence;
         let origin = origin.to_owned();
-        self.relays.push(Relay { sequence, origin, origin_sequence, at: now });
+        self.relays.push(Relay { sequence, origin, origin_sequence, sent_at: now });
         Some(self.outgoing(address, DatagramKind::Ping { sequence }))
     }
 }
--- a/crates/core/src/membership/repair.rs
+++ b/crates/core/src/membership/repair.rs
@@ -42,11 +42,13 @@
             return None;
         }
         self.next_exchange_at = now.plus_millis(EXCHANGE_INTERVAL_MS);
-        self.exchanges += 1;
-        let is_cross_zone = self.exchanges % CROSS_ZONE_EXCHANGE_RATIO == 0;
-        let (near, far) = if is_cross_zone { (0, 1) } else { (1, 0) };
-        let chosen =
-            self.choose_members(near, far).pop().or_else(|| self.choose_members(far, near).pop());
+        self.exchange_count += 1;
+        let is_cross_zone = self.exchange_count % CROSS_ZONE_EXCHANGE_RATIO == 0;
+        let (same_zone_count, other_zone_count) = if is_cross_zone { (0, 1) } else { (1, 0) };
+        let chosen = self
+            .choose_members(same_zone_count, other_zone_count)
+            .pop()
+            .or_else(|| self.choose_members(other_zone_count, same_zone_count).pop());
         let to = chosen?;
         self.discovered_members = false;
         let buckets = self.bucket_digests();
@@ -78,8 +80,8 @@
         if now < self.next_repair_at || digest == self.digest() {
             return None;
         }
-        // Soon after a start every member receives from the seeds first; to spread the load, other
-        // members are asked then.
+        // Soon after a start, the first datagrams that every member receives are from the seeds. To
+        // spread the load, repairs are requested from other members during that time.
         if self.may_exchange(now) && self.seeds.iter().any(|seed| seed == source) {
             return None;
         }
@@ -133,7 +135,6 @@
         chosen
     }
 
-    /// Splits a list into datagrams.
     pub(super) fn split_into_datagrams(
         &self,
         to: &str,
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -35,8 +35,8 @@
     loss: f64,
     partitioned: HashSet<usize>,
     /// Paused members neither send nor receive.
-    frozen: HashSet<usize>,
-    generator: SmallRng,
+    paused: HashSet<usize>,
+    rng: SmallRng,
     by_address: HashMap<String, usize>,
     /// Bytes and datagrams sent by each member.
     sent: Vec<(usize, usize)>,
@@ -50,8 +50,8 @@
             queue: VecDeque::new(),
             loss,
             partitioned: HashSet::new(),
-            frozen: HashSet::new(),
-            generator: SmallRng::seed_from_u64(5),
+            paused: HashSet::new(),
+            rng: SmallRng::seed_from_u64(5),
             by_address: (0..size).map(|n| (address(n), n)).collect(),
             sent: vec![(0, 0); size],
         };
@@ -68,7 +68,7 @@
         for datagram in outgoing {
             let bytes = borsh::to_vec(&datagram.datagram).expect("a datagram").len();
             self.sent[from] = (self.sent[from].0 + bytes, self.sent[from].1 + 1);
-            if !self.generator.random_bool(self.loss) {
+            if !self.rng.random_bool(self.loss) {
                 self.queue.push_back((at + DELAY_MS, from, datagram));
             }
         }
@@ -80,8 +80,8 @@
         while self.now < end {
             for number in 0..self.nodes.len() {
                 let now = Timestamp(self.now);
-                let frozen = self.frozen.contains(&number);
-                let Some(node) = self.nodes[number].as_mut().filter(|_| !frozen) else { continue };
+                let paused = self.paused.contains(&number);
+                let Some(node) = self.nodes[number].as_mut().filter(|_| !paused) else { continue };
                 let outgoing = node.tick(now);
                 self.send(self.now, number, outgoing);
             }
@@ -90,7 +90,7 @@
                 let target = self.by_address[&outgoing.to];
                 let is_dropped = self.partitioned.contains(&from)
                     != self.partitioned.contains(&target)
-                    || self.frozen.contains(&target);
+                    || self.paused.contains(&target);
                 let Some(node) = self.nodes[target].as_mut().filter(|_| !is_dropped) else {
                     continue;
                 };
@@ -141,9 +141,9 @@
         let running = fleet.running().into_iter().filter(|number| *number != 4);
         running.map(|number| fleet.live_members_at(number).len()).collect::<Vec<usize>>()
     };
-    fleet.frozen.insert(4);
+    fleet.paused.insert(4);
     fleet.run(2_000, |fleet| assert_eq!(others(fleet), vec![20; 19]));
-    fleet.frozen.clear();
+    fleet.paused.clear();
     fleet.run(10_000, |fleet| assert_eq!(others(fleet), vec![20; 19]));
     assert!(fleet.all_list(20));
 }
@@ -195,7 +195,7 @@
 
 /// A failed zone must be detected as fast in a large fleet as in a small one. With updates
 /// piggybacked on probes alone, eight at a time, a hundred failures queued up, and clients were
-/// sent to gateways of the failed zone for 5 s and more.
+/// sent to gateways of the failed zone for 5 s and more, the longer the larger the fleet.
 #[test]
 fn a_failed_zone_is_detected_as_fast_in_a_large_fleet_as_in_a_small_one() {
     for size in [30, 100, 300] {
--- a/crates/serving/src/discovery.rs
+++ b/crates/serving/src/discovery.rs
@@ -84,7 +84,7 @@
     let election = WatcherElection::new(Timestamp(0), options.is_first_start, rand::random());
     let apply_response = {
         let shared = shared.clone();
-        Box::new(move |answer| shared.apply_response(answer))
+        Box::new(move |response| shared.apply_response(response))
     };
     let (peer_sync, watch_roles) = PeerSync::new(platform_state.clone(), apply_response, election);
     let refresh = peer_sync.refresh.clone();
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -40,8 +40,9 @@
 /// Interval at which the history of unreachable members is pruned, in milliseconds; entries are
 /// retained for minutes.
 const PRUNE_INTERVAL_MS: u64 = 10_000;
-/// The same while some members count as unresponsive, a state that lasts for seconds.
-const UNRESPONSIVE_INTERVAL_MS: u64 = 1_000;
+/// Interval at which that history is pruned while some members count as unresponsive, in
+/// milliseconds; they do so only for seconds.
+const UNRESPONSIVE_PRUNE_INTERVAL_MS: u64 = 1_000;
 /// Size of the receive buffer for datagrams, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 16_384;
 
@@ -186,7 +187,7 @@
     let Notices { mut outgoing, incoming } = parameters.notices;
     let (name, zone) = (identity.name.clone(), identity.zone.clone());
     let own_address = identity.address;
-    let first_seeds = to_texts(&seeds.borrow_and_update());
+    let first_seeds = to_strings(&seeds.borrow_and_update());
     let incarnation = identity.incarnation;
     let mut members = MemberList::new(record_of(identity), first_seeds, incarnation);
     members.set_exchange_port(exchange_port);
@@ -210,7 +211,7 @@
             let has_seeds = seeds.borrow().iter().any(|seed| *seed != own_address);
             let processes = history.known_processes(now, &name, has_seeds);
             let interval = if processes.unresponsive > 0 {
-                UNRESPONSIVE_INTERVAL_MS
+                UNRESPONSIVE_PRUNE_INTERVAL_MS
             } else {
                 PRUNE_INTERVAL_MS
             };
@@ -284,7 +285,7 @@
             changed = seeds.changed(), if seeds_may_change => {
                 seeds_may_change = changed.is_ok();
                 if seeds_may_change {
-                    members.set_seeds(to_texts(&seeds.borrow_and_update()));
+                    members.set_seeds(to_strings(&seeds.borrow_and_update()));
                 }
             }
             changed = leaving.changed(), if !leaving_announced => {
@@ -337,7 +338,7 @@
     }
 }
 
-fn to_texts(addresses: &[SocketAddr]) -> Vec<String> {
+fn to_strings(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(SocketAddr::to_string).collect()
 }
 
@@ -377,7 +378,7 @@
             address: record.address.parse().ok()?,
             zone: record.zone,
             job_store: record.data,
-            // A member that does not answer probes may be frozen or partitioned; clients should not
+            // A member that does not answer probes may be paused or partitioned; clients should not
             // be sent there.
             accepting: record.state == MemberState::Alive,
         })
--- a/crates/serving/src/peer_sync.rs
+++ b/crates/serving/src/peer_sync.rs
@@ -273,12 +273,13 @@
         Ok(())
     }
 
-    /// A member of this zone watches the store, and the store answers it.
+    /// Records that a member of this zone watches the store and that the store answers it.
     pub fn record_watcher_heartbeat(&self, now: Timestamp, name: &str) {
         self.election.borrow_mut().record_watcher_heartbeat(now, name);
     }
 
-    /// The live members changed.
+    /// Processes a change of the live members: stores the new ranking and adapts the interval
+    /// between exchanges to their number.
     pub fn rank(&self, now: Timestamp, ranking: Ranking, members: usize) {
         self.election.borrow_mut().rank(now, ranking);
         self.exchanges.borrow_mut().interval = exchange_interval(members);
--- a/crates/serving/src/platform_state.rs
+++ b/crates/serving/src/platform_state.rs
@@ -275,8 +275,8 @@
     /// Whether a peer is sent a subset of the back ends: it asked for no more, or no more are known
     /// here.
     fn sends_subset(&self, request: &StateRequest) -> bool {
-        let is_many = self.backends.len() > SUBSET_BACKENDS;
-        self.backends.revision() == 0 || (request.known.requests_subset() && is_many)
+        let exceeds_subset = self.backends.len() > SUBSET_BACKENDS;
+        self.backends.revision() == 0 || (request.known.requests_subset() && exceeds_subset)
     }
 
     /// Returns a random subset of the back ends, so that processes that start together do not all
--- a/crates/serving/src/shared_state.rs
+++ b/crates/serving/src/shared_state.rs
@@ -157,7 +157,7 @@
         self.observer.evacuations(&change);
     }
 
-    /// Changes the back ends and reports it; `None` if there was nothing to apply.
+    /// Changes the back ends and reports it; `change` returns `None` if there was nothing to apply.
     fn change_backends(
         &self,
         change: impl FnOnce(&mut Objects<Backend>) -> Option<Vec<ObjectChange<Backend>>>,
--- a/crates/serving/src/state_exchange.rs
+++ b/crates/serving/src/state_exchange.rs
@@ -138,7 +138,7 @@
         receive(&mut stream).await.map_err(failed("read answer"))
     };
     match tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await {
-        Ok(answer) => answer,
+        Ok(result) => result,
         Err(_) => {
             let cause = format!("no response within {EXCHANGE_TIMEOUT:?}");
             Err(ExchangeError { step: "await answer", peer, cause })
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -15,10 +15,9 @@
 /// Maximum time for which one watch waits.
 pub const MAX_WATCH_WAIT: Duration = Duration::from_millis(12_000);
 /// Range of the wait of the first watch after a list or a change, chosen at random each time. All
-/// watchers restart at the same moment then. If the store stops responding right after, each of
-/// these calls is lost, which is noticed only when its wait ends. With random waits the first of
-/// them ends early enough for the limit of 6 s within which a store that was down may delay a
-/// configuration.
+/// watchers restart at the same moment then. If the store stops responding right after that, each
+/// of these calls is lost, which is noticed only when its wait ends. With random waits, the first
+/// of them ends early enough: a store that was down may delay a configuration by at most 6 s.
 const FIRST_WATCH_WAIT: std::ops::Range<Duration> =
     Duration::from_millis(1_500)..Duration::from_millis(6_000);
 /// Range of the wait of a watch if decisions depend on recent state. Only the response to a watch
@@ -26,10 +25,10 @@
 /// answered every 0.6 s on average.
 const FRESH_WATCH_WAIT: std::ops::Range<Duration> =
     Duration::from_millis(1_500)..Duration::from_millis(6_000);
-/// Number of zones for which this range is used unscaled.
+/// Number of zones up to which `Waits::Fresh` uses its ranges unscaled.
 const FRESH_WAIT_ZONES: f64 = 3.0;
-/// The same for the first watch after a list or a change: all watchers restart at once, and none of
-/// them proves anything before its wait ends.
+/// Range of the wait of the first watch after a list or a change if decisions depend on recent
+/// state: all watchers restart at once, and none of them proves anything before its wait ends.
 const FRESH_FIRST_WATCH_WAIT: std::ops::Range<Duration> =
     Duration::from_millis(700)..Duration::from_millis(3_000);
 /// Pause after a watch that returned changes. Changes come in bursts, for example when a service
@@ -58,8 +57,8 @@
     fn now(&self) -> Timestamp {
         Timestamp(0)
     }
-    /// The store answered a call made at `asked`, after holding it back for `held_back_ms` because
-    /// nothing changed.
+    /// Reports that the store answered a call made at `asked`, after holding the response back for
+    /// `held_back_ms` because nothing changed.
     fn answered(&self, _asked: Timestamp, _held_back_ms: u64) {}
 }
 
@@ -112,9 +111,9 @@
     pub waits: Waits,
 }
 
-/// Lists, then watches, while the watch role is active. Lists again after a watch that
-/// failed, has lost its history or was ended by `refresh`. When the store answers after a failure,
-/// the watches of other kinds are ended too: a connection on which a response was lost may deliver
+/// Lists, then watches, while the watch role is active. Lists again after a watch that failed, has
+/// lost its history or was ended by `refresh`. When the store answers after a failure, the watches
+/// of other kinds are ended too: a connection on which a response was lost may deliver
 /// nothing more, which would go unnoticed until the wait ends.
 pub async fn follow<T, S: Source<T>>(mut source: S, sink: impl Sink<T>, mut options: Follow) {
     let mut backoff = INITIAL_BACKOFF;
@@ -202,8 +201,8 @@
 }
 
 /// Counts a call to the platform's store by outcome.
-fn count_call<T>(kind: &'static str, call: &'static str, answer: &Result<T, SourceError>) {
-    let outcome = match answer {
+fn count_call<T>(kind: &'static str, call: &'static str, response: &Result<T, SourceError>) {
+    let outcome = match response {
         Ok(_) => "ok",
         Err(SourceError::Refused { .. }) => "refused",
         Err(SourceError::Failed { .. }) => "failed",
@@ -217,7 +216,7 @@
     call: impl std::future::Future<Output = Result<T, SourceError>>,
 ) -> Result<T, SourceError> {
     match tokio::time::timeout(limit, call).await {
-        Ok(answer) => answer,
+        Ok(result) => result,
         Err(_) => Err(SourceError::Failed {
             step: "await answer",
             peer: String::new(),
--- a/crates/serving/tests/catalog.rs
+++ b/crates/serving/tests/catalog.rs
@@ -127,7 +127,8 @@
 }
 
 /// A back end restarts under the same id, and the last write of the ended incarnation reaches the
-/// store after the new record, with a higher revision. It must not replace the new record.
+/// store after the new record, with a higher revision. If it replaced the new record, requests
+/// would go to a process that no longer exists.
 #[test]
 fn a_record_of_an_older_incarnation_does_not_replace_a_newer_one() {
     let mut objects = Objects::default();
--- a/crates/serving/tests/fleet_cost.rs
+++ b/crates/serving/tests/fleet_cost.rs
@@ -80,7 +80,7 @@
         });
         let mut known = process.shared.platform_state.borrow().digest();
         known.backends_revision -= 1;
-        let answered = mean(|_| {
+        let response_built = mean(|_| {
             let request = StateRequest { known, whole: false };
             black_box(process.shared.platform_state.borrow().answer(&request));
         });
@@ -97,7 +97,7 @@
             black_box(sample.and_then(|sample| balancer.choose_from_sample(NOW, &sample, &[])));
         });
         println!(
-            "{count} back ends: change applied {applied:?}, response built {answered:?}; chosen from all {chosen_from_all:?}, from a sample {chosen_from_sample:?}"
+            "{count} back ends: change applied {applied:?}, response built {response_built:?}; chosen from all {chosen_from_all:?}, from a sample {chosen_from_sample:?}"
         );
     }
 }
--- a/crates/serving/tests/follow.rs
+++ b/crates/serving/tests/follow.rs
@@ -130,8 +130,10 @@
 #[tokio::test(start_paused = true)]
 async fn changes_are_batched_between_watches() {
     let (_, watches) = run_script((2..6).map(Step::Changes).collect()).await;
-    let least = watches.windows(2).map(|pair| pair[1] - pair[0]).min().expect("watches");
-    assert!(least >= Duration::from_millis(100) && least <= Duration::from_millis(500));
+    let min_interval = watches.windows(2).map(|pair| pair[1] - pair[0]).min().expect("watches");
+    assert!(
+        min_interval >= Duration::from_millis(100) && min_interval <= Duration::from_millis(500)
+    );
 }
 
 /// A store with `PAGES` pages that rejects every third call.
@@ -259,8 +261,8 @@
 async fn watches_end_within_seconds_if_recent_state_is_required() {
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
-    let waits = Follow { waits: Waits::Fresh { zones: 3 }, ..options(WatchRole::always()) };
-    let watching = follow(script, NullSink, waits);
+    let fresh_options = Follow { waits: Waits::Fresh { zones: 3 }, ..options(WatchRole::always()) };
+    let watching = follow(script, NullSink, fresh_options);
     let _ = tokio::time::timeout(Duration::from_secs(60), watching).await;
     let watches = watches.borrow();
     let longest = watches.windows(2).map(|pair| pair[1] - pair[0]).max().expect("watches");
--- a/crates/serving/tests/lag.rs
+++ b/crates/serving/tests/lag.rs
@@ -55,7 +55,7 @@
     let mut detector = LagDetector::default();
     let (own, peer) = (known(1, 7, 10), known(2, 7, 10));
     assert!(!detector.is_behind(Timestamp(100), own, peer));
-    let check_at = detector.next_check().expect("a time to look again");
+    let check_at = detector.next_check().expect("a time for the next check");
     assert!(check_at > Timestamp(100) && check_at <= Timestamp(600));
     assert!(detector.is_due(check_at, own));
     // Once the process has caught up, there is nothing to wait for.
--- a/crates/serving/tests/state_exchange.rs
+++ b/crates/serving/tests/state_exchange.rs
@@ -27,9 +27,8 @@
 /// A process that watches evacuations, with the age of its state.
 fn process_on(suspension: SuspensionSource) -> (Process, Freshness) {
     let freshness = Freshness::new(suspension);
-    let following = StateOptions { evacuations: true, ages: true, freshness: freshness.clone() };
-    let platform_state =
-        PlatformState::with_options(empty_catalog(), Default::default(), following);
+    let options = StateOptions { evacuations: true, ages: true, freshness: freshness.clone() };
+    let platform_state = PlatformState::with_options(empty_catalog(), Default::default(), options);
     let process = SharedPlatformState {
         platform_state: Rc::new(RefCell::new(platform_state)),
         observer: Rc::new(LoggingObserver::new(|| {})),
@@ -374,8 +373,8 @@
 fn the_age_of_the_state_is_that_of_its_oldest_kind() {
     let elapsed = Arc::new(AtomicU64::new(0));
     let advance = |ms: u64| elapsed.fetch_add(ms, Ordering::Relaxed);
-    let of = || process_on(SuspensionSource::Simulated(elapsed.clone()));
-    let ((watcher, _), (other, freshness)) = (of(), of());
+    let new_process = || process_on(SuspensionSource::Simulated(elapsed.clone()));
+    let ((watcher, _), (other, freshness)) = (new_process(), new_process());
     let ages = |process: &Process| process.platform_state.borrow().ages();
     let receive_ages = || {
         let known = watcher.platform_state.borrow().digest();
@@ -575,7 +574,7 @@
         .await;
 }
 
-/// A process that was asking one peer forgot another that was ahead of it.
+/// While a process was asking one peer, it forgot another peer that was further ahead.
 #[tokio::test]
 async fn a_peer_ahead_of_the_one_being_asked_is_asked_next() {
     let local = tokio::task::LocalSet::new();
@@ -591,7 +590,7 @@
                 Box::new(move |answer| asking.apply_response(answer))
             };
             let election = WatcherElection::new(Timestamp(0), false, 1.0);
-            let (peer_sync, _duty) =
+            let (peer_sync, _watch_roles) =
                 PeerSync::new(asking.platform_state.clone(), apply_response, election);
             peer_sync.receive_digest(Timestamp(1), digest_of(&older), addresses.0);
             peer_sync.receive_digest(Timestamp(1), digest_of(&newer), addresses.1);
@@ -613,17 +612,17 @@
     const LINK_BYTES_PER_MS: usize = 30_000 / 8;
     const EXCHANGE_TIMEOUT_MS: usize = 1_500;
     for backends in [3_000, 10_000, 20_000] {
-        let bytes = Rc::new(ResponseBudget::default());
+        let budget = Rc::new(ResponseBudget::default());
         let reservations: Vec<_> =
-            std::iter::from_fn(|| bytes.reserve(backends)).take(100).collect();
+            std::iter::from_fn(|| budget.reserve(backends)).take(100).collect();
         let transfer_ms = reservations.len() * backends * 110 / LINK_BYTES_PER_MS;
         assert!(
             !reservations.is_empty() && transfer_ms < EXCHANGE_TIMEOUT_MS / 2 + 200,
             "{backends}: {transfer_ms} ms"
         );
-        assert!(bytes.reserve(1).is_some() || reservations.len() == 1, "small responses fit");
+        assert!(budget.reserve(1).is_some() || reservations.len() == 1, "small responses fit");
         drop(reservations);
-        assert!(bytes.reserve(backends).is_some(), "the reservation is released");
+        assert!(budget.reserve(backends).is_some(), "the reservation is released");
     }
 }
 
@@ -645,7 +644,7 @@
                 })
             };
             let election = WatcherElection::new(Timestamp(0), false, 1.0);
-            let (peer_sync, _duty) =
+            let (peer_sync, _watch_roles) =
                 PeerSync::new(asking.platform_state.clone(), apply_response, election);
             peer_sync.rank(Timestamp(0), Ranking::default(), 1_000);
             let digest_of = |process: &Process| process.platform_state.borrow().digest();
@@ -660,9 +659,13 @@
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
             // The first at once, and one after each interval.
-            let most =
+            let max_exchanges =
                 2 + (began.elapsed().as_millis() / exchange_interval(1_000).as_millis()) as u32;
-            assert!(exchanges.get() <= most, "{} exchanges, {most} at most", exchanges.get());
+            assert!(
+                exchanges.get() <= max_exchanges,
+                "{} exchanges, {max_exchanges} at most",
+                exchanges.get()
+            );
         })
         .await;
     // A small fleet exchanges each change immediately.
@@ -688,7 +691,7 @@
                 })
             };
             let election = WatcherElection::new(Timestamp(0), false, 1.0);
-            let (peer_sync, _duty) =
+            let (peer_sync, _watch_roles) =
                 PeerSync::new(asking.platform_state.clone(), apply_response, election);
             peer_sync.rank(Timestamp(0), Ranking::default(), 1_000);
             let digest_of = |process: &Process| process.platform_state.borrow().digest();
@@ -731,13 +734,13 @@
             watcher.platform_state.borrow().answer(&request),
         )
     };
-    let none = new.platform_state.borrow().digest();
-    let (estimated, part) = ask(none.requesting_subset());
+    let empty_digest = new.platform_state.borrow().digest();
+    let (estimated, part) = ask(empty_digest.requesting_subset());
     assert_eq!((estimated, part.backends.changed.len()), (SUBSET_BACKENDS, SUBSET_BACKENDS));
     assert!(!new.apply_response(part));
     assert_eq!(held(&new).len(), SUBSET_BACKENDS);
-    let knows_some = new.platform_state.borrow().digest();
-    assert_eq!(knows_some.backends_revision, 0, "a subset is not mistaken for the whole list");
+    let partial_digest = new.platform_state.borrow().digest();
+    assert_eq!(partial_digest.backends_revision, 0, "a subset is not mistaken for the whole list");
     // Others receive the subset from this process and lose nothing by it.
     let third = process();
     apply(&third, Vec::new(), 0);
@@ -751,11 +754,11 @@
     assert_eq!(exchange(&third, &process()), 0);
     assert_eq!(held(&third).len(), SUBSET_BACKENDS, "a peer without back ends removes none");
     // Then the whole list arrives.
-    let (_, whole) = ask(knows_some);
+    let (_, whole) = ask(partial_digest);
     assert!(!new.apply_response(whole));
     assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
     // A subset removes nothing after that.
-    let (_, late) = ask(none.requesting_subset());
+    let (_, late) = ask(empty_digest.requesting_subset());
     new.apply_response(late);
     assert_eq!(held(&new).len(), 10_000);
 }
@@ -806,7 +809,7 @@
                 let asking = asking.clone();
                 Box::new(move |answer| asking.apply_response(answer))
             };
-            let (peer_sync, _duty) = PeerSync::new(
+            let (peer_sync, _watch_roles) = PeerSync::new(
                 asking.platform_state.clone(),
                 apply_response,
                 WatcherElection::new(Timestamp(0), false, 1.0),
