--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,8 +1,10 @@
-//! Membership: which daemons live, by probes at a cost that does not grow with the fleet.
+//! Failure detection and dissemination of membership, at a cost per member that does not grow with
+//! the fleet.
 //!
-//! A daemon probes one member an interval, asks others to probe it when it does not answer, then
-//! suspects it, and declares it dead unless it refutes with a higher incarnation. News travels on
-//! the probes themselves (the SWIM scheme, Das, Gupta and Motivala, 2002).
+//! A member probes one other member per interval, asks others to probe it if it does not answer,
+//! then suspects it, and declares it dead unless it refutes the suspicion with a higher
+//! incarnation. Updates are piggybacked on the probes (the SWIM protocol, Das, Gupta and Motivala,
+//! 2002).
 
 mod digest;
 mod gossip;
@@ -18,50 +20,51 @@
 use yokefall_types::NodeName;
 
 use self::digest::ListDigests;
-use self::gossip::NewsQueue;
+use self::gossip::UpdateQueue;
 pub use self::message::{
     Datagram, DatagramKind, MemberRecord, MemberState, ObjectDigest, Outgoing, StateAges,
 };
 use self::probes::{Probe, Relay};
 use crate::time::Timestamp;
 
-/// Interval between two probes of one daemon, in milliseconds.
+/// Interval between two probes by one member, in milliseconds.
 pub const PROBE_INTERVAL_MS: u64 = 500;
-/// Time for which a suspect may refute, in milliseconds.
-const SUSPICION_MS: u64 = 2_500;
-/// Time for which the dead are remembered, in milliseconds.
-const TOMBSTONE_MS: u64 = 600_000;
-/// Interval between calls to the seeds while no member is known, in milliseconds.
+/// Time for which a suspect may refute the suspicion, in milliseconds.
+const SUSPICION_TIMEOUT_MS: u64 = 2_500;
+/// Time for which dead members are retained, in milliseconds.
+const TOMBSTONE_RETENTION_MS: u64 = 600_000;
+/// Interval between join requests to the seeds while no member is known, in milliseconds.
 const JOIN_INTERVAL_MS: u64 = 500;
-/// Interval between calls to a seed that is not a live member, in milliseconds.
+/// Interval between join requests to a seed that is not a live member, in milliseconds.
 const SEED_INTERVAL_MS: u64 = 5_000;
-/// Interval at which suspicions and tombstones are looked at, in milliseconds: a hundredth of the time that they
-/// last, and each look is at all members.
+/// Interval at which suspicions and tombstones are checked, in milliseconds. Each check visits all
+/// members; the interval is a fiftieth of the time for which suspicions last.
 const EXPIRY_INTERVAL_MS: u64 = 50;
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: MemberRecord,
-    since: Timestamp,
+    updated_at: Timestamp,
     configuration_version: u64,
 }
 
-/// The member list of one daemon.
+/// The member list of one process.
 ///
-/// Invariant: a record replaces another only with a higher incarnation, or with a graver state at
-/// the same one; only the member itself raises its incarnation. Otherwise old news could bring the
-/// dead back.
+/// Invariant: a record replaces another only with a higher incarnation, or with a more severe
+/// state at the same incarnation; only the member itself raises its incarnation. Otherwise
+/// outdated updates could revive dead members.
 #[derive(Debug)]
 pub struct Membership {
-    me: MemberRecord,
+    own_record: MemberRecord,
     seeds: Vec<String>,
     members: BTreeMap<NodeName, Entry>,
-    /// Digests of `members` and `me`. Invariant: each change of a record goes through them.
+    /// Digests of `members` and `own_record`. Invariant: updated with each change of a record.
     digests: ListDigests,
     next_expiry_at: Timestamp,
-    news: NewsQueue,
+    updates: UpdateQueue,
     next_gossip_at: Timestamp,
-    order: Vec<NodeName>,
+    /// Members still to be probed in the current round.
+    probe_order: Vec<NodeName>,
     probes: Vec<Probe>,
     relays: Vec<Relay>,
     next_sequence: u64,
@@ -69,32 +72,32 @@
     next_join_at: Timestamp,
     next_repair_at: Timestamp,
     next_exchange_at: Timestamp,
-    exchanges: u64,
-    /// Whether this daemon has learnt of members since it compared its list with another one's.
-    learnt_of_members: bool,
-    /// When this daemon first acted.
+    exchange_count: u64,
+    /// Whether members have been discovered since the last comparison of lists.
+    discovered_members: bool,
+    /// Time of the first call of `tick`.
     started_at: Option<Timestamp>,
     configuration_version: u64,
     backends: ObjectDigest,
     evacuations: ObjectDigest,
     ages: StateAges,
-    news_port: u16,
-    generator: SmallRng,
+    exchange_port: u16,
+    rng: SmallRng,
     changed: bool,
 }
 
 impl Membership {
-    /// A member list that knows only this daemon and its seeds.
-    pub fn new(me: MemberRecord, seeds: Vec<String>, seed: u64) -> Self {
+    /// Creates a member list that contains only this member and its seeds.
+    pub fn new(own_record: MemberRecord, seeds: Vec<String>, seed: u64) -> Self {
         let mut membership = Self {
-            seeds: seeds.into_iter().filter(|address| *address != me.address).collect(),
-            me,
+            seeds: seeds.into_iter().filter(|address| *address != own_record.address).collect(),
+            own_record,
             members: BTreeMap::new(),
             digests: ListDigests::default(),
             next_expiry_at: Timestamp(0),
-            news: NewsQueue::default(),
+            updates: UpdateQueue::default(),
             next_gossip_at: Timestamp(0),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probes: Vec::new(),
             relays: Vec::new(),
             next_sequence: 0,
@@ -102,51 +105,53 @@
             next_join_at: Timestamp(0),
             next_repair_at: Timestamp(0),
             next_exchange_at: Timestamp(0),
-            exchanges: 0,
-            learnt_of_members: false,
+            exchange_count: 0,
+            discovered_members: false,
             started_at: None,
             configuration_version: 0,
             backends: ObjectDigest::default(),
             evacuations: ObjectDigest::default(),
             ages: StateAges::default(),
-            news_port: 0,
-            generator: SmallRng::seed_from_u64(seed),
+            exchange_port: 0,
+            rng: SmallRng::seed_from_u64(seed),
             changed: true,
         };
-        membership.digests.add(&membership.me);
-        let me = membership.me.clone();
-        membership.spread(me);
+        membership.digests.add(&membership.own_record);
+        let own_record = membership.own_record.clone();
+        membership.queue_update(own_record);
         membership
     }
 
-    /// Puts other seeds in the place of the present ones; members that are known stay.
+    /// Replaces the seeds; known members stay.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
-        self.seeds = seeds.into_iter().filter(|address| *address != self.me.address).collect();
+        self.seeds =
+            seeds.into_iter().filter(|address| *address != self.own_record.address).collect();
         self.next_join_at = Timestamp(0);
     }
 
-    /// Notes the configuration version in force here.
+    /// Sets the configuration version in force here.
     pub fn set_configuration_version(&mut self, version: u64) {
         self.configuration_version = version;
     }
 
-    /// Notes the back ends that this daemon knows.
+    /// Sets the digest of the back ends known here.
     pub fn set_backends(&mut self, known: ObjectDigest) {
         self.backends = known;
     }
 
-    /// Notes the evacuated zones that this daemon knows.
+    /// Sets the digest of the evacuated zones known here.
     pub fn set_evacuations(&mut self, known: ObjectDigest) {
         self.evacuations = known;
     }
 
-    /// Notes the age of what this daemon knows of the platform's objects.
+    /// Sets the age of the local state of the platform's objects.
     pub fn set_state_ages(&mut self, ages: StateAges) {
         self.ages = ages;
     }
 
-    /// How long ago this daemon sent the probe that a datagram acknowledges, in milliseconds; `None` for all
-    /// other datagrams. The sender was asked then, so that what it says is no older than it tells and this.
+    /// Returns how long ago the probe acknowledged by a datagram was sent, in milliseconds; `None`
+    /// for all other datagrams. The sender answered after the probe was sent, so its state is
+    /// older than it reports by at most this much.
     pub fn probe_age_ms(&self, now: Timestamp, datagram: &Datagram) -> Option<u64> {
         let is_answered = |probe: &&Probe| {
             datagram.kind == DatagramKind::Ack { sequence: probe.sequence }
@@ -156,9 +161,9 @@
         Some(now.millis_since(probe.sent_at))
     }
 
-    /// Notes the TCP port at which this daemon tells peers what it knows.
-    pub fn set_news_port(&mut self, port: u16) {
-        self.news_port = port;
+    /// Sets the TCP port at which peers can fetch the local state.
+    pub fn set_exchange_port(&mut self, port: u16) {
+        self.exchange_port = port;
     }
 
     /// Whether the list of usable members changed since the last call.
@@ -166,46 +171,51 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether a member is known to stand in the zone of this daemon.
-    pub fn is_near(&self, node: &NodeName) -> bool {
-        self.members.get(node).is_some_and(|entry| entry.record.zone == self.me.zone)
+    /// Whether a member is known to be in the own zone.
+    pub fn is_in_own_zone(&self, node: &NodeName) -> bool {
+        self.members.get(node).is_some_and(|entry| entry.record.zone == self.own_record.zone)
     }
 
-    /// Whether `take_changed` would tell a change.
+    /// Whether `take_changed` would return true.
     pub fn has_changed(&self) -> bool {
         self.changed
     }
 
-    /// Announces that this daemon is stopping, or that it is gone.
+    /// Announces that this member is shutting down or gone.
     pub fn announce(&mut self, state: MemberState) {
         self.changed = true;
-        self.change_own_record(self.me.incarnation + 1, state);
+        self.change_own_record(self.own_record.incarnation + 1, state);
     }
 
     fn change_own_record(&mut self, incarnation: u64, state: MemberState) {
-        self.digests.remove(&self.me);
-        self.me.incarnation = incarnation;
-        self.me.state = state;
-        self.digests.add(&self.me);
-        let me = self.me.clone();
-        self.spread(me);
+        self.digests.remove(&self.own_record);
+        self.own_record.incarnation = incarnation;
+        self.own_record.state = state;
+        self.digests.add(&self.own_record);
+        let own_record = self.own_record.clone();
+        self.queue_update(own_record);
     }
 
-    /// Datagrams that tell every member of this daemon's own state at once.
+    /// Returns datagrams that announce the own state to every member.
     pub fn farewell(&mut self) -> Vec<Outgoing> {
         let addresses: Vec<String> =
             self.live().map(|entry| entry.record.address.clone()).collect();
         addresses.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
     }
 
-    /// Datagrams that tell a few members, drawn by chance, what this daemon knows now: `near` of its
-    /// own zone, between which bytes are not paid for, and `far` of the others.
-    pub fn gossip_to_some(&mut self, near: usize, far: usize) -> Vec<Outgoing> {
-        let drawn = self.draw(near, far);
-        drawn.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
+    /// Returns datagrams that announce the local state to a few random members, given their number
+    /// in the own zone, where traffic is not billed, and in other zones.
+    pub fn gossip_to_some(
+        &mut self,
+        same_zone_count: usize,
+        other_zone_count: usize,
+    ) -> Vec<Outgoing> {
+        let chosen = self.choose_members(same_zone_count, other_zone_count);
+        chosen.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
     }
 
-    /// Datagrams that carry a notice to every member. They carry nothing else, so that each fits one packet.
+    /// Returns datagrams that broadcast a message to every member. They carry no updates, so that
+    /// each fits into one packet.
     pub fn notify_all(&self, content: &[u8]) -> Vec<Outgoing> {
         let kind = DatagramKind::Notice { content: content.to_vec() };
         let datagram = self.datagram(kind, Vec::new());
@@ -216,8 +226,8 @@
         self.live().map(notice).collect()
     }
 
-    /// Datagrams that tell some members that this daemon watches the platform's store.
-    pub fn tell_watching(&mut self, names: &[String]) -> Vec<Outgoing> {
+    /// Returns datagrams that tell the named members that this one watches the platform's store.
+    pub fn announce_watching(&mut self, names: &[String]) -> Vec<Outgoing> {
         let named = |entry: &&Entry| names.iter().any(|name| name == entry.record.node.as_str());
         let addresses: Vec<String> =
             self.live().filter(named).map(|entry| entry.record.address.clone()).collect();
@@ -228,27 +238,27 @@
         self.members.values().filter(|entry| entry.record.state != MemberState::Dead)
     }
 
-    /// The members that are not dead, this daemon included, in order of name.
+    /// Returns the members that are not dead, including this one, ordered by name.
     pub fn members(&self) -> Vec<MemberInfo> {
-        let mut members: Vec<MemberInfo> = self.live().map(|e| info(&e.record)).collect();
-        members.push(info(&self.me));
+        let mut members: Vec<MemberInfo> = self.live().map(|e| member_info(&e.record)).collect();
+        members.push(member_info(&self.own_record));
         members.sort_by(|left, right| left.node.cmp(&right.node));
         members
     }
 
-    /// Every member with its state and configuration version, this daemon included.
+    /// Returns every member with its state and configuration version, including this one.
     pub fn records(&self) -> Vec<(MemberRecord, u64)> {
         let mut all: Vec<(MemberRecord, u64)> = self
             .members
             .values()
             .map(|entry| (entry.record.clone(), entry.configuration_version))
             .collect();
-        all.push((self.me.clone(), self.configuration_version));
+        all.push((self.own_record.clone(), self.configuration_version));
         all.sort_by(|left, right| left.0.node.cmp(&right.0.node));
         all
     }
 
-    /// Time passes: probes, suspicions and tombstones.
+    /// Advances time: probes, suspicions and tombstones.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Outgoing> {
         self.started_at.get_or_insert(now);
         let mut outgoing = self.join(now);
@@ -259,7 +269,7 @@
         outgoing
     }
 
-    /// The moment at which `tick` has something to do. Suspicions and tombstones are looked at with
+    /// Returns when `tick` should be called next. Suspicions and tombstones are checked along with
     /// the probes, so they have no deadline of their own.
     pub fn next_deadline(&self, now: Timestamp) -> Timestamp {
         let others = [self.gossip_deadline(), self.exchange_deadline(now)];
@@ -267,13 +277,13 @@
         others.into_iter().flatten().fold(regular, Timestamp::min)
     }
 
-    /// Calls seeds that are not live members, so that two halves of a fleet find each other again.
+    /// Contacts seeds that are not live members, so that the sides of a partition merge again.
     fn join(&mut self, now: Timestamp) -> Vec<Outgoing> {
         if self.next_join_at > now {
             return Vec::new();
         }
-        let alone = self.live().next().is_none();
-        let interval = if alone { JOIN_INTERVAL_MS } else { SEED_INTERVAL_MS };
+        let is_alone = self.live().next().is_none();
+        let interval = if is_alone { JOIN_INTERVAL_MS } else { SEED_INTERVAL_MS };
         self.next_join_at = now.plus_millis(interval);
         let known: Vec<String> = self.live().map(|e| e.record.address.clone()).collect();
         let missing: Vec<String> =
@@ -286,20 +296,20 @@
             return;
         }
         self.next_expiry_at = now.plus_millis(EXPIRY_INTERVAL_MS);
-        let lapsed = |entry: &&Entry| {
+        let expired = |entry: &&Entry| {
             entry.record.state == MemberState::Suspect
-                && now.millis_since(entry.since) >= SUSPICION_MS
+                && now.millis_since(entry.updated_at) >= SUSPICION_TIMEOUT_MS
         };
         let dead: Vec<MemberRecord> =
-            self.members.values().filter(lapsed).map(|e| e.record.clone()).collect();
+            self.members.values().filter(expired).map(|e| e.record.clone()).collect();
         for mut record in dead {
             record.state = MemberState::Dead;
-            self.take(now, record, true);
+            self.merge(now, record, true);
         }
         let digests = &mut self.digests;
         self.members.retain(|_, entry| {
             let stays = entry.record.state != MemberState::Dead
-                || now.millis_since(entry.since) < TOMBSTONE_MS;
+                || now.millis_since(entry.updated_at) < TOMBSTONE_RETENTION_MS;
             if !stays {
                 digests.remove(&entry.record);
             }
@@ -307,12 +317,12 @@
         });
     }
 
-    /// A datagram arrived.
+    /// Processes a datagram.
     pub fn receive(&mut self, now: Timestamp, datagram: Datagram, source: &str) -> Vec<Outgoing> {
-        // A whole list was asked for by this daemon alone: the others have its content.
-        let is_news = datagram.kind != DatagramKind::Members;
+        // Lists are sent only on request of this member; other members have their content already.
+        let is_update = datagram.kind != DatagramKind::Members;
         for record in datagram.updates {
-            self.take(now, record, is_news);
+            self.merge(now, record, is_update);
         }
         if let Some(entry) = self.members.get_mut(&datagram.from) {
             entry.configuration_version =
@@ -326,15 +336,15 @@
     fn answer(&mut self, now: Timestamp, kind: DatagramKind, source: &str) -> Vec<Outgoing> {
         match kind {
             DatagramKind::Join => {
-                let members = self.first_members();
-                self.list(source, members)
+                let members = self.join_sample();
+                self.split_into_datagrams(source, members)
             }
             DatagramKind::Repair { buckets } => {
-                let members = self.differing(&buckets);
-                self.list(source, members)
+                let members = self.differing_records(&buckets);
+                self.split_into_datagrams(source, members)
             }
             DatagramKind::Members
-            | DatagramKind::News
+            | DatagramKind::Gossip
             | DatagramKind::Watching
             | DatagramKind::Notice { .. } => Vec::new(),
             DatagramKind::Ping { sequence } => {
@@ -349,21 +359,21 @@
 
     fn datagram(&self, kind: DatagramKind, updates: Vec<MemberRecord>) -> Datagram {
         Datagram {
-            from: self.me.node.clone(),
+            from: self.own_record.node.clone(),
             configuration_version: self.configuration_version,
             backends: self.backends,
             evacuations: self.evacuations,
             ages: self.ages,
-            news_port: self.news_port,
+            exchange_port: self.exchange_port,
             digest: self.digest(),
             kind,
             updates,
         }
     }
 
-    /// Takes what is told of a member, and passes it on where it is news.
-    fn take(&mut self, now: Timestamp, record: MemberRecord, is_news: bool) {
-        if record.node == self.me.node {
+    /// Merges a record of a member, and forwards it if it is an update.
+    fn merge(&mut self, now: Timestamp, record: MemberRecord, is_update: bool) {
+        if record.node == self.own_record.node {
             self.refute(&record);
             return;
         }
@@ -377,39 +387,40 @@
             return;
         }
         let held = self.members.get(&record.node);
-        self.changed |= held.map(|entry| told(&entry.record)) != Some(told(&record));
+        self.changed |=
+            held.map(|entry| visible_state(&entry.record)) != Some(visible_state(&record));
         let configuration_version = held.map_or(0, |entry| entry.configuration_version);
-        let entry = Entry { record: record.clone(), since: now, configuration_version };
+        let entry = Entry { record: record.clone(), updated_at: now, configuration_version };
         self.digests.add(&record);
         match self.members.insert(record.node.clone(), entry) {
             Some(before) => self.digests.remove(&before.record),
-            None => self.learnt_of_members = true,
+            None => self.discovered_members = true,
         }
-        if is_news {
-            self.spread(record);
+        if is_update {
+            self.queue_update(record);
         }
     }
 
-    /// News of this daemon itself that is wrong is answered with a higher incarnation.
+    /// A wrong record of this member is refuted with a higher incarnation.
     fn refute(&mut self, record: &MemberRecord) {
-        let wrong = record.incarnation >= self.me.incarnation && *record != self.me;
+        let wrong = record.incarnation >= self.own_record.incarnation && *record != self.own_record;
         if wrong {
-            self.change_own_record(record.incarnation + 1, self.me.state);
+            self.change_own_record(record.incarnation + 1, self.own_record.state);
         }
     }
 
     fn outgoing(&mut self, to: String, kind: DatagramKind) -> Outgoing {
-        let mut updates = self.news.next();
+        let mut updates = self.updates.next();
         if matches!(kind, DatagramKind::Join | DatagramKind::Members)
-            && !updates.iter().any(|record| record.node == self.me.node)
+            && !updates.iter().any(|record| record.node == self.own_record.node)
         {
-            updates.push(self.me.clone());
+            updates.push(self.own_record.clone());
         }
         Outgoing { to, datagram: self.datagram(kind, updates) }
     }
 }
 
-fn info(record: &MemberRecord) -> MemberInfo {
+fn member_info(record: &MemberRecord) -> MemberInfo {
     MemberInfo {
         node: record.node.clone(),
         incarnation: record.incarnation,
@@ -421,7 +432,7 @@
     }
 }
 
-/// What others of this process are told of a member: all but the dead, with their state.
-fn told(record: &MemberRecord) -> Option<(MemberInfo, MemberState)> {
-    (record.state != MemberState::Dead).then(|| (info(record), record.state))
+/// The part of a record that is visible to the application; `None` if the member is dead.
+fn visible_state(record: &MemberRecord) -> Option<(MemberInfo, MemberState)> {
+    (record.state != MemberState::Dead).then(|| (member_info(record), record.state))
 }
--- a/crates/core/src/membership/probes.rs
+++ b/crates/core/src/membership/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: one member an interval, several where members are lost together.
+//! Probes: one member per interval, and more often while members fail.
 
 use rand::seq::{IndexedRandom, SliceRandom};
 use yokefall_types::NodeName;
@@ -7,49 +7,50 @@
 use super::{Membership, PROBE_INTERVAL_MS};
 use crate::time::Timestamp;
 
-/// Time after which a direct probe counts as unanswered, in milliseconds.
+/// Timeout of a direct probe, in milliseconds.
 const PROBE_TIMEOUT_MS: u64 = 200;
-/// Interval between probes while one is unanswered, in milliseconds: where one member is lost, others of its
-/// zone may be. A third of 30, 100 or 300 members took 3 s to be found with the regular interval.
-const HURRIED_INTERVAL_MS: u64 = 100;
-/// Members asked to probe one that did not answer.
+/// Interval between probes while one is unanswered, in milliseconds: if one member failed, others
+/// of its zone may have failed too. At the regular interval it took 3 s to detect the failure of a
+/// third of 30, 100 or 300 members.
+const FAST_PROBE_INTERVAL_MS: u64 = 100;
+/// Number of members asked to probe one that did not answer.
 const INDIRECT_PROBES: usize = 3;
 
-/// A probe on its way.
+/// A probe in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) target: NodeName,
     pub(super) sequence: u64,
     pub(super) sent_at: Timestamp,
-    /// Whether the direct probe was not answered in time, and others were asked to try.
+    /// Whether the direct probe timed out and others were asked to probe the target.
     indirect: bool,
 }
 
-/// A probe made for another member.
+/// A probe made on behalf of another member.
 #[derive(Clone, Debug)]
 pub(super) struct Relay {
     sequence: u64,
     origin: String,
     origin_sequence: u64,
-    at: Timestamp,
+    sent_at: Timestamp,
 }
 
 impl Membership {
-    /// Goes on with probes that are on their way, and begins the next one.
+    /// Advances the probes in flight and starts the next one.
     pub(super) fn probe(&mut self, now: Timestamp) -> Vec<Outgoing> {
-        let mut outgoing = self.ask_others(now);
-        self.conclude_probes(now);
+        let mut outgoing = self.start_indirect_probes(now);
+        self.finish_probes(now);
         if self.next_probe_at <= now {
-            let hurried = self.probes.iter().any(|probe| probe.indirect);
-            let interval = if hurried { HURRIED_INTERVAL_MS } else { PROBE_INTERVAL_MS };
+            let is_fast = self.probes.iter().any(|probe| probe.indirect);
+            let interval = if is_fast { FAST_PROBE_INTERVAL_MS } else { PROBE_INTERVAL_MS };
             self.next_probe_at = now.plus_millis(interval);
             outgoing.extend(self.begin_probe(now));
         }
-        self.relays.retain(|relay| now.millis_since(relay.at) < PROBE_INTERVAL_MS);
+        self.relays.retain(|relay| now.millis_since(relay.sent_at) < PROBE_INTERVAL_MS);
         outgoing
     }
 
-    /// When `probe` has something to do.
+    /// Returns when `probe` should be called next.
     pub(super) fn probe_deadline(&self) -> Timestamp {
         let due = |probe: &Probe| {
             let wait = if probe.indirect { PROBE_INTERVAL_MS } else { PROBE_TIMEOUT_MS };
@@ -67,22 +68,22 @@
         Some(self.outgoing(address, DatagramKind::Ping { sequence }))
     }
 
-    /// Members in a shuffled round, so that each is probed within a bounded time.
+    /// Returns the next member of a shuffled round, so that each is probed within a bounded time.
     fn next_target(&mut self) -> Option<NodeName> {
         loop {
-            if self.order.is_empty() {
-                self.order = self.live().map(|entry| entry.record.node.clone()).collect();
-                self.order.shuffle(&mut self.generator);
+            if self.probe_order.is_empty() {
+                self.probe_order = self.live().map(|entry| entry.record.node.clone()).collect();
+                self.probe_order.shuffle(&mut self.rng);
             }
-            let target = self.order.pop()?;
+            let target = self.probe_order.pop()?;
             if self.members.get(&target).is_some_and(|e| e.record.state != MemberState::Dead) {
                 return Some(target);
             }
         }
     }
 
-    /// Asks others to probe those that did not answer, and begins to hurry.
-    fn ask_others(&mut self, now: Timestamp) -> Vec<Outgoing> {
+    /// Requests indirect probes of members that did not answer, and shortens the probe interval.
+    fn start_indirect_probes(&mut self, now: Timestamp) -> Vec<Outgoing> {
         let is_due = |probe: &&mut Probe| {
             !probe.indirect && now.millis_since(probe.sent_at) >= PROBE_TIMEOUT_MS
         };
@@ -104,12 +105,13 @@
             .map(|entry| entry.record.address.clone())
             .collect();
         let chosen: Vec<String> =
-            helpers.choose_multiple(&mut self.generator, INDIRECT_PROBES).cloned().collect();
+            helpers.choose_multiple(&mut self.rng, INDIRECT_PROBES).cloned().collect();
         let kind =
             DatagramKind::PingRequest { sequence: probe.sequence, target: probe.target.clone() };
         let mut outgoing: Vec<Outgoing> =
             chosen.into_iter().map(|to| self.outgoing(to, kind.clone())).collect();
-        // One lost datagram must not look like a death where there is nobody to ask.
+        // The target is also probed again, so that a single lost datagram does not look like a
+        // failure if there is no other member to ask.
         if let Some(entry) = self.members.get(&probe.target) {
             let to = entry.record.address.clone();
             outgoing.push(self.outgoing(to, DatagramKind::Ping { sequence: probe.sequence }));
@@ -117,29 +119,30 @@
         outgoing
     }
 
-    fn conclude_probes(&mut self, now: Timestamp) {
-        let lapsed = |probe: &Probe| now.millis_since(probe.sent_at) >= PROBE_INTERVAL_MS;
-        let (ended, open) = std::mem::take(&mut self.probes).into_iter().partition(lapsed);
+    fn finish_probes(&mut self, now: Timestamp) {
+        let expired = |probe: &Probe| now.millis_since(probe.sent_at) >= PROBE_INTERVAL_MS;
+        let (ended, open) = std::mem::take(&mut self.probes).into_iter().partition(expired);
         self.probes = open;
         let ended: Vec<Probe> = ended;
         for probe in ended {
-            self.conclude(now, &probe);
+            self.finish_probe(now, &probe);
         }
     }
 
-    fn conclude(&mut self, now: Timestamp, probe: &Probe) {
+    fn finish_probe(&mut self, now: Timestamp, probe: &Probe) {
         let Some(entry) = self.members.get(&probe.target) else { return };
         if !matches!(entry.record.state, MemberState::Alive | MemberState::Leaving) {
             return;
         }
         let mut record = entry.record.clone();
-        // A leaving member that is silent is gone; as a suspect it would count as accepting.
+        // A leaving member that does not answer is gone; as a suspect it would count as accepting
+        // work.
         let leaving = record.state == MemberState::Leaving;
         record.state = if leaving { MemberState::Dead } else { MemberState::Suspect };
-        self.take(now, record, true);
+        self.merge(now, record, true);
     }
 
-    /// A probe was acknowledged: one of this daemon, or one made for another.
+    /// Processes an acknowledgement of a probe by this member, or of one made for another.
     pub(super) fn acknowledged(&mut self, sequence: u64) -> Vec<Outgoing> {
         if let Some(position) = self.probes.iter().position(|p| p.sequence == sequence) {
             self.probes.swap_remove(position);
@@ -152,7 +155,7 @@
         vec![self.outgoing(relay.origin, DatagramKind::Ack { sequence: relay.origin_sequence })]
     }
 
-    /// Probes a member for another one.
+    /// Probes a member on behalf of another one.
     pub(super) fn relay(
         &mut self,
         now: Timestamp,
@@ -164,7 +167,7 @@
         self.next_sequence += 1;
         let sequence = self.next_sequence;
         let origin = origin.to_owned();
-        self.relays.push(Relay { sequence, origin, origin_sequence, at: now });
+        self.relays.push(Relay { sequence, origin, origin_sequence, sent_at: now });
         Some(self.outgoing(address, DatagramKind::Ping { sequence }))
     }
 }
--- a/crates/serving/src/ages.rs
+++ b/crates/serving/src/ages.rs
@@ -1,7 +1,9 @@
-//! How long ago the platform's store confirmed what this process knows, for each kind of object by itself.
+//! Tracks, per kind of object, how long ago the platform's store confirmed the state held by this
+//! process.
 //!
-//! Few processes ask the store, each at moments of its own. What one of them heard of one kind, and another of
-//! another kind, makes up together what is known everywhere, since each tells the others the age of what it knows.
+//! Only a few processes query the store, each on its own schedule. Every process advertises the age
+//! of its state per kind, so confirmations obtained by different processes for different kinds
+//! combine across the fleet.
 
 use yokefall_clock::ElapsedClock;
 use yokefall_core::membership::StateAges;
@@ -9,7 +11,7 @@
 
 use crate::eligibility::Freshness;
 
-/// A kind of object that processes follow.
+/// A kind of object that processes watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ObjectKind {
     /// The configuration.
@@ -21,7 +23,7 @@
 }
 
 impl ObjectKind {
-    /// Its name, for figures and lines.
+    /// Name used in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             ObjectKind::Configuration => "configuration",
@@ -31,53 +33,53 @@
     }
 }
 
-/// The moments at which the store is known to have held what is known here.
+/// For each kind, the latest time at which the store is known to have held the local state.
 #[derive(Debug)]
-pub struct Ages {
+pub struct AgeTracker {
     clock: ElapsedClock,
     configuration: Option<Timestamp>,
     backends: Option<Timestamp>,
     evacuations: Option<Timestamp>,
-    follows_evacuations: bool,
-    /// Told the age of the oldest kind.
+    watches_evacuations: bool,
+    /// Receives the age of the oldest kind.
     freshness: Freshness,
 }
 
-impl Ages {
-    /// Nothing was confirmed yet.
-    pub fn new(freshness: Freshness, follows_evacuations: bool) -> Self {
+impl AgeTracker {
+    /// Creates a tracker with nothing confirmed yet.
+    pub fn new(freshness: Freshness, watches_evacuations: bool) -> Self {
         Self {
             clock: freshness.new_clock(),
             configuration: None,
             backends: None,
             evacuations: None,
-            follows_evacuations,
+            watches_evacuations,
             freshness,
         }
     }
 
-    /// The present moment.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The store held what is known of a kind this long ago.
-    pub fn note(&mut self, kind: ObjectKind, age_ms: u64) {
-        // Before this clock began nothing was known here.
+    /// Records that the store held the local state of `kind` `age_ms` milliseconds ago.
+    pub fn record(&mut self, kind: ObjectKind, age_ms: u64) {
+        // Nothing was known here before this clock started, so the time is clamped at 0.
         let at = Timestamp(self.clock.now().0.saturating_sub(age_ms));
-        let held = match kind {
+        let latest = match kind {
             ObjectKind::Configuration => &mut self.configuration,
             ObjectKind::Backends => &mut self.backends,
             ObjectKind::Evacuations => &mut self.evacuations,
         };
-        *held = (*held).max(Some(at));
+        *latest = (*latest).max(Some(at));
         if let Some(oldest) = self.oldest() {
             self.freshness.note(self.clock.now().millis_since(oldest));
         }
     }
 
-    /// What peers are told.
-    pub fn told(&self) -> StateAges {
+    /// Returns the ages to advertise to peers.
+    pub fn snapshot(&self) -> StateAges {
         let now = self.clock.now();
         let age =
             |at: Option<Timestamp>| at.and_then(|at| u32::try_from(now.millis_since(at)).ok());
@@ -90,7 +92,7 @@
 
     fn oldest(&self) -> Option<Timestamp> {
         let both = self.configuration?.min(self.backends?);
-        match self.follows_evacuations {
+        match self.watches_evacuations {
             true => Some(both.min(self.evacuations?)),
             false => Some(both),
         }
--- a/crates/serving/src/discovery.rs
+++ b/crates/serving/src/discovery.rs
@@ -1,7 +1,8 @@
-//! Assembles what keeps a process current: members, the platform's objects, and news from peers.
+//! Starts the tasks that keep the view of the fleet and of the platform's objects current.
 //!
-//! Members come from datagrams (`fleet`). Each process is ranked among those of its zone (`watch_role`); few
-//! watch the platform's store (`watch`), and the others take what these know (`peer_sync`).
+//! Membership is maintained with datagrams (`fleet`). Each process is ranked among those of its
+//! zone (`watch_role`); a few of them watch the platform's store (`watch`), and the others fetch
+//! the state from these peers (`peer_sync`).
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -27,39 +28,39 @@
 use crate::watch_role::WatcherElection;
 use crate::{CatalogCell, FleetCell};
 
-/// Interval at which the age of what is known is shown.
+/// Interval at which the age of the local state is exported as a metric.
 const FRESHNESS_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Ports for other processes.
+/// Sockets for communication with other processes.
 pub struct PeerPorts {
-    /// Datagrams of membership.
+    /// Membership datagrams.
     pub datagrams: UdpSocket,
     /// Exchange of configuration and back ends.
     pub exchange: TcpListener,
 }
 
-/// What a process says of itself, and where it begins.
+/// Identity and initial parameters of this process.
 pub struct DiscoveryOptions {
-    /// Who it is.
+    /// Identity of this process.
     pub identity: Identity,
-    /// Peer addresses of some processes; they change when settings are read again.
+    /// Peer addresses of some processes; updated when the settings are reloaded.
     pub seeds: channel::Receiver<Vec<SocketAddr>>,
-    /// Whether the whole system starts for the first time, so that no peer knows anything yet.
+    /// Whether the whole system starts for the first time, so that no peer has any state yet.
     pub is_first_start: bool,
-    /// What all processes are told at once.
+    /// Messages broadcast to all processes.
     pub notices: Notices,
-    /// Time of probes, and of what peers told.
+    /// Clock for probes and for state received from peers.
     pub clock: ElapsedClock,
-    /// Regions of zones.
+    /// Region of each zone.
     pub zones: Arc<ZoneMap>,
-    /// What is promised of zones: whether evacuations are followed, and how fresh news is to be.
+    /// Placement guarantees: whether evacuations are watched, and how recent the state must be.
     pub placement: PlacementBounds,
-    /// Is told how old what this process knows is.
+    /// Receives the age of the local state.
     pub freshness: Freshness,
 }
 
-/// Starts the tasks that keep `catalog` and `fleet` current, on the present `LocalSet`. `changed` is
-/// called after each change of the catalog; `leaving` turns true when a stop has begun.
+/// Starts the tasks that keep `catalog` and `fleet` current, on the current `LocalSet`. `changed`
+/// is called after each change of the catalog; `leaving` becomes true when shutdown begins.
 pub fn start<P: Platform>(
     platform: &P,
     options: DiscoveryOptions,
@@ -69,25 +70,25 @@
     changed: impl Fn() + 'static,
     leaving: channel::Receiver<bool>,
 ) {
-    let follows_evacuations = options.placement.evacuation_ms.is_some();
-    let following = StateOptions {
-        evacuations: follows_evacuations,
+    let watches_evacuations = options.placement.evacuation_ms.is_some();
+    let state_options = StateOptions {
+        evacuations: watches_evacuations,
         ages: options.placement.needs_fresh_state(),
         freshness: options.freshness.clone(),
     };
     let zones = options.zones.len();
-    let platform_state = PlatformState::with_options(catalog, options.zones, following);
+    let platform_state = PlatformState::with_options(catalog, options.zones, state_options);
     let platform_state = Rc::new(RefCell::new(platform_state));
     let observer = Rc::new(LoggingObserver::new(changed));
     let shared = SharedPlatformState { platform_state: platform_state.clone(), observer };
     let election = WatcherElection::new(Timestamp(0), options.is_first_start, rand::random());
-    let take = {
+    let apply_response = {
         let shared = shared.clone();
-        Box::new(move |answer| shared.apply_response(answer))
+        Box::new(move |response| shared.apply_response(response))
     };
-    let (peer_sync, duties) = PeerSync::new(platform_state.clone(), take, election);
+    let (peer_sync, watch_roles) = PeerSync::new(platform_state.clone(), apply_response, election);
     let refresh = peer_sync.refresh.clone();
-    let news_port = ports.exchange.local_addr().map_or(0, |address| address.port());
+    let exchange_port = ports.exchange.local_addr().map_or(0, |address| address.port());
     tokio::task::spawn_local(serve(ports.exchange, platform_state));
     tokio::task::spawn_local(run_membership(Membership {
         socket: ports.datagrams,
@@ -95,19 +96,19 @@
         seeds: options.seeds,
         cell: fleet,
         peer_sync,
-        news_port,
+        exchange_port,
         leaving,
         notices: options.notices,
         clock: options.clock,
     }));
-    tokio::task::spawn_local(tell_freshness(options.freshness));
+    tokio::task::spawn_local(report_freshness(options.freshness));
     let waits = match options.placement.needs_fresh_state() {
         true => Waits::Fresh { zones },
         false => Waits::Long,
     };
     let (configuration, backends) = (refresh.configuration(), refresh.backends());
     let evacuations = refresh.evacuations();
-    let following = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], watch_role| Follow {
+    let watch_options = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], watch_role| Follow {
         refresh: refresh.clone(),
         others: others.into_iter().cloned().collect(),
         watch_role,
@@ -116,24 +117,24 @@
     tokio::task::spawn_local(follow(
         platform.configurations(),
         shared.clone(),
-        following(&configuration, [&backends, &evacuations], duties.configuration),
+        watch_options(&configuration, [&backends, &evacuations], watch_roles.configuration),
     ));
     tokio::task::spawn_local(follow(
         platform.backends(),
         shared.clone(),
-        following(&backends, [&configuration, &evacuations], duties.backends),
+        watch_options(&backends, [&configuration, &evacuations], watch_roles.backends),
     ));
-    if follows_evacuations {
+    if watches_evacuations {
         tokio::task::spawn_local(follow(
             platform.evacuations(),
             shared,
-            following(&evacuations, [&configuration, &backends], duties.evacuations),
+            watch_options(&evacuations, [&configuration, &backends], watch_roles.evacuations),
         ));
     }
 }
 
-/// Shows for ever how old what this process knows is.
-async fn tell_freshness(freshness: Freshness) {
+/// Exports the age of the local state periodically.
+async fn report_freshness(freshness: Freshness) {
     loop {
         if let Some(age_ms) = freshness.age_ms() {
             metrics::gauge!("platform_news_age_seconds").set(age_ms as f64 / 1_000.0);
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The system's own processes as one process sees them, and the loop that keeps the view current:
-//! probes and news over datagrams (`yokefall_core::membership`), woken by deadlines alone.
+//! The system's own processes as seen by one process, and the event loop that keeps this view
+//! current: probes and state digests in datagrams (`yokefall_core::membership`), driven by
+//! deadlines only.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -23,22 +24,27 @@
 use crate::stall_detector::StallDetector;
 use crate::watch_role::{Ranking, HEARTBEAT_INTERVAL_MS};
 
-/// Members of the own zone, and of others, that are told at once of what this process has learnt. Each
-/// tells as many when it knows it: 300 members hear of it after four or five steps.
-const NEAR_FANOUT: usize = 3;
-const FAR_FANOUT: usize = 1;
-/// Members of the own zone, and of others, that are told when the store has confirmed what this process knows. They
-/// pass its age on with their probes; begun with more of them, that takes a round less.
+/// Number of members of the own zone and of other zones that are notified at once of a change of
+/// the local state. Each of them does the same, so that 300 members are reached after four or five
+/// rounds.
+const SAME_ZONE_FANOUT: usize = 3;
+const OTHER_ZONE_FANOUT: usize = 1;
+/// Number of members of the own zone and of other zones that are notified when the store has
+/// confirmed the local state. They pass the age on with their probes; starting with more members
+/// saves one round.
 pub const CONFIRMATION_FANOUT: (usize, usize) = (6, 2);
-/// Least interval between two views of the fleet, in milliseconds: to list 1,000 members for one takes 0.2 ms of a core,
-/// and after a start of all each datagram brings a change. The first change after a while is seen at once.
-const VIEW_INTERVAL_MS: u64 = 50;
-/// Interval at which names of lost members are looked through, in milliseconds: they are kept for minutes.
-const NAMES_INTERVAL_MS: u64 = 10_000;
-/// The same while some count as lost, which they do for seconds.
-const LOST_INTERVAL_MS: u64 = 1_000;
-/// Largest datagram read, in bytes.
-const DATAGRAM_BYTES: usize = 16_384;
+/// Minimum interval between two rebuilds of the fleet view, in milliseconds. Listing 1,000 members
+/// takes 0.2 ms of CPU time, and after a simultaneous start of all processes every datagram brings
+/// a change. The first change after a quiet period is published at once.
+const MIN_VIEW_INTERVAL_MS: u64 = 50;
+/// Interval at which the history of unreachable members is pruned, in milliseconds; entries are
+/// retained for minutes.
+const PRUNE_INTERVAL_MS: u64 = 10_000;
+/// Interval at which that history is pruned while some members count as unresponsive, in
+/// milliseconds; they do so only for seconds.
+const UNRESPONSIVE_PRUNE_INTERVAL_MS: u64 = 1_000;
+/// Size of the receive buffer for datagrams, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 16_384;
 
 /// One process of the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,32 +53,32 @@
     pub name: String,
     /// Address for other processes.
     pub address: SocketAddr,
-    /// Zone in which it stands.
+    /// Zone of the process.
     pub zone: String,
-    /// Whether it keeps jobs; the others are gateways.
+    /// Whether it is a job store; all others are gateways.
     pub job_store: bool,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub accepting: bool,
 }
 
 impl FleetMember {
-    /// Its IP number, the same for all of its ports.
+    /// IP address, the same for all of its ports.
     pub fn ip(&self) -> IpAddr {
         self.address.ip()
     }
 }
 
-/// The live processes, this one included, in order of name.
+/// The live processes, including this one, ordered by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
     /// The members.
     pub members: Vec<FleetMember>,
-    /// Names of all processes that were heard of lately, those too that are lost.
+    /// Names of all processes seen recently, including unreachable ones.
     pub names: Arc<KnownProcesses>,
 }
 
 impl Fleet {
-    /// Gateways that take new work.
+    /// Gateways that accept new work.
     pub fn gateways(&self) -> impl Iterator<Item = &FleetMember> {
         self.members.iter().filter(|member| !member.job_store && member.accepting)
     }
@@ -83,81 +89,81 @@
     }
 }
 
-/// The view in force, shared between the threads of a process.
+/// The current view, shared between the threads of a process.
 pub type FleetCell = Arc<ArcSwap<Fleet>>;
 
-/// A cell without members.
+/// Creates a cell without members.
 pub fn empty_fleet() -> FleetCell {
     Arc::new(ArcSwap::from_pointee(Fleet::default()))
 }
 
-/// What this process says of itself.
+/// Identity of this process as announced to others.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Name, unique in the fleet.
     pub name: String,
     /// Address for other processes.
     pub address: SocketAddr,
-    /// Zone in which it stands.
+    /// Zone of the process.
     pub zone: String,
     /// Region of the zone.
     pub region: String,
-    /// Whether it keeps jobs.
+    /// Whether it is a job store.
     pub job_store: bool,
-    /// Number of this start; one that is too low is raised when others know a higher one.
+    /// Incarnation; raised if other members know a higher one.
     pub incarnation: u64,
 }
 
-/// Number of a start: later starts have higher ones. One that is too low, as after a step of the
-/// time of day, is raised when others tell a higher one.
+/// Returns the incarnation of a new start, which is higher than that of earlier starts. If the
+/// system clock was set back, it is raised as soon as other members report a higher one.
 pub fn new_incarnation() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(1, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// What keeps the view of the fleet current.
+/// Parameters of the membership loop.
 pub struct Membership {
-    /// Port for datagrams.
+    /// Socket for datagrams.
     pub socket: UdpSocket,
-    /// Who this process is.
+    /// Identity of this process.
     pub identity: Identity,
-    /// Peer addresses of some processes; they change when settings are read again.
+    /// Peer addresses of some processes; updated when the settings are reloaded.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// The view.
+    /// The view to update.
     pub cell: FleetCell,
-    /// What is told to peers beside it.
+    /// State synchronization with peers.
     pub peer_sync: Rc<PeerSync>,
-    /// TCP port at which peers may ask for it.
-    pub news_port: u16,
-    /// Turns true when a stop has begun.
+    /// TCP port at which peers can fetch the state.
+    pub exchange_port: u16,
+    /// Becomes true when shutdown begins.
     pub leaving: watch::Receiver<bool>,
-    /// What all members are told at once.
+    /// Messages broadcast to all members.
     pub notices: Notices,
-    /// Time of probes, and of what peers told.
+    /// Clock for probes and for state received from peers.
     pub clock: ElapsedClock,
 }
 
-/// Encoded notices from and to all other processes, which the membership's datagrams carry. They may come
-/// from another thread.
+/// Encoded broadcast messages, carried by membership datagrams. The other ends of the channels may
+/// belong to another thread.
 #[derive(Debug)]
 pub struct Notices {
-    /// To be sent to all.
+    /// Messages to send to all members.
     pub outgoing: UnboundedReceiver<Vec<u8>>,
-    /// Those that arrived.
+    /// Messages received from other members.
     pub incoming: UnboundedSender<Vec<u8>>,
 }
 
-/// The other ends of `Notices`.
+/// The other ends of the channels of `Notices`.
 #[derive(Debug)]
 pub struct NoticePort {
-    /// Sends a notice to all other processes.
+    /// Sends a message to all other processes.
     pub outgoing: UnboundedSender<Vec<u8>>,
-    /// Notices of other processes.
+    /// Messages received from other processes.
     pub incoming: UnboundedReceiver<Vec<u8>>,
 }
 
 impl Notices {
-    /// Both ends.
+    /// Creates both ends.
     pub fn channel() -> (Self, NoticePort) {
         let (to_send, outgoing) = unbounded_channel();
         let (incoming, arrived) = unbounded_channel();
@@ -165,33 +171,33 @@
     }
 }
 
-/// Keeps the view current until the process ends.
-pub async fn run_membership(parts: Membership) {
+/// Runs the membership loop until the process ends.
+pub async fn run_membership(parameters: Membership) {
     let Membership {
         socket,
         identity,
         mut seeds,
         cell,
         peer_sync,
-        news_port,
+        exchange_port,
         mut leaving,
         clock,
         ..
-    } = parts;
-    let Notices { mut outgoing, incoming } = parts.notices;
+    } = parameters;
+    let Notices { mut outgoing, incoming } = parameters.notices;
     let (name, zone) = (identity.name.clone(), identity.zone.clone());
     let own_address = identity.address;
-    let first_seeds = texts(&seeds.borrow_and_update());
+    let first_seeds = to_strings(&seeds.borrow_and_update());
     let incarnation = identity.incarnation;
     let mut members = MemberList::new(record_of(identity), first_seeds, incarnation);
-    members.set_news_port(news_port);
-    let mut names = ProcessHistory::default();
-    let mut names_at = Timestamp(0);
+    members.set_exchange_port(exchange_port);
+    let mut history = ProcessHistory::default();
+    let mut prune_at = Timestamp(0);
     let mut view_at = Timestamp(0);
-    let mut may_change = true;
-    let mut buffer = vec![0; DATAGRAM_BYTES];
-    let mut told_leaving = false;
-    let mut told = StateDigest::default();
+    let mut seeds_may_change = true;
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    let mut leaving_announced = false;
+    let mut announced = StateDigest::default();
     let mut heartbeat_at = Timestamp(0);
     let mut lateness = Lateness::default();
     let mut stall_detector = StallDetector::default();
@@ -199,35 +205,38 @@
         let now = clock.now();
         stall_detector.record_wakeup(now);
         let has_changed = now >= view_at && members.take_changed();
-        if has_changed || now >= names_at {
+        if has_changed || now >= prune_at {
             let records = members.records();
-            names.update(now, &records);
+            history.update(now, &records);
             let has_seeds = seeds.borrow().iter().any(|seed| *seed != own_address);
-            let known = names.known_processes(now, &name, has_seeds);
-            let interval =
-                if known.unresponsive > 0 { LOST_INTERVAL_MS } else { NAMES_INTERVAL_MS };
-            names_at = now.plus_millis(interval);
-            publish(records, known, &cell);
+            let processes = history.known_processes(now, &name, has_seeds);
+            let interval = if processes.unresponsive > 0 {
+                UNRESPONSIVE_PRUNE_INTERVAL_MS
+            } else {
+                PRUNE_INTERVAL_MS
+            };
+            prune_at = now.plus_millis(interval);
+            publish(records, processes, &cell);
         }
         if has_changed {
-            view_at = now.plus_millis(VIEW_INTERVAL_MS);
+            view_at = now.plus_millis(MIN_VIEW_INTERVAL_MS);
             let fleet = cell.load();
             peer_sync.rank(now, Ranking::new(&fleet.members, &zone, &name), fleet.members.len());
         }
         peer_sync.tick(now);
-        let own = peer_sync.own();
-        tell(&mut members, own);
+        let own = peer_sync.digest();
+        set_digests(&mut members, own);
         members.set_state_ages(peer_sync.ages());
-        if own.differs_from(told) {
-            // Those hear of it at once who tell others when they know it.
-            send(&socket, members.gossip_to_some(NEAR_FANOUT, FAR_FANOUT)).await;
-            told = own;
+        if own.differs_from(announced) {
+            // These members notify others in turn once they have fetched the change.
+            send(&socket, members.gossip_to_some(SAME_ZONE_FANOUT, OTHER_ZONE_FANOUT)).await;
+            announced = own;
         } else if peer_sync.take_confirmation() {
-            let (near, far) = CONFIRMATION_FANOUT;
-            send(&socket, members.gossip_to_some(near, far)).await;
+            let (same_zone, other_zones) = CONFIRMATION_FANOUT;
+            send(&socket, members.gossip_to_some(same_zone, other_zones)).await;
         }
         if now >= heartbeat_at {
-            send(&socket, members.tell_watching(&peer_sync.standbys())).await;
+            send(&socket, members.announce_watching(&peer_sync.standbys())).await;
             heartbeat_at = now.plus_millis(HEARTBEAT_INTERVAL_MS);
         }
         send(&socket, members.tick(now)).await;
@@ -246,15 +255,17 @@
                     let now = clock.now();
                     if let Ok(datagram) = borsh::from_slice::<Datagram>(&buffer[..length]) {
                         stall_detector.record_wakeup(now);
-                        let is_near = members.is_near(&datagram.from);
-                        hear(&peer_sync, now, &datagram, source, is_near);
-                        // What waited here for an unknown time says nothing of the present.
-                        let underway = members.probe_age_ms(now, &datagram);
-                        if let Some(delay_ms) = underway.or_else(|| stall_detector.delay_ms()) {
-                            peer_sync.receive_ages(known(&datagram), datagram.ages, delay_ms);
+                        let is_in_own_zone = members.is_in_own_zone(&datagram.from);
+                        process_state(&peer_sync, now, &datagram, source, is_in_own_zone);
+                        // A datagram that was queued here for an unknown time proves nothing about
+                        // the current age.
+                        let round_trip = members.probe_age_ms(now, &datagram);
+                        if let Some(delay_ms) = round_trip.or_else(|| stall_detector.delay_ms()) {
+                            peer_sync.receive_ages(digest_in(&datagram), datagram.ages, delay_ms);
                         }
                         if let DatagramKind::Notice { content } = &datagram.kind {
-                            // Whoever heard notices has ended: so does this process.
+                            // Sending fails only if the receiver has shut down, in which case this
+                            // process is shutting down too.
                             let _ = incoming.send(content.clone());
                         }
                         send(&socket, members.receive(now, datagram, &source.to_string())).await;
@@ -271,18 +282,18 @@
             }
             () = peer_sync.changed() => {}
             Some(notice) = outgoing.recv() => send(&socket, members.notify_all(&notice)).await,
-            changed = seeds.changed(), if may_change => {
-                may_change = changed.is_ok();
-                if may_change {
-                    members.set_seeds(texts(&seeds.borrow_and_update()));
+            changed = seeds.changed(), if seeds_may_change => {
+                seeds_may_change = changed.is_ok();
+                if seeds_may_change {
+                    members.set_seeds(to_strings(&seeds.borrow_and_update()));
                 }
             }
-            changed = leaving.changed(), if !told_leaving => {
+            changed = leaving.changed(), if !leaving_announced => {
                 if changed.is_ok() && *leaving.borrow() {
                     members.announce(MemberState::Leaving);
                     send(&socket, members.farewell()).await;
                 }
-                told_leaving = true;
+                leaving_announced = true;
             }
         }
     }
@@ -300,7 +311,7 @@
     }
 }
 
-/// Whether no datagram waits to be read.
+/// Whether no datagram is waiting to be read.
 async fn is_empty(socket: &UdpSocket) -> bool {
     tokio::select! {
         biased;
@@ -309,29 +320,29 @@
     }
 }
 
-/// Takes what a datagram says beside the members.
-fn hear(
+/// Processes the parts of a datagram that do not concern membership.
+fn process_state(
     peer_sync: &Rc<PeerSync>,
     now: Timestamp,
     datagram: &Datagram,
     source: SocketAddr,
-    is_near: bool,
+    is_in_own_zone: bool,
 ) {
-    let address = SocketAddr::new(source.ip(), datagram.news_port);
-    match is_near {
-        true => peer_sync.hear(now, known(datagram), address),
-        false => peer_sync.hear_far(now, known(datagram), address),
+    let address = SocketAddr::new(source.ip(), datagram.exchange_port);
+    match is_in_own_zone {
+        true => peer_sync.receive_digest(now, digest_in(datagram), address),
+        false => peer_sync.receive_cross_zone_digest(now, digest_in(datagram), address),
     }
     if datagram.kind == DatagramKind::Watching {
         peer_sync.record_watcher_heartbeat(now, datagram.from.as_str());
     }
 }
 
-fn texts(addresses: &[SocketAddr]) -> Vec<String> {
+fn to_strings(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(SocketAddr::to_string).collect()
 }
 
-fn tell(membership: &mut MemberList, own: StateDigest) {
+fn set_digests(membership: &mut MemberList, own: StateDigest) {
     membership.set_configuration_version(own.version);
     membership.set_backends(ObjectDigest {
         digest: own.backends_digest,
@@ -340,7 +351,7 @@
     membership.set_evacuations(own.evacuations);
 }
 
-fn known(datagram: &Datagram) -> StateDigest {
+fn digest_in(datagram: &Datagram) -> StateDigest {
     StateDigest {
         version: datagram.configuration_version,
         backends_digest: datagram.backends.digest,
@@ -354,26 +365,27 @@
         let (Ok(address), Ok(bytes)) = (to.parse::<SocketAddr>(), borsh::to_vec(&datagram)) else {
             continue;
         };
-        // A datagram that cannot be sent is one that was lost; probes are sent again.
+        // A datagram that cannot be sent counts as lost; probes are retried.
         let _ = socket.send_to(&bytes, address).await;
     }
 }
 
-/// Puts the members into the cell where they changed.
-fn publish(records: Vec<(MemberRecord, u64)>, names: KnownProcesses, cell: &FleetCell) {
+/// Publishes the members if they changed.
+fn publish(records: Vec<(MemberRecord, u64)>, processes: KnownProcesses, cell: &FleetCell) {
     let member = |(record, _): (MemberRecord, u64)| {
         Some(FleetMember {
             name: record.node.to_string(),
             address: record.address.parse().ok()?,
             zone: record.zone,
             job_store: record.data,
-            // One that does not answer probes may be frozen or cut off: clients should not try it.
+            // A member that does not answer probes may be paused or partitioned; clients should not
+            // be sent there.
             accepting: record.state == MemberState::Alive,
         })
     };
     let alive = |(record, _): &(MemberRecord, u64)| record.state != MemberState::Dead;
     let members = records.into_iter().filter(alive).filter_map(member).collect();
-    let fleet = Fleet { members, names: Arc::new(names) };
+    let fleet = Fleet { members, names: Arc::new(processes) };
     if fleet != **cell.load() {
         cell.store(Arc::new(fleet));
     }
--- a/crates/serving/src/incarnations.rs
+++ b/crates/serving/src/incarnations.rs
@@ -1,14 +1,15 @@
-//! What is held of back ends, by life: a process that starts again under its id is another one.
+//! Values stored per incarnation of a back end: a process that restarts under the same id is a
+//! different one.
 
 use std::collections::HashMap;
 
 use crate::model::{Backend, BackendIncarnation};
 
-/// Values by life of a back end. Looking one up takes no allocation: each choice of a back end looks at all
-/// of a service.
+/// Values by incarnation of a back end. A lookup does not allocate, because each choice of a back
+/// end looks up all back ends of a service.
 #[derive(Clone, Debug)]
 pub struct ByIncarnation<T> {
-    /// By id, then by start. An id has one life but for moments.
+    /// By id, then by start time. An id rarely has more than one incarnation.
     incarnations: HashMap<String, Vec<(u64, T)>>,
 }
 
@@ -19,7 +20,7 @@
 }
 
 impl<T> ByIncarnation<T> {
-    /// The value of a back end in the life that its record is of.
+    /// Returns the value for the incarnation described by a record.
     pub fn get(&self, backend: &Backend) -> Option<&T> {
         let incarnations = self.incarnations.get(&backend.id)?;
         incarnations
@@ -28,12 +29,12 @@
             .map(|(_, value)| value)
     }
 
-    /// The same, to be changed.
+    /// Returns the mutable value for the incarnation described by a record.
     pub fn get_mut(&mut self, backend: &Backend) -> Option<&mut T> {
         self.find_mut(&backend.id, backend.started_ms)
     }
 
-    /// The value of a life, to be changed.
+    /// Returns the mutable value for an incarnation.
     pub fn incarnation_mut(&mut self, incarnation: &BackendIncarnation) -> Option<&mut T> {
         self.find_mut(&incarnation.id, incarnation.started_ms)
     }
@@ -43,19 +44,19 @@
         incarnations.iter_mut().find(|(started, _)| *started == started_ms).map(|(_, value)| value)
     }
 
-    /// All values, each with the id and the start of its life.
+    /// Iterates over all values, with id and start time.
     pub fn iter(&self) -> impl Iterator<Item = (&str, u64, &T)> {
         self.incarnations.iter().flat_map(|(id, incarnations)| {
             incarnations.iter().map(move |(started_ms, value)| (id.as_str(), *started_ms, value))
         })
     }
 
-    /// All values, to be changed.
+    /// Iterates over all values mutably.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.incarnations.values_mut().flatten().map(|(_, value)| value)
     }
 
-    /// Drops the values that `keeps` does not want to stay.
+    /// Removes the values for which `keeps` returns false.
     pub fn retain(&mut self, mut keeps: impl FnMut(&BackendIncarnation, &mut T) -> bool) {
         self.incarnations.retain(|id, incarnations| {
             incarnations.retain_mut(|(started_ms, value)| {
@@ -67,7 +68,7 @@
 }
 
 impl<T: Default> ByIncarnation<T> {
-    /// The value of a life, a new one where there is none.
+    /// Returns the value for an incarnation, inserting a default if there is none.
     pub fn entry(&mut self, incarnation: BackendIncarnation) -> &mut T {
         let incarnations = self.incarnations.entry(incarnation.id).or_default();
         let position =
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,5 +1,5 @@
-//! The model that gateways and job stores share: routes, back ends, job calls; the ports that a
-//! platform adapter implements; and the decisions on them that need no input or output.
+//! The domain model shared by gateways and job stores: routes, back ends and job calls; the ports
+//! that a platform adapter implements; and the decision logic that performs no I/O.
 
 pub mod admission;
 pub(crate) mod affinity;
@@ -10,7 +10,6 @@
 pub mod balance;
 pub mod catalog;
 pub(crate) mod catalog_lists;
-pub(crate) mod comparison;
 pub mod dialect;
 pub mod discovery;
 pub mod eligibility;
@@ -19,6 +18,7 @@
 pub mod incarnations;
 pub mod job;
 pub mod known_processes;
+pub(crate) mod lag;
 pub mod lateness;
 pub mod listing;
 pub mod locality;
--- a/crates/serving/src/peer_sync.rs
+++ b/crates/serving/src/peer_sync.rs
@@ -1,6 +1,6 @@
-//! Peers tell each other which configuration and back ends they know, so that a process whose watch
-//! was lost in silence finds out long before the watch would have ended, and one that does not watch
-//! asks the peer for what it knows.
+//! Synchronizes configuration and back ends between peers. A process whose watch was silently lost
+//! finds out long before the watch would time out, and a process that does not watch the store
+//! fetches the state from a peer that has it.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,55 +13,58 @@
 use yokefall_core::Timestamp;
 use yokefall_telemetry::{EventName, LogLine};
 
-pub use crate::comparison::Comparison;
+pub use crate::lag::LagDetector;
 pub use crate::state_digest::StateDigest;
 use crate::state_exchange::{fetch, ExchangeError, StateRequest, StateResponse};
 use crate::watch::PlatformState;
 use crate::watch_role::{Ranking, WatchRole, WatcherElection};
 
-/// Time from its start for which a process without back ends asks peers of its own zone alone, in milliseconds: as
-/// long as watchers need to read a list of 10,000 in 50 pages, and their first peers to take it over.
-const NEAR_PATIENCE_MS: u64 = 2_500;
-
-/// Time for which a process rests between two exchanges that bring back ends alone, for each member of the fleet: each
-/// change comes to each member by an exchange of its own, so that a fleet makes 4,000 of them a second at most.
-const REST_PER_MEMBER: Duration = Duration::from_micros(250);
-/// Longest such rest. With it a change reached all of 150 processes out of 986 within 1.9 s, well within the 5 s after
-/// which nothing may go to a back end that leaves.
-const LONGEST_REST: Duration = Duration::from_millis(300);
-
-/// For how long a process of a fleet with so many members rests after an exchange before it asks for back ends again.
-pub fn exchange_rest(members: usize) -> Duration {
+/// Time after its start for which a process without back ends requests the list only from peers in
+/// its own zone, in milliseconds: as long as watchers need to read a list of 10,000 in 50 pages and
+/// their first peers to copy it.
+const SAME_ZONE_ONLY_MS: u64 = 2_500;
+
+/// Interval between two exchanges that fetch only back ends, per member of the fleet. Each change
+/// reaches each member by an exchange of its own, so this limits a fleet to 4,000 exchanges per
+/// second.
+const EXCHANGE_INTERVAL_PER_MEMBER: Duration = Duration::from_micros(250);
+/// Maximum of that interval. With it a change reached all of 150 processes out of 986 within 1.9 s,
+/// well within the 5 s after which a leaving back end must receive no requests.
+const MAX_EXCHANGE_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Returns how long a process in a fleet of `members` waits after an exchange before it requests
+/// back ends again.
+pub fn exchange_interval(members: usize) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
-    REST_PER_MEMBER.saturating_mul(members).min(LONGEST_REST)
+    EXCHANGE_INTERVAL_PER_MEMBER.saturating_mul(members).min(MAX_EXCHANGE_INTERVAL)
 }
 
-/// A peer that knows more.
+/// A peer that is ahead.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     known: StateDigest,
-    /// Where it tells all of it.
+    /// Address of its state exchange.
     address: SocketAddr,
-    /// Whether the whole list of back ends may come from it, or some of them alone.
+    /// Whether the whole list of back ends may be requested from it, or only a subset.
     whole_list: bool,
 }
 
-/// How this process gets what peers know.
-struct Sources {
-    /// Whether a peer is being asked.
-    asking: bool,
-    /// The peer that is asked next.
+/// State of the exchanges with peers.
+struct Exchanges {
+    /// Whether an exchange is in progress.
+    in_progress: bool,
+    /// The peer to ask next.
     next: Option<Peer>,
-    /// Whether the last peer that was asked gave no answer.
-    failed: bool,
-    /// When back ends may be asked for again.
-    rested_at: Instant,
-    /// Rest after an exchange.
-    rest: Duration,
+    /// Whether the last exchange failed.
+    last_failed: bool,
+    /// When back ends may be requested again.
+    next_at: Instant,
+    /// Interval between exchanges that fetch only back ends.
+    interval: Duration,
 }
 
-/// What this process reads of the platform's store.
-pub struct Duties {
+/// Which kinds of objects this process reads from the platform's store.
+pub struct WatchRoles {
     /// Configurations.
     pub configuration: WatchRole,
     /// Evacuated zones.
@@ -70,28 +73,28 @@
     pub backends: WatchRole,
 }
 
-/// Takes what a peer told; returns whether its whole list is needed.
-pub type TakeNews = Box<dyn Fn(StateResponse) -> bool>;
+/// Applies a response of a peer; returns whether its whole list is needed.
+pub type ApplyResponse = Box<dyn Fn(StateResponse) -> bool>;
 
-/// What this process tells its peers, and what it does about what they tell.
+/// Synchronizes the local state with peers.
 pub struct PeerSync {
     platform_state: Rc<RefCell<PlatformState>>,
-    take: TakeNews,
-    comparison: RefCell<Comparison>,
-    sources: RefCell<Sources>,
+    apply_response: ApplyResponse,
+    lag: RefCell<LagDetector>,
+    exchanges: RefCell<Exchanges>,
     election: RefCell<WatcherElection>,
     /// Whether this process watches the platform's store.
     watches: watch::Sender<bool>,
-    /// Whether it reads back ends there.
+    /// Whether it reads back ends from the store.
     reads_backends: watch::Sender<bool>,
     changed: Rc<Notify>,
-    /// Woken when a peer knows what is not to wait.
+    /// Notified when a peer has state that must not be delayed.
     urgent: Notify,
-    /// Ends the present watches, so that the store is asked again.
+    /// Ends the current watches so that the store is queried again.
     pub refresh: Refresh,
 }
 
-/// Ends watches of each kind.
+/// Handles that end the watches of each kind.
 #[derive(Clone, Debug, Default)]
 pub struct Refresh {
     configuration: Rc<Notify>,
@@ -100,42 +103,42 @@
 }
 
 impl Refresh {
-    /// Ends the present watch of configurations.
+    /// Ends the current watch of configurations.
     pub fn configuration(&self) -> Rc<Notify> {
         self.configuration.clone()
     }
 
-    /// Ends the present watch of back ends.
+    /// Ends the current watch of back ends.
     pub fn backends(&self) -> Rc<Notify> {
         self.backends.clone()
     }
 
-    /// Ends the present watch of evacuated zones.
+    /// Ends the current watch of evacuated zones.
     pub fn evacuations(&self) -> Rc<Notify> {
         self.evacuations.clone()
     }
 }
 
 impl PeerSync {
-    /// News about what is known, with the duties that follow from it.
+    /// Creates the synchronization of `platform_state`, with the watch roles that it controls.
     pub fn new(
         platform_state: Rc<RefCell<PlatformState>>,
-        take: TakeNews,
+        apply_response: ApplyResponse,
         election: WatcherElection,
-    ) -> (Rc<Self>, Duties) {
+    ) -> (Rc<Self>, WatchRoles) {
         let changed = platform_state.borrow().changed();
         let (watches, configuration) = WatchRole::controlled();
         let (reads_backends, backends) = WatchRole::controlled();
-        let news = Self {
+        let sync = Self {
             platform_state,
-            take,
-            comparison: RefCell::default(),
-            sources: RefCell::new(Sources {
-                asking: false,
+            apply_response,
+            lag: RefCell::default(),
+            exchanges: RefCell::new(Exchanges {
+                in_progress: false,
                 next: None,
-                failed: false,
-                rested_at: Instant::now(),
-                rest: Duration::ZERO,
+                last_failed: false,
+                next_at: Instant::now(),
+                interval: Duration::ZERO,
             }),
             urgent: Notify::new(),
             election: RefCell::new(election),
@@ -145,142 +148,151 @@
             refresh: Refresh::default(),
         };
         let evacuations = configuration.clone();
-        (Rc::new(news), Duties { configuration, evacuations, backends })
+        (Rc::new(sync), WatchRoles { configuration, evacuations, backends })
     }
 
-    /// What this process knows.
-    pub fn own(&self) -> StateDigest {
+    /// Digest of the local state.
+    pub fn digest(&self) -> StateDigest {
         self.platform_state.borrow().digest()
     }
 
-    /// Age of what this process knows, as peers are told.
+    /// Age of the local state as advertised to peers.
     pub fn ages(&self) -> StateAges {
-        self.platform_state.borrow().told_ages()
+        self.platform_state.borrow().advertised_ages()
     }
 
-    /// Whether the store has confirmed what this process knows since this was last asked, and peers are to be told.
+    /// Whether the store has confirmed the local state since the last call, so that peers are to be
+    /// notified.
     pub fn take_confirmation(&self) -> bool {
         self.platform_state.borrow_mut().take_confirmation()
     }
 
-    /// A peer told how old its knowledge is, `delay_ms` ago at most.
+    /// Processes the ages reported by a peer at most `delay_ms` ago.
     pub fn receive_ages(&self, peer: StateDigest, ages: StateAges, delay_ms: u64) {
         self.platform_state.borrow_mut().receive_ages(peer, ages, delay_ms);
     }
 
-    /// A peer of another zone told what it knows. Soon after a start the whole list is wanted, and is taken from a peer
-    /// of the own zone: each zone has watchers that read it, and bytes between zones are paid for. What is short, or
-    /// can't wait, is taken from any.
-    pub fn hear_far(self: &Rc<Self>, now: Timestamp, peer: StateDigest, address: SocketAddr) {
-        let whole_list = self.knows_backends() || now >= Timestamp(NEAR_PATIENCE_MS);
-        let own = self.own();
-        if whole_list || own.lacks_any_backend(peer) || own.lacks_urgently(peer) {
-            self.hear_peer(now, Peer { known: peer, address, whole_list });
+    /// Processes the digest of a peer in another zone. Soon after a start, the whole list is
+    /// requested only from peers in the own zone: each zone has watchers that read it, and traffic
+    /// between zones is billed. Small or urgent state is requested from any peer.
+    pub fn receive_cross_zone_digest(
+        self: &Rc<Self>,
+        now: Timestamp,
+        peer: StateDigest,
+        address: SocketAddr,
+    ) {
+        let whole_list = self.knows_backends() || now >= Timestamp(SAME_ZONE_ONLY_MS);
+        let own = self.digest();
+        if whole_list || own.lacks_any_backend(peer) || own.lacks_urgent_state(peer) {
+            self.handle_digest(now, Peer { known: peer, address, whole_list });
         }
     }
 
-    /// A peer told what it knows; `address` is where it tells the whole of it.
-    pub fn hear(self: &Rc<Self>, now: Timestamp, peer: StateDigest, address: SocketAddr) {
-        self.hear_peer(now, Peer { known: peer, address, whole_list: true });
+    /// Processes the digest of a peer; `address` is that of its state exchange.
+    pub fn receive_digest(self: &Rc<Self>, now: Timestamp, peer: StateDigest, address: SocketAddr) {
+        self.handle_digest(now, Peer { known: peer, address, whole_list: true });
     }
 
-    fn hear_peer(self: &Rc<Self>, now: Timestamp, peer: Peer) {
+    fn handle_digest(self: &Rc<Self>, now: Timestamp, peer: Peer) {
         let known = peer.known;
         self.platform_state.borrow_mut().confirm_evacuations(known);
-        let own = self.own();
+        let own = self.digest();
         if own.backends_revision == 0 && known.backends_revision > 0 {
             self.election.borrow_mut().record_peer_with_backends(now);
         }
-        if !own.wants_of(known) {
+        if !own.should_fetch_from(known) {
             return;
         }
         if peer.address.port() > 0 {
-            self.ask(peer);
+            self.request_from(peer);
         }
-        if self.comparison.borrow_mut().is_behind(now, own, known) {
-            self.ask_store(now);
+        if self.lag.borrow_mut().is_behind(now, own, known) {
+            self.query_store(now);
         }
     }
 
-    /// Asks a peer; where one is being asked already, this one is asked next if it still knows more.
-    fn ask(self: &Rc<Self>, peer: Peer) {
-        let mut sources = self.sources.borrow_mut();
-        let own = self.own();
-        let is_urgent = own.lacks_urgently(peer.known);
-        if is_urgent || !sources.next.is_some_and(|next| own.lacks_urgently(next.known)) {
-            sources.next = Some(peer);
+    /// Requests state from a peer. If an exchange is in progress, the peer is asked next if it is
+    /// still ahead by then.
+    fn request_from(self: &Rc<Self>, peer: Peer) {
+        let mut exchanges = self.exchanges.borrow_mut();
+        let own = self.digest();
+        let is_urgent = own.lacks_urgent_state(peer.known);
+        if is_urgent || !exchanges.next.is_some_and(|next| own.lacks_urgent_state(next.known)) {
+            exchanges.next = Some(peer);
         }
         if is_urgent {
             self.urgent.notify_one();
         }
-        if !std::mem::replace(&mut sources.asking, true) {
-            tokio::task::spawn_local(self.clone().ask_peers());
+        if !std::mem::replace(&mut exchanges.in_progress, true) {
+            tokio::task::spawn_local(self.clone().run_exchanges());
         }
     }
 
-    async fn ask_peers(self: Rc<Self>) {
+    async fn run_exchanges(self: Rc<Self>) {
         loop {
-            self.rest().await;
-            let next = self.sources.borrow_mut().next.take();
-            let Some(peer) = next.filter(|peer| self.own().wants_of(peer.known)) else {
-                self.sources.borrow_mut().asking = false;
+            self.wait_for_interval().await;
+            let next = self.exchanges.borrow_mut().next.take();
+            let Some(peer) = next.filter(|peer| self.digest().should_fetch_from(peer.known)) else {
+                self.exchanges.borrow_mut().in_progress = false;
                 return;
             };
-            let outcome = self.ask_one(peer).await;
-            let mut sources = self.sources.borrow_mut();
-            sources.failed = outcome.is_err();
-            sources.rested_at = Instant::now() + sources.rest;
+            let outcome = self.exchange_with(peer).await;
+            let mut exchanges = self.exchanges.borrow_mut();
+            exchanges.last_failed = outcome.is_err();
+            exchanges.next_at = Instant::now() + exchanges.interval;
         }
     }
 
-    /// Waits until back ends may be asked for again, or something else is known that can't wait.
-    async fn rest(&self) {
-        let (rested_at, next) = {
-            let sources = self.sources.borrow();
-            (sources.rested_at, sources.next)
+    /// Waits until back ends may be requested again or other state is available that must not be
+    /// delayed.
+    async fn wait_for_interval(&self) {
+        let (next_at, next) = {
+            let exchanges = self.exchanges.borrow();
+            (exchanges.next_at, exchanges.next)
         };
-        let is_urgent = next.is_some_and(|next| self.own().lacks_urgently(next.known));
+        let is_urgent = next.is_some_and(|next| self.digest().lacks_urgent_state(next.known));
         if next.is_some() && !is_urgent {
-            let _ = tokio::time::timeout_at(rested_at, self.urgent.notified()).await;
+            let _ = tokio::time::timeout_at(next_at, self.urgent.notified()).await;
         }
     }
 
-    async fn ask_one(&self, peer: Peer) -> Result<(), ExchangeError> {
+    async fn exchange_with(&self, peer: Peer) -> Result<(), ExchangeError> {
         let Peer { address, whole_list, .. } = peer;
-        let own = self.own();
+        let own = self.digest();
         let knows_none = own.backends_revision == 0 && own.backends_digest == 0;
-        let wants_part = own.backends_revision == 0 && (knows_none || !whole_list);
-        let known = if wants_part { own.asking_for_part() } else { own };
-        let answer = fetch(address, StateRequest { known, whole: false }).await;
-        count_exchange(&answer);
-        if (self.take)(answer?) {
-            let request = StateRequest { known: self.own(), whole: true };
-            let answer = fetch(address, request).await;
-            count_exchange(&answer);
-            (self.take)(answer?);
+        let requests_subset = own.backends_revision == 0 && (knows_none || !whole_list);
+        let known = if requests_subset { own.requesting_subset() } else { own };
+        let response = fetch(address, StateRequest { known, whole: false }).await;
+        count_exchange(&response);
+        if (self.apply_response)(response?) {
+            let request = StateRequest { known: self.digest(), whole: true };
+            let response = fetch(address, request).await;
+            count_exchange(&response);
+            (self.apply_response)(response?);
         }
         Ok(())
     }
 
-    /// A member of this zone watches, and the store answers it.
+    /// Records that a member of this zone watches the store and that the store answers it.
     pub fn record_watcher_heartbeat(&self, now: Timestamp, name: &str) {
         self.election.borrow_mut().record_watcher_heartbeat(now, name);
     }
 
-    /// The live members changed.
+    /// Processes a change of the live members: stores the new ranking and adapts the interval
+    /// between exchanges to their number.
     pub fn rank(&self, now: Timestamp, ranking: Ranking, members: usize) {
         self.election.borrow_mut().rank(now, ranking);
-        self.sources.borrow_mut().rest = exchange_rest(members);
+        self.exchanges.borrow_mut().interval = exchange_interval(members);
     }
 
-    /// Time has passed: asks the store again where a peer has known more for long enough, and takes up
-    /// or gives up watching.
+    /// Queries the store again if a peer has been ahead for long enough, and starts or stops
+    /// watching.
     pub fn tick(&self, now: Timestamp) {
-        if self.comparison.borrow_mut().is_due(now, self.own()) {
-            self.ask_store(now);
+        if self.lag.borrow_mut().is_due(now, self.digest()) {
+            self.query_store(now);
         }
-        let knows = self.knows_what_serving_needs();
-        let watches = self.election.borrow_mut().watches(now, knows);
+        let can_serve = self.can_serve();
+        let watches = self.election.borrow_mut().watches(now, can_serve);
         let reads = self.election.borrow_mut().reads_backends(now, self.knows_backends());
         self.reads_backends.send_if_modified(|held| std::mem::replace(held, reads) != reads);
         let changed =
@@ -289,14 +301,14 @@
             metrics::gauge!("platform_watcher").set(if watches { 1.0 } else { 0.0 });
             LogLine::new(EventName::WatchDutyChanged)
                 .field("watches", watches)
-                .field("knows_configuration", knows)
+                .field("knows_configuration", can_serve)
                 .field("rank", self.election.borrow().own_rank())
                 .write();
         }
     }
 
-    /// Whether the configuration is known, and which zones are evacuated where that is followed.
-    fn knows_what_serving_needs(&self) -> bool {
+    /// Whether the configuration is known and, if evacuations are watched, the evacuated zones.
+    fn can_serve(&self) -> bool {
         let platform_state = self.platform_state.borrow();
         platform_state.configuration().is_some() && !platform_state.evacuations_unknown()
     }
@@ -305,46 +317,47 @@
         self.platform_state.borrow().digest().backends_revision > 0
     }
 
-    /// Members to which it is to be said now that this process watches; none where it does not, or
-    /// where the store does not answer it.
+    /// Members to which this process announces that it watches; empty if it does not watch or the
+    /// store does not answer it.
     pub fn standbys(&self) -> Vec<String> {
-        if !*self.watches.borrow() || !self.platform_state.borrow().is_in_touch() {
+        if !*self.watches.borrow() || !self.platform_state.borrow().is_store_reachable() {
             return Vec::new();
         }
         self.election.borrow().standbys().to_vec()
     }
 
-    /// Whether this process watches.
+    /// Whether this process watches the store.
     pub fn watches(&self) -> bool {
         *self.watches.borrow()
     }
 
-    /// When `tick` has something to do.
+    /// Returns when `tick` should be called next.
     pub fn next_check(&self, now: Timestamp) -> Timestamp {
-        let (configuration, backends) = (self.knows_what_serving_needs(), self.knows_backends());
-        let look = self.election.borrow().next_check(now, configuration, backends);
-        self.comparison.borrow().next_check().map_or(look, |comparison| comparison.min(look))
+        let (configuration, backends) = (self.can_serve(), self.knows_backends());
+        let check_at = self.election.borrow().next_check(now, configuration, backends);
+        self.lag.borrow().next_check().map_or(check_at, |lag| lag.min(check_at))
     }
 
-    /// Waits until what this process knows has changed.
+    /// Waits until the local state has changed.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Asks the store again. A process that does not watch does so only where peers give no answer.
-    fn ask_store(&self, now: Timestamp) {
+    /// Queries the store again. A process that does not watch does so only if its peers do not
+    /// respond.
+    fn query_store(&self, now: Timestamp) {
         if *self.watches.borrow() {
             self.refresh.configuration.notify_one();
             self.refresh.backends.notify_one();
             self.refresh.evacuations.notify_one();
-        } else if self.sources.borrow().failed {
+        } else if self.exchanges.borrow().last_failed {
             self.election.borrow_mut().catch_up(now);
         }
     }
 }
 
-/// Counts an exchange with a peer by its outcome.
-fn count_exchange(answer: &Result<StateResponse, ExchangeError>) {
-    let outcome = if answer.is_ok() { "ok" } else { "failed" };
+/// Counts an exchange with a peer by outcome.
+fn count_exchange(response: &Result<StateResponse, ExchangeError>) {
+    let outcome = if response.is_ok() { "ok" } else { "failed" };
     metrics::counter!("news_exchanges_total", "outcome" => outcome).increment(1);
 }
--- a/crates/serving/src/platform_state.rs
+++ b/crates/serving/src/platform_state.rs
@@ -1,8 +1,9 @@
-//! What a process knows of the platform's objects, whether the store or a peer told it.
+//! State of the platform's objects as held by one process, whether received from the store or from
+//! a peer.
 //!
-//! Invariant: nothing goes backwards within a life of the process. A configuration is replaced only
-//! by one of a higher version; an object only by one of a later life or of a higher revision; and a list
-//! that is older than what is held removes nothing.
+//! Invariant: state never goes backwards while the process runs. A configuration is replaced only
+//! by one with a higher version; an object only by one of a later incarnation or a higher revision;
+//! and a list older than the current one removes nothing.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -16,7 +17,7 @@
 use yokefall_core::membership::{ObjectDigest, StateAges};
 use yokefall_core::Timestamp;
 
-use crate::ages::{Ages, ObjectKind};
+use crate::ages::{AgeTracker, ObjectKind};
 use crate::catalog::{Catalog, CatalogCell, ZoneState};
 use crate::eligibility::{Freshness, ZoneMap};
 use crate::model::{Backend, BackendState, Configuration, Evacuation};
@@ -24,46 +25,50 @@
 use crate::peer_sync::StateDigest;
 use crate::source::{Change, Listing, Revision, SourceError};
 use crate::state_exchange::{
-    BackendNews, NamedBackend, NamedEvacuation, StateRequest, StateResponse, Teller,
+    BackendUpdates, StateProvider, StateRequest, StateResponse, VersionedBackend,
+    VersionedEvacuation,
 };
 
-/// Back ends that a process is told first which knows none: enough to serve with until it knows all, and 60 kB, which a
-/// link of 30 Mbit/s takes 16 ms for. A list of 10,000 takes it 0.3 s, and as long at each peer that tells it.
-pub const PART_BACKENDS: usize = 512;
+/// Number of back ends sent first to a process that has none: enough to serve requests until it has
+/// received all, and 60 kB, which takes 16 ms on a link of 30 Mbit/s. A list of 10,000 takes 0.3 s,
+/// and as long again at each peer that sends it.
+pub const SUBSET_BACKENDS: usize = 512;
 
-/// All that is known, and the cell that others read it from.
+/// All objects known, and the cell from which other threads read them.
 #[derive(Debug)]
 pub struct PlatformState {
     configuration: Option<Arc<Configuration>>,
     pub(crate) backends: Objects<Backend>,
-    /// Zones that operators have evacuated, by the name of each request.
+    /// Zones evacuated by operators, by object name.
     pub(crate) evacuations: Objects<Evacuation>,
-    /// Whether requests to evacuate zones are followed.
-    follows_evacuations: bool,
-    /// Regions of zones.
+    /// Whether evacuations are watched.
+    watches_evacuations: bool,
+    /// Region of each zone.
     zones: Arc<ZoneMap>,
     /// Digest of the back ends and their states.
-    digest: u64,
+    backends_digest: u64,
     pub(crate) cell: CatalogCell,
-    /// Woken when what is known has changed.
+    /// Notified when the state changes.
     changed: Rc<Notify>,
-    /// Kinds of objects that the store gave when it was last asked.
-    answered: BTreeSet<ObjectKind>,
-    pub(crate) ages: Ages,
-    /// Whether peers are told each time that the store confirms what is known.
-    tells_confirmations: bool,
-    /// Whether it has since that was last asked.
+    /// Kinds of objects whose last call to the store succeeded.
+    reachable_kinds: BTreeSet<ObjectKind>,
+    pub(crate) ages: AgeTracker,
+    /// Whether peers are notified each time the store confirms the state.
+    announces_confirmations: bool,
+    /// Whether the store has confirmed the state since the last call of `take_confirmation`.
     confirmed: bool,
 }
 
-/// What a process follows beside configuration and back ends.
+/// What a process watches in addition to configuration and back ends.
 #[derive(Debug)]
 pub struct StateOptions {
-    /// Whether it follows requests to evacuate zones. It serves nobody then before it has heard of them.
+    /// Whether evacuations are watched. If so, no request is served before the evacuated zones are
+    /// known.
     pub evacuations: bool,
-    /// Whether decisions rest on how old what is known is, so that peers are told whenever the store confirms it.
+    /// Whether decisions depend on the age of the state, so that peers are notified whenever the
+    /// store confirms it.
     pub ages: bool,
-    /// Is told the age of what is known.
+    /// Receives the age of the state.
     pub freshness: Freshness,
 }
 
@@ -78,93 +83,101 @@
 }
 
 impl PlatformState {
-    /// Nothing known yet, and requests to evacuate zones not followed.
+    /// Creates an empty state that does not watch evacuations.
     pub fn new(cell: CatalogCell, zones: Arc<ZoneMap>) -> Self {
         Self::with_options(cell, zones, StateOptions::default())
     }
 
-    /// Nothing known yet.
-    pub fn with_options(cell: CatalogCell, zones: Arc<ZoneMap>, following: StateOptions) -> Self {
+    /// Creates an empty state.
+    pub fn with_options(cell: CatalogCell, zones: Arc<ZoneMap>, options: StateOptions) -> Self {
         let mut platform_state = Self {
             configuration: None,
             backends: Objects::default(),
             evacuations: Objects::default(),
-            follows_evacuations: following.evacuations,
+            watches_evacuations: options.evacuations,
             zones,
-            digest: 0,
+            backends_digest: 0,
             cell,
             changed: Rc::default(),
-            answered: BTreeSet::new(),
-            ages: Ages::new(following.freshness, following.evacuations),
-            tells_confirmations: following.ages,
+            reachable_kinds: BTreeSet::new(),
+            ages: AgeTracker::new(options.freshness, options.evacuations),
+            announces_confirmations: options.ages,
             confirmed: false,
         };
         platform_state.publish_zones();
         platform_state
     }
 
-    /// Whether the store answers this process, by the last calls of each kind.
-    pub fn is_in_touch(&self) -> bool {
-        let kinds = 2 + usize::from(self.follows_evacuations);
-        self.answered.len() == kinds
+    /// Whether the last calls to the store of every kind succeeded.
+    pub fn is_store_reachable(&self) -> bool {
+        let kinds = 2 + usize::from(self.watches_evacuations);
+        self.reachable_kinds.len() == kinds
     }
 
-    pub(crate) fn note_ended(&mut self, kind: ObjectKind, error: Option<&SourceError>) {
+    pub(crate) fn record_outcome(&mut self, kind: ObjectKind, error: Option<&SourceError>) {
         match error {
-            None => self.answered.insert(kind),
-            Some(_) => self.answered.remove(&kind),
+            None => self.reachable_kinds.insert(kind),
+            Some(_) => self.reachable_kinds.remove(&kind),
         };
     }
 
-    /// The store answered a call of a kind that was made at a moment, and that it may have held back for a time
-    /// because nothing changed: what it told held at the end of that time.
-    pub(crate) fn note_answered(&mut self, kind: ObjectKind, asked: Timestamp, held_back_ms: u64) {
+    /// Records that the store answered a call made at `asked`. The store may have held the response
+    /// back for `held_back_ms` because nothing changed; the response is valid as of the end of that
+    /// time.
+    pub(crate) fn record_response(
+        &mut self,
+        kind: ObjectKind,
+        asked: Timestamp,
+        held_back_ms: u64,
+    ) {
         let since_asked = self.ages.now().millis_since(asked);
-        // An answer that came sooner than it was to come tells less.
+        // A response that arrived before the end of the wait is only valid as of the time of the
+        // request.
         let age_ms = since_asked.checked_sub(held_back_ms).unwrap_or(since_asked);
-        self.ages.note(kind, age_ms);
-        if self.tells_confirmations {
+        self.ages.record(kind, age_ms);
+        if self.announces_confirmations {
             self.confirmed = true;
             self.changed.notify_one();
         }
     }
 
-    /// Whether the store has confirmed something since this was last asked, which peers are to be told.
+    /// Whether the store has confirmed something since the last call, so that peers are to be
+    /// notified.
     pub fn take_confirmation(&mut self) -> bool {
         std::mem::take(&mut self.confirmed)
     }
 
-    /// How long ago the store confirmed what is known, by kind.
+    /// Returns, by kind, how long ago the store confirmed the state.
     pub fn ages(&self) -> StateAges {
-        self.ages.told()
+        self.ages.snapshot()
     }
 
-    /// The same as peers are told; nothing where no decision rests on it.
-    pub fn told_ages(&self) -> StateAges {
-        match self.tells_confirmations {
+    /// Returns the ages advertised to peers; empty if no decision depends on them.
+    pub fn advertised_ages(&self) -> StateAges {
+        match self.announces_confirmations {
             true => self.ages(),
             false => StateAges::default(),
         }
     }
 
-    /// A peer told how old what it knows is, `delay_ms` ago at most. Where it knows no more of a kind, what is
-    /// known here is as new.
+    /// Processes the ages reported by a peer at most `delay_ms` ago. For kinds in which the peer is
+    /// not ahead, the local state is as recent as the peer's.
     pub fn receive_ages(&mut self, peer: StateDigest, ages: StateAges, delay_ms: u64) {
         let own = self.digest();
-        let told = [
+        let reported = [
             (ObjectKind::Configuration, ages.configuration_ms, own.version < peer.version),
             (ObjectKind::Backends, ages.backends_ms, own.lacks_backends(peer)),
             (ObjectKind::Evacuations, ages.evacuations_ms, own.lacks_evacuations(peer)),
         ];
-        for (kind, age_ms, lacks) in told {
+        for (kind, age_ms, lacks) in reported {
             if let Some(age_ms) = age_ms.filter(|_| !lacks) {
-                self.ages.note(kind, u64::from(age_ms).saturating_add(delay_ms));
+                self.ages.record(kind, u64::from(age_ms).saturating_add(delay_ms));
             }
         }
     }
 
-    /// Takes a configuration; returns whether it is newer than the one in force.
-    pub fn take_configuration(&mut self, configuration: Configuration) -> bool {
+    /// Applies a configuration; returns whether it is newer than the current one.
+    pub fn apply_configuration(&mut self, configuration: Configuration) -> bool {
         let held = self.configuration.as_ref().map_or(0, |held| held.version);
         if configuration.version <= held {
             return false;
@@ -175,45 +188,46 @@
         true
     }
 
-    /// Regions of zones.
+    /// Region of each zone.
     pub fn zones(&self) -> &ZoneMap {
         &self.zones
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// Back ends that are known, draining ones too.
+    /// All known back ends, including draining ones.
     pub fn backends(&self) -> &Objects<Backend> {
         &self.backends
     }
 
-    /// Requests to evacuate zones that are known.
+    /// All known evacuations.
     pub fn evacuations(&self) -> &Objects<Evacuation> {
         &self.evacuations
     }
 
-    /// Whether nobody has told yet which zones are evacuated.
+    /// Whether it is not known yet which zones are evacuated.
     pub fn evacuations_unknown(&self) -> bool {
-        self.follows_evacuations && self.evacuations.revision() == 0
+        self.watches_evacuations && self.evacuations.revision() == 0
     }
 
-    /// Woken when what is known has changed.
+    /// Notified when the state changes.
     pub fn changed(&self) -> Rc<Notify> {
         self.changed.clone()
     }
 
-    /// What is known, to be told to peers.
+    /// Returns the digest of the state that is advertised to peers.
     pub fn digest(&self) -> StateDigest {
-        // With the revision of each: equal digests are equal lists, of which the higher revision is true of both.
+        // The hash includes the revisions: lists with equal digests are equal, so the higher
+        // revision is valid for both.
         let hash = |(name, revision, _): (&String, Revision, &Arc<Evacuation>)| {
             xxh3_64_with_seed(name.as_bytes(), revision)
         };
         StateDigest {
             version: self.configuration.as_ref().map_or(0, |held| held.version),
-            backends_digest: self.digest,
+            backends_digest: self.backends_digest,
             backends_revision: self.backends.revision(),
             evacuations: ObjectDigest {
                 digest: self.evacuations.named().map(hash).fold(0, u64::wrapping_add),
@@ -222,92 +236,96 @@
         }
     }
 
-    /// What a peer that knows less is told.
+    /// Builds the response to a peer that is behind.
     pub fn answer(&self, request: &StateRequest) -> StateResponse {
         let held = self.configuration.as_ref();
         let configuration = held.filter(|held| held.version > request.known.version);
         let own = self.digest();
-        let (backends, backends_revision) = match self.tells_part(request) {
-            // Of a part nobody may take that it is all.
-            true => (self.part(), 0),
-            false => (self.backend_news(request), own.backends_revision),
+        let (backends, backends_revision) = match self.sends_subset(request) {
+            // Revision 0 marks the response as incomplete.
+            true => (self.random_subset(), 0),
+            false => (self.backend_updates(request), own.backends_revision),
         };
         StateResponse {
             known: StateDigest { backends_revision, ..own },
             configuration: configuration.map(|held| Configuration::clone(held)),
             backends,
-            evacuations: request.known.lacks_evacuations(own).then(|| self.evacuation_news()),
+            evacuations: request.known.lacks_evacuations(own).then(|| self.evacuation_updates()),
         }
     }
 
-    /// Revision after which a peer is told what changed; `None` where it is told all.
-    fn told_since(&self, request: &StateRequest) -> Option<Revision> {
+    /// Returns the revision after which changes are sent to a peer; `None` if the whole list is
+    /// sent.
+    fn changes_since(&self, request: &StateRequest) -> Option<Revision> {
         let known = request.known.backends_revision;
         (!request.whole && self.backends.covers(known)).then_some(known)
     }
 
-    /// How many back ends a peer that knows less is told.
-    pub fn backends_to_tell(&self, request: &StateRequest) -> usize {
-        if self.tells_part(request) {
-            return self.backends.len().min(PART_BACKENDS);
+    /// Number of back ends in the response to a peer.
+    pub fn response_backends(&self, request: &StateRequest) -> usize {
+        if self.sends_subset(request) {
+            return self.backends.len().min(SUBSET_BACKENDS);
         }
-        match self.told_since(request) {
+        match self.changes_since(request) {
             None => self.backends.len(),
             Some(revision) => self.backends.changed_after(revision).count(),
         }
     }
 
-    /// Whether a peer is told some of the back ends: it wants no more, or no more is known here.
-    fn tells_part(&self, request: &StateRequest) -> bool {
-        let is_many = self.backends.len() > PART_BACKENDS;
-        self.backends.revision() == 0 || (request.known.wants_part() && is_many)
+    /// Whether a peer is sent a subset of the back ends: it asked for no more, or no more are known
+    /// here.
+    fn sends_subset(&self, request: &StateRequest) -> bool {
+        let exceeds_subset = self.backends.len() > SUBSET_BACKENDS;
+        self.backends.revision() == 0 || (request.known.requests_subset() && exceeds_subset)
     }
 
-    /// Some back ends, drawn by chance so that processes that start together do not all use the same ones.
-    fn part(&self) -> BackendNews {
+    /// Returns a random subset of the back ends, so that processes that start together do not all
+    /// use the same ones.
+    fn random_subset(&self) -> BackendUpdates {
         let all = self.backends.named();
-        let drawn = all.choose_multiple(&mut rand::rng(), PART_BACKENDS);
-        let named = drawn.into_iter().map(|(name, revision, backend)| NamedBackend {
+        let chosen = all.choose_multiple(&mut rand::rng(), SUBSET_BACKENDS);
+        let named = chosen.into_iter().map(|(name, revision, backend)| VersionedBackend {
             name: name.clone(),
             revision,
             backend: Backend::clone(backend),
         });
-        BackendNews { since: None, changed: named.collect(), removed: Vec::new() }
+        BackendUpdates { since: None, changed: named.collect(), removed: Vec::new() }
     }
 
-    fn backend_news(&self, request: &StateRequest) -> BackendNews {
-        let since = self.told_since(request);
+    fn backend_updates(&self, request: &StateRequest) -> BackendUpdates {
+        let since = self.changes_since(request);
         let after = since.unwrap_or(0);
         let changed = |(name, revision, backend): (&String, Revision, &Arc<Backend>)| {
             let (name, backend) = (name.clone(), Backend::clone(backend));
-            NamedBackend { name, revision, backend }
+            VersionedBackend { name, revision, backend }
         };
-        BackendNews {
+        BackendUpdates {
             since,
             changed: self.backends.changed_after(after).map(changed).collect(),
             removed: self.backends.removed_after(after).cloned().collect(),
         }
     }
 
-    fn evacuation_news(&self) -> Vec<NamedEvacuation> {
+    fn evacuation_updates(&self) -> Vec<VersionedEvacuation> {
         let named = |(_, revision, evacuation): (&String, Revision, &Arc<Evacuation>)| {
-            NamedEvacuation { revision, evacuation: Evacuation::clone(evacuation) }
+            VersionedEvacuation { revision, evacuation: Evacuation::clone(evacuation) }
         };
         self.evacuations.named().map(named).collect()
     }
 
-    /// Takes what a peer told of back ends. Returns whether the same is known here now; where it is
-    /// not, the whole list is to be asked for.
-    pub fn take_backend_news(&mut self, peer: StateDigest, peer_sync: BackendNews) -> bool {
+    /// Applies back ends received from a peer. Returns whether the local state now equals the
+    /// peer's; if not, the whole list must be requested.
+    pub fn apply_backend_updates(&mut self, peer: StateDigest, updates: BackendUpdates) -> bool {
         let revision = peer.backends_revision;
-        let BackendNews { since, changed, removed } = peer_sync;
+        let BackendUpdates { since, changed, removed } = updates;
         let changes = changed.into_iter().map(Change::from);
         let changed = match since {
             None => {
                 let listing = Listing { items: changes.collect(), revision };
                 self.backends.replace(listing).unwrap_or_default()
             }
-            // What changed in between came from elsewhere meanwhile: it is newer or the same.
+            // Objects changed here in the meantime were updated by another source and are at least
+            // as new.
             Some(_) => {
                 let mut changed = self.backends.remove(removed);
                 changed.extend(self.backends.apply(changes.collect(), revision));
@@ -315,12 +333,12 @@
             }
         };
         self.publish_backends(&changed);
-        self.backends.revision() != revision || self.digest == peer.backends_digest
+        self.backends.revision() != revision || self.backends_digest == peer.backends_digest
     }
 
-    /// Takes some back ends, as a peer or a page of a list tells them, until all are known. It takes none away.
-    /// Returns whether any of them was new.
-    pub fn take_part(&mut self, changes: Vec<Change<Backend>>) -> bool {
+    /// Applies a subset of the back ends, received from a peer or as one page of a list, until the
+    /// whole list is known. Removes none. Returns whether any of them was new.
+    pub fn apply_subset(&mut self, changes: Vec<Change<Backend>>) -> bool {
         if self.backends.revision() > 0 {
             return false;
         }
@@ -331,8 +349,8 @@
         !changed.is_empty()
     }
 
-    /// A peer that knows the same evacuated zones at a higher revision: so does this process. An older peer could
-    /// else tell what was true before them.
+    /// Raises the revision of the evacuations if a peer holds the same ones at a higher revision.
+    /// Otherwise an older peer could restore an outdated state.
     pub fn confirm_evacuations(&mut self, peer: StateDigest) {
         let own = self.digest().evacuations;
         if own.revision > 0 && own.digest == peer.evacuations.digest {
@@ -340,26 +358,26 @@
         }
     }
 
-    /// Puts changes of back ends, which `backends` holds already, into force.
+    /// Publishes changes that `backends` already contains.
     pub(crate) fn publish_backends(&mut self, changes: &[ObjectChange<Backend>]) {
         let sum = |backends: &mut dyn Iterator<Item = &Arc<Backend>>| {
             backends.map(digest_of).fold(0, u64::wrapping_add)
         };
         let before = sum(&mut changes.iter().filter_map(|change| change.before.as_ref()));
         let after = sum(&mut changes.iter().filter_map(|change| change.after.as_ref()));
-        self.digest = self.digest.wrapping_sub(before).wrapping_add(after);
+        self.backends_digest = self.backends_digest.wrapping_sub(before).wrapping_add(after);
         let mut catalog = Catalog::clone(&self.cell.load()).with_changes(changes);
         catalog.is_partial = self.backends.revision() == 0;
         self.publish(catalog);
     }
 
-    /// Puts what is known of zones into force.
+    /// Publishes the zone data.
     pub(crate) fn publish_zones(&mut self) {
         let evacuated = self.evacuations.values().map(|evacuation| evacuation.zone.clone());
-        let facts = ZoneState { evacuated: evacuated.collect(), zones: self.zones.clone() };
-        let catalog = Catalog::clone(&self.cell.load()).with_zone_facts(facts);
+        let zone_state = ZoneState { evacuated: evacuated.collect(), zones: self.zones.clone() };
+        let catalog = Catalog::clone(&self.cell.load()).with_zone_state(zone_state);
         let catalog = match self.evacuations_unknown() {
-            true => catalog.awaiting_evacuations(),
+            true => catalog.with_evacuations_unknown(),
             false => catalog,
         };
         self.publish(catalog);
@@ -371,9 +389,9 @@
     }
 }
 
-impl Teller for RefCell<PlatformState> {
-    fn backends_to_tell(&self, request: &StateRequest) -> usize {
-        self.borrow().backends_to_tell(request)
+impl StateProvider for RefCell<PlatformState> {
+    fn response_backends(&self, request: &StateRequest) -> usize {
+        self.borrow().response_backends(request)
     }
 
     fn answer(&self, request: &StateRequest) -> StateResponse {
@@ -381,11 +399,11 @@
     }
 }
 
-/// Digest of what decides whether a back end may be used. Its load and the like change with each of its
-/// heartbeats, and are not worth an exchange.
+/// Digest of the properties that decide whether a back end may be used. Load and similar values
+/// change with every heartbeat and do not justify an exchange.
 fn digest_of(backend: &Arc<Backend>) -> u64 {
     let ready = backend.state == BackendState::Ready;
     let cold = backend.cold_remaining_ms > 0;
-    let facts = (&backend.id, backend.started_ms, ready, cold, backend.address, &backend.zone);
-    xxh3_64(format!("{facts:?} {}", backend.service).as_bytes())
+    let properties = (&backend.id, backend.started_ms, ready, cold, backend.address, &backend.zone);
+    xxh3_64(format!("{properties:?} {}", backend.service).as_bytes())
 }
--- a/crates/serving/src/shared_state.rs
+++ b/crates/serving/src/shared_state.rs
@@ -1,4 +1,5 @@
-//! What a process knows, as lists, watches and peers change it, and who is told of the changes.
+//! Applies updates from lists, watches and peers to the state of a process, and notifies an
+//! observer of changes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,46 +12,46 @@
 use crate::objects::{ObjectChange, Objects};
 use crate::platform_state::PlatformState;
 use crate::source::{Change, Listing, Revision, SourceError};
-use crate::state_exchange::{NamedEvacuation, StateResponse};
+use crate::state_exchange::{StateResponse, VersionedEvacuation};
 use crate::watch::Sink;
 
-/// Told of each change of what a process believes.
+/// Receives each change of the state of a process.
 pub trait Observer {
     /// A configuration came into force.
     fn configuration(&self, version: u64);
-    /// A configuration in force names regions that no zone has, each as `route NAME: REGION`.
+    /// The configuration in force names regions that no zone has, each as `route NAME: REGION`.
     fn unknown_regions(&self, version: u64, unknown: &[String]);
-    /// Back ends changed: how many take work now, and at which revision.
+    /// Back ends changed: how many accept work now, and at which revision.
     fn backends(&self, ready: usize, revision: Revision);
-    /// Requests to evacuate zones became known, or ended.
+    /// Evacuations began or ended.
     fn evacuations(&self, change: &EvacuationChange);
-    /// Calls to the store began to fail, or succeed again.
+    /// Calls to the store started to fail, or to succeed again.
     fn reachable(&self, kind: &'static str, error: Option<&SourceError>);
 }
 
-/// What a process has learnt of evacuated zones.
+/// A change of the set of evacuated zones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationChange {
-    /// Zones that are evacuated from now on, with the revision of each request and the back ends there that get
-    /// nothing new.
+    /// Zones that are newly evacuated, with the revision of each evacuation and the number of back
+    /// ends there that receive no new work.
     pub begun: Vec<(String, Revision, usize)>,
-    /// Zones that are not evacuated any more.
+    /// Zones that are no longer evacuated.
     pub ended: Vec<String>,
-    /// Zones that are evacuated now.
+    /// Number of zones that are evacuated now.
     pub evacuated: usize,
-    /// Revision up to which this is known.
+    /// Revision up to which the set is known.
     pub revision: Revision,
-    /// Who told it: `store` or `peer`.
+    /// Source of the change: `store` or `peer`.
     pub source: &'static str,
-    /// How long ago the store confirmed what was known before, in milliseconds.
+    /// How long ago the store confirmed the previous state, in milliseconds.
     pub age_ms: Option<u32>,
 }
 
-/// The knowledge of one process as a sink of all kinds.
+/// The state of one process, usable as a sink for all kinds of objects.
 pub struct SharedPlatformState<O> {
-    /// What is known.
+    /// The state.
     pub platform_state: Rc<RefCell<PlatformState>>,
-    /// Who is told.
+    /// Receives the changes.
     pub observer: Rc<O>,
 }
 
@@ -61,54 +62,55 @@
 }
 
 impl<O: Observer> SharedPlatformState<O> {
-    /// Takes what a peer told. Returns whether its whole list of back ends is needed.
-    pub fn apply_response(&self, answer: StateResponse) -> bool {
-        if let Some(configuration) = answer.configuration {
-            self.take_configuration(configuration);
+    /// Applies a response of a peer. Returns whether its whole list of back ends is needed.
+    pub fn apply_response(&self, response: StateResponse) -> bool {
+        if let Some(configuration) = response.configuration {
+            self.apply_configuration(configuration);
         }
-        if let Some(named) = answer.evacuations {
-            let change = |named: NamedEvacuation| Change {
+        if let Some(named) = response.evacuations {
+            let change = |named: VersionedEvacuation| Change {
                 name: named.evacuation.zone.clone(),
                 revision: named.revision,
                 value: Some(named.evacuation),
             };
             let items = named.into_iter().map(change).collect();
-            let listing = Listing { items, revision: answer.known.evacuations.revision };
+            let listing = Listing { items, revision: response.known.evacuations.revision };
             self.change_evacuations("peer", |held| {
                 held.replace(listing);
             });
         }
-        if answer.known.backends_revision == 0 {
-            // A peer that tells no more, or knows no more.
-            self.take_part(answer.backends.changed.into_iter().map(Change::from).collect());
+        if response.known.backends_revision == 0 {
+            // The peer sent only a subset, or has no complete list itself.
+            self.apply_subset(response.backends.changed.into_iter().map(Change::from).collect());
             return false;
         }
         let own = self.platform_state.borrow().digest();
-        let is_same = own.backends_digest == answer.known.backends_digest;
-        let (held, told) = (own.backends_revision, answer.known.backends_revision);
-        if held > told || (held == told && is_same) {
+        let is_same = own.backends_digest == response.known.backends_digest;
+        let (held, reported) = (own.backends_revision, response.known.backends_revision);
+        if held > reported || (held == reported && is_same) {
             return false;
         }
         let is_same = {
             let mut platform_state = self.platform_state.borrow_mut();
-            platform_state.take_backend_news(answer.known, answer.backends)
+            platform_state.apply_backend_updates(response.known, response.backends)
         };
-        self.tell_backends();
+        self.report_backends();
         !is_same
     }
 
-    /// Takes some back ends before all are known, and tells of it where any was new.
-    fn take_part(&self, changes: Vec<Change<Backend>>) {
-        let any = self.platform_state.borrow_mut().take_part(changes);
+    /// Applies a subset of the back ends before the whole list is known, and reports it if any was
+    /// new.
+    fn apply_subset(&self, changes: Vec<Change<Backend>>) {
+        let any = self.platform_state.borrow_mut().apply_subset(changes);
         if any {
-            self.tell_backends();
+            self.report_backends();
         }
     }
 
-    fn take_configuration(&self, configuration: Configuration) {
+    fn apply_configuration(&self, configuration: Configuration) {
         let version = configuration.version;
         let unknown = unknown_regions(&configuration, self.platform_state.borrow().zones());
-        if self.platform_state.borrow_mut().take_configuration(configuration) {
+        if self.platform_state.borrow_mut().apply_configuration(configuration) {
             self.observer.configuration(version);
             if !unknown.is_empty() {
                 self.observer.unknown_regions(version, &unknown);
@@ -116,20 +118,20 @@
         }
     }
 
-    /// Changes what is known of evacuated zones, and tells what came of it.
+    /// Changes the evacuated zones and reports the effect.
     fn change_evacuations(
         &self,
         source: &'static str,
         change: impl FnOnce(&mut Objects<Evacuation>),
     ) {
         let mut platform_state = self.platform_state.borrow_mut();
-        let (known, awaited) =
+        let (known, was_unknown) =
             (platform_state.digest().evacuations, platform_state.evacuations_unknown());
         let before = platform_state.cell.load_full();
         let age_ms = platform_state.ages().evacuations_ms;
         change(&mut platform_state.evacuations);
         if platform_state.digest().evacuations.digest == known.digest
-            && platform_state.evacuations_unknown() == awaited
+            && platform_state.evacuations_unknown() == was_unknown
         {
             return;
         }
@@ -155,7 +157,7 @@
         self.observer.evacuations(&change);
     }
 
-    /// Changes what is known of back ends, and tells of it where anything did; `None` where nothing was to change.
+    /// Changes the back ends and reports it; `change` returns `None` if there was nothing to apply.
     fn change_backends(
         &self,
         change: impl FnOnce(&mut Objects<Backend>) -> Option<Vec<ObjectChange<Backend>>>,
@@ -166,11 +168,11 @@
             changed.map(|changed| platform_state.publish_backends(&changed))
         };
         if changed.is_some() {
-            self.tell_backends();
+            self.report_backends();
         }
     }
 
-    fn tell_backends(&self) {
+    fn report_backends(&self) {
         let platform_state = self.platform_state.borrow();
         let ready = platform_state.cell.load().ready_count();
         self.observer.backends(ready, platform_state.backends.revision());
@@ -180,12 +182,12 @@
         self.platform_state.borrow().ages.now()
     }
 
-    fn note_answered(&self, kind: ObjectKind, asked: Timestamp, held_back_ms: u64) {
-        self.platform_state.borrow_mut().note_answered(kind, asked, held_back_ms);
+    fn record_response(&self, kind: ObjectKind, asked: Timestamp, held_back_ms: u64) {
+        self.platform_state.borrow_mut().record_response(kind, asked, held_back_ms);
     }
 
-    fn note_ended(&self, kind: ObjectKind, error: Option<&SourceError>) {
-        self.platform_state.borrow_mut().note_ended(kind, error);
+    fn record_outcome(&self, kind: ObjectKind, error: Option<&SourceError>) {
+        self.platform_state.borrow_mut().record_outcome(kind, error);
         self.observer.reachable(kind.name(), error);
     }
 }
@@ -197,12 +199,12 @@
 
     fn apply(&self, changes: Vec<Change<Configuration>>, _revision: Revision) {
         for configuration in changes.into_iter().filter_map(|change| change.value) {
-            self.take_configuration(configuration);
+            self.apply_configuration(configuration);
         }
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(ObjectKind::Configuration, error);
+        self.record_outcome(ObjectKind::Configuration, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -210,7 +212,7 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(ObjectKind::Configuration, asked, held_back_ms);
+        self.record_response(ObjectKind::Configuration, asked, held_back_ms);
     }
 }
 
@@ -219,8 +221,8 @@
         self.change_backends(|held| held.replace(listing));
     }
 
-    fn part(&self, items: &[Change<Backend>]) {
-        self.take_part(items.to_vec());
+    fn apply_page(&self, items: &[Change<Backend>]) {
+        self.apply_subset(items.to_vec());
     }
 
     fn apply(&self, changes: Vec<Change<Backend>>, revision: Revision) {
@@ -232,7 +234,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(ObjectKind::Backends, error);
+        self.record_outcome(ObjectKind::Backends, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -240,13 +242,13 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(ObjectKind::Backends, asked, held_back_ms);
+        self.record_response(ObjectKind::Backends, asked, held_back_ms);
     }
 }
 
 impl<O: Observer> Sink<Evacuation> for SharedPlatformState<O> {
     fn replace(&self, mut listing: Listing<Evacuation>) {
-        // Revision 0 is for whoever has heard nothing yet.
+        // Revision 0 means that nothing has been received yet.
         listing.revision = listing.revision.max(1);
         self.change_evacuations("store", |held| {
             held.replace(listing);
@@ -260,7 +262,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(ObjectKind::Evacuations, error);
+        self.record_outcome(ObjectKind::Evacuations, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -268,6 +270,6 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(ObjectKind::Evacuations, asked, held_back_ms);
+        self.record_response(ObjectKind::Evacuations, asked, held_back_ms);
     }
 }
--- a/crates/serving/src/state_digest.rs
+++ b/crates/serving/src/state_digest.rs
@@ -1,12 +1,12 @@
-//! What a process knows of the platform's objects, in numbers by which peers find out who knows more.
+//! Compact digest of a process's state by which peers find out who is ahead.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use yokefall_core::membership::ObjectDigest;
 
-/// Digest in a request of a process that knows no back ends, by which it asks for some of them: no list has it.
-const PART_WANTED: u64 = 1;
+/// Digest sent by a process without back ends to request a subset of them. No list has this digest.
+const SUBSET_REQUEST_DIGEST: u64 = 1;
 
-/// What one process knows, in numbers that fit a datagram.
+/// Digest of the state of one process; fits into a datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct StateDigest {
     /// Version of the configuration.
@@ -15,56 +15,58 @@
     pub backends_digest: u64,
     /// Store revision up to which the back ends are known.
     pub backends_revision: u64,
-    /// Evacuated zones; their revision is 0 where nothing was heard of them yet.
+    /// Evacuated zones; revision 0 if none have been received yet.
     pub evacuations: ObjectDigest,
 }
 
 impl StateDigest {
-    /// Whether this says more than what was told before.
-    pub fn differs_from(self, told: StateDigest) -> bool {
-        self.version > told.version
-            || self.backends_digest != told.backends_digest
-            || self.evacuations.digest != told.evacuations.digest
-            || (self.evacuations.revision > 0) != (told.evacuations.revision > 0)
+    /// Whether this state has to be announced, given the state announced last.
+    pub fn differs_from(self, announced: StateDigest) -> bool {
+        self.version > announced.version
+            || self.backends_digest != announced.backends_digest
+            || self.evacuations.digest != announced.evacuations.digest
+            || (self.evacuations.revision > 0) != (announced.evacuations.revision > 0)
     }
 
-    /// Whether a peer is to be asked.
-    pub(crate) fn wants_of(self, peer: StateDigest) -> bool {
+    /// Whether a peer should be asked for its state.
+    pub(crate) fn should_fetch_from(self, peer: StateDigest) -> bool {
         self.lacks(peer) || self.lacks_any_backend(peer)
     }
 
-    /// Whether a peer knows more.
+    /// Whether a peer is ahead.
     pub(crate) fn lacks(self, peer: StateDigest) -> bool {
         self.version < peer.version || self.lacks_backends(peer) || self.lacks_evacuations(peer)
     }
 
-    /// Whether nothing is known of back ends, and a peer knows some.
+    /// Whether no back ends are known here and the peer knows some.
     pub(crate) fn lacks_any_backend(self, peer: StateDigest) -> bool {
         self.backends_revision == 0 && self.backends_digest == 0 && peer.backends_digest != 0
     }
 
-    /// The same in a request that wants some of the back ends, and not all. Peers of a build before that tell all.
-    pub fn asking_for_part(self) -> Self {
-        Self { backends_digest: PART_WANTED, ..self }
+    /// Returns the digest for a request that wants only a subset of the back ends. Peers of older
+    /// builds send all of them.
+    pub fn requesting_subset(self) -> Self {
+        Self { backends_digest: SUBSET_REQUEST_DIGEST, ..self }
     }
 
-    /// Whether a request wants some of the back ends, and not all.
-    pub fn wants_part(self) -> bool {
-        self.backends_revision == 0 && self.backends_digest == PART_WANTED
+    /// Whether a request wants only a subset of the back ends.
+    pub fn requests_subset(self) -> bool {
+        self.backends_revision == 0 && self.backends_digest == SUBSET_REQUEST_DIGEST
     }
 
-    /// Whether a peer knows more beside back ends, which nothing is to wait for.
-    pub(crate) fn lacks_urgently(self, peer: StateDigest) -> bool {
+    /// Whether a peer is ahead in anything other than back ends, which must not be delayed.
+    pub(crate) fn lacks_urgent_state(self, peer: StateDigest) -> bool {
         self.version < peer.version || self.lacks_evacuations(peer)
     }
 
-    /// Whether a peer knows more of back ends.
+    /// Whether a peer is ahead in back ends.
     pub fn lacks_backends(self, peer: StateDigest) -> bool {
         self.backends_digest != peer.backends_digest
             && self.backends_revision < peer.backends_revision
     }
 
-    /// Whether a peer knows more of evacuated zones. Whoever has heard of none yet lacks also that there is none.
+    /// Whether a peer is ahead in evacuated zones. A process without any information also lacks the
+    /// fact that no zone is evacuated.
     pub fn lacks_evacuations(self, peer: StateDigest) -> bool {
         let (own, peer) = (self.evacuations, peer.evacuations);
         own.revision < peer.revision && (own.digest != peer.digest || own.revision == 0)
--- a/crates/serving/tests/fleet_cost.rs
+++ b/crates/serving/tests/fleet_cost.rs
@@ -1,6 +1,6 @@
-//! What it costs a process to learn of one change, and a request to choose, as the fleet grows. Prints times and asserts
-//! none: `cargo test --release -p yokefall-serving --test fleet_cost -- --nocapture`. What is asserted is counted work
-//! (`backend_table.rs`, `sample.rs`).
+//! Cost for a process of one change, and for a request of choosing a back end, as the fleet grows.
+//! Prints times and asserts none: `cargo test --release -p yokefall-serving --test fleet_cost --
+//! --nocapture`. Operation counts are asserted in `backend_table.rs` and `drawn.rs`.
 
 use std::cell::RefCell;
 use std::hint::black_box;
@@ -73,31 +73,31 @@
             0 => BackendState::Draining,
             _ => BackendState::Ready,
         };
-        let learnt = mean(|round| {
+        let applied = mean(|round| {
             let revision = 2 + u64::from(round);
             let changes = vec![change(count / 2, revision, state(round))];
             Sink::<Backend>::apply(&process.shared, changes, revision);
         });
         let mut known = process.shared.platform_state.borrow().digest();
         known.backends_revision -= 1;
-        let told = mean(|_| {
+        let response_built = mean(|_| {
             let request = StateRequest { known, whole: false };
             black_box(process.shared.platform_state.borrow().answer(&request));
         });
         let catalog = process.cell.load_full();
         let mut balancer = Balancer::new("zone-1".into(), 1, Policy::default());
         let all = catalog.ready("models");
-        let chosen_of_all = mean(|_| {
+        let chosen_from_all = mean(|_| {
             black_box(balancer.choose(NOW, all, &[], None));
         });
         let eligibility = Eligibility::new(process.cell.clone());
         let requirements = Requirements { service: "models", residency: &Residency::Anywhere };
-        let chosen_of_drawn = mean(|_| {
+        let chosen_from_sample = mean(|_| {
             let sample = eligibility.sample(&catalog, &requirements, Some(7), balancer.generator());
             black_box(sample.and_then(|sample| balancer.choose_from_sample(NOW, &sample, &[])));
         });
         println!(
-            "{count} back ends: a change learnt {learnt:?}, told {told:?}; chosen of all {chosen_of_all:?}, of those drawn {chosen_of_drawn:?}"
+            "{count} back ends: change applied {applied:?}, response built {response_built:?}; chosen from all {chosen_from_all:?}, from a sample {chosen_from_sample:?}"
         );
     }
 }
@@ -120,8 +120,8 @@
         let mut members = Membership::new(record(0), Vec::new(), 1);
         let began = Instant::now();
         for index in 1..count {
-            let mut newcomer = Membership::new(record(index), vec![record(0).address], 3);
-            for joining in newcomer.tick(NOW) {
+            let mut new_member = Membership::new(record(index), vec![record(0).address], 3);
+            for joining in new_member.tick(NOW) {
                 black_box(members.receive(NOW, joining.datagram, "10.9.9.9:1"));
             }
         }
--- a/crates/serving/tests/follow.rs
+++ b/crates/serving/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Lists and watches, against a source that does what the test says.
+//! Lists and watches, against a scripted source.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -11,22 +11,22 @@
 use yokefall_serving::watch_role::WatchRole;
 use yokefall_serving::{Change, ListPage, Listing};
 
-/// What a watch does next; without one it waits for as long as it was asked to, and tells no change.
+/// Result of the next watch; without a step it waits for the requested time and returns no change.
 enum Step {
     Changes(Revision),
     Fail,
 }
 
-struct Script {
+struct ScriptedSource {
     steps: VecDeque<Step>,
     watches: Rc<RefCell<Vec<tokio::time::Instant>>>,
 }
 
 fn failed() -> SourceError {
-    SourceError::Failed { step: "watch", peer: "store".into(), cause: "the script says so".into() }
+    SourceError::Failed { step: "watch", peer: "store".into(), cause: "scripted failure".into() }
 }
 
-impl Source<u64> for Script {
+impl Source<u64> for ScriptedSource {
     fn kind(&self) -> &'static str {
         "numbers"
     }
@@ -57,19 +57,19 @@
     fn reset(&mut self) {}
 }
 
-struct Nobody;
+struct NullSink;
 
-fn controlled(watch_role: WatchRole) -> Follow {
+fn options(watch_role: WatchRole) -> Follow {
     Follow { refresh: Rc::default(), others: Vec::new(), watch_role, waits: Waits::Long }
 }
 
-/// Only few processes watch the store: it is paid for each call.
+/// Only a few processes may watch the store, because each call is billed.
 #[tokio::test(start_paused = true)]
-async fn the_store_is_asked_only_while_the_duty_lasts() {
+async fn the_store_is_queried_only_while_the_role_is_active() {
     let watches = Rc::new(RefCell::new(Vec::new()));
-    let script = Script { steps: VecDeque::new(), watches: watches.clone() };
+    let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
     let (sender, watch_role) = WatchRole::controlled();
-    let following = follow(script, Nobody, controlled(watch_role));
+    let watching = follow(script, NullSink, options(watch_role));
     let steps = async {
         let pause = || tokio::time::sleep(Duration::from_secs(1));
         pause().await;
@@ -84,64 +84,67 @@
         assert_eq!(watches.borrow().len(), 2);
     };
     tokio::select! {
-        () = following => {}
+        () = watching => {}
         () = steps => {}
     }
 }
 
-impl Sink<u64> for Nobody {
+impl Sink<u64> for NullSink {
     fn replace(&self, _listing: Listing<u64>) {}
     fn apply(&self, _changes: Vec<Change<u64>>, _revision: Revision) {}
     fn ended(&self, _error: Option<&SourceError>) {}
 }
 
-/// Plays a script for a while; tells whether the other watch was ended, and when watches began.
-async fn play(steps: Vec<Step>) -> (bool, Vec<tokio::time::Instant>) {
+/// Runs a script; returns whether the other watch was ended, and when watches began.
+async fn run_script(steps: Vec<Step>) -> (bool, Vec<tokio::time::Instant>) {
     let watches = Rc::new(RefCell::new(Vec::new()));
-    let script = Script { steps: steps.into(), watches: watches.clone() };
+    let script = ScriptedSource { steps: steps.into(), watches: watches.clone() };
     let other = Rc::new(Notify::new());
-    let following = follow(
+    let watching = follow(
         script,
-        Nobody,
-        Follow { others: vec![other.clone()], ..controlled(WatchRole::always()) },
+        NullSink,
+        Follow { others: vec![other.clone()], ..options(WatchRole::always()) },
     );
-    let _ = tokio::time::timeout(Duration::from_secs(5), following).await;
+    let _ = tokio::time::timeout(Duration::from_secs(5), watching).await;
     let ended = tokio::time::timeout(Duration::from_millis(1), other.notified()).await.is_ok();
     let watches = watches.borrow().clone();
     (ended, watches)
 }
 
-/// Found by a hunt: the store fell silent, the watch of back ends was given up and came back, and the
-/// watch of configurations waited on, on a connection that said nothing more.
+/// The store stops responding, and the watch of back ends fails and recovers. The watch of
+/// configurations must be ended too: it was left waiting on a connection that delivered nothing
+/// more.
 #[tokio::test(start_paused = true)]
-async fn when_the_store_answers_again_the_other_watch_is_ended() {
-    let (ended, _) = play(vec![Step::Fail]).await;
+async fn other_watches_end_when_the_store_recovers() {
+    let (ended, _) = run_script(vec![Step::Fail]).await;
     assert!(ended);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_answers_ends_no_other_watch() {
-    let (ended, _) = play(vec![Step::Changes(2), Step::Changes(3)]).await;
+async fn other_watches_continue_while_the_store_responds() {
+    let (ended, _) = run_script(vec![Step::Changes(2), Step::Changes(3)]).await;
     assert!(!ended);
 }
 
-/// Each watch that tells one change costs a call of every process.
+/// Each watch that returns a single change costs one call per process.
 #[tokio::test(start_paused = true)]
-async fn changes_are_gathered_between_two_watches() {
-    let (_, watches) = play((2..6).map(Step::Changes).collect()).await;
-    let least = watches.windows(2).map(|pair| pair[1] - pair[0]).min().expect("watches");
-    assert!(least >= Duration::from_millis(100) && least <= Duration::from_millis(500));
+async fn changes_are_batched_between_watches() {
+    let (_, watches) = run_script((2..6).map(Step::Changes).collect()).await;
+    let min_interval = watches.windows(2).map(|pair| pair[1] - pair[0]).min().expect("watches");
+    assert!(
+        min_interval >= Duration::from_millis(100) && min_interval <= Duration::from_millis(500)
+    );
 }
 
-/// A store that holds `PAGES` pages and turns every third call away.
-struct Paged {
+/// A store with `PAGES` pages that rejects every third call.
+struct PagedSource {
     calls: u32,
     asked: Rc<RefCell<Vec<Option<String>>>>,
 }
 
 const PAGES: u64 = 5;
 
-impl Source<u64> for Paged {
+impl Source<u64> for PagedSource {
     fn kind(&self) -> &'static str {
         "numbers"
     }
@@ -170,11 +173,11 @@
     fn reset(&mut self) {}
 }
 
-/// Keeps what it was given.
+/// Stores the lists that it receives.
 #[derive(Clone, Default)]
-struct Kept(Rc<RefCell<Vec<Listing<u64>>>>);
+struct RecordingSink(Rc<RefCell<Vec<Listing<u64>>>>);
 
-impl Sink<u64> for Kept {
+impl Sink<u64> for RecordingSink {
     fn replace(&self, listing: Listing<u64>) {
         self.0.borrow_mut().push(listing);
     }
@@ -184,32 +187,37 @@
     fn ended(&self, _error: Option<&SourceError>) {}
 }
 
-/// The list of a large fleet takes many calls. One that is turned away must not cost those before it.
+/// The list of a large fleet takes many calls. A rejected call must not discard the pages before
+/// it.
 #[tokio::test(start_paused = true)]
-async fn a_list_goes_on_after_a_call_that_was_turned_away() {
+async fn a_list_resumes_after_a_rejected_call() {
     let asked: Rc<RefCell<Vec<Option<String>>>> = Rc::default();
-    let kept = Kept::default();
-    let source = Paged { calls: 0, asked: asked.clone() };
-    let following = follow(source, kept.clone(), controlled(WatchRole::always()));
+    let sink = RecordingSink::default();
+    let source = PagedSource { calls: 0, asked: asked.clone() };
+    let watching = follow(source, sink.clone(), options(WatchRole::always()));
     tokio::select! {
-        () = following => {}
+        () = watching => {}
         () = tokio::time::sleep(Duration::from_secs(5)) => {}
     }
-    let lists = kept.0.borrow();
+    let lists = sink.0.borrow();
     assert_eq!(lists.len(), 1);
     assert_eq!(lists[0].items.len() as u64, PAGES);
-    assert_eq!(lists[0].revision, 100, "a watch goes on from the first page");
+    assert_eq!(lists[0].revision, 100, "the watch starts from the revision of the first page");
     let first_pages = asked.borrow().iter().filter(|after| after.is_none()).count();
-    assert_eq!((first_pages, asked.borrow().len()), (1, 7), "five pages, two of them twice");
+    assert_eq!(
+        (first_pages, asked.borrow().len()),
+        (1, 7),
+        "five pages, two of them requested twice"
+    );
 }
 
-/// A store that answers lists and the first watch, and whose other watches are lost.
-struct Silent {
+/// A store that answers lists and the first watch; all other watches are lost.
+struct UnresponsiveSource {
     lists: Rc<RefCell<u32>>,
-    told: bool,
+    change_sent: bool,
 }
 
-impl Source<u64> for Silent {
+impl Source<u64> for UnresponsiveSource {
     fn kind(&self) -> &'static str {
         "numbers"
     }
@@ -224,7 +232,7 @@
         _from: Revision,
         _wait: Duration,
     ) -> Result<WatchResponse<u64>, SourceError> {
-        if std::mem::replace(&mut self.told, true) {
+        if std::mem::replace(&mut self.change_sent, true) {
             return std::future::pending().await;
         }
         let change = Change { name: "a".into(), revision: 2, value: Some(2) };
@@ -234,28 +242,28 @@
     fn reset(&mut self) {}
 }
 
-/// All watchers begin again when a change came. Where the store falls silent at that moment, somebody must
-/// find out long before a whole wait has passed (Trasovka, trouble-3 64804258984).
+/// All watchers restart after a change. If the store stops responding at that moment, it must be
+/// noticed long before a full wait has passed.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_was_lost_after_a_change_is_found_out_soon() {
+async fn a_watch_lost_after_a_change_is_detected_soon() {
     let lists: Rc<RefCell<u32>> = Rc::default();
-    let source = Silent { lists: lists.clone(), told: false };
-    let following = follow(source, Nobody, controlled(WatchRole::always()));
+    let source = UnresponsiveSource { lists: lists.clone(), change_sent: false };
+    let watching = follow(source, NullSink, options(WatchRole::always()));
     tokio::select! {
-        () = following => {}
+        () = watching => {}
         () = tokio::time::sleep(Duration::from_millis(7_200)) => {}
     }
-    assert!(*lists.borrow() >= 2, "listed again");
+    assert!(*lists.borrow() >= 2, "the list is read again");
 }
 
-/// The answer to a watch that told no change is the only proof that what is known still holds.
+/// Only the response to a watch without changes proves that the state is still current.
 #[tokio::test(start_paused = true)]
-async fn where_news_is_to_be_fresh_each_watch_ends_within_seconds() {
+async fn watches_end_within_seconds_if_recent_state_is_required() {
     let watches = Rc::new(RefCell::new(Vec::new()));
-    let script = Script { steps: VecDeque::new(), watches: watches.clone() };
-    let waits = Follow { waits: Waits::Fresh { zones: 3 }, ..controlled(WatchRole::always()) };
-    let following = follow(script, Nobody, waits);
-    let _ = tokio::time::timeout(Duration::from_secs(60), following).await;
+    let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
+    let fresh_options = Follow { waits: Waits::Fresh { zones: 3 }, ..options(WatchRole::always()) };
+    let watching = follow(script, NullSink, fresh_options);
+    let _ = tokio::time::timeout(Duration::from_secs(60), watching).await;
     let watches = watches.borrow();
     let longest = watches.windows(2).map(|pair| pair[1] - pair[0]).max().expect("watches");
     assert!(longest <= Duration::from_millis(6_000), "{longest:?}");
