--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -17,7 +17,7 @@
 
 /// Suspension that is told: shorter than any lease or the life of any token, and far longer than two readings
 /// of the clocks are apart.
-const TOLD_SUSPENSION: Duration = Duration::from_millis(100);
+const MIN_REPORTED_SUSPENSION: Duration = Duration::from_millis(100);
 
 /// Where it is known from for how long the machine has been suspended.
 #[derive(Clone, Debug, Default)]
@@ -54,14 +54,14 @@
     source: SuspensionSource,
     suspended_at_origin: Duration,
     /// Suspension since then that has been told.
-    told: Cell<Duration>,
+    reported: Cell<Duration>,
 }
 
 impl ElapsedClock {
     /// A clock that begins now.
     pub fn new(source: SuspensionSource) -> Self {
         let suspended_at_origin = source.suspended();
-        Self { origin: Instant::now(), source, suspended_at_origin, told: Cell::default() }
+        Self { origin: Instant::now(), source, suspended_at_origin, reported: Cell::default() }
     }
 
     /// The present moment. Invariant: it never goes back.
@@ -84,13 +84,13 @@
     /// Suspension since this clock was made.
     fn suspended(&self) -> Duration {
         let suspended = self.source.suspended().saturating_sub(self.suspended_at_origin);
-        let told = self.told.get();
-        if suspended < told + TOLD_SUSPENSION {
+        let reported = self.reported.get();
+        if suspended < reported + MIN_REPORTED_SUSPENSION {
             // Two clocks are never read at quite the same moment.
-            return told;
+            return reported;
         }
-        self.told.set(suspended);
-        let amount = suspended - told;
+        self.reported.set(suspended);
+        let amount = suspended - reported;
         metrics::counter!("suspended_milliseconds_total").increment(amount.as_millis() as u64);
         Line::new(EventName::MachineSuspended)
             .field("suspended_ms", amount.as_millis() as u64)
--- a/crates/clock/tests/elapsed.rs
+++ b/crates/clock/tests/elapsed.rs
@@ -8,7 +8,7 @@
 use yokefall_clock::{ElapsedClock, SuspensionSource};
 use yokefall_core::Timestamp;
 
-fn told() -> (Arc<AtomicU64>, ElapsedClock) {
+fn simulated_clock() -> (Arc<AtomicU64>, ElapsedClock) {
     let ms = Arc::new(AtomicU64::new(7_000));
     let clock = ElapsedClock::new(SuspensionSource::Told(ms.clone()));
     (ms, clock)
@@ -16,7 +16,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn it_runs_with_the_steady_clock_while_the_machine_runs() {
-    let (_, clock) = told();
+    let (_, clock) = simulated_clock();
     assert_eq!(clock.now(), Timestamp(0));
     tokio::time::sleep(Duration::from_millis(250)).await;
     assert_eq!(clock.now(), Timestamp(250));
@@ -24,7 +24,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn it_counts_a_suspension_that_the_steady_clock_does_not_see() {
-    let (suspended, clock) = told();
+    let (suspended, clock) = simulated_clock();
     tokio::time::sleep(Duration::from_millis(250)).await;
     let steady = Instant::now();
     suspended.fetch_add(5_000, Ordering::Relaxed);
@@ -37,7 +37,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn it_never_goes_back_and_does_not_take_a_late_reading_for_a_suspension() {
-    let (suspended, clock) = told();
+    let (suspended, clock) = simulated_clock();
     suspended.fetch_add(40, Ordering::Relaxed);
     assert_eq!(clock.now(), Timestamp(0));
     suspended.fetch_add(960, Ordering::Relaxed);
@@ -48,7 +48,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_timer_for_one_of_its_moments_waits_for_what_is_left() {
-    let (suspended, clock) = told();
+    let (suspended, clock) = simulated_clock();
     let lease_ends = clock.now().plus_millis(6_000);
     assert_eq!(clock.timer_at(lease_ends), Instant::now() + Duration::from_millis(6_000));
     suspended.fetch_add(5_000, Ordering::Relaxed);
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -2,15 +2,15 @@
 
 use crate::log::{Entry, Index, Payload, Term};
 use crate::message::{Body, MemberId, Members};
-use crate::node::{Consensus, Millis, Pair, Role, ELECTION_MIN_MS};
+use crate::node::{Consensus, Millis, Pair, Role, ELECTION_TIMEOUT_MIN_MS};
 
 /// What a candidate says of its log and its reasons.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidacy {
     /// Whether nothing is to be recorded yet.
-    pub trial: bool,
+    pub pre_vote: bool,
     /// Whether the leader itself asked for the election.
-    pub handed_over: bool,
+    pub leadership_transfer: bool,
     /// Last entry.
     pub last_index: Index,
     /// Its term.
@@ -41,11 +41,11 @@
         self.role = Role::Candidate;
         self.voted_for = Some(self.me.clone());
         self.save_state();
-        self.alone = Some(pair);
+        self.pending_takeover = Some(pair);
         true
     }
 
-    fn lead_alone(&mut self, now: Millis, pair: Pair) {
+    fn lead_as_sole_voter(&mut self, now: Millis, pair: Pair) {
         if self.pair() != Some(pair) {
             return;
         }
@@ -66,8 +66,8 @@
     /// This member's own vote counts once it is on the disk. One that led before could, after a loss
     /// of power, lead in the same term again, with other entries.
     pub(crate) fn vote_is_durable(&mut self, now: Millis) {
-        match self.alone.take() {
-            Some(pair) => self.lead_alone(now, pair),
+        match self.pending_takeover.take() {
+            Some(pair) => self.lead_as_sole_voter(now, pair),
             None => {
                 self.votes.insert(self.me.clone());
                 self.count_votes(now);
@@ -76,14 +76,14 @@
     }
 
     /// Asks for votes; as a trial first, so that a member that was cut off does not raise terms.
-    pub(crate) fn campaign(&mut self, now: Millis, role: Role, handed_over: bool) {
+    pub(crate) fn campaign(&mut self, now: Millis, role: Role, leadership_transfer: bool) {
         self.schedule_election(now);
         self.role = role;
         self.leader = None;
-        self.alone = None;
+        self.pending_takeover = None;
         self.votes.clear();
-        let trial = role == Role::Trial;
-        if trial {
+        let pre_vote = role == Role::Trial;
+        if pre_vote {
             self.votes.insert(self.me.clone());
         } else {
             self.term += 1;
@@ -91,12 +91,12 @@
             self.save_state();
         }
         let body = Body::Vote {
-            trial,
-            handed_over,
+            pre_vote,
+            leadership_transfer,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
-        let term = if trial { self.term + 1 } else { self.term };
+        let term = if pre_vote { self.term + 1 } else { self.term };
         for to in self.other_voters() {
             self.send_after_sync(to, term, body.clone());
         }
@@ -125,7 +125,7 @@
     pub(crate) fn become_leader(&mut self, now: Millis) {
         self.role = Role::Leader;
         self.leader = Some(self.me.clone());
-        self.handing_over = false;
+        self.transferring_leadership = false;
         self.progress.clear();
         self.term_start = self.log.last_index() + 1;
         let entry = Entry { index: self.term_start, term: self.term, payload: Payload::Empty };
@@ -136,28 +136,28 @@
 
     /// Within this time of a leader's sign of life, or of the member's start, no vote is given: a
     /// leader's lease rests on it. A member that started does not know whom it heard before.
-    pub(crate) fn is_loyal(&self, now: Millis) -> bool {
-        now < self.heard_at + ELECTION_MIN_MS
+    pub(crate) fn withholds_votes(&self, now: Millis) -> bool {
+        now < self.last_contact + ELECTION_TIMEOUT_MIN_MS
     }
 
-    pub(crate) fn answer_vote(
+    pub(crate) fn handle_vote_request(
         &mut self,
         now: Millis,
         from: MemberId,
         term: Term,
         candidacy: Candidacy,
     ) {
-        let Candidacy { trial, handed_over, last_index, last_term } = candidacy;
+        let Candidacy { pre_vote, leadership_transfer, last_index, last_term } = candidacy;
         let up_to_date = (last_term, last_index) >= (self.log.last_term(), self.log.last_index());
         let leads = self.role == Role::Leader && self.has_lease(now);
-        if (self.is_loyal(now) || leads) && !handed_over {
+        if (self.withholds_votes(now) || leads) && !leadership_transfer {
             // Without an answer the candidate tries again; its term is not taken over.
             return;
         }
-        if trial {
+        if pre_vote {
             let granted = term > self.term && up_to_date;
             let told = if granted { term } else { self.term };
-            self.send_after_sync(from, told, Body::VoteReply { trial, granted });
+            self.send_after_sync(from, told, Body::VoteReply { pre_vote, granted });
             return;
         }
         if term > self.term {
@@ -172,25 +172,25 @@
         if granted {
             self.schedule_election(now);
         }
-        self.send_after_sync(from, self.term, Body::VoteReply { trial, granted });
+        self.send_after_sync(from, self.term, Body::VoteReply { pre_vote, granted });
     }
 
-    pub(crate) fn take_vote(
+    pub(crate) fn handle_vote_reply(
         &mut self,
         now: Millis,
         from: MemberId,
         term: Term,
-        trial: bool,
+        pre_vote: bool,
         granted: bool,
     ) {
-        let expected = if trial { self.term + 1 } else { self.term };
+        let expected = if pre_vote { self.term + 1 } else { self.term };
         if !granted {
             if term > self.term {
                 self.become_follower(now, term);
             }
             return;
         }
-        let asked = if trial { Role::Trial } else { Role::Candidate };
+        let asked = if pre_vote { Role::Trial } else { Role::Candidate };
         if term == expected && self.role == asked {
             self.votes.insert(from);
             self.count_votes(now);
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -14,7 +14,7 @@
         sent_at: Millis,
     ) -> bool {
         if term < self.term {
-            let body = self.refused(0, 0, sent_at);
+            let body = self.rejected(0, 0, sent_at);
             self.send_after_sync(from.clone(), self.term, body);
             return false;
         }
@@ -22,22 +22,22 @@
             self.become_follower(now, term);
         }
         self.leader = Some(from.clone());
-        self.heard_at = now;
+        self.last_contact = now;
         self.schedule_election(now);
         true
     }
 
     fn accepted(&self, matched: Index, sent_at: Millis) -> Body {
-        let settled = self.durable_settled;
-        Body::AppendReply { accepted: true, matched, refused: 0, settled, sent_at }
+        let settled = self.durable_members_index;
+        Body::AppendReply { accepted: true, matched, rejected_index: 0, settled, sent_at }
     }
 
-    fn refused(&self, refused: Index, hint: Index, sent_at: Millis) -> Body {
-        let settled = self.durable_settled;
-        Body::AppendReply { accepted: false, matched: hint, refused, settled, sent_at }
+    fn rejected(&self, rejected_index: Index, hint: Index, sent_at: Millis) -> Body {
+        let settled = self.durable_members_index;
+        Body::AppendReply { accepted: false, matched: hint, rejected_index, settled, sent_at }
     }
 
-    pub(crate) fn take_entries(
+    pub(crate) fn handle_append(
         &mut self,
         from: MemberId,
         previous: (Index, Term),
@@ -51,14 +51,14 @@
         if !before_snapshot && known != Some(previous_term) {
             // Entries that are committed match: go back to them at most.
             let hint = self.log.last_index().min(previous_index.saturating_sub(1)).max(self.commit);
-            let body = self.refused(previous_index, hint, sent_at);
+            let body = self.rejected(previous_index, hint, sent_at);
             self.send_after_sync(from, self.term, body);
             return;
         }
         if entries.is_empty() {
             // A heartbeat is answered at once, for what is on the disk: a slow disk must not cost
             // the leader its lease.
-            let matched = previous_index.min(self.durable);
+            let matched = previous_index.min(self.durable_index);
             self.commit = self.commit.max(commit.min(previous_index));
             let body = self.accepted(matched, sent_at);
             self.send(from, self.term, body);
@@ -96,26 +96,26 @@
     fn truncate_from(&mut self, index: Index) {
         debug_assert!(index > self.commit, "a committed entry would be removed");
         self.log.truncate_from(index);
-        self.durable = self.durable.min(index - 1);
+        self.durable_index = self.durable_index.min(index - 1);
         for unsynced in &mut self.unsynced {
             unsynced.last_index = unsynced.last_index.min(index - 1);
         }
     }
 
-    pub(crate) fn take_snapshot(&mut self, from: MemberId, snapshot: Snapshot, sent_at: Millis) {
+    pub(crate) fn handle_install(&mut self, from: MemberId, snapshot: Snapshot, sent_at: Millis) {
         let matched = snapshot.index;
         if matched > self.commit {
-            self.log.restart(&snapshot);
+            self.log.reset(&snapshot);
             self.commit = matched;
             self.applied = matched;
-            self.durable = self.durable.min(matched);
+            self.durable_index = self.durable_index.min(matched);
             for unsynced in &mut self.unsynced {
                 unsynced.last_index = unsynced.last_index.min(matched);
             }
             self.settled = self.settled.max(matched);
             self.effects.committed.clear();
             self.effects.install = Some(snapshot.clone());
-            self.effects.writes.push(Write::Snapshot { snapshot, keep_rest: false });
+            self.effects.writes.push(Write::Snapshot { snapshot, keep_later_entries: false });
         }
         let body = self.accepted(matched, sent_at);
         self.send_after_sync(from, self.term, body);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -14,9 +14,9 @@
 pub mod node;
 pub mod policy;
 pub mod replication;
-mod spread;
+mod zones;
 
 pub use log::{Entry, Index, Payload, Snapshot, Term};
 pub use message::{Body, MemberId, Members, Message};
 pub use node::{Consensus, Effects, Millis, Pair, Recovered, Role, Write};
-pub use spread::Zones;
+pub use zones::Zones;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -133,7 +133,7 @@
     }
 
     /// Entries from a position on, up to `limit` bytes but one at least.
-    pub fn from(&self, index: Index, limit: usize) -> Vec<Entry> {
+    pub fn entries_from(&self, index: Index, limit: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut bytes = 0;
         let mut index = index;
@@ -173,7 +173,7 @@
     }
 
     /// Puts a snapshot in the place of everything.
-    pub fn restart(&mut self, snapshot: &Snapshot) {
+    pub fn reset(&mut self, snapshot: &Snapshot) {
         self.entries.clear();
         self.bytes = 0;
         self.snapshot = snapshot.position();
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -69,9 +69,9 @@
     /// Asks for a vote, or whether one would be given.
     Vote {
         /// Whether the term has not begun: nothing is recorded.
-        trial: bool,
+        pre_vote: bool,
         /// Whether the leader itself asked for this election.
-        handed_over: bool,
+        leadership_transfer: bool,
         /// Last entry of the candidate.
         last_index: Index,
         /// Its term.
@@ -80,7 +80,7 @@
     /// Answers a vote.
     VoteReply {
         /// Whether the question was a trial.
-        trial: bool,
+        pre_vote: bool,
         /// Whether the vote is given.
         granted: bool,
     },
@@ -105,7 +105,7 @@
         matched: Index,
         /// After a refusal, the entry that did not match: an answer to a message that the leader has
         /// given up tells it nothing.
-        refused: Index,
+        rejected_index: Index,
         /// Position of the newest members that the sender's disk knows to be committed.
         settled: Index,
         /// Clock of the leader as it was sent.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -16,13 +16,13 @@
 pub type Millis = u64;
 
 /// Least time without a leader after which a member stands for election, in milliseconds.
-pub const ELECTION_MIN_MS: Millis = 300;
+pub const ELECTION_TIMEOUT_MIN_MS: Millis = 300;
 /// Longest such time.
-const ELECTION_MAX_MS: Millis = 550;
+const ELECTION_TIMEOUT_MAX_MS: Millis = 550;
 /// Interval between a leader's heartbeats, in milliseconds.
-pub const HEARTBEAT_MS: Millis = 100;
+pub const HEARTBEAT_INTERVAL_MS: Millis = 100;
 /// Time after a quorum's answered heartbeat was sent during which no other leader can exist, in
-/// milliseconds. Less than `ELECTION_MIN_MS`, within which followers refuse votes: the difference
+/// milliseconds. Less than `ELECTION_TIMEOUT_MIN_MS`, within which followers refuse votes: the difference
 /// is what clocks may differ in speed over that time.
 pub const LEASE_MS: Millis = 240;
 
@@ -45,7 +45,7 @@
         /// The snapshot.
         snapshot: Snapshot,
         /// Whether entries after it stay.
-        keep_rest: bool,
+        keep_later_entries: bool,
     },
 }
 
@@ -131,16 +131,16 @@
     pub(crate) commit: Index,
     pub(crate) applied: Index,
     /// Last entry that is on this member's disk.
-    pub(crate) durable: Index,
+    pub(crate) durable_index: Index,
     /// What each batch of writes that is not synced yet brings to the disk.
     pub(crate) unsynced: VecDeque<Unsynced>,
     /// `settled` as far as it is on this member's disk.
-    pub(crate) durable_settled: Index,
+    pub(crate) durable_members_index: Index,
     pub(crate) votes: BTreeSet<MemberId>,
     /// The pair that this member is about to outlive.
-    pub(crate) alone: Option<Pair>,
+    pub(crate) pending_takeover: Option<Pair>,
     /// When a valid leader was last heard, or the member started.
-    pub(crate) heard_at: Millis,
+    pub(crate) last_contact: Millis,
     election_at: Millis,
     generator: SmallRng,
     pub(crate) progress: BTreeMap<MemberId, Progress>,
@@ -148,7 +148,7 @@
     /// Entry with which the leader's term began.
     pub(crate) term_start: Index,
     /// Whether the leader has asked another member to take over.
-    pub(crate) handing_over: bool,
+    pub(crate) transferring_leadership: bool,
     pub(crate) effects: Effects,
 }
 
@@ -162,23 +162,23 @@
             term: recovered.term,
             voted_for: recovered.voted_for,
             settled: recovered.settled,
-            durable_settled: recovered.settled,
+            durable_members_index: recovered.settled,
             role: Role::Follower,
             leader: None,
             commit: applied,
             applied,
-            durable: log.last_index(),
+            durable_index: log.last_index(),
             log,
             unsynced: VecDeque::new(),
             votes: BTreeSet::new(),
-            alone: None,
-            heard_at: now,
+            pending_takeover: None,
+            last_contact: now,
             election_at: 0,
             generator: SmallRng::seed_from_u64(seed),
             progress: BTreeMap::new(),
             heartbeat_at: 0,
             term_start: 0,
-            handing_over: false,
+            transferring_leadership: false,
             effects: Effects::default(),
         };
         node.schedule_election(now);
@@ -238,7 +238,7 @@
 
     /// Time since a leader was heard.
     pub fn leaderless_ms(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.heard_at)
+        now.saturating_sub(self.last_contact)
     }
 
     /// Last entry that a quorum is known to have.
@@ -286,7 +286,7 @@
     /// Time has passed.
     pub fn tick(&mut self, now: Millis) {
         if self.role == Role::Leader {
-            self.lead(now);
+            self.tick_leader(now);
             return;
         }
         if now >= self.election_at && self.members().voters.contains(&self.me) {
@@ -299,8 +299,8 @@
         let Some(Unsynced { last_index, settled, term }) = self.unsynced.pop_front() else {
             return;
         };
-        self.durable = self.durable.max(last_index.min(self.log.last_index()));
-        self.durable_settled = self.durable_settled.max(settled);
+        self.durable_index = self.durable_index.max(last_index.min(self.log.last_index()));
+        self.durable_members_index = self.durable_members_index.max(settled);
         if self.role == Role::Leader {
             self.advance_commit(now);
         }
@@ -316,7 +316,8 @@
     }
 
     pub(crate) fn schedule_election(&mut self, now: Millis) {
-        self.election_at = now + self.generator.random_range(ELECTION_MIN_MS..ELECTION_MAX_MS);
+        self.election_at =
+            now + self.generator.random_range(ELECTION_TIMEOUT_MIN_MS..ELECTION_TIMEOUT_MAX_MS);
     }
 
     pub(crate) fn save_state(&mut self) {
@@ -340,9 +341,9 @@
         }
         self.role = Role::Follower;
         self.votes.clear();
-        self.alone = None;
+        self.pending_takeover = None;
         self.progress.clear();
-        self.handing_over = false;
+        self.transferring_leadership = false;
         self.schedule_election(now);
     }
 
@@ -361,30 +362,32 @@
         }
         let Message { from, term, body, .. } = message;
         match body {
-            Body::Vote { trial, handed_over, last_index, last_term } => {
-                let candidacy = Candidacy { trial, handed_over, last_index, last_term };
-                self.answer_vote(now, from, term, candidacy);
+            Body::Vote { pre_vote, leadership_transfer, last_index, last_term } => {
+                let candidacy = Candidacy { pre_vote, leadership_transfer, last_index, last_term };
+                self.handle_vote_request(now, from, term, candidacy);
+            }
+            Body::VoteReply { pre_vote, granted } => {
+                self.handle_vote_reply(now, from, term, pre_vote, granted)
             }
-            Body::VoteReply { trial, granted } => self.take_vote(now, from, term, trial, granted),
             Body::Append { previous_index, previous_term, entries, commit, sent_at } => {
                 if self.accept_leader(now, &from, term, sent_at) {
                     let previous = (previous_index, previous_term);
-                    self.take_entries(from, previous, entries, commit, sent_at);
+                    self.handle_append(from, previous, entries, commit, sent_at);
                 }
             }
             Body::Install { snapshot, sent_at } => {
                 if self.accept_leader(now, &from, term, sent_at) {
-                    self.take_snapshot(from, snapshot, sent_at);
+                    self.handle_install(from, snapshot, sent_at);
                 }
             }
-            Body::AppendReply { accepted, matched, refused, settled, sent_at } => {
+            Body::AppendReply { accepted, matched, rejected_index, settled, sent_at } => {
                 if term > self.term {
                     self.become_follower(now, term);
                 } else if term == self.term && self.role == Role::Leader {
-                    self.take_reply(
+                    self.handle_append_reply(
                         now,
                         &from,
-                        Reply { accepted, matched, refused, settled, sent_at },
+                        Reply { accepted, matched, rejected_index, settled, sent_at },
                     );
                 }
             }
@@ -404,10 +407,10 @@
         if index <= self.log.snapshot().index {
             return;
         }
-        let (members_index, members) = self.members_told_at(index);
+        let (members_index, members) = self.members_with_index_at(index);
         let snapshot = Snapshot { index, term, members, members_index, state };
         self.log.compact(&snapshot);
-        self.effects.writes.push(Write::Snapshot { snapshot, keep_rest: true });
+        self.effects.writes.push(Write::Snapshot { snapshot, keep_later_entries: true });
     }
 
     /// Bytes of the entries that `compact` would remove.
@@ -416,11 +419,11 @@
     }
 
     pub(crate) fn members_at(&self, index: Index) -> Members {
-        self.members_told_at(index).1
+        self.members_with_index_at(index).1
     }
 
     /// The members after a position, and the position of the entry that told them.
-    pub(crate) fn members_told_at(&self, index: Index) -> (Index, Members) {
+    pub(crate) fn members_with_index_at(&self, index: Index) -> (Index, Members) {
         let mut at = index;
         while at > self.log.snapshot().index {
             if let Some(Entry { payload: Payload::Members(members), .. }) = self.log.get(at) {
--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -3,19 +3,19 @@
 
 use crate::message::{MemberId, Members};
 use crate::node::{Consensus, Millis, Role};
-use crate::replication::Difference;
-use crate::spread::Zones;
+use crate::replication::VoterChange;
+use crate::zones::Zones;
 
 /// Time without an answer after which a voter gives way to a member that waits, in milliseconds.
-const SILENCE_MS: Millis = 2_500;
+const VOTER_TIMEOUT_MS: Millis = 2_500;
 /// Time without the other of a pair after which one goes on alone, in milliseconds.
-const PAIR_SILENCE_MS: Millis = 6_000;
+const PAIR_TIMEOUT_MS: Millis = 6_000;
 /// The same where the other one's disk is known to be lost.
-const LOST_SILENCE_MS: Millis = 1_200;
+const LOST_DISK_TIMEOUT_MS: Millis = 1_200;
 /// Time without an answer after which a learner is dropped, in milliseconds; it may ask again.
-const LEARNER_SILENCE_MS: Millis = 5_000;
+const LEARNER_TIMEOUT_MS: Millis = 5_000;
 /// Entries that a learner may lack when it becomes a voter.
-const CAUGHT_UP_ENTRIES: u64 = 64;
+const MAX_LEARNER_LAG_ENTRIES: u64 = 64;
 
 /// What the leader hears from outside the log.
 #[derive(Clone, Debug, Default)]
@@ -46,20 +46,20 @@
 pub fn next_step(node: &Consensus, now: Millis, wishes: &Wishes) -> Step {
     let members = node.members();
     let step = admit(node, now, members, wishes)
-        .or_else(|| replace_lost(node, now, members))
+        .or_else(|| replace_lost_disk(node, now, members))
         .or_else(|| promote(node, now, members, wishes))
-        .or_else(|| release(node, now, members, wishes))
-        .or_else(|| drop_silent(node, now, members, wishes))
-        .or_else(|| drop_silent_learner(node, now, members))
-        .or_else(|| spread(node, now, members, wishes));
+        .or_else(|| remove_leaving(node, now, members, wishes))
+        .or_else(|| drop_unresponsive_voter(node, now, members, wishes))
+        .or_else(|| drop_unresponsive_learner(node, now, members))
+        .or_else(|| rebalance_zones(node, now, members, wishes));
     step.unwrap_or(Step::Rest)
 }
 
 /// Whether a step changes who votes in a pair, other than by a successor of a lost disk. Such a step
 /// needs the claim on the pair: the other one may have gone on alone, or may try to.
 pub fn needs_claim(node: &Consensus, members: &Members) -> bool {
-    let difference = node.difference(members);
-    node.members().voters.len() == 2 && difference == Difference::One
+    let voter_change = node.voter_change(members);
+    node.members().voters.len() == 2 && voter_change == VoterChange::One
 }
 
 /// Whether a member of a pair should try to go on alone: soon where the other one asks to join with
@@ -72,18 +72,18 @@
         joining.iter().any(|member| member.name == voter.name && member != voter)
     };
     let lost = node.members().voters.iter().any(|voter| voter != node.id() && is_lost(voter));
-    let patience = if lost { LOST_SILENCE_MS } else { PAIR_SILENCE_MS };
-    node.leaderless_ms(now) >= patience
+    let timeout = if lost { LOST_DISK_TIMEOUT_MS } else { PAIR_TIMEOUT_MS };
+    node.leaderless_ms(now) >= timeout
 }
 
 fn is_caught_up(node: &Consensus, now: Millis, member: &MemberId) -> bool {
-    node.matched(member) + CAUGHT_UP_ENTRIES >= node.log().last_index()
-        && node.silent_ms(now, member) < SILENCE_MS
+    node.matched(member) + MAX_LEARNER_LAG_ENTRIES >= node.log().last_index()
+        && node.silent_ms(now, member) < VOTER_TIMEOUT_MS
 }
 
 /// Puts a learner that has caught up in the place of the voter of the same name. That it answers
 /// proves that the other disk is gone: a machine runs one process, which opened an empty disk.
-fn replace_lost(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
+fn replace_lost_disk(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
     let succeeds = |learner: &&MemberId| {
         members.voters.iter().any(|voter| voter.name == learner.name)
             && node.matched(learner) > 0
@@ -116,14 +116,14 @@
 /// group knows has a new disk in the place of a lost one, and is always admitted.
 fn admit(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
     let stays = |member: &&MemberId| {
-        node.silent_ms(now, member) < SILENCE_MS && !wishes.leaving.contains(&member.name)
+        node.silent_ms(now, member) < VOTER_TIMEOUT_MS && !wishes.leaving.contains(&member.name)
     };
     let staying = members.all().filter(stays).count();
     let wanted = |member: &&MemberId| {
         let known = members.all().any(|held| held.name == member.name);
         may_join(members, wishes, member) && (known || staying < wishes.voters)
     };
-    let joining = wishes.zones.least_crowded(members, wishes.joining.iter().filter(wanted))?;
+    let joining = wishes.zones.from_smallest_zone(members, wishes.joining.iter().filter(wanted))?;
     let mut members = members.clone();
     members.learners.retain(|learner| learner.name != joining.name);
     members.learners.push(joining.clone());
@@ -138,7 +138,7 @@
             && !wishes.leaving.contains(&learner.name)
             && !members.voters.iter().any(|voter| voter.name == learner.name)
     })?;
-    let answers = |voter: &&MemberId| node.silent_ms(now, voter) < SILENCE_MS;
+    let answers = |voter: &&MemberId| node.silent_ms(now, voter) < VOTER_TIMEOUT_MS;
     let answering = members.voters.iter().filter(answers).count();
     let staying = members
         .voters
@@ -159,14 +159,20 @@
 
 /// Moves a voter from a crowded zone to one with fewer, in three steps, each only while all voters answer: a
 /// machine of that zone learns, then votes, then the one in the crowded zone goes.
-fn spread(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
-    let answers = |member: &MemberId| node.silent_ms(now, member) < SILENCE_MS;
+fn rebalance_zones(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &Wishes,
+) -> Option<Step> {
+    let answers = |member: &MemberId| node.silent_ms(now, member) < VOTER_TIMEOUT_MS;
     if !members.voters.iter().all(answers) || !node.members_are_settled() {
         return None;
     }
-    let crowded_out = |by: &MemberId| wishes.zones.crowded_out(&members.voters, by, node.id());
+    let voter_to_replace =
+        |by: &MemberId| wishes.zones.voter_to_replace(&members.voters, by, node.id());
     if members.voters.len() > wishes.voters {
-        let gone = members.voters.iter().find_map(crowded_out)?;
+        let gone = members.voters.iter().find_map(voter_to_replace)?;
         return Some(Step::Change(without(members, gone)));
     }
     if members.voters.len() < wishes.voters {
@@ -175,7 +181,7 @@
     let may_vote = |learner: &&MemberId| {
         is_caught_up(node, now, learner) && !wishes.leaving.contains(&learner.name)
     };
-    let moves = |member: &&MemberId| crowded_out(member).is_some();
+    let moves = |member: &&MemberId| voter_to_replace(member).is_some();
     let mut changed = members.clone();
     if let Some(learner) = members.learners.iter().filter(may_vote).find(moves) {
         changed.learners.retain(|held| held != learner);
@@ -187,20 +193,25 @@
     }
     let may_learn = |member: &&MemberId| may_join(members, wishes, member) && moves(member);
     let asking = wishes.joining.iter().filter(may_learn);
-    changed.learners.push(wishes.zones.least_crowded(members, asking)?.clone());
+    changed.learners.push(wishes.zones.from_smallest_zone(members, asking)?.clone());
     Some(Step::Change(changed))
 }
 
 /// Removes a silent voter where others have taken its place.
-fn drop_silent(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
-    let silent = |voter: &&MemberId| node.silent_ms(now, voter) >= SILENCE_MS;
+fn drop_unresponsive_voter(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &Wishes,
+) -> Option<Step> {
+    let silent = |voter: &&MemberId| node.silent_ms(now, voter) >= VOTER_TIMEOUT_MS;
     let gone = members.voters.iter().find(silent)?;
     (members.voters.len() > wishes.voters).then(|| Step::Change(without(members, gone)))
 }
 
 /// Removes a learner that has been silent for long: each look at it costs the whole state.
-fn drop_silent_learner(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
-    let silent = |learner: &&MemberId| node.silent_ms(now, learner) >= LEARNER_SILENCE_MS;
+fn drop_unresponsive_learner(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
+    let silent = |learner: &&MemberId| node.silent_ms(now, learner) >= LEARNER_TIMEOUT_MS;
     let gone = members.learners.iter().find(silent)?;
     Some(Step::Change(without(members, gone)))
 }
@@ -208,7 +219,12 @@
 /// Removes a member that is to be emptied, once enough others vote and have everything: as many as
 /// are wanted, where other machines could still fill its place, since the loss of several may follow
 /// at once.
-fn release(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
+fn remove_leaving(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &Wishes,
+) -> Option<Step> {
     let leaving = members.all().find(|member| wishes.leaving.contains(&member.name))?;
     let others: Vec<&MemberId> = members
         .voters
@@ -219,8 +235,9 @@
         .collect();
     let can_fill = |member: &&MemberId| !wishes.leaving.contains(&member.name);
     let learners = members.learners.iter().filter(can_fill);
-    let successor = learners.into_iter().any(|learner| node.silent_ms(now, learner) < SILENCE_MS)
-        || wishes.joining.iter().any(|member| may_join(members, wishes, member));
+    let successor =
+        learners.into_iter().any(|learner| node.silent_ms(now, learner) < VOTER_TIMEOUT_MS)
+            || wishes.joining.iter().any(|member| may_join(members, wishes, member));
     let is_voter = members.voters.contains(leaving);
     let enough = match successor && is_voter {
         true => wishes.voters,
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -6,22 +6,24 @@
 
 use crate::log::{Entry, Index, Payload, Snapshot};
 use crate::message::{Body, MemberId, Members};
-use crate::node::{Consensus, Millis, Role, ELECTION_MIN_MS, HEARTBEAT_MS, LEASE_MS};
+use crate::node::{
+    Consensus, Millis, Role, ELECTION_TIMEOUT_MIN_MS, HEARTBEAT_INTERVAL_MS, LEASE_MS,
+};
 
 /// Most bytes of entries in one message.
-const APPEND_BYTES: usize = 128 * 1024;
+const MAX_APPEND_BYTES: usize = 128 * 1024;
 /// Most messages with entries under way to one member.
-const WINDOW: usize = 8;
+const MAX_IN_FLIGHT_APPENDS: usize = 8;
 /// Time after which an unanswered probe counts as lost, in milliseconds.
-const LOST_MS: Millis = 2_000;
+const PROBE_TIMEOUT_MS: Millis = 2_000;
 /// Time within which a member must have been heard to be sent a state, in milliseconds.
-const INSTALL_HEARD_MS: Millis = 1_000;
+const SNAPSHOT_CONTACT_MS: Millis = 1_000;
 /// Time after which an unanswered state counts as lost, in milliseconds.
-const INSTALL_LOST_MS: Millis = 3_000;
+const SNAPSHOT_TIMEOUT_MS: Millis = 3_000;
 
 /// How two sets of voters differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Difference {
+pub enum VoterChange {
     /// Not at all.
     None,
     /// One voter more or less.
@@ -42,14 +44,14 @@
     /// Whether it is not known yet which entry matches: one message is under way at a time.
     probing: bool,
     /// Last entry of each message with entries that is not answered, and when the newest was sent.
-    under_way: VecDeque<Index>,
+    in_flight: VecDeque<Index>,
     /// Whether the state itself is under way.
     installing: bool,
     sent_at: Millis,
     /// Leader's clock when it sent the newest message that was answered.
     acknowledged_at: Option<Millis>,
     /// When anything was last heard of it.
-    heard_at: Millis,
+    last_contact: Millis,
     /// Position of the newest members that its disk knows to be committed.
     settled: Index,
 }
@@ -57,8 +59,8 @@
 impl Progress {
     fn accept(&mut self, matched: Index) {
         self.matched = self.matched.max(matched);
-        while self.under_way.front().is_some_and(|last| *last <= self.matched) {
-            self.under_way.pop_front();
+        while self.in_flight.front().is_some_and(|last| *last <= self.matched) {
+            self.in_flight.pop_front();
         }
         if self.probing && self.matched + 1 >= self.next {
             self.installing = false;
@@ -70,28 +72,32 @@
     /// Goes back to where the member says that it can match. Invariant: a refusal counts once, and
     /// only for the message that it answers. Each of the others under way is refused as well; if
     /// they counted, each would have the whole window sent again.
-    fn refuse(&mut self, refused: Index, hint: Index) {
+    fn reject(&mut self, rejected_index: Index, hint: Index) {
         if self.installing {
             // The answer to a heartbeat: the state that it asks for is under way.
             return;
         }
-        let stale = if self.probing { refused + 1 > self.next } else { refused <= self.matched };
+        let stale = if self.probing {
+            rejected_index + 1 > self.next
+        } else {
+            rejected_index <= self.matched
+        };
         if stale {
             return;
         }
         self.probing = true;
         self.installing = false;
-        self.under_way.clear();
+        self.in_flight.clear();
         self.next = (hint + 1).max(self.matched + 1);
     }
 
     /// Forgets a message that was not answered for so long that it must be lost.
-    fn give_up_lost(&mut self, now: Millis) {
-        let patience = if self.installing { INSTALL_LOST_MS } else { LOST_MS };
+    fn expire_lost(&mut self, now: Millis) {
+        let timeout = if self.installing { SNAPSHOT_TIMEOUT_MS } else { PROBE_TIMEOUT_MS };
         let waits = self.probing || self.installing;
-        if waits && !self.under_way.is_empty() && now >= self.sent_at + patience {
+        if waits && !self.in_flight.is_empty() && now >= self.sent_at + timeout {
             self.probing = true;
-            self.under_way.clear();
+            self.in_flight.clear();
             self.installing = false;
             self.next = self.matched + 1;
         }
@@ -103,7 +109,7 @@
 pub(crate) struct Reply {
     pub accepted: bool,
     pub matched: Index,
-    pub refused: Index,
+    pub rejected_index: Index,
     pub settled: Index,
     pub sent_at: Millis,
 }
@@ -113,7 +119,7 @@
     /// position is no promise: the command is in force when its entry, of the same term, is
     /// committed.
     pub fn propose(&mut self, now: Millis, command: Vec<u8>) -> Option<Index> {
-        if self.role != Role::Leader || self.handing_over {
+        if self.role != Role::Leader || self.transferring_leadership {
             return None;
         }
         Some(self.append_as_leader(now, Payload::Command(command.into())))
@@ -131,7 +137,7 @@
     pub fn can_change_members(&self) -> bool {
         let (index, _) = self.log.members();
         self.role == Role::Leader
-            && !self.handing_over
+            && !self.transferring_leadership
             && index <= self.commit
             && self.commit >= self.term_start
     }
@@ -142,12 +148,12 @@
     /// The second is as safe as the first: the lost disk is in no quorum any more, and with n voters
     /// a quorum of the others before and one after, of more than n / 2 each, share a member.
     pub fn change_members(&mut self, now: Millis, mut members: Members) -> bool {
-        let difference = self.difference(&members);
-        let grows = difference != Difference::None;
+        let voter_change = self.voter_change(&members);
+        let grows = voter_change != VoterChange::None;
         members.epoch = self.members().epoch + u64::from(grows);
-        let allowed = match difference {
-            Difference::None | Difference::One | Difference::Successor => true,
-            Difference::Many => false,
+        let allowed = match voter_change {
+            VoterChange::None | VoterChange::One | VoterChange::Successor => true,
+            VoterChange::Many => false,
         };
         if !self.can_change_members() || !allowed || members.voters.is_empty() {
             return false;
@@ -160,17 +166,17 @@
     }
 
     /// How the voters of new members differ from the present ones.
-    pub fn difference(&self, members: &Members) -> Difference {
+    pub fn voter_change(&self, members: &Members) -> VoterChange {
         let present = &self.members().voters;
         let added: Vec<&MemberId> =
             members.voters.iter().filter(|voter| !present.contains(voter)).collect();
         let removed: Vec<&MemberId> =
             present.iter().filter(|voter| !members.voters.contains(voter)).collect();
         match (added.as_slice(), removed.as_slice()) {
-            ([], []) => Difference::None,
-            ([_], []) | ([], [_]) => Difference::One,
-            ([new], [old]) if new.name == old.name => Difference::Successor,
-            _ => Difference::Many,
+            ([], []) => VoterChange::None,
+            ([_], []) | ([], [_]) => VoterChange::One,
+            ([new], [old]) if new.name == old.name => VoterChange::Successor,
+            _ => VoterChange::Many,
         }
     }
 
@@ -184,11 +190,11 @@
                 matched: 0,
                 next,
                 probing: true,
-                under_way: VecDeque::new(),
+                in_flight: VecDeque::new(),
                 installing: false,
                 sent_at: now,
                 acknowledged_at: None,
-                heard_at: now,
+                last_contact: now,
                 settled: 0,
             });
         }
@@ -197,23 +203,23 @@
     /// What the leader knows of a member.
     pub fn matched(&self, member: &MemberId) -> Index {
         if *member == self.me {
-            return self.durable;
+            return self.durable_index;
         }
         self.progress.get(member).map_or(0, |progress| progress.matched)
     }
 
     /// Time since a member was heard; zero for the leader itself.
     pub fn silent_ms(&self, now: Millis, member: &MemberId) -> Millis {
-        self.progress.get(member).map_or(0, |progress| now.saturating_sub(progress.heard_at))
+        self.progress.get(member).map_or(0, |progress| now.saturating_sub(progress.last_contact))
     }
 
     /// Leader's deadlines: heartbeats, and giving up where no quorum answers.
-    pub(crate) fn lead(&mut self, now: Millis) {
+    pub(crate) fn tick_leader(&mut self, now: Millis) {
         if now < self.heartbeat_at {
             return;
         }
-        let quorum_heard = self.quorum_value(|progress| Some(progress.heard_at), now);
-        if quorum_heard.is_none_or(|heard| now > heard + 4 * ELECTION_MIN_MS) {
+        let quorum_heard = self.quorum_value(|progress| Some(progress.last_contact), now);
+        if quorum_heard.is_none_or(|heard| now > heard + 4 * ELECTION_TIMEOUT_MIN_MS) {
             self.become_follower(now, self.term);
             return;
         }
@@ -222,11 +228,11 @@
 
     /// Sends an append to every member, with entries or without.
     pub(crate) fn heartbeat(&mut self, now: Millis) {
-        self.heartbeat_at = now + HEARTBEAT_MS;
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         let members: Vec<MemberId> = self.progress.keys().cloned().collect();
         for member in members {
             if let Some(progress) = self.progress.get_mut(&member) {
-                progress.give_up_lost(now);
+                progress.expire_lost(now);
             }
             if !self.send_entries(now, &member) {
                 self.send_append(now, &member, Vec::new());
@@ -247,22 +253,22 @@
     fn send_entries(&mut self, now: Millis, member: &MemberId) -> bool {
         let mut sent = false;
         while let Some(progress) = self.progress.get_mut(member) {
-            let window = if progress.probing { 1 } else { WINDOW };
-            if progress.under_way.len() >= window || progress.next > self.log.last_index() {
+            let window = if progress.probing { 1 } else { MAX_IN_FLIGHT_APPENDS };
+            if progress.in_flight.len() >= window || progress.next > self.log.last_index() {
                 break;
             }
             if progress.next <= self.log.snapshot().index {
                 // One at a time: the state is large, and each is a copy of it under way. One that is
                 // not heard would keep it from the others.
-                let is_heard = now < progress.heard_at + INSTALL_HEARD_MS;
+                let is_heard = now < progress.last_contact + SNAPSHOT_CONTACT_MS;
                 if is_heard && self.effects.installs.is_empty() && !self.is_installing() {
                     self.effects.installs.push(member.clone());
                 }
                 break;
             }
             progress.sent_at = now;
-            let entries = self.log.from(progress.next, APPEND_BYTES);
-            progress.under_way.extend(entries.last().map(|entry| entry.index));
+            let entries = self.log.entries_from(progress.next, MAX_APPEND_BYTES);
+            progress.in_flight.extend(entries.last().map(|entry| entry.index));
             self.send_append(now, member, entries);
             sent = true;
         }
@@ -271,7 +277,7 @@
 
     /// Whether a state is under way to a member that may still take it.
     fn is_installing(&self) -> bool {
-        self.progress.values().any(|progress| progress.installing && !progress.under_way.is_empty())
+        self.progress.values().any(|progress| progress.installing && !progress.in_flight.is_empty())
     }
 
     /// Sends a member the state after the last applied entry, which `state` must be: the log no
@@ -282,9 +288,9 @@
         let Some(progress) = self.progress.get_mut(member) else { return };
         progress.sent_at = now;
         progress.next = index + 1;
-        progress.under_way.push_back(index);
+        progress.in_flight.push_back(index);
         progress.installing = true;
-        let (members_index, members) = self.members_told_at(index);
+        let (members_index, members) = self.members_with_index_at(index);
         let snapshot = Snapshot { index, term, members, members_index, state };
         self.send(member.clone(), self.term, Body::Install { snapshot, sent_at: now });
     }
@@ -303,16 +309,16 @@
     }
 
     /// A member answered.
-    pub(crate) fn take_reply(&mut self, now: Millis, from: &MemberId, reply: Reply) {
-        let Reply { accepted, matched, refused, settled, sent_at } = reply;
+    pub(crate) fn handle_append_reply(&mut self, now: Millis, from: &MemberId, reply: Reply) {
+        let Reply { accepted, matched, rejected_index, settled, sent_at } = reply;
         let Some(progress) = self.progress.get_mut(from) else { return };
-        progress.heard_at = now;
+        progress.last_contact = now;
         progress.settled = progress.settled.max(settled);
         progress.acknowledged_at = progress.acknowledged_at.max(Some(sent_at));
         if accepted {
             progress.accept(matched);
         } else {
-            progress.refuse(refused, matched);
+            progress.reject(rejected_index, matched);
         }
         self.advance_commit(now);
         self.send_entries(now, from);
@@ -336,7 +342,7 @@
     /// Invariant: only an entry of the leader's own term is committed by counting; those before it
     /// follow. An older one that a quorum has could still be replaced.
     pub(crate) fn advance_commit(&mut self, now: Millis) {
-        let quorum = self.quorum_value(|progress| Some(progress.matched), self.durable);
+        let quorum = self.quorum_value(|progress| Some(progress.matched), self.durable_index);
         let Some(index) = quorum else { return };
         if index <= self.commit || self.log.term_at(index) != Some(self.term) {
             return;
@@ -360,14 +366,14 @@
         let (position, members) = self.log.members();
         let settled = |voter: &MemberId| match self.progress.get(voter) {
             Some(progress) => progress.settled >= position,
-            None => *voter == self.me && self.durable_settled >= position,
+            None => *voter == self.me && self.durable_members_index >= position,
         };
         self.role == Role::Leader && members.voters.iter().all(settled)
     }
 
     /// Whether no other leader can exist now.
     pub fn has_lease(&self, now: Millis) -> bool {
-        if self.role != Role::Leader || self.handing_over {
+        if self.role != Role::Leader || self.transferring_leadership {
             return false;
         }
         let acknowledged = self.quorum_value(|progress| progress.acknowledged_at, now);
@@ -386,8 +392,8 @@
         if self.role != Role::Leader || !votes || self.matched(to) < self.log.last_index() {
             return false;
         }
-        self.handing_over = true;
-        self.heartbeat_at = now + HEARTBEAT_MS;
+        self.transferring_leadership = true;
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         self.send(to.clone(), self.term, Body::HandOver);
         true
     }
--- a/crates/consensus/src/spread.rs
+++ b/crates/consensus/src/zones.rs
@@ -21,7 +21,7 @@
     }
 
     /// How many of some members stand in the zone of a machine; none where that is not known.
-    fn beside<'a>(
+    fn count_in_zone_of<'a>(
         &self,
         member: &MemberId,
         members: impl IntoIterator<Item = &'a MemberId>,
@@ -32,18 +32,18 @@
 
     /// The one to admit of some that ask: from the zone with the fewest members. Those that learn count as
     /// well, or several would be admitted for the same place.
-    pub(crate) fn least_crowded<'a>(
+    pub(crate) fn from_smallest_zone<'a>(
         &self,
         members: &Members,
         asking: impl Iterator<Item = &'a MemberId>,
     ) -> Option<&'a MemberId> {
-        asking.min_by_key(|member| (self.beside(member, members.all()), &member.name))
+        asking.min_by_key(|member| (self.count_in_zone_of(member, members.all()), &member.name))
     }
 
     /// A voter that a machine of another zone should take the place of: its zone has at least two more than
     /// the machine's, so that the exchange makes the largest number smaller. The leader stays. Nothing is
     /// moved while a voter's zone is not known.
-    pub(crate) fn crowded_out<'a>(
+    pub(crate) fn voter_to_replace<'a>(
         &self,
         voters: &'a [MemberId],
         by: &MemberId,
@@ -53,11 +53,13 @@
         if voters.iter().any(|voter| self.of(voter).is_none()) {
             return None;
         }
-        let beside_it = self.beside(by, voters.iter().filter(|voter| *voter != by));
+        let beside_it = self.count_in_zone_of(by, voters.iter().filter(|voter| *voter != by));
         let crowded = |voter: &&MemberId| {
-            *voter != leader && *voter != by && self.beside(voter, voters) >= beside_it + 2
+            *voter != leader
+                && *voter != by
+                && self.count_in_zone_of(voter, voters) >= beside_it + 2
         };
-        let most = |voter: &&MemberId| (self.beside(voter, voters), voter.name.clone());
+        let most = |voter: &&MemberId| (self.count_in_zone_of(voter, voters), voter.name.clone());
         voters.iter().filter(crowded).max_by_key(most)
     }
 }
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_lost_disk_that_votes_is_found() {
-    assert!(is_found(Mutation::WipedVotes));
+    assert!(is_found(Mutation::WipedDiskVotes));
 }
 
 #[test]
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -38,8 +38,8 @@
                     recovered.entries.retain(|entry: &Entry| entry.index < first);
                     recovered.entries.extend(entries.iter().cloned());
                 }
-                Write::Snapshot { snapshot, keep_rest } => {
-                    let keep = |entry: &Entry| *keep_rest && entry.index > snapshot.index;
+                Write::Snapshot { snapshot, keep_later_entries } => {
+                    let keep = |entry: &Entry| *keep_later_entries && entry.index > snapshot.index;
                     recovered.entries.retain(keep);
                     recovered.snapshot = snapshot.clone();
                 }
@@ -115,7 +115,7 @@
     /// Answers leave before the disk has synced.
     AnswerBeforeSync,
     /// A lost disk returns with its former identity.
-    WipedVotes,
+    WipedDiskVotes,
     /// Reads are answered by any member that thinks it leads, without a lease.
     ReadWithoutLease,
     /// A member of a pair goes on alone without having claimed it.
@@ -568,11 +568,11 @@
         self.now >= self.wipe_allowed_at
             && self.cuts.is_empty()
             && self.nodes.iter().all(calm)
-            && self.whole()
+            && self.is_fully_replicated()
     }
 
     /// Whether a leader's group is whole: every place taken, by members that have everything.
-    fn whole(&self) -> bool {
+    fn is_fully_replicated(&self) -> bool {
         self.leaders().iter().any(|&at| {
             let Some(core) = self.nodes[at].core.as_ref() else { return false };
             let members = core.members();
@@ -639,7 +639,7 @@
             8 if faults.changes && self.may_wipe() && self.leaving.is_empty() => self.retire()?,
             // Of a pair, one cut off for long and then the other's disk lost is more than it bears.
             9 if faults.cuts && faults.wipes && self.retired == 0 && self.may_wipe() => {
-                self.behind(length)?;
+                self.cut_off_then_wipe(length)?;
             }
             10 if faults.stalls && faults.power => {
                 self.stall_all_but_one();
@@ -653,7 +653,7 @@
 
     /// One member misses changes; then another one's disk is lost, the rest are dark, and the cut
     /// heals: those two must not elect the past.
-    fn behind(&mut self, length: Millis) -> Result<(), Violation> {
+    fn cut_off_then_wipe(&mut self, length: Millis) -> Result<(), Violation> {
         let cut_off = self.any();
         let mut wiped = (cut_off + 1) % self.nodes.len();
         while self.is_gone(&self.nodes[wiped]) || wiped == cut_off {
@@ -700,7 +700,7 @@
         self.stop(at, true);
         let incarnation = self.nodes[at].disk.incarnation;
         self.nodes[at].disk = Disk::default();
-        if self.mutation == Mutation::WipedVotes {
+        if self.mutation == Mutation::WipedDiskVotes {
             self.nodes[at].disk.incarnation = incarnation;
         }
     }
--- a/crates/quota/src/accountant.rs
+++ b/crates/quota/src/accountant.rs
@@ -64,7 +64,7 @@
             });
         }
         self.leased_until = asked_at.plus_millis(LEASE_MS);
-        self.forget_needless(now);
+        self.evict_idle_buckets(now);
         changed
     }
 
@@ -107,9 +107,9 @@
     }
 
     /// Drops buckets that would be the same if they were made anew.
-    fn forget_needless(&mut self, now: Timestamp) {
+    fn evict_idle_buckets(&mut self, now: Timestamp) {
         for held in self.slots.values_mut() {
-            held.buckets.retain(|_, bucket| !bucket.is_needless(now));
+            held.buckets.retain(|_, bucket| !bucket.is_evictable(now));
         }
     }
 }
--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -16,7 +16,7 @@
 const LEASE_MARGIN_MS: u64 = 250;
 /// Time after which a new leader assigns slots that nobody has had: job stores that start together
 /// know each other by then.
-const SETTLE_MS: u64 = 2_500;
+const STARTUP_GRACE_MS: u64 = 2_500;
 
 /// The accountant of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -75,9 +75,9 @@
 /// `LEASE_MS` after their lead did, and so after this one began.
 #[derive(Debug)]
 pub struct Overseer {
-    leads_since: Timestamp,
+    leader_since: Timestamp,
     /// Last renewal of each job store; none for one that gave its slots back.
-    renewed: HashMap<String, Option<Timestamp>>,
+    last_renewals: HashMap<String, Option<Timestamp>>,
     /// Changes that are on their way into the log.
     pending: BTreeMap<SlotId, String>,
 }
@@ -85,13 +85,13 @@
 impl Overseer {
     /// The overseer of a lead that begins now.
     pub fn new(now: Timestamp) -> Self {
-        Self { leads_since: now, renewed: HashMap::new(), pending: BTreeMap::new() }
+        Self { leader_since: now, last_renewals: HashMap::new(), pending: BTreeMap::new() }
     }
 
     /// Renews the leases of a job store. Invariant: a slot that is on its way to another accountant is
     /// not leased to the one before any more.
     pub fn renew(&mut self, now: Timestamp, assignment: &Assignment, name: &str) -> Vec<SlotLease> {
-        self.renewed.insert(name.to_owned(), Some(now));
+        self.last_renewals.insert(name.to_owned(), Some(now));
         let mut leases = assignment.leases_of(name);
         leases.retain(|lease| self.pending.get(&lease.slot).is_none_or(|next| next == name));
         leases
@@ -99,29 +99,29 @@
 
     /// A job store has given its slots back.
     pub fn released(&mut self, name: &str) {
-        self.renewed.insert(name.to_owned(), None);
+        self.last_renewals.insert(name.to_owned(), None);
     }
 
     /// Whether leases of a job store may still hold.
-    fn may_hold(&self, now: Timestamp, name: &str) -> bool {
-        let last = match self.renewed.get(name) {
+    fn may_hold_lease(&self, now: Timestamp, name: &str) -> bool {
+        let last = match self.last_renewals.get(name) {
             Some(None) => return false,
             Some(Some(at)) => *at,
-            None => self.leads_since,
+            None => self.leader_since,
         };
         now < last.plus_millis(LEASE_MS + LEASE_MARGIN_MS)
     }
 
-    /// Changes that are due. `candidates` are the job stores that answer, `me` is the leader, which
+    /// Changes that are due. `candidates` are the job stores that answer, `leader` is the leader, which
     /// takes slots only where there are too few others: it has work enough.
     pub fn plan(
         &mut self,
         now: Timestamp,
         assignment: &Assignment,
         candidates: &[Candidate],
-        me: &str,
+        leader: &str,
     ) -> Vec<(SlotId, String)> {
-        if candidates.is_empty() || now < self.leads_since.plus_millis(SETTLE_MS) {
+        if candidates.is_empty() || now < self.leader_since.plus_millis(STARTUP_GRACE_MS) {
             return Vec::new();
         }
         self.pending.retain(|slot, next| {
@@ -131,11 +131,11 @@
         let mut changes = Vec::new();
         for slot in SlotId::all() {
             let held_by = assignment.holder(slot).map(|holder| holder.name.as_str());
-            let is_held = held_by.is_some_and(|name| self.may_hold(now, name));
+            let is_held = held_by.is_some_and(|name| self.may_hold_lease(now, name));
             if is_held || self.pending.contains_key(&slot) {
                 continue;
             }
-            let Some(chosen) = self.choose(slot, &planned, candidates, me) else { continue };
+            let Some(chosen) = self.choose(slot, &planned, candidates, leader) else { continue };
             if held_by == Some(chosen) {
                 continue;
             }
@@ -154,7 +154,7 @@
         slot: SlotId,
         planned: &Assignment,
         candidates: &'a [Candidate],
-        me: &str,
+        leader: &str,
     ) -> Option<&'a str> {
         let others = SlotId::all().filter(|other| other.shard == slot.shard && *other != slot);
         let others: Vec<&str> =
@@ -165,12 +165,12 @@
         };
         let zones: Vec<&str> = others.iter().filter_map(|name| zone_of(name)).collect();
         let score = rendezvous_score(&slot.key());
-        let released = |name: &str| matches!(self.renewed.get(name), Some(None));
+        let released = |name: &str| matches!(self.last_renewals.get(name), Some(None));
         let rank = |candidate: &&Candidate| {
             let name = candidate.name.as_str();
-            let is_apart = !others.contains(&name);
-            let has_zone = !zones.contains(&candidate.zone.as_str());
-            (!released(name), is_apart, name != me, has_zone, score(name))
+            let holds_no_sibling = !others.contains(&name);
+            let zone_is_unused = !zones.contains(&candidate.zone.as_str());
+            (!released(name), holds_no_sibling, name != leader, zone_is_unused, score(name))
         };
         candidates.iter().max_by_key(rank).map(|candidate| candidate.name.as_str())
     }
--- a/crates/quota/src/bounds.rs
+++ b/crates/quota/src/bounds.rs
@@ -4,17 +4,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::slot::PARTS;
+use crate::slot::PARTS_PER_LIMIT;
 
 /// Part of the tolerance in proportion to the limit that the lifetime of tokens may use; the rest is
 /// for clocks that differ in rate and for requests on their way.
-const LIFETIME_SHARE: f64 = 0.8;
+const TOKEN_LIFETIME_FRACTION: f64 = 0.8;
 /// Part of the fixed tolerance by which buckets are larger than the burst; the rest is for accountants
 /// that begin anew, which grant a first token each, and for gateways that stand still between the last
 /// look at a token and the send.
-const EXTRA_SHARE: f64 = 0.6;
+const EXTRA_TOKENS_FRACTION: f64 = 0.6;
 /// Shortest lifetime of a token: a round trip between zones and a pause of the processor.
-const SHORTEST_LIFETIME: Duration = Duration::from_millis(150);
+const MIN_TOKEN_LIFETIME: Duration = Duration::from_millis(150);
 
 /// Bounds of the limits, as operators know them: in every window a tenant may send
 /// (rate x window + burst) x (1 + overage) + slack.
@@ -39,17 +39,17 @@
     /// Time within which a token must be spent. A window of sends has the grants of a window that is
     /// longer by this, which the overage allows for.
     pub fn token_lifetime(&self) -> Duration {
-        let tolerated = self.window_seconds * self.overage * LIFETIME_SHARE;
-        Duration::from_secs_f64(tolerated).max(SHORTEST_LIFETIME)
+        let tolerated = self.window_seconds * self.overage * TOKEN_LIFETIME_FRACTION;
+        Duration::from_secs_f64(tolerated).max(MIN_TOKEN_LIFETIME)
     }
 
     /// Tokens by which the bucket of each part is larger than its part of the burst.
     pub fn extra_tokens(&self) -> u64 {
-        (f64::from(self.slack) * EXTRA_SHARE / f64::from(PARTS)) as u64
+        (f64::from(self.slack) * EXTRA_TOKENS_FRACTION / f64::from(PARTS_PER_LIMIT)) as u64
     }
 
     /// Most requests of a tenant in a window.
-    pub fn most_in_window(&self, limit: yokefall_types::RateLimit) -> f64 {
+    pub fn max_requests_in_window(&self, limit: yokefall_types::RateLimit) -> f64 {
         let limit =
             limit.per_1000_seconds as f64 / 1_000.0 * self.window_seconds + limit.burst as f64;
         limit * (1.0 + self.overage) + f64::from(self.slack)
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,27 +1,27 @@
 //! The token bucket of one part of a tenant's limit. All numbers are whole, so that no rounding adds
-//! up: a token of the whole limit is `TOKEN` units, and a part, which is filled at the rate of the
-//! whole limit, pays `PARTS` times as much for each.
+//! up: a token of the whole limit is `UNITS_PER_TOKEN` units, and a part, which is filled at the rate of the
+//! whole limit, pays `PARTS_PER_LIMIT` times as much for each.
 
 use yokefall_core::Timestamp;
 use yokefall_types::RateLimit;
 
-use crate::slot::PARTS;
+use crate::slot::PARTS_PER_LIMIT;
 
 /// Units of a token: requests in 1,000 seconds times milliseconds.
-const TOKEN: u64 = 1_000_000;
+const UNITS_PER_TOKEN: u64 = 1_000_000;
 /// What a part pays for a token.
-const PART_TOKEN: u64 = TOKEN * PARTS as u64;
+const UNITS_PER_PART_TOKEN: u64 = UNITS_PER_TOKEN * PARTS_PER_LIMIT as u64;
 
 /// Time without asks after which a full bucket is forgotten: far beyond the time in which a
 /// configuration is in force everywhere.
-const FORGET_AFTER_MS: u64 = 60_000;
+const IDLE_EVICTION_MS: u64 = 60_000;
 
 /// Part of a limit with what is left of it.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     units: u64,
-    at: Timestamp,
-    used_at: Timestamp,
+    updated_at: Timestamp,
+    requested_at: Timestamp,
     limit: RateLimit,
     /// Version of the configuration that gave the limit.
     version: u64,
@@ -31,18 +31,26 @@
 impl Bucket {
     /// A bucket that has been filling since `since`, from one token on.
     pub fn new(since: Timestamp, limit: RateLimit, version: u64, extra_tokens: u64) -> Self {
-        Self { units: PART_TOKEN, at: since, used_at: since, limit, version, extra_tokens }
+        Self {
+            units: UNITS_PER_PART_TOKEN,
+            updated_at: since,
+            requested_at: since,
+            limit,
+            version,
+            extra_tokens,
+        }
     }
 
     fn capacity(&self) -> u64 {
-        let units = self.limit.burst.saturating_mul(TOKEN) + self.extra_tokens * PART_TOKEN;
-        units.max(PART_TOKEN)
+        let units = self.limit.burst.saturating_mul(UNITS_PER_TOKEN)
+            + self.extra_tokens * UNITS_PER_PART_TOKEN;
+        units.max(UNITS_PER_PART_TOKEN)
     }
 
     fn refill(&mut self, now: Timestamp) {
-        let gained = self.limit.per_1000_seconds.saturating_mul(now.millis_since(self.at));
+        let gained = self.limit.per_1000_seconds.saturating_mul(now.millis_since(self.updated_at));
         self.units = self.units.saturating_add(gained).min(self.capacity());
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
     /// Puts the limit of a newer configuration in force. Invariant: versions only rise, so that a
@@ -60,22 +68,22 @@
     /// Takes as many tokens as there are, `wanted` at most.
     pub fn take(&mut self, now: Timestamp, wanted: u32) -> u32 {
         self.refill(now);
-        self.used_at = self.used_at.max(now);
-        let tokens = (self.units / PART_TOKEN).min(u64::from(wanted));
-        self.units -= tokens * PART_TOKEN;
+        self.requested_at = self.requested_at.max(now);
+        let tokens = (self.units / UNITS_PER_PART_TOKEN).min(u64::from(wanted));
+        self.units -= tokens * UNITS_PER_PART_TOKEN;
         tokens as u32
     }
 
     /// Milliseconds until there is a token, as of the last take.
     pub fn wait_ms(&self) -> u64 {
-        let lacking = PART_TOKEN.saturating_sub(self.units);
-        lacking.div_ceil(self.limit.per_1000_seconds.max(1))
+        let missing = UNITS_PER_PART_TOKEN.saturating_sub(self.units);
+        missing.div_ceil(self.limit.per_1000_seconds.max(1))
     }
 
     /// Whether it would be as full if it was made anew, and was not asked for in a time within which
     /// every gateway knows the limit that it has.
-    pub fn is_needless(&mut self, now: Timestamp) -> bool {
+    pub fn is_evictable(&mut self, now: Timestamp) -> bool {
         self.refill(now);
-        self.units == self.capacity() && now.millis_since(self.used_at) >= FORGET_AFTER_MS
+        self.units == self.capacity() && now.millis_since(self.requested_at) >= IDLE_EVICTION_MS
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -23,4 +23,4 @@
 pub use bounds::QuotaBounds;
 pub use message::{SlotLease, TokenAsk, TokenGrant};
 pub use meter::{Meter, NextStep, Refused};
-pub use slot::{Part, SlotId, PARTS};
+pub use slot::{Part, SlotId, PARTS_PER_LIMIT};
--- a/crates/quota/src/meter.rs
+++ b/crates/quota/src/meter.rs
@@ -6,7 +6,7 @@
 use yokefall_types::TenantName;
 
 use crate::assignment::Assignment;
-use crate::slot::{order_of, Part, SlotId};
+use crate::slot::{part_order, Part, SlotId};
 
 /// What a gateway does next for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,9 +41,9 @@
 pub struct Meter {
     gateway: String,
     assignment: Assignment,
-    spent_until: HashMap<(TenantName, Part), Timestamp>,
+    exhausted_until: HashMap<(TenantName, Part), Timestamp>,
     /// Accountants that gave no answer; requests are not held up by asking them again.
-    failing: BTreeSet<String>,
+    unreachable: BTreeSet<String>,
 }
 
 impl Meter {
@@ -52,8 +52,8 @@
         Self {
             gateway,
             assignment: Assignment::default(),
-            spent_until: HashMap::new(),
-            failing: BTreeSet::new(),
+            exhausted_until: HashMap::new(),
+            unreachable: BTreeSet::new(),
         }
     }
 
@@ -66,22 +66,22 @@
     pub fn set_assignment(&mut self, assignment: Assignment) {
         if assignment.version > self.assignment.version {
             self.assignment = assignment;
-            self.spent_until.clear();
+            self.exhausted_until.clear();
         }
     }
 
     /// The parts of a tenant's limit in the order in which this gateway asks for them.
-    pub fn order(&self, tenant: &TenantName) -> impl Iterator<Item = Part> {
-        order_of(&self.gateway, tenant)
+    pub fn part_order(&self, tenant: &TenantName) -> impl Iterator<Item = Part> {
+        part_order(&self.gateway, tenant)
     }
 
     /// What to do for a request of a tenant to which some parts gave no token.
     pub fn next(&self, now: Timestamp, tenant: &TenantName, refused: &[Refused]) -> NextStep {
         let mut earliest: Option<u64> = None;
         let mut is_unknown = false;
-        for part in self.order(tenant) {
+        for part in self.part_order(tenant) {
             let asked = refused.iter().find(|refused| refused.part == part);
-            let spent = self.spent_until.get(&(tenant.clone(), part));
+            let spent = self.exhausted_until.get(&(tenant.clone(), part));
             let spent = spent.filter(|until| **until > now).map(|until| until.millis_since(now));
             if let Some(wait) = spent.or(asked.and_then(|refused| refused.wait_ms)) {
                 earliest = Some(earliest.map_or(wait, |held| held.min(wait)));
@@ -92,7 +92,7 @@
                 continue;
             }
             let holder = self.assignment.holder(SlotId::of(tenant, part));
-            match holder.filter(|holder| !self.failing.contains(&holder.name)) {
+            match holder.filter(|holder| !self.unreachable.contains(&holder.name)) {
                 Some(holder) => return NextStep::Ask { part, accountant: holder.name.clone() },
                 None => is_unknown = true,
             }
@@ -106,7 +106,7 @@
     /// The accountant of a part of a tenant's limit; `None` where none is known that answers.
     pub fn accountant(&self, tenant: &TenantName, part: Part) -> Option<String> {
         let holder = self.assignment.holder(SlotId::of(tenant, part))?;
-        (!self.failing.contains(&holder.name)).then(|| holder.name.clone())
+        (!self.unreachable.contains(&holder.name)).then(|| holder.name.clone())
     }
 
     /// What is known of each part of a tenant's limit, for a line.
@@ -116,41 +116,41 @@
                 return format!("part {}: nobody", part.0);
             };
             let is_spent =
-                self.spent_until.get(&(tenant.clone(), part)).is_some_and(|at| *at > now);
-            let state = match (self.failing.contains(&holder.name), is_spent) {
+                self.exhausted_until.get(&(tenant.clone(), part)).is_some_and(|at| *at > now);
+            let state = match (self.unreachable.contains(&holder.name), is_spent) {
                 (true, _) => "gave no answer",
                 (false, true) => "has no token",
                 (false, false) => "answers",
             };
             format!("part {}: {} {state}", part.0, holder.name)
         };
-        self.order(tenant).map(part).collect::<Vec<String>>().join(", ")
+        self.part_order(tenant).map(part).collect::<Vec<String>>().join(", ")
     }
 
     /// A part has no token for a while.
     pub fn spent(&mut self, now: Timestamp, tenant: &TenantName, part: Part, wait_ms: u64) {
-        self.spent_until.insert((tenant.clone(), part), now.plus_millis(wait_ms.max(1)));
+        self.exhausted_until.insert((tenant.clone(), part), now.plus_millis(wait_ms.max(1)));
     }
 
     /// An accountant gave no answer.
     pub fn failed(&mut self, accountant: &str) {
-        self.failing.insert(accountant.to_owned());
+        self.unreachable.insert(accountant.to_owned());
     }
 
     /// An accountant answers.
     pub fn answered(&mut self, accountant: &str) {
-        self.failing.remove(accountant);
+        self.unreachable.remove(accountant);
     }
 
     /// Accountants that gave no answer and are to be tried again aside from requests.
     pub fn failing(&self) -> Vec<String> {
         let is_accountant =
             |name: &&String| SlotId::all().any(|slot| self.assignment.is_holder(slot, name));
-        self.failing.iter().filter(is_accountant).cloned().collect()
+        self.unreachable.iter().filter(is_accountant).cloned().collect()
     }
 
     /// Drops what no longer holds.
     pub fn forget(&mut self, now: Timestamp) {
-        self.spent_until.retain(|_, until| *until > now);
+        self.exhausted_until.retain(|_, until| *until > now);
     }
 }
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use quickcheck::{Gen, QuickCheck};
-use support::{Fault, Fleet, Outcome, Plan, Sender, Surge, LEAD_IN_MS};
+use support::{Fault, Fleet, Outcome, Plan, Sender, Surge, WARM_UP_MS};
 use yokefall_quota::QuotaBounds;
 use yokefall_types::{RateLimit, TenantName};
 
@@ -31,7 +31,7 @@
 }
 
 fn plan(seed: u64, gateways: usize, senders: Vec<Sender>, faults: Vec<Fault>) -> Plan {
-    Plan { seed, gateways, stores: 10, senders, faults, length_ms: 16_000, used_gateways: None }
+    Plan { seed, gateways, stores: 10, senders, faults, length_ms: 16_000, client_gateways: None }
 }
 
 /// Plays a plan and checks the rule for each tenant.
@@ -40,8 +40,8 @@
     let outcome = Fleet::new(plan).run();
     let bounds = QuotaBounds::default();
     for sender in &senders {
-        let most = outcome.most_in_window(&sender.name, WINDOW_MS, 0);
-        let allowed = bounds.most_in_window(sender.limit);
+        let most = outcome.max_sends_in_window(&sender.name, WINDOW_MS, 0);
+        let allowed = bounds.max_requests_in_window(sender.limit);
         assert!(most as f64 <= allowed, "seed {seed}: {} sent {most} of {allowed}", sender.name);
     }
     outcome
@@ -52,11 +52,11 @@
     for gateways in [11, 50, 250, 550] {
         for tenants in [72, 260] {
             let outcome = play(plan(1, gateways, senders(tenants, 0, 1.0), vec![]));
-            let share = outcome.refused_share();
+            let share = outcome.rejected_fraction();
             println!(
                 "{gateways} gateways, {tenants} tenants: refused {share:.5}, asks {} for {} requests, \
                  {} at the busiest job store",
-                outcome.asks, outcome.within_limit, outcome.most_asks
+                outcome.token_requests, outcome.within_limit, outcome.max_token_requests
             );
             assert!(share < 0.001, "{share} of {}", outcome.within_limit);
         }
@@ -73,15 +73,15 @@
                 outcome.sends.get(&name).map_or(0, Vec::len)
             };
             let sent: usize = (0..hot).map(sent).sum();
-            let share = sent as f64 / outcome.within_limit_of_hot as f64;
+            let share = sent as f64 / outcome.within_limit_of_surging as f64;
             println!(
                 "{hot} hot x{times}, {gateways} gateways: others refused {:.5}, hot sent {share:.3} of \
                  what they may, asks {} for {} requests",
-                outcome.refused_share(),
-                outcome.asks,
-                outcome.within_limit + outcome.within_limit_of_hot
+                outcome.rejected_fraction(),
+                outcome.token_requests,
+                outcome.within_limit + outcome.within_limit_of_surging
             );
-            assert!(outcome.refused_share() < 0.001, "{}", outcome.refused_share());
+            assert!(outcome.rejected_fraction() < 0.001, "{}", outcome.rejected_fraction());
             assert!(share > 0.95, "{share}");
         }
     }
@@ -90,9 +90,9 @@
 #[test]
 fn clients_that_all_use_three_gateways_are_served_alike() {
     let mut plan = plan(3, 50, senders(72, 1, 8.0), vec![]);
-    plan.used_gateways = Some(3);
+    plan.client_gateways = Some(3);
     let outcome = play(plan);
-    assert!(outcome.refused_share() < 0.001, "{}", outcome.refused_share());
+    assert!(outcome.rejected_fraction() < 0.001, "{}", outcome.rejected_fraction());
 }
 
 #[test]
@@ -107,8 +107,8 @@
     ];
     for (name, faults) in faults {
         let outcome = play(plan(4, 50, senders(72, 0, 1.0), faults));
-        println!("{name}: refused {:.5}", outcome.refused_share());
-        assert!(outcome.refused_share() < 0.01, "{name}: {}", outcome.refused_share());
+        println!("{name}: refused {:.5}", outcome.rejected_fraction());
+        assert!(outcome.rejected_fraction() < 0.01, "{name}: {}", outcome.rejected_fraction());
     }
 }
 
@@ -123,9 +123,9 @@
             per_1000_seconds: sender.limit.per_1000_seconds / 2,
             burst: sender.limit.burst / 2,
         };
-        let from = LEAD_IN_MS + 4_000 + 3_000 + WINDOW_MS;
-        let most = outcome.most_in_window(&sender.name, WINDOW_MS, from);
-        let allowed = bounds.most_in_window(limit);
+        let from = WARM_UP_MS + 4_000 + 3_000 + WINDOW_MS;
+        let most = outcome.max_sends_in_window(&sender.name, WINDOW_MS, from);
+        let allowed = bounds.max_requests_in_window(limit);
         assert!(most as f64 <= allowed, "{}: {most} of {allowed}", sender.name);
     }
 }
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -234,5 +234,5 @@
     let bounds = QuotaBounds::default();
     assert_eq!(bounds.token_lifetime().as_millis(), 400);
     assert_eq!(bounds.extra_tokens(), 4);
-    assert_eq!(bounds.most_in_window(LIMIT), 180.0 * 1.1 + 20.0);
+    assert_eq!(bounds.max_requests_in_window(LIMIT), 180.0 * 1.1 + 20.0);
 }
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -15,13 +15,13 @@
 use yokefall_types::{RateLimit, TenantName};
 
 /// Time for an accountant to answer, as in the gateway.
-const ASK_TIMEOUT_MS: u64 = 120;
+const TOKEN_REQUEST_TIMEOUT_MS: u64 = 120;
 /// Interval between probes, as in the gateway.
 const PROBE_INTERVAL_MS: u64 = 700;
 /// Interval between two looks of the leader.
-const OVERSEE_INTERVAL_MS: u64 = 500;
+const ASSIGN_INTERVAL_MS: u64 = 500;
 /// Time before the first request: the lead is settled and buckets are full.
-pub const LEAD_IN_MS: u64 = 14_000;
+pub const WARM_UP_MS: u64 = 14_000;
 
 /// A tenant and how much it sends.
 #[derive(Clone, Debug)]
@@ -74,7 +74,7 @@
     pub faults: Vec<Fault>,
     pub length_ms: u64,
     /// Gateways that clients use; all where none is given.
-    pub used_gateways: Option<usize>,
+    pub client_gateways: Option<usize>,
 }
 
 /// What a run showed.
@@ -86,24 +86,24 @@
     /// usual.
     pub within_limit: u64,
     /// Of them, those that were refused.
-    pub refused_within: u64,
+    pub rejected_within_limit: u64,
     /// The same of tenants that send more than they may. Which of their requests are the ones within the
     /// limit is anybody's choice: what counts is how many are sent.
-    pub within_limit_of_hot: u64,
+    pub within_limit_of_surging: u64,
     /// Asks that accountants answered.
-    pub asks: u64,
+    pub token_requests: u64,
     /// Most asks that one job store answered.
-    pub most_asks: u64,
+    pub max_token_requests: u64,
 }
 
 impl Outcome {
     /// Refused part of the requests that were within the limit.
-    pub fn refused_share(&self) -> f64 {
-        self.refused_within as f64 / self.within_limit.max(1) as f64
+    pub fn rejected_fraction(&self) -> f64 {
+        self.rejected_within_limit as f64 / self.within_limit.max(1) as f64
     }
 
     /// The largest number of sends of a tenant in a window that begins at `from_ms` or later.
-    pub fn most_in_window(&self, tenant: &TenantName, window_ms: u64, from_ms: u64) -> usize {
+    pub fn max_sends_in_window(&self, tenant: &TenantName, window_ms: u64, from_ms: u64) -> usize {
         let Some(sends) = self.sends.get(tenant) else { return 0 };
         let mut sends: Vec<u64> = sends.iter().copied().filter(|at| *at >= from_ms).collect();
         sends.sort_unstable();
@@ -125,7 +125,7 @@
     refused: Vec<Refused>,
     asked_at: u64,
     /// The ask that is open.
-    open_ask: Option<u64>,
+    open_token_request: Option<u64>,
     is_within: bool,
     hold_ms: u64,
 }
@@ -133,31 +133,31 @@
 enum Event {
     Arrive { sender: usize },
     Step { request: u64 },
-    AskArrives { store: usize, life: u64, request: u64, number: u64, ask: TokenAsk },
+    TokenRequestArrives { store: usize, incarnation: u64, request: u64, number: u64, ask: TokenAsk },
     Answer { request: u64, number: u64, accountant: usize, grant: TokenGrant },
     Timeout { request: u64, number: u64, accountant: usize },
     Send { request: u64, expires_at: u64 },
-    Renew { store: usize, life: u64 },
-    RenewArrives { store: usize, life: u64, asked_at: u64 },
-    Renewed { store: usize, life: u64, asked_at: u64, leases: Vec<SlotLease> },
-    Oversee,
-    Commit { lead: u64, changes: Vec<(SlotId, String)> },
+    Renew { store: usize, incarnation: u64 },
+    RenewArrives { store: usize, incarnation: u64, asked_at: u64 },
+    Renewed { store: usize, incarnation: u64, asked_at: u64, leases: Vec<SlotLease> },
+    AssignSlots,
+    Commit { term: u64, changes: Vec<(SlotId, String)> },
     Probe { gateway: usize },
-    Learn { gateway: usize, assignment: Assignment },
-    LearnLimits { gateway: usize, percent: u64 },
+    AssignmentArrives { gateway: usize, assignment: Assignment },
+    LimitsArrive { gateway: usize, percent: u64 },
     Begin(Fault),
     StartStore { store: usize },
-    Lead { store: usize, lead: u64 },
+    BecomeLeader { store: usize, term: u64 },
 }
 
 struct Store {
     accountant: Accountant,
-    life: u64,
+    incarnation: u64,
     up: bool,
     cut_until: u64,
     frozen_until: u64,
     offset: u64,
-    asks: u64,
+    token_requests: u64,
 }
 
 struct Gateway {
@@ -176,16 +176,16 @@
     now: u64,
     sequence: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    held: HashMap<u64, Event>,
+    pending_events: HashMap<u64, Event>,
     stores: Vec<Store>,
     gateways: Vec<Gateway>,
     assignment: Assignment,
     /// The leader with the number of its lead.
     leader: Option<(usize, u64, Overseer)>,
-    lead: u64,
+    term: u64,
     requests: HashMap<u64, Request>,
     next_request: u64,
-    next_ask: u64,
+    next_token_request: u64,
     /// Buckets of whole limits, which see every request at once: units of a thousandth of a request.
     reference: Vec<(u64, u64)>,
     limit_percent: u64,
@@ -206,12 +206,12 @@
         let bounds = QuotaBounds::default();
         let stores = (0..plan.stores).map(|_| Store {
             accountant: Accountant::new(bounds),
-            life: 0,
+            incarnation: 0,
             up: true,
             cut_until: 0,
             frozen_until: 0,
             offset: random.random_range(0..1_000_000),
-            asks: 0,
+            token_requests: 0,
         });
         let stores = stores.collect();
         let gateways = (0..plan.gateways).map(|gateway| Gateway {
@@ -224,22 +224,22 @@
         });
         let gateways = gateways.collect();
         let reference =
-            plan.senders.iter().map(|sender| (sender.limit.burst * 1_000, LEAD_IN_MS)).collect();
+            plan.senders.iter().map(|sender| (sender.limit.burst * 1_000, WARM_UP_MS)).collect();
         Self {
             plan,
             random,
             now: 0,
             sequence: 0,
             events: BinaryHeap::new(),
-            held: HashMap::new(),
+            pending_events: HashMap::new(),
             stores,
             gateways,
             assignment: Assignment::default(),
             leader: None,
-            lead: 0,
+            term: 0,
             requests: HashMap::new(),
             next_request: 0,
-            next_ask: 0,
+            next_token_request: 0,
             reference,
             limit_percent: 100,
             version: 1,
@@ -253,40 +253,41 @@
     pub fn run(mut self) -> Outcome {
         for store in 0..self.plan.stores {
             let at = self.random.random_range(0..RENEW_INTERVAL_MS);
-            self.at(at, Event::Renew { store, life: 0 });
+            self.at(at, Event::Renew { store, incarnation: 0 });
         }
-        self.at(300, Event::Lead { store: 0, lead: 1 });
-        self.lead = 1;
-        self.at(400, Event::Oversee);
+        self.at(300, Event::BecomeLeader { store: 0, term: 1 });
+        self.term = 1;
+        self.at(400, Event::AssignSlots);
         for gateway in 0..self.plan.gateways {
             let at = self.random.random_range(0..PROBE_INTERVAL_MS);
             self.at(at, Event::Probe { gateway });
         }
         for sender in 0..self.plan.senders.len() {
-            self.at(LEAD_IN_MS, Event::Arrive { sender });
+            self.at(WARM_UP_MS, Event::Arrive { sender });
         }
         for fault in self.plan.faults.clone() {
-            self.at(LEAD_IN_MS + begin_of(fault), Event::Begin(fault));
+            self.at(WARM_UP_MS + start_of(fault), Event::Begin(fault));
         }
-        let end = LEAD_IN_MS + self.plan.length_ms;
+        let end = WARM_UP_MS + self.plan.length_ms;
         while let Some(Reverse((at, number))) = self.events.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            if let Some(event) = self.held.remove(&number) {
+            if let Some(event) = self.pending_events.remove(&number) {
                 self.handle(event);
             }
         }
-        self.outcome.most_asks = self.stores.iter().map(|store| store.asks).max().unwrap_or(0);
-        self.outcome.asks = self.stores.iter().map(|store| store.asks).sum();
+        self.outcome.max_token_requests =
+            self.stores.iter().map(|store| store.token_requests).max().unwrap_or(0);
+        self.outcome.token_requests = self.stores.iter().map(|store| store.token_requests).sum();
         self.outcome
     }
 
     fn at(&mut self, at: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence)));
-        self.held.insert(self.sequence, event);
+        self.pending_events.insert(self.sequence, event);
     }
 
     fn after(&mut self, ms: u64, event: Event) {
@@ -305,8 +306,8 @@
         match event {
             Event::Arrive { sender } => self.arrive(sender),
             Event::Step { request } => self.step(request),
-            Event::AskArrives { store, life, request, number, ask } => {
-                self.ask_arrives(store, life, request, number, ask);
+            Event::TokenRequestArrives { store, incarnation, request, number, ask } => {
+                self.token_request_arrives(store, incarnation, request, number, ask);
             }
             Event::Answer { request, number, accountant, grant } => {
                 self.answer(request, number, accountant, grant);
@@ -315,36 +316,36 @@
                 self.timeout(request, number, accountant);
             }
             Event::Send { request, expires_at } => self.send(request, expires_at),
-            Event::Renew { store, life } => self.renew(store, life),
-            Event::RenewArrives { store, life, asked_at } => {
-                self.renew_arrives(store, life, asked_at);
+            Event::Renew { store, incarnation } => self.renew(store, incarnation),
+            Event::RenewArrives { store, incarnation, asked_at } => {
+                self.renew_arrives(store, incarnation, asked_at);
             }
-            Event::Renewed { store, life, asked_at, leases } => {
-                self.renewed(store, life, asked_at, leases);
+            Event::Renewed { store, incarnation, asked_at, leases } => {
+                self.renewed(store, incarnation, asked_at, leases);
             }
-            Event::Oversee => self.oversee(),
-            Event::Commit { lead, changes } => {
-                if self.leader.as_ref().is_some_and(|(_, held, _)| *held == lead) {
+            Event::AssignSlots => self.assign_slots(),
+            Event::Commit { term, changes } => {
+                if self.leader.as_ref().is_some_and(|(_, current, _)| *current == term) {
                     self.assignment.assign(changes);
                 }
             }
             Event::Probe { gateway } => self.probe(gateway),
-            Event::Learn { gateway, assignment } => {
+            Event::AssignmentArrives { gateway, assignment } => {
                 self.gateways[gateway].meter.set_assignment(assignment);
             }
-            Event::LearnLimits { gateway, percent } => {
+            Event::LimitsArrive { gateway, percent } => {
                 self.gateways[gateway].limit_percent = percent;
                 self.gateways[gateway].version = self.version;
             }
             Event::Begin(fault) => self.begin(fault),
             Event::StartStore { store } => {
-                let life = self.stores[store].life;
+                let incarnation = self.stores[store].incarnation;
                 self.stores[store].up = true;
-                self.after(1, Event::Renew { store, life });
+                self.after(1, Event::Renew { store, incarnation });
             }
-            Event::Lead { store, lead } => {
+            Event::BecomeLeader { store, term } => {
                 let now = self.store_time(store);
-                self.leader = Some((store, lead, Overseer::new(now)));
+                self.leader = Some((store, term, Overseer::new(now)));
             }
         }
     }
@@ -367,7 +368,7 @@
 
     fn arrive(&mut self, sender: usize) {
         let mut rate = self.plan.senders[sender].rate;
-        let since = self.now - LEAD_IN_MS;
+        let since = self.now - WARM_UP_MS;
         if let Some(surge) = self.plan.senders[sender].surge {
             if (surge.from_ms..surge.until_ms).contains(&since) {
                 rate *= surge.times;
@@ -379,10 +380,10 @@
         let is_hot = self.plan.senders[sender].surge.is_some();
         match (is_within, is_hot) {
             (true, false) => self.outcome.within_limit += 1,
-            (true, true) => self.outcome.within_limit_of_hot += 1,
+            (true, true) => self.outcome.within_limit_of_surging += 1,
             (false, _) => {}
         }
-        let used = self.plan.used_gateways.unwrap_or(self.plan.gateways);
+        let used = self.plan.client_gateways.unwrap_or(self.plan.gateways);
         let gateway = self.random.random_range(0..used);
         // A few are held for want of free slots.
         let is_held = self.random.random_range(0..20) == 0;
@@ -394,7 +395,7 @@
             sender,
             refused: Vec::new(),
             asked_at: self.now,
-            open_ask: None,
+            open_token_request: None,
             is_within,
             hold_ms,
         };
@@ -428,7 +429,7 @@
         let (part, accountant) = match step {
             NextStep::Ask { part, accountant } => (part, accountant),
             NextStep::OverLimit { .. } | NextStep::Unknown => {
-                self.refuse(request);
+                self.reject(request);
                 return;
             }
         };
@@ -438,35 +439,42 @@
         let limit = self.limit_of(sender, percent);
         let version = self.gateways[gateway].version;
         let ask = TokenAsk { tenant, part, limit, version, tokens: 1 };
-        let number = self.next_ask;
-        self.next_ask += 1;
+        let number = self.next_token_request;
+        self.next_token_request += 1;
         if let Some(held) = self.requests.get_mut(&request) {
-            held.open_ask = Some(number);
+            held.open_token_request = Some(number);
             held.asked_at = self.now;
         }
-        let life = self.stores[store].life;
+        let incarnation = self.stores[store].incarnation;
         let mut delay = self.delay();
         let cut = self.gateways[gateway].cut_until.max(self.stores[store].cut_until);
         if cut > self.now {
             // What is on its way through a cut comes when it heals.
             delay += cut - self.now;
         }
-        self.after(delay, Event::AskArrives { store, life, request, number, ask });
-        self.after(ASK_TIMEOUT_MS, Event::Timeout { request, number, accountant: store });
+        self.after(delay, Event::TokenRequestArrives { store, incarnation, request, number, ask });
+        self.after(TOKEN_REQUEST_TIMEOUT_MS, Event::Timeout { request, number, accountant: store });
     }
 
-    fn ask_arrives(&mut self, store: usize, life: u64, request: u64, number: u64, ask: TokenAsk) {
+    fn token_request_arrives(
+        &mut self,
+        store: usize,
+        incarnation: u64,
+        request: u64,
+        number: u64,
+        ask: TokenAsk,
+    ) {
         let held = &self.stores[store];
-        if !held.up || held.life != life {
+        if !held.up || held.incarnation != incarnation {
             return;
         }
         if held.frozen_until > self.now {
             let wake = held.frozen_until;
-            self.at(wake, Event::AskArrives { store, life, request, number, ask });
+            self.at(wake, Event::TokenRequestArrives { store, incarnation, request, number, ask });
             return;
         }
         let now = self.store_time(store);
-        self.stores[store].asks += 1;
+        self.stores[store].token_requests += 1;
         let grant = self.stores[store].accountant.take(now, &ask);
         let mut delay = self.delay();
         if self.stores[store].cut_until > self.now {
@@ -477,7 +485,7 @@
 
     fn answer(&mut self, request: u64, number: u64, accountant: usize, grant: TokenGrant) {
         let Some(held) = self.requests.get(&request) else { return };
-        if held.open_ask != Some(number) {
+        if held.open_token_request != Some(number) {
             return;
         }
         let (gateway, sender, asked_at) = (held.gateway, held.sender, held.asked_at);
@@ -494,7 +502,7 @@
                 let expires_at = asked_at + self.bounds.token_lifetime().as_millis() as u64;
                 let hold_ms = held.hold_ms;
                 if let Some(held) = self.requests.get_mut(&request) {
-                    held.open_ask = None;
+                    held.open_token_request = None;
                     held.hold_ms = 0;
                 }
                 self.after(hold_ms, Event::Send { request, expires_at });
@@ -507,7 +515,7 @@
                 self.refused(request, part, Some(wait_ms));
             }
             TokenGrant::NotHeld => {
-                self.learn(gateway);
+                self.fetch_assignment(gateway);
                 self.refused(request, part, None);
             }
         }
@@ -515,12 +523,12 @@
 
     fn timeout(&mut self, request: u64, number: u64, accountant: usize) {
         let Some(held) = self.requests.get(&request) else { return };
-        if held.open_ask != Some(number) {
+        if held.open_token_request != Some(number) {
             return;
         }
         let (gateway, sender) = (held.gateway, held.sender);
         self.gateways[gateway].meter.failed(&store_name(accountant));
-        self.learn(gateway);
+        self.fetch_assignment(gateway);
         let tenant = self.plan.senders[sender].name.clone();
         let part = part_of(&self.assignment, &tenant, accountant);
         self.refused(request, part, None);
@@ -528,19 +536,19 @@
 
     fn refused(&mut self, request: u64, part: Option<Part>, wait_ms: Option<u64>) {
         let Some(held) = self.requests.get_mut(&request) else { return };
-        held.open_ask = None;
+        held.open_token_request = None;
         let Some(part) = part else {
-            self.refuse(request);
+            self.reject(request);
             return;
         };
         held.refused.push(Refused { part, wait_ms });
         self.step(request);
     }
 
-    fn refuse(&mut self, request: u64) {
+    fn reject(&mut self, request: u64) {
         let Some(held) = self.requests.remove(&request) else { return };
         if held.is_within && self.plan.senders[held.sender].surge.is_none() {
-            self.outcome.refused_within += 1;
+            self.outcome.rejected_within_limit += 1;
         }
     }
 
@@ -567,20 +575,20 @@
         self.outcome.sends.entry(tenant).or_default().push(self.now);
     }
 
-    fn learn(&mut self, gateway: usize) {
+    fn fetch_assignment(&mut self, gateway: usize) {
         let is_cut = self.gateways[gateway].cut_until > self.now;
         if self.leader.is_none() || is_cut {
             return;
         }
         let assignment = self.assignment.clone();
         let delay = self.delay() + self.delay();
-        self.after(delay, Event::Learn { gateway, assignment });
+        self.after(delay, Event::AssignmentArrives { gateway, assignment });
     }
 
     fn probe(&mut self, gateway: usize) {
         self.after(PROBE_INTERVAL_MS, Event::Probe { gateway });
         if self.gateways[gateway].meter.assignment().version == 0 {
-            self.learn(gateway);
+            self.fetch_assignment(gateway);
         }
         if self.gateways[gateway].cut_until > self.now {
             return;
@@ -596,25 +604,25 @@
         }
     }
 
-    fn renew(&mut self, store: usize, life: u64) {
-        if self.stores[store].life != life || !self.stores[store].up {
+    fn renew(&mut self, store: usize, incarnation: u64) {
+        if self.stores[store].incarnation != incarnation || !self.stores[store].up {
             return;
         }
         if self.stores[store].frozen_until > self.now {
             let wake = self.stores[store].frozen_until;
-            self.at(wake, Event::Renew { store, life });
+            self.at(wake, Event::Renew { store, incarnation });
             return;
         }
-        self.after(RENEW_INTERVAL_MS, Event::Renew { store, life });
+        self.after(RENEW_INTERVAL_MS, Event::Renew { store, incarnation });
         let mut delay = self.delay();
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
         }
         let asked_at = self.now;
-        self.after(delay, Event::RenewArrives { store, life, asked_at });
+        self.after(delay, Event::RenewArrives { store, incarnation, asked_at });
     }
 
-    fn renew_arrives(&mut self, store: usize, life: u64, asked_at: u64) {
+    fn renew_arrives(&mut self, store: usize, incarnation: u64, asked_at: u64) {
         let Some((leader, _, _)) = &self.leader else { return };
         let leader = *leader;
         let now = self.store_time(leader);
@@ -624,16 +632,16 @@
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
         }
-        self.after(delay, Event::Renewed { store, life, asked_at, leases });
+        self.after(delay, Event::Renewed { store, incarnation, asked_at, leases });
     }
 
-    fn renewed(&mut self, store: usize, life: u64, asked_at: u64, leases: Vec<SlotLease>) {
-        if self.stores[store].life != life {
+    fn renewed(&mut self, store: usize, incarnation: u64, asked_at: u64, leases: Vec<SlotLease>) {
+        if self.stores[store].incarnation != incarnation {
             return;
         }
         if self.stores[store].frozen_until > self.now {
             let wake = self.stores[store].frozen_until;
-            self.at(wake, Event::Renewed { store, life, asked_at, leases });
+            self.at(wake, Event::Renewed { store, incarnation, asked_at, leases });
             return;
         }
         let now = self.store_time(store);
@@ -641,10 +649,10 @@
         self.stores[store].accountant.renewed(now, asked_at, &leases);
     }
 
-    fn oversee(&mut self) {
-        self.after(OVERSEE_INTERVAL_MS, Event::Oversee);
-        let Some((leader, lead, _)) = &self.leader else { return };
-        let (leader, lead) = (*leader, *lead);
+    fn assign_slots(&mut self) {
+        self.after(ASSIGN_INTERVAL_MS, Event::AssignSlots);
+        let Some((leader, term, _)) = &self.leader else { return };
+        let (leader, term) = (*leader, *term);
         let is_up = |store: &usize| {
             let held = &self.stores[*store];
             held.up && held.cut_until <= self.now && held.frozen_until <= self.now
@@ -657,7 +665,7 @@
         let Some((_, _, overseer)) = &mut self.leader else { return };
         let changes = overseer.plan(now, &self.assignment, &candidates, &store_name(leader));
         if !changes.is_empty() {
-            self.after(5, Event::Commit { lead, changes });
+            self.after(5, Event::Commit { term, changes });
         }
     }
 
@@ -666,7 +674,7 @@
             Fault::KillStore { store, for_ms, .. } => {
                 let held = &mut self.stores[store];
                 held.up = false;
-                held.life += 1;
+                held.incarnation += 1;
                 held.accountant = Accountant::new(self.bounds);
                 self.after(for_ms, Event::StartStore { store });
                 if self.leader.as_ref().is_some_and(|(leader, _, _)| *leader == store) {
@@ -698,7 +706,7 @@
                 self.limit_percent = percent;
                 for gateway in 0..self.plan.gateways {
                     let delay = self.random.random_range(1..within_ms);
-                    self.after(delay, Event::LearnLimits { gateway, percent });
+                    self.after(delay, Event::LimitsArrive { gateway, percent });
                 }
             }
         }
@@ -706,7 +714,7 @@
 
     fn lose_leader(&mut self, gap_ms: u64) {
         let Some((old, _, _)) = self.leader.take() else { return };
-        self.lead += 1;
+        self.term += 1;
         let fit: HashSet<usize> = (0..self.plan.stores)
             .filter(|store| *store != old && self.stores[*store].up)
             .filter(|store| self.stores[*store].cut_until <= self.now)
@@ -714,18 +722,18 @@
             .collect();
         let next = (old + 1..old + self.plan.stores).map(|store| store % self.plan.stores);
         let next = next.into_iter().find(|store| fit.contains(store)).unwrap_or(old);
-        self.after(gap_ms, Event::Lead { store: next, lead: self.lead });
+        self.after(gap_ms, Event::BecomeLeader { store: next, term: self.term });
     }
 }
 
 /// The part of a tenant's limit that a job store holds now, as the log has it.
 fn part_of(assignment: &Assignment, tenant: &TenantName, store: usize) -> Option<Part> {
     let name = store_name(store);
-    let mut parts = (0..yokefall_quota::PARTS).map(Part);
+    let mut parts = (0..yokefall_quota::PARTS_PER_LIMIT).map(Part);
     parts.find(|part| assignment.is_holder(SlotId::of(tenant, *part), &name))
 }
 
-fn begin_of(fault: Fault) -> u64 {
+fn start_of(fault: Fault) -> u64 {
     match fault {
         Fault::KillStore { at_ms, .. }
         | Fault::CutStore { at_ms, .. }
--- a/crates/suspects/src/digest.rs
+++ b/crates/suspects/src/digest.rs
@@ -9,7 +9,7 @@
 /// another's and has that one held back.
 const DIGEST_BYTES: usize = 16;
 /// Bytes of a digest that lines show.
-const SHOWN_BYTES: usize = 6;
+const DISPLAYED_BYTES: usize = 6;
 
 /// What makes two attempts the same request.
 #[derive(Clone, Copy, Debug)]
@@ -57,7 +57,7 @@
 
 impl fmt::Display for RequestDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for byte in &self.0[..SHOWN_BYTES] {
+        for byte in &self.0[..DISPLAYED_BYTES] {
             write!(formatter, "{byte:02x}")?;
         }
         Ok(())
--- a/crates/suspects/src/entry.rs
+++ b/crates/suspects/src/entry.rs
@@ -4,65 +4,65 @@
 use yokefall_core::Timestamp;
 use yokefall_serving::BackendLife;
 
-use crate::background::{are_simultaneous, is_same_end, surprise, Background, CERTAIN};
+use crate::background::{are_simultaneous, is_same_crash, surprisal, Background, CERTAIN};
 use crate::digest::RequestDigest;
-use crate::message::{EndNews, SuspectNews};
+use crate::message::{CrashInfo, SuspectNews};
 
 /// Ends, one after the other, from which a request runs alone: one may be chance.
-pub(crate) const ENDS_TO_RUN_ALONE: usize = 2;
+pub(crate) const CRASHES_TO_ISOLATE: usize = 2;
 /// Ends, one after the other, from which a request is held back.
-const ENDS_TO_HOLD_BACK: usize = 3;
+const CRASHES_TO_HOLD_BACK: usize = 3;
 /// How improbable a series of one end, of two and so on must be by chance until its request runs alone, and
 /// until it is held back, in nats: the sums that one series in 100, and one in 10,000, of ends by chance
 /// exceeds. The sum over a series grows with its length whatever the cause: for ends by chance it has the
 /// distribution Gamma(length, 1).
-const SURPRISE_TO_RUN_ALONE: [f64; MOST_ENDS] =
+const SURPRISAL_TO_ISOLATE: [f64; MAX_CRASHES] =
     [4.605, 6.638, 8.406, 10.045, 11.605, 13.108, 14.571, 16.000];
-const SURPRISE_TO_HOLD_BACK: [f64; MOST_ENDS] =
+const SURPRISAL_TO_HOLD_BACK: [f64; MAX_CRASHES] =
     [9.210, 11.756, 13.928, 15.914, 17.782, 19.567, 21.290, 22.962];
 /// Time from the second end until a request runs alone, in milliseconds, and how many times as long it takes
 /// after each further one: where chance can't be ruled out, what ends back ends does so ever more rarely.
-const FIRST_ALONE_WAIT_MS: u64 = 500;
-const ALONE_WAIT_GROWTH: u64 = 4;
+const INITIAL_ISOLATION_BACKOFF_MS: u64 = 500;
+const ISOLATION_BACKOFF_FACTOR: u64 = 4;
 /// Longest such time of a request that its client sends again, and of an item, which nobody sends again and
 /// which its job waits for, in milliseconds.
-const LONGEST_ALONE_WAIT_MS: u64 = 30_000;
-const LONGEST_ITEM_WAIT_MS: u64 = 4_000;
+const MAX_ISOLATION_BACKOFF_MS: u64 = 30_000;
+const MAX_ITEM_ISOLATION_BACKOFF_MS: u64 = 4_000;
 /// Time from the last end until a request that is held back may run once, in milliseconds, and how many
 /// times as long each next one takes. A request that comes for ever costs 3 more back ends in 11 minutes.
-const FIRST_PROBE_WAIT_MS: u64 = 30_000;
-const PROBE_WAIT_GROWTH: u64 = 4;
+const INITIAL_PROBE_BACKOFF_MS: u64 = 30_000;
+const PROBE_BACKOFF_FACTOR: u64 = 4;
 /// Longest such time, in milliseconds.
-const LONGEST_PROBE_WAIT_MS: u64 = 3_600_000;
+const MAX_PROBE_BACKOFF_MS: u64 = 3_600_000;
 /// Time for which a request that was allowed to run alone counts as running while nothing is heard of it,
 /// in milliseconds: as long as most requests may take.
-const TRY_LEASE_MS: u64 = 10_000;
+const ISOLATED_RUN_LEASE_MS: u64 = 10_000;
 /// When to ask again where the same request runs alone already, in milliseconds.
-pub(crate) const ASK_AGAIN_MS: u64 = 500;
+pub(crate) const RETRY_AFTER_MS: u64 = 500;
 /// Other back ends that end at the same moment, from which an end has a cause in common with them.
-const SIMULTANEOUS_ENDS: usize = 2;
+const SIMULTANEOUS_CRASHES: usize = 2;
 /// Ends that are kept of one request.
-const MOST_ENDS: usize = 8;
+const MAX_CRASHES: usize = 8;
 /// Time after the last change for which a request with a single end is kept, in milliseconds, and one with
 /// more: longer than the longest wait for a probe.
-const SINGLE_END_LIFETIME_MS: u64 = 600_000;
-const LIFETIME_MS: u64 = 2 * LONGEST_PROBE_WAIT_MS;
+const SINGLE_CRASH_RETENTION_MS: u64 = 600_000;
+const RETENTION_MS: u64 = 2 * MAX_PROBE_BACKOFF_MS;
 
 /// A back end that ended under a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct End {
+pub(crate) struct Crash {
     pub(crate) backend: BackendLife,
     /// When the request was sent there; the earliest, where it was sent more than once.
-    pub(crate) started: Timestamp,
-    pub(crate) ended: Timestamp,
+    pub(crate) sent_at: Timestamp,
+    pub(crate) crashed_at: Timestamp,
     /// Ends of one back end by chance at that time, in a million seconds, to the process that saw most.
     pub(crate) rate: u32,
 }
 
-impl End {
+impl Crash {
     /// How long the request ran there.
     pub(crate) fn run_ms(&self) -> u64 {
-        self.ended.millis_since(self.started)
+        self.crashed_at.millis_since(self.sent_at)
     }
 }
 
@@ -71,39 +71,39 @@
 pub(crate) struct Series {
     pub(crate) count: usize,
     /// How improbable they are by chance, in nats.
-    pub(crate) surprise: f64,
+    pub(crate) surprisal: f64,
 }
 
 impl Series {
-    pub(crate) fn is_alone(self) -> bool {
+    pub(crate) fn needs_isolation(self) -> bool {
         // From the third end on whether chance explains them or not: how often others end may be the doing of
         // a second such request, and what it costs those who were merely there is a pause.
-        self.count >= ENDS_TO_HOLD_BACK
-            || (self.count >= ENDS_TO_RUN_ALONE && self.exceeds(SURPRISE_TO_RUN_ALONE))
+        self.count >= CRASHES_TO_HOLD_BACK
+            || (self.count >= CRASHES_TO_ISOLATE && self.exceeds(SURPRISAL_TO_ISOLATE))
     }
 
     pub(crate) fn is_held_back(self) -> bool {
-        self.count >= ENDS_TO_HOLD_BACK && self.exceeds(SURPRISE_TO_HOLD_BACK)
+        self.count >= CRASHES_TO_HOLD_BACK && self.exceeds(SURPRISAL_TO_HOLD_BACK)
     }
 
-    pub(crate) fn exceeds(self, limits: [f64; MOST_ENDS]) -> bool {
-        let position = self.count.clamp(1, MOST_ENDS) - 1;
-        self.surprise >= limits[position]
+    pub(crate) fn exceeds(self, limits: [f64; MAX_CRASHES]) -> bool {
+        let position = self.count.clamp(1, MAX_CRASHES) - 1;
+        self.surprisal >= limits[position]
     }
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Entry {
-    /// Ends after `answered`, by their moment.
-    pub(crate) ends: Vec<End>,
-    pub(crate) answered: Option<Timestamp>,
-    pub(crate) tried: Option<Timestamp>,
+    /// Ends after `answered_at`, by their moment.
+    pub(crate) crashes: Vec<Crash>,
+    pub(crate) answered_at: Option<Timestamp>,
+    pub(crate) isolated_at: Option<Timestamp>,
     /// When a run alone was over without an answer and without an end.
-    pub(crate) concluded: Option<Timestamp>,
-    /// Longest time for which a back end ran it without ending, since `answered`, in milliseconds.
-    pub(crate) outlived_ms: u64,
+    pub(crate) inconclusive_at: Option<Timestamp>,
+    /// Longest time for which a back end ran it without ending, since `answered_at`, in milliseconds.
+    pub(crate) survived_ms: u64,
     pub(crate) probes: u32,
-    pub(crate) changed: Timestamp,
+    pub(crate) changed_at: Timestamp,
 }
 
 /// What may be done with a request.
@@ -135,53 +135,54 @@
     /// a run that waited in a queue; and what ran for seconds without harm is not the cause of an end after a
     /// few milliseconds.
     pub(crate) fn series(&self) -> Series {
-        let mut runs: Vec<u64> = self.ends.iter().map(End::run_ms).collect();
+        let mut runs: Vec<u64> = self.crashes.iter().map(Crash::run_ms).collect();
         runs.sort_unstable();
         let median = runs.get(runs.len() / 2).copied().unwrap_or(0);
-        let run_ms = median.max(self.outlived_ms);
+        let run_ms = median.max(self.survived_ms);
         let mut series = Series::default();
         let mut last: Option<Timestamp> = None;
-        for end in &self.ends {
-            if last.is_none_or(|last| end.started >= last) {
+        for crash in &self.crashes {
+            if last.is_none_or(|last| crash.sent_at >= last) {
                 series.count += 1;
-                series.surprise += surprise(end.rate, run_ms);
-                last = Some(end.ended);
+                series.surprisal += surprisal(crash.rate, run_ms);
+                last = Some(crash.crashed_at);
             }
         }
         series
     }
 
-    pub(crate) fn last_end(&self) -> Option<Timestamp> {
-        self.ends.last().map(|end| end.ended)
+    pub(crate) fn last_crash(&self) -> Option<Timestamp> {
+        self.crashes.last().map(|crash| crash.crashed_at)
     }
 
     /// When it may run alone, after ends that chance may explain.
-    pub(crate) fn alone_due(&self, series: Series, sender: Sender) -> Timestamp {
+    pub(crate) fn isolation_due(&self, series: Series, sender: Sender) -> Timestamp {
         let longest = match sender {
-            Sender::Client => LONGEST_ALONE_WAIT_MS,
-            Sender::Job => LONGEST_ITEM_WAIT_MS,
+            Sender::Client => MAX_ISOLATION_BACKOFF_MS,
+            Sender::Job => MAX_ITEM_ISOLATION_BACKOFF_MS,
         };
-        let further = series.count.saturating_sub(ENDS_TO_RUN_ALONE) as u32;
-        let wait = FIRST_ALONE_WAIT_MS.saturating_mul(ALONE_WAIT_GROWTH.saturating_pow(further));
-        self.last_end().unwrap_or_default().plus_millis(wait.min(longest))
+        let further = series.count.saturating_sub(CRASHES_TO_ISOLATE) as u32;
+        let wait = INITIAL_ISOLATION_BACKOFF_MS
+            .saturating_mul(ISOLATION_BACKOFF_FACTOR.saturating_pow(further));
+        self.last_crash().unwrap_or_default().plus_millis(wait.min(longest))
     }
 
     /// When it may run once although it is held back.
     pub(crate) fn probe_due(&self) -> Timestamp {
-        let growth = PROBE_WAIT_GROWTH.saturating_pow(self.probes);
-        let wait = FIRST_PROBE_WAIT_MS.saturating_mul(growth);
-        let last = self.last_end().max(self.tried).unwrap_or_default();
-        last.plus_millis(wait.min(LONGEST_PROBE_WAIT_MS))
+        let growth = PROBE_BACKOFF_FACTOR.saturating_pow(self.probes);
+        let wait = INITIAL_PROBE_BACKOFF_MS.saturating_mul(growth);
+        let last = self.last_crash().max(self.isolated_at).unwrap_or_default();
+        last.plus_millis(wait.min(MAX_PROBE_BACKOFF_MS))
     }
 
     pub(crate) fn standing(&self, now: Timestamp, sender: Sender) -> Standing {
         let series = self.series();
-        if !series.is_alone() {
+        if !series.needs_isolation() {
             return Standing::Free;
         }
         let due = match series.is_held_back() {
             true => self.probe_due(),
-            false => self.alone_due(series, sender),
+            false => self.isolation_due(series, sender),
         };
         match due.millis_since(now) {
             0 => Standing::Alone,
@@ -190,87 +191,90 @@
     }
 
     /// Whether it was allowed to run alone, and nothing has been heard of that run.
-    pub(crate) fn runs_alone(&self, now: Timestamp) -> bool {
-        self.tried.is_some_and(|tried| {
-            now.millis_since(tried) < TRY_LEASE_MS
-                && self.last_end() <= Some(tried)
-                && self.concluded <= Some(tried)
+    pub(crate) fn is_running_isolated(&self, now: Timestamp) -> bool {
+        self.isolated_at.is_some_and(|tried| {
+            now.millis_since(tried) < ISOLATED_RUN_LEASE_MS
+                && self.last_crash() <= Some(tried)
+                && self.inconclusive_at <= Some(tried)
         })
     }
 
     /// Adds an end, or what else is known of one that is held already. Returns whether that is new.
-    pub(crate) fn add(&mut self, end: End) -> bool {
-        if self.answered.is_some_and(|answered| end.ended <= answered) {
+    pub(crate) fn add(&mut self, crash: Crash) -> bool {
+        if self.answered_at.is_some_and(|answered| crash.crashed_at <= answered) {
             return false;
         }
-        let is_same =
-            |held: &&mut End| is_same_end((&held.backend, held.ended), (&end.backend, end.ended));
-        if let Some(held) = self.ends.iter_mut().find(is_same) {
-            held.started = held.started.min(end.started);
-            let is_new = end.rate > held.rate;
-            held.rate = held.rate.max(end.rate);
+        let is_same = |held: &&mut Crash| {
+            is_same_crash((&held.backend, held.crashed_at), (&crash.backend, crash.crashed_at))
+        };
+        if let Some(held) = self.crashes.iter_mut().find(is_same) {
+            held.sent_at = held.sent_at.min(crash.sent_at);
+            let is_new = crash.rate > held.rate;
+            held.rate = held.rate.max(crash.rate);
             return is_new;
         }
-        self.ends.push(end);
-        self.ends.sort_by_key(|end| end.ended);
-        if self.ends.len() > MOST_ENDS {
-            self.ends.remove(0);
+        self.crashes.push(crash);
+        self.crashes.sort_by_key(|crash| crash.crashed_at);
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.remove(0);
         }
         true
     }
 
     /// Ends at about a moment at which others ended that this request did not run on prove nothing.
     pub(crate) fn discount_simultaneous(&mut self, background: &Background, at: Timestamp) {
-        let own: Vec<BackendLife> = self.ends.iter().map(|end| end.backend.clone()).collect();
+        let own: Vec<BackendLife> =
+            self.crashes.iter().map(|crash| crash.backend.clone()).collect();
         let is_own = |backend: &BackendLife| own.contains(backend);
-        let is_near = |end: &&mut End| are_simultaneous(end.ended, at);
-        for end in self.ends.iter_mut().filter(is_near) {
-            if background.simultaneous(end.ended, is_own) >= SIMULTANEOUS_ENDS {
-                end.rate = CERTAIN;
+        let is_near = |crash: &&mut Crash| are_simultaneous(crash.crashed_at, at);
+        for crash in self.crashes.iter_mut().filter(is_near) {
+            if background.simultaneous(crash.crashed_at, is_own) >= SIMULTANEOUS_CRASHES {
+                crash.rate = CERTAIN;
             }
         }
     }
 
     /// A whole answer came at a moment. Returns whether it cleared the request of anything.
     pub(crate) fn clear(&mut self, at: Timestamp) -> bool {
-        if self.answered.is_some_and(|answered| answered >= at) {
+        if self.answered_at.is_some_and(|answered| answered >= at) {
             return false;
         }
-        self.answered = Some(at);
-        let before = self.ends.len();
-        self.ends.retain(|end| end.ended > at);
-        if self.ends.is_empty() {
+        self.answered_at = Some(at);
+        let before = self.crashes.len();
+        self.crashes.retain(|crash| crash.crashed_at > at);
+        if self.crashes.is_empty() {
             self.probes = 0;
-            self.outlived_ms = 0;
+            self.survived_ms = 0;
         }
-        before != self.ends.len()
+        before != self.crashes.len()
     }
 
     pub(crate) fn rank(&self) -> (bool, usize, Timestamp) {
         let series = self.series();
-        (series.is_held_back(), series.count, self.changed)
+        (series.is_held_back(), series.count, self.changed_at)
     }
 
-    pub(crate) fn is_over(&self, now: Timestamp) -> bool {
-        let lifetime = if self.series().count > 1 { LIFETIME_MS } else { SINGLE_END_LIFETIME_MS };
-        now.millis_since(self.changed) >= lifetime
+    pub(crate) fn is_expired(&self, now: Timestamp) -> bool {
+        let lifetime =
+            if self.series().count > 1 { RETENTION_MS } else { SINGLE_CRASH_RETENTION_MS };
+        now.millis_since(self.changed_at) >= lifetime
     }
 
-    pub(crate) fn news(&self, now: Timestamp, digest: RequestDigest) -> SuspectNews {
+    pub(crate) fn update(&self, now: Timestamp, digest: RequestDigest) -> SuspectNews {
         let age = |at: Timestamp| now.millis_since(at);
-        let end = |end: &End| EndNews {
-            backend: end.backend.clone(),
-            started_ago_ms: age(end.started),
-            ended_ago_ms: age(end.ended),
-            rate: end.rate,
+        let crash = |crash: &Crash| CrashInfo {
+            backend: crash.backend.clone(),
+            started_age_ms: age(crash.sent_at),
+            crashed_age_ms: age(crash.crashed_at),
+            rate: crash.rate,
         };
         SuspectNews {
             digest,
-            ends: self.ends.iter().map(end).collect(),
-            answered_ago_ms: self.answered.map(age),
-            tried_ago_ms: self.tried.map(age),
-            concluded_ago_ms: self.concluded.map(age),
-            outlived_ms: self.outlived_ms,
+            crashes: self.crashes.iter().map(crash).collect(),
+            answered_age_ms: self.answered_at.map(age),
+            isolated_age_ms: self.isolated_at.map(age),
+            inconclusive_age_ms: self.inconclusive_at.map(age),
+            survived_ms: self.survived_ms,
             probes: self.probes,
         }
     }
@@ -278,15 +282,15 @@
     /// What it stands for beside its moments.
     pub(crate) fn fingerprint(&self, digest: &RequestDigest) -> u64 {
         let mut bytes = digest.bytes().to_vec();
-        let mut ends: Vec<(&BackendLife, u32)> =
-            self.ends.iter().map(|end| (&end.backend, end.rate)).collect();
-        ends.sort_unstable();
-        for (backend, rate) in ends {
+        let mut crashes: Vec<(&BackendLife, u32)> =
+            self.crashes.iter().map(|crash| (&crash.backend, crash.rate)).collect();
+        crashes.sort_unstable();
+        for (backend, rate) in crashes {
             bytes.extend_from_slice(backend.id.as_bytes());
             bytes.extend_from_slice(&backend.started_ms.to_le_bytes());
             bytes.extend_from_slice(&rate.to_le_bytes());
         }
-        bytes.extend_from_slice(&self.outlived_ms.to_le_bytes());
+        bytes.extend_from_slice(&self.survived_ms.to_le_bytes());
         bytes.extend_from_slice(&self.probes.to_le_bytes());
         xxh3_64(&bytes)
     }
--- a/crates/suspects/src/ended.rs
+++ b/crates/suspects/src/exit_check.rs
@@ -18,21 +18,21 @@
 
 /// Checks under way, by life of the back end: what refuses connections to one says nothing of the next.
 #[derive(Debug, Default)]
-pub struct EndChecks {
+pub struct ExitChecks {
     checks: RefCell<HashMap<BackendLife, Rc<OnceCell<bool>>>>,
 }
 
-impl EndChecks {
+impl ExitChecks {
     /// Whether the process at an address is gone, asked once for all requests that broke off there.
     ///
     /// Only a refused connection proves it. A back end that lives takes one, or resets it later; one behind
     /// a cut says nothing.
-    pub async fn has_ended(&self, backend: &BackendLife, address: SocketAddr) -> bool {
+    pub async fn has_exited(&self, backend: &BackendLife, address: SocketAddr) -> bool {
         let check = self.checks.borrow_mut().entry(backend.clone()).or_default().clone();
-        let has_ended = *check.get_or_init(|| refuses(address)).await;
+        let has_exited = *check.get_or_init(|| refuses(address)).await;
         // One that lives may end later; one that tells no start and has ended may be back.
         self.checks.borrow_mut().remove(backend);
-        has_ended
+        has_exited
     }
 }
 
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -8,12 +8,12 @@
 //! which request, each in an `entry`, and decides what may still be sent, `background` how much an end proves; both have no
 //! clock, randomness or input of their own.
 //! `message` is what processes tell each other of it, and `notices` tells it at once. `registry` is the table
-//! of one process with its time, lines and metrics; `ended` finds out whether a back end has ended.
+//! of one process with its time, lines and metrics; `exit_check` finds out whether a back end has ended.
 
 pub mod background;
 pub mod digest;
-pub mod ended;
 pub mod entry;
+pub mod exit_check;
 pub mod message;
 pub mod notices;
 pub mod registry;
@@ -21,6 +21,6 @@
 
 pub use digest::{RequestDigest, RequestIdentity};
 pub use entry::{Sender, Standing};
-pub use message::{EndNews, EndedBackend, Grant, SuspectNews, SuspectReport};
-pub use registry::{AloneRun, Conclusion, Registry};
+pub use message::{CrashInfo, CrashedBackend, Grant, SuspectNews, SuspectReport};
+pub use registry::{AloneRun, DisconnectCause, Registry};
 pub use table::Table;
--- a/crates/suspects/src/message.rs
+++ b/crates/suspects/src/message.rs
@@ -8,31 +8,31 @@
 
 /// A back end that ended under a request.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct EndNews {
+pub struct CrashInfo {
     /// The back end, in the life that ended.
     pub backend: BackendLife,
     /// How long ago the request was sent there, in milliseconds.
-    pub started_ago_ms: u64,
+    pub started_age_ms: u64,
     /// How long ago the back end ended, in milliseconds.
-    pub ended_ago_ms: u64,
+    pub crashed_age_ms: u64,
     /// Ends of one back end of its service by chance, in a million seconds.
     pub rate: u32,
 }
 
-impl EndNews {
+impl CrashInfo {
     /// The end without the request.
-    pub fn ended(&self) -> EndedBackend {
-        EndedBackend { backend: self.backend.clone(), ended_ago_ms: self.ended_ago_ms }
+    pub fn backend_crash(&self) -> CrashedBackend {
+        CrashedBackend { backend: self.backend.clone(), crashed_age_ms: self.crashed_age_ms }
     }
 }
 
 /// A back end that ended, under whatever requests.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct EndedBackend {
+pub struct CrashedBackend {
     /// The back end, in the life that ended.
     pub backend: BackendLife,
     /// How long ago it ended, in milliseconds.
-    pub ended_ago_ms: u64,
+    pub crashed_age_ms: u64,
 }
 
 /// What a process knows of one request.
@@ -41,15 +41,15 @@
     /// The request.
     pub digest: RequestDigest,
     /// Back ends that ended under it since it was last answered.
-    pub ends: Vec<EndNews>,
+    pub crashes: Vec<CrashInfo>,
     /// How long ago a back end answered it whole, in milliseconds.
-    pub answered_ago_ms: Option<u64>,
+    pub answered_age_ms: Option<u64>,
     /// How long ago it was last allowed to run alone, in milliseconds.
-    pub tried_ago_ms: Option<u64>,
+    pub isolated_age_ms: Option<u64>,
     /// How long ago such a run was over without an answer and without an end, in milliseconds.
-    pub concluded_ago_ms: Option<u64>,
+    pub inconclusive_age_ms: Option<u64>,
     /// Longest time for which a back end ran it without ending, since it was last answered, in milliseconds.
-    pub outlived_ms: u64,
+    pub survived_ms: u64,
     /// How often it was allowed to run while it was held back.
     pub probes: u32,
 }
@@ -60,7 +60,7 @@
     /// Requests.
     pub suspects: Vec<SuspectNews>,
     /// Back ends that ended lately: how often they do decides what an end proves.
-    pub ended: Vec<EndedBackend>,
+    pub ended: Vec<CrashedBackend>,
 }
 
 /// The answer to the question whether a suspect may run alone.
--- a/crates/suspects/src/notices.rs
+++ b/crates/suspects/src/notices.rs
@@ -12,21 +12,21 @@
 use crate::registry::Registry;
 
 /// Requests in one notice, which is one datagram of about 1 KB.
-const NEWS_IN_NOTICE: usize = 8;
+const UPDATES_PER_NOTICE: usize = 8;
 /// Time in which what belongs to one end is collected: several connections break off at once.
-const COLLECTING_TIME: Duration = Duration::from_millis(4);
+const BATCH_DELAY: Duration = Duration::from_millis(4);
 /// Pause after a notice for each process that got it: 500 datagrams a second, some 3 ms of processor time.
 /// After the loss of many back ends at once the requests with the fewest ends are told later.
-const PAUSE_PER_PROCESS: Duration = Duration::from_millis(2);
+const SEND_INTERVAL_PER_PROCESS: Duration = Duration::from_millis(2);
 
 /// Tells other processes for ever what this one learns. `outgoing` carries encoded notices to them.
 pub async fn tell(registry: Rc<Registry>, fleet: FleetCell, outgoing: UnboundedSender<Vec<u8>>) {
     loop {
-        if registry.untold.borrow().is_empty() {
-            registry.has_untold.notified().await;
+        if registry.unpublished.borrow().is_empty() {
+            registry.has_unpublished.notified().await;
         }
-        tokio::time::sleep(COLLECTING_TIME).await;
-        let report = registry.report_of(next_news(&registry));
+        tokio::time::sleep(BATCH_DELAY).await;
+        let report = registry.report_of(next_updates(&registry));
         // Encoding into memory fails for no value of these types.
         let Ok(notice) = borsh::to_vec(&report) else { continue };
         if outgoing.send(notice).is_err() {
@@ -34,16 +34,16 @@
             return;
         }
         let processes = fleet.load().members.len() as u32;
-        tokio::time::sleep(PAUSE_PER_PROCESS * processes).await;
+        tokio::time::sleep(SEND_INTERVAL_PER_PROCESS * processes).await;
     }
 }
 
 /// News of the requests with the most ends.
-fn next_news(registry: &Registry) -> Vec<SuspectNews> {
-    let mut untold = registry.untold.borrow_mut();
-    untold.sort_by_key(|digest| Reverse(registry.repeats(digest)));
-    let count = untold.len().min(NEWS_IN_NOTICE);
-    untold.drain(..count).filter_map(|digest| registry.news_of(&digest)).collect()
+fn next_updates(registry: &Registry) -> Vec<SuspectNews> {
+    let mut unpublished = registry.unpublished.borrow_mut();
+    unpublished.sort_by_key(|digest| Reverse(registry.crash_count(digest)));
+    let count = unpublished.len().min(UPDATES_PER_NOTICE);
+    unpublished.drain(..count).filter_map(|digest| registry.news_of(&digest)).collect()
 }
 
 /// Takes the notices of other processes for ever.
--- a/crates/suspects/src/registry.rs
+++ b/crates/suspects/src/registry.rs
@@ -12,27 +12,27 @@
 use yokefall_serving::{Backend, BackendLife, CatalogCell};
 use yokefall_telemetry::{EventName, Line};
 
-use crate::background::is_same_end;
+use crate::background::is_same_crash;
 use crate::digest::RequestDigest;
-use crate::ended::EndChecks;
 use crate::entry::{Sender, Standing};
+use crate::exit_check::ExitChecks;
 use crate::message::{Grant, SuspectNews, SuspectReport};
 use crate::table::Table;
 
 /// Time of this process's table before its start, in milliseconds: a day, which is longer than anything is kept.
 const TIME_BEFORE_START_MS: u64 = 86_400_000;
 /// Ends that are remembered so that each is told once.
-const TOLD_ENDS: usize = 64;
+const MAX_LOGGED_CRASHES: usize = 64;
 /// Ends from which an answer is told to all at once: until then nothing was held back.
-const ENDS_WORTH_TELLING: usize = 2;
+const MIN_CRASHES_TO_PUBLISH: usize = 2;
 
 /// What a connection that broke off came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conclusion {
+pub enum DisconnectCause {
     /// The back end lives, or it is not known whether it does, or it was about to leave.
-    Unproven,
+    Unknown,
     /// The back end has ended under the request.
-    Ended,
+    BackendCrashed,
 }
 
 /// A suspect that runs alone, as long as this lives. A run that ends without an answer and without the end
@@ -55,14 +55,14 @@
 pub struct Registry {
     table: RefCell<Table>,
     catalog: CatalogCell,
-    checks: EndChecks,
+    checks: ExitChecks,
     clock: ElapsedClock,
     /// Lives whose end has been told, and when.
-    told: RefCell<Vec<(BackendLife, Timestamp)>>,
+    logged_crashes: RefCell<Vec<(BackendLife, Timestamp)>>,
     /// Requests of which this process learnt something by itself that others are to be told.
-    pub(crate) untold: RefCell<Vec<RequestDigest>>,
+    pub(crate) unpublished: RefCell<Vec<RequestDigest>>,
     /// Woken when there is something to tell others.
-    pub(crate) has_untold: Notify,
+    pub(crate) has_unpublished: Notify,
     /// Woken when this process learnt something by itself.
     pub observed: Notify,
     /// Woken when what is known changed, by itself or by others.
@@ -75,11 +75,11 @@
         Rc::new(Self {
             table: RefCell::default(),
             catalog,
-            checks: EndChecks::default(),
+            checks: ExitChecks::default(),
             clock,
-            told: RefCell::default(),
-            untold: RefCell::default(),
-            has_untold: Notify::new(),
+            logged_crashes: RefCell::default(),
+            unpublished: RefCell::default(),
+            has_unpublished: Notify::new(),
             observed: Notify::new(),
             changed: Notify::new(),
         })
@@ -102,8 +102,8 @@
     }
 
     /// Ends, one after the other, under a request since it was last answered.
-    pub(crate) fn repeats(&self, digest: &RequestDigest) -> usize {
-        self.table.borrow().repeats(digest)
+    pub(crate) fn crash_count(&self, digest: &RequestDigest) -> usize {
+        self.table.borrow().crash_count(digest)
     }
 
     /// A connection broke off while a back end had a request, which was sent there at `sent`. Finds out
@@ -115,43 +115,44 @@
         backend: &Backend,
         sent: Instant,
         digest: impl FnOnce() -> RequestDigest,
-    ) -> Conclusion {
+    ) -> DisconnectCause {
         let life = backend.life();
         let is_leaving = !self.catalog.load().is_ready_life(&life);
-        if is_leaving || !self.checks.has_ended(&life, backend.address).await {
-            return Conclusion::Unproven;
+        if is_leaving || !self.checks.has_exited(&life, backend.address).await {
+            return DisconnectCause::Unknown;
         }
         let digest = digest();
         let before = self.is_held_back(&digest);
         let population =
             self.catalog.load().ready_table(&backend.service).map_or(0, |table| table.len());
-        let ended = (&life, population);
+        let crashed = (&life, population);
         let sent_at = self.clock.at(sent).plus_millis(TIME_BEFORE_START_MS);
-        self.table.borrow_mut().note_end(self.now(), digest, ended, sent_at);
-        let repeats = self.repeats(&digest);
-        self.tell_end(backend);
+        self.table.borrow_mut().record_crash(self.now(), digest, crashed, sent_at);
+        let crash_count = self.crash_count(&digest);
+        self.log_crash(backend);
         Line::new(EventName::BackendEndedUnder)
             .id(digest)
             .text("backend", &backend.id)
             .field("started_ms", backend.started_ms)
             .field("ran_ms", sent.elapsed().as_millis() as u64)
-            .field("ends", repeats)
+            .field("ends", crash_count)
             .write();
-        self.tell_held_back(&digest, before);
-        self.observe(digest);
-        Conclusion::Ended
+        self.log_held_back(&digest, before);
+        self.publish_soon(digest);
+        DisconnectCause::BackendCrashed
     }
 
     /// A line for the first request that found a back end ended.
-    fn tell_end(&self, backend: &Backend) {
-        let (mut told, now, life) = (self.told.borrow_mut(), self.now(), backend.life());
-        if told.iter().any(|(known, at)| is_same_end((known, *at), (&life, now))) {
+    fn log_crash(&self, backend: &Backend) {
+        let (mut logged, now, life) =
+            (self.logged_crashes.borrow_mut(), self.now(), backend.life());
+        if logged.iter().any(|(known, at)| is_same_crash((known, *at), (&life, now))) {
             return;
         }
-        if told.len() >= TOLD_ENDS {
-            told.remove(0);
+        if logged.len() >= MAX_LOGGED_CRASHES {
+            logged.remove(0);
         }
-        told.push((life, now));
+        logged.push((life, now));
         metrics::counter!("backends_ended_total", "service" => backend.service.clone())
             .increment(1);
         Line::new(EventName::BackendEnded)
@@ -163,11 +164,11 @@
     }
 
     /// A line where a request is held back from now on.
-    fn tell_held_back(&self, digest: &RequestDigest, was_before: bool) {
+    fn log_held_back(&self, digest: &RequestDigest, was_before: bool) {
         if was_before || !self.is_held_back(digest) {
             return;
         }
-        self.tell_gauge();
+        self.update_gauge();
         metrics::counter!("suspects_held_back_total").increment(1);
         let wait_ms = match self.standing(digest) {
             Standing::HeldBack { wait_ms } => wait_ms,
@@ -175,7 +176,7 @@
         };
         Line::new(EventName::SuspectHeldBack)
             .id(digest)
-            .field("ends", self.repeats(digest))
+            .field("ends", self.crash_count(digest))
             .field("wait_ms", wait_ms)
             .write();
     }
@@ -184,7 +185,7 @@
         self.table.borrow().is_held_back(digest)
     }
 
-    fn tell_gauge(&self) {
+    fn update_gauge(&self) {
         metrics::gauge!("suspects_held_back").set(self.table.borrow().held_back() as f64);
     }
 
@@ -192,20 +193,20 @@
     pub fn note_answer(&self, digest: &RequestDigest) {
         let was_held_back = self.is_held_back(digest);
         let cleared = self.table.borrow_mut().note_answer(self.now(), digest);
-        if cleared < ENDS_WORTH_TELLING {
+        if cleared < MIN_CRASHES_TO_PUBLISH {
             return;
         }
         if was_held_back {
             // The back ends that ended under it had another cause.
             metrics::counter!("suspects_wrongly_held_back_total").increment(1);
         }
-        self.tell_gauge();
+        self.update_gauge();
         Line::new(EventName::SuspectCleared)
             .id(digest)
             .field("ends", cleared)
             .field("was_held_back", was_held_back)
             .write();
-        self.observe(*digest);
+        self.publish_soon(*digest);
     }
 
     /// Whether a request may run at a back end now; to be asked at the leader of the job stores.
@@ -218,9 +219,9 @@
             Line::new(EventName::SuspectTried)
                 .id(digest)
                 .text("backend", backend)
-                .field("ends", self.repeats(digest))
+                .field("ends", self.crash_count(digest))
                 .write();
-            self.observe(*digest);
+            self.publish_soon(*digest);
         }
         grant
     }
@@ -233,9 +234,9 @@
     /// A run is over without an answer and without the end of its back end, which had `worked` on it for some
     /// time. Where it ran alone, the next may follow.
     pub fn note_concluded(&self, digest: &RequestDigest, worked: Duration) {
-        let outlived_ms = worked.as_millis() as u64;
-        if self.table.borrow_mut().note_concluded(self.now(), digest, outlived_ms) {
-            self.observe(*digest);
+        let survived_ms = worked.as_millis() as u64;
+        if self.table.borrow_mut().note_concluded(self.now(), digest, survived_ms) {
+            self.publish_soon(*digest);
         }
     }
 
@@ -246,17 +247,17 @@
 
     /// What is known, as far as one message holds it.
     pub fn report(&self) -> SuspectReport {
-        self.report_of(self.table.borrow().news(self.now()))
+        self.report_of(self.table.borrow().updates(self.now()))
     }
 
     pub(crate) fn report_of(&self, suspects: Vec<SuspectNews>) -> SuspectReport {
-        SuspectReport { suspects, ended: self.table.borrow().ended(self.now()) }
+        SuspectReport { suspects, ended: self.table.borrow().crashed_backends(self.now()) }
     }
 
     /// What must outlive the loss of all processes: requests that do not run freely.
     pub fn report_to_keep(&self) -> SuspectReport {
         let mut report = self.report();
-        report.suspects.retain(|news| self.standing(&news.digest) != Standing::Free);
+        report.suspects.retain(|update| self.standing(&update.digest) != Standing::Free);
         report
     }
 
@@ -269,26 +270,26 @@
     pub fn take(&self, report: SuspectReport) {
         let now = self.now();
         let mut is_new = false;
-        self.table.borrow_mut().take_ended(now, &report.ended);
-        for news in report.suspects {
-            let digest = news.digest;
+        self.table.borrow_mut().merge_crashed_backends(now, &report.ended);
+        for update in report.suspects {
+            let digest = update.digest;
             let before = self.is_held_back(&digest);
-            is_new |= self.table.borrow_mut().take(now, news);
-            self.tell_held_back(&digest, before);
+            is_new |= self.table.borrow_mut().merge(now, update);
+            self.log_held_back(&digest, before);
         }
         if is_new {
-            self.tell_gauge();
+            self.update_gauge();
             self.changed.notify_one();
         }
     }
 
     /// This process learnt something by itself: others are to hear of it at once.
-    fn observe(&self, digest: RequestDigest) {
-        let mut untold = self.untold.borrow_mut();
-        if !untold.contains(&digest) {
-            untold.push(digest);
+    fn publish_soon(&self, digest: RequestDigest) {
+        let mut unpublished = self.unpublished.borrow_mut();
+        if !unpublished.contains(&digest) {
+            unpublished.push(digest);
         }
-        self.has_untold.notify_one();
+        self.has_unpublished.notify_one();
         self.observed.notify_one();
         self.changed.notify_one();
     }
@@ -296,6 +297,6 @@
     /// Drops what is over.
     pub fn forget(&self) {
         self.table.borrow_mut().expire(self.now());
-        self.tell_gauge();
+        self.update_gauge();
     }
 }
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -21,13 +21,13 @@
 
 use crate::background::Background;
 use crate::digest::RequestDigest;
-use crate::entry::{End, Entry, Sender, Standing, ASK_AGAIN_MS, ENDS_TO_RUN_ALONE};
-use crate::message::{EndNews, EndedBackend, Grant, SuspectNews};
+use crate::entry::{Crash, Entry, Sender, Standing, CRASHES_TO_ISOLATE, RETRY_AFTER_MS};
+use crate::message::{CrashInfo, CrashedBackend, Grant, SuspectNews};
 
 /// Requests that are kept at most, about 250 bytes each. Those with the fewest ends go first.
-const CAPACITY: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 /// Requests in one message at most, about 5 KB; those with the most ends go first.
-pub const MOST_NEWS: usize = 64;
+pub const MAX_UPDATES: usize = 64;
 
 /// What is known of suspects. Invariant: the ends of an entry all follow its last whole answer.
 #[derive(Debug, Default)]
@@ -65,14 +65,14 @@
     }
 
     /// Ends, one after the other, under a request since it was last answered.
-    pub fn repeats(&self, digest: &RequestDigest) -> usize {
+    pub fn crash_count(&self, digest: &RequestDigest) -> usize {
         self.entries.get(digest).map_or(0, |entry| entry.series().count)
     }
 
     /// A back end ended. What ended with others at once proves nothing against requests that ran there and
     /// not on the others: a rack failed, or a network did.
-    fn note_ended(&mut self, backend: &BackendLife, at: Timestamp) {
-        if !self.background.note(backend, at) {
+    fn record_background_crash(&mut self, backend: &BackendLife, at: Timestamp) {
+        if !self.background.record(backend, at) {
             return;
         }
         for entry in self.entries.values_mut() {
@@ -81,18 +81,18 @@
     }
 
     /// A back end, one of `population` of its service, ended while it ran a request that was sent there at
-    /// `started`.
-    pub fn note_end(
+    /// `sent_at`.
+    pub fn record_crash(
         &mut self,
         now: Timestamp,
         digest: RequestDigest,
         (backend, population): (&BackendLife, usize),
-        started: Timestamp,
+        sent_at: Timestamp,
     ) {
         let rate = self.background.rate(now, backend, population);
-        let end = End { backend: backend.clone(), started, ended: now, rate };
+        let end = Crash { backend: backend.clone(), sent_at, crashed_at: now, rate };
         self.change(now, digest, |entry| entry.add(end));
-        self.note_ended(backend, now);
+        self.record_background_crash(backend, now);
         if let Some(entry) = self.entries.get_mut(&digest) {
             entry.discount_simultaneous(&self.background, now);
         }
@@ -105,25 +105,25 @@
         &mut self,
         now: Timestamp,
         digest: &RequestDigest,
-        outlived_ms: u64,
+        survived_ms: u64,
     ) -> bool {
         let Some(entry) = self.entries.get_mut(digest) else { return false };
-        let was_running = entry.runs_alone(now);
-        let is_longer = outlived_ms > entry.outlived_ms && !entry.ends.is_empty();
-        entry.concluded = Some(now);
+        let was_running = entry.is_running_isolated(now);
+        let is_longer = survived_ms > entry.survived_ms && !entry.crashes.is_empty();
+        entry.inconclusive_at = Some(now);
         if is_longer {
-            entry.outlived_ms = outlived_ms;
+            entry.survived_ms = survived_ms;
         }
-        was_running || (is_longer && entry.series().count >= ENDS_TO_RUN_ALONE)
+        was_running || (is_longer && entry.series().count >= CRASHES_TO_ISOLATE)
     }
 
     /// A back end answered a request whole. Returns the ends that it is cleared of.
     pub fn note_answer(&mut self, now: Timestamp, digest: &RequestDigest) -> usize {
-        let repeats = self.repeats(digest);
+        let crash_count = self.crash_count(digest);
         if self.entries.contains_key(digest) {
             self.change(now, *digest, |entry| entry.clear(now));
         }
-        repeats.saturating_sub(self.repeats(digest))
+        crash_count.saturating_sub(self.crash_count(digest))
     }
 
     /// Whether a suspect may run alone at a back end now; to be asked at the leader of the job stores.
@@ -140,19 +140,21 @@
         match entry.standing(now, sender) {
             Standing::Free => return Grant::Granted,
             Standing::HeldBack { wait_ms } => return Grant::Wait { ms: wait_ms },
-            Standing::Alone if entry.runs_alone(now) => return Grant::Wait { ms: ASK_AGAIN_MS },
+            Standing::Alone if entry.is_running_isolated(now) => {
+                return Grant::Wait { ms: RETRY_AFTER_MS }
+            }
             Standing::Alone => {}
         }
         let entries = &self.entries;
         self.granted.retain(|digest, _| {
-            entries.get(digest).is_some_and(|e| !e.ends.is_empty() && e.runs_alone(now))
+            entries.get(digest).is_some_and(|e| !e.crashes.is_empty() && e.is_running_isolated(now))
         });
         if self.granted.values().any(|(taken, _)| taken == backend) {
             return Grant::OtherBackend;
         }
         self.granted.insert(*digest, (backend.to_owned(), now));
         self.change(now, *digest, |entry| {
-            entry.tried = Some(now);
+            entry.isolated_at = Some(now);
             if entry.series().is_held_back() {
                 entry.probes += 1;
             }
@@ -162,34 +164,35 @@
     }
 
     /// Takes what another process knows. Returns whether anything of it was new.
-    pub fn take(&mut self, now: Timestamp, news: SuspectNews) -> bool {
+    pub fn merge(&mut self, now: Timestamp, update: SuspectNews) -> bool {
         let at = |age_ms: u64| Timestamp(now.0.saturating_sub(age_ms));
-        let SuspectNews { digest, ends, answered_ago_ms, outlived_ms, probes, .. } = news;
-        let (tried_ago_ms, concluded_ago_ms) = (news.tried_ago_ms, news.concluded_ago_ms);
-        let ended: Vec<EndedBackend> = ends.iter().map(EndNews::ended).collect();
-        if ends.is_empty() && !self.entries.contains_key(&digest) {
+        let SuspectNews { digest, crashes, answered_age_ms, survived_ms, probes, .. } = update;
+        let (isolated_age_ms, inconclusive_age_ms) =
+            (update.isolated_age_ms, update.inconclusive_age_ms);
+        let crashed: Vec<CrashedBackend> = crashes.iter().map(CrashInfo::backend_crash).collect();
+        if crashes.is_empty() && !self.entries.contains_key(&digest) {
             return false;
         }
         let is_new = self.change(now, digest, |entry| {
-            let mut is_new = answered_ago_ms.is_some_and(|age| entry.clear(at(age)));
-            for EndNews { backend, started_ago_ms, ended_ago_ms, rate } in ends {
-                let (started, ended) = (at(started_ago_ms), at(ended_ago_ms));
-                is_new |= entry.add(End { backend, started, ended, rate });
+            let mut is_new = answered_age_ms.is_some_and(|age| entry.clear(at(age)));
+            for CrashInfo { backend, started_age_ms, crashed_age_ms, rate } in crashes {
+                let (sent_at, crashed_at) = (at(started_age_ms), at(crashed_age_ms));
+                is_new |= entry.add(Crash { backend, sent_at, crashed_at, rate });
             }
-            if !entry.ends.is_empty() {
-                entry.tried = entry.tried.max(tried_ago_ms.map(at));
-                entry.concluded = entry.concluded.max(concluded_ago_ms.map(at));
-                is_new |= probes > entry.probes || outlived_ms > entry.outlived_ms;
-                entry.outlived_ms = entry.outlived_ms.max(outlived_ms);
+            if !entry.crashes.is_empty() {
+                entry.isolated_at = entry.isolated_at.max(isolated_age_ms.map(at));
+                entry.inconclusive_at = entry.inconclusive_at.max(inconclusive_age_ms.map(at));
+                is_new |= probes > entry.probes || survived_ms > entry.survived_ms;
+                entry.survived_ms = entry.survived_ms.max(survived_ms);
                 entry.probes = entry.probes.max(probes);
             }
             is_new
         });
         // After they are known as this request's own.
-        self.take_ended(now, &ended);
+        self.merge_crashed_backends(now, &crashed);
         if let Some(entry) = self.entries.get_mut(&digest) {
-            for EndedBackend { ended_ago_ms, .. } in &ended {
-                entry.discount_simultaneous(&self.background, at(*ended_ago_ms));
+            for CrashedBackend { crashed_age_ms, .. } in &crashed {
+                entry.discount_simultaneous(&self.background, at(*crashed_age_ms));
             }
         }
         self.shrink(now);
@@ -197,15 +200,15 @@
     }
 
     /// Another process tells which back ends ended lately.
-    pub fn take_ended(&mut self, now: Timestamp, ended: &[EndedBackend]) {
-        for EndedBackend { backend, ended_ago_ms } in ended {
-            self.note_ended(backend, Timestamp(now.0.saturating_sub(*ended_ago_ms)));
+    pub fn merge_crashed_backends(&mut self, now: Timestamp, crashed: &[CrashedBackend]) {
+        for CrashedBackend { backend, crashed_age_ms } in crashed {
+            self.record_background_crash(backend, Timestamp(now.0.saturating_sub(*crashed_age_ms)));
         }
     }
 
     /// Back ends that ended lately, as others should know.
-    pub fn ended(&self, now: Timestamp) -> Vec<EndedBackend> {
-        self.background.told(now)
+    pub fn crashed_backends(&self, now: Timestamp) -> Vec<CrashedBackend> {
+        self.background.recent_crashes(now)
     }
 
     /// Changes an entry; it counts as changed where `change` says so.
@@ -218,14 +221,14 @@
         let entry = self.entries.entry(digest).or_default();
         let is_new = change(entry);
         if is_new {
-            entry.changed = now;
+            entry.changed_at = now;
         }
         is_new
     }
 
     /// Drops what is over, and what is least known where there is too much.
     fn shrink(&mut self, now: Timestamp) {
-        if self.entries.len() <= CAPACITY {
+        if self.entries.len() <= MAX_ENTRIES {
             return;
         }
         self.expire(now);
@@ -233,7 +236,7 @@
             self.entries.iter().map(|(digest, entry)| (*digest, entry.rank())).collect();
         ranked.sort_unstable_by_key(|(_, rank)| *rank);
         // Some more than must go, so that a flood is not ranked anew with each of its requests.
-        let surplus = self.entries.len().saturating_sub(CAPACITY - CAPACITY / 8);
+        let surplus = self.entries.len().saturating_sub(MAX_ENTRIES - MAX_ENTRIES / 8);
         for (digest, _) in ranked.into_iter().take(surplus) {
             self.entries.remove(&digest);
         }
@@ -242,31 +245,31 @@
     /// Drops what is over. Those that were cleared are kept for as long as one with a single end: news of
     /// an end before may still come.
     pub fn expire(&mut self, now: Timestamp) {
-        self.entries.retain(|_, entry| !entry.is_over(now));
+        self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
     /// What is known of one request.
     pub fn news_of(&self, now: Timestamp, digest: &RequestDigest) -> Option<SuspectNews> {
-        self.entries.get(digest).map(|entry| entry.news(now, *digest))
+        self.entries.get(digest).map(|entry| entry.update(now, *digest))
     }
 
-    /// What is known, of the requests with the most ends first and `MOST_NEWS` at most.
-    pub fn news(&self, now: Timestamp) -> Vec<SuspectNews> {
+    /// What is known, of the requests with the most ends first and `MAX_UPDATES` at most.
+    pub fn updates(&self, now: Timestamp) -> Vec<SuspectNews> {
         let ranked = self.ranked().into_iter();
-        ranked.map(|(digest, entry)| entry.news(now, *digest)).collect()
+        ranked.map(|(digest, entry)| entry.update(now, *digest)).collect()
     }
 
     /// A number that differs where two tables would tell different news.
     pub fn fingerprint(&self) -> u64 {
-        let ranked = self.ranked().into_iter().filter(|(_, entry)| !entry.ends.is_empty());
+        let ranked = self.ranked().into_iter().filter(|(_, entry)| !entry.crashes.is_empty());
         ranked.map(|(digest, entry)| entry.fingerprint(digest)).fold(0, u64::wrapping_add)
     }
 
     fn ranked(&self) -> Vec<(&RequestDigest, &Entry)> {
         let mut ranked: Vec<(&RequestDigest, &Entry)> = self.entries.iter().collect();
-        if ranked.len() > MOST_NEWS {
+        if ranked.len() > MAX_UPDATES {
             ranked.sort_unstable_by_key(|(_, entry)| std::cmp::Reverse(entry.rank()));
-            ranked.truncate(MOST_NEWS);
+            ranked.truncate(MAX_UPDATES);
         }
         ranked
     }
--- a/crates/suspects/tests/registry.rs
+++ b/crates/suspects/tests/registry.rs
@@ -8,7 +8,7 @@
 use yokefall_clock::{ElapsedClock, SuspensionSource};
 use yokefall_serving::{empty_catalog, Backend, BackendLife, BackendState, Catalog, CatalogCell};
 use yokefall_suspects::{
-    Conclusion, EndNews, Registry, RequestDigest, RequestIdentity, Standing, SuspectNews,
+    CrashInfo, DisconnectCause, Registry, RequestDigest, RequestIdentity, Standing, SuspectNews,
     SuspectReport,
 };
 
@@ -51,11 +51,14 @@
     let lives = backend("lives", listener.local_addr().expect("an address"));
     let registry = registry(catalog_of(std::slice::from_ref(&lives)));
     let conclusion = registry.note_break(&lives, Instant::now(), digest).await;
-    assert_eq!(conclusion, Conclusion::Unproven);
+    assert_eq!(conclusion, DisconnectCause::Unknown);
     assert!(registry.is_empty());
     // It ends later, and is asked again.
     drop(listener);
-    assert_eq!(registry.note_break(&lives, Instant::now(), digest).await, Conclusion::Ended);
+    assert_eq!(
+        registry.note_break(&lives, Instant::now(), digest).await,
+        DisconnectCause::BackendCrashed
+    );
     assert!(!registry.is_empty());
     assert_eq!(registry.standing(&digest()), Standing::Free);
 }
@@ -66,7 +69,7 @@
     let left = backend("left", listener.local_addr().expect("an address"));
     drop(listener);
     let registry = registry(catalog_of(&[]));
-    assert_eq!(registry.note_break(&left, Instant::now(), digest).await, Conclusion::Unproven);
+    assert_eq!(registry.note_break(&left, Instant::now(), digest).await, DisconnectCause::Unknown);
     assert!(registry.is_empty());
 }
 
@@ -74,24 +77,24 @@
 /// to the moment of its start, passed for simultaneous, and proved nothing: what the others held back ran on.
 #[tokio::test]
 async fn a_process_that_has_just_started_holds_back_what_the_others_do() {
-    let news = |path: &str, offset: u64| {
-        let end = |number: u64| EndNews {
+    let update_of = |path: &str, offset: u64| {
+        let crash = |number: u64| CrashInfo {
             backend: BackendLife { id: format!("{path}-{number}"), started_ms: 0 },
-            started_ago_ms: 50_000 - number * 2_000 + offset,
-            ended_ago_ms: 49_900 - number * 2_000 + offset,
+            started_age_ms: 50_000 - number * 2_000 + offset,
+            crashed_age_ms: 49_900 - number * 2_000 + offset,
             rate: 1_000,
         };
         SuspectNews {
             digest: digest_of(path),
-            ends: (0..3).map(end).collect(),
-            answered_ago_ms: None,
-            tried_ago_ms: Some(46_100),
-            concluded_ago_ms: None,
-            outlived_ms: 0,
+            crashes: (0..3).map(crash).collect(),
+            answered_age_ms: None,
+            isolated_age_ms: Some(46_100),
+            inconclusive_age_ms: None,
+            survived_ms: 0,
             probes: 1,
         }
     };
-    let suspects = vec![news("/one", 0), news("/two", 300), news("/three", 700)];
+    let suspects = vec![update_of("/one", 0), update_of("/two", 300), update_of("/three", 700)];
     let registry = registry(catalog_of(&[]));
     registry.take(SuspectReport { suspects, ended: Vec::new() });
     for path in ["/one", "/two", "/three"] {
@@ -112,6 +115,9 @@
     drop(listener);
     let after = Backend { started_ms: 2, ..before.clone() };
     let registry = registry(catalog_of(&[after]));
-    assert_eq!(registry.note_break(&before, Instant::now(), digest).await, Conclusion::Unproven);
+    assert_eq!(
+        registry.note_break(&before, Instant::now(), digest).await,
+        DisconnectCause::Unknown
+    );
     assert!(registry.is_empty());
 }
--- a/crates/suspects/tests/table.rs
+++ b/crates/suspects/tests/table.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use yokefall_core::Timestamp;
 use yokefall_serving::BackendLife;
-use yokefall_suspects::table::MOST_NEWS;
+use yokefall_suspects::table::MAX_UPDATES;
 use yokefall_suspects::{Grant, RequestDigest, RequestIdentity, Sender, Standing, Table};
 
 /// Back ends of the service, and slots of all of them.
@@ -40,7 +40,7 @@
     for number in 0..count {
         let sent = first_ms + number * 500;
         let backend = format!("{body}-{first_ms}-{number}");
-        table.note_end(at(sent + 100), digest(body), (&life(&backend), POPULATION), at(sent));
+        table.record_crash(at(sent + 100), digest(body), (&life(&backend), POPULATION), at(sent));
     }
 }
 
@@ -92,9 +92,14 @@
     // A popular request runs on all of a rack that loses power.
     for number in 0..20 {
         let (sent, ended) = (900 + number, 1_000 + number);
-        table.note_end(at(ended), digest("popular"), (&life(&format!("s-{number}")), 40), at(sent));
+        table.record_crash(
+            at(ended),
+            digest("popular"),
+            (&life(&format!("s-{number}")), 40),
+            at(sent),
+        );
     }
-    assert_eq!(table.repeats(&digest("popular")), 1);
+    assert_eq!(table.crash_count(&digest("popular")), 1);
     assert_eq!(table.standing(at(1_100), &digest("popular")), Standing::Free);
 }
 
@@ -114,18 +119,18 @@
     let mut observer = Table::default();
     end_in_turn(&mut observer, "a", 0, 3);
     let mut table = Table::default();
-    for news in observer.news(at(2_000)) {
-        assert!(table.take(at(2_000), news));
+    for update in observer.updates(at(2_000)) {
+        assert!(table.merge(at(2_000), update));
     }
     table.note_answer(at(3_000), &digest("a"));
     // The observer was cut off meanwhile and tells the same again.
-    for news in observer.news(at(9_000)) {
-        assert!(!table.take(at(9_000), news));
+    for update in observer.updates(at(9_000)) {
+        assert!(!table.merge(at(9_000), update));
     }
     assert_eq!(table.standing(at(9_000), &digest("a")), Standing::Free);
     // It hears of the answer in turn.
-    for news in table.news(at(9_000)) {
-        observer.take(at(9_000), news);
+    for update in table.updates(at(9_000)) {
+        observer.merge(at(9_000), update);
     }
     assert_eq!(observer.standing(at(9_000), &digest("a")), Standing::Free);
 }
@@ -142,7 +147,7 @@
     assert_eq!(table.grant(now, &digest("b"), "s-1", Sender::Client), Grant::OtherBackend);
     assert_eq!(table.grant(now, &digest("b"), "s-2", Sender::Client), Grant::Granted);
     // What runs alone ends its back end: only that one is held back.
-    table.note_end(at(2_100), digest("a"), (&life("s-1"), POPULATION), now);
+    table.record_crash(at(2_100), digest("a"), (&life("s-1"), POPULATION), now);
     assert!(
         matches!(table.grant(at(2_200), &digest("a"), "s-3", Sender::Client), Grant::Wait { ms } if ms > 500)
     );
@@ -169,15 +174,20 @@
     let mut table = Table::default();
     for number in 0..40 {
         let now = at(10_000 + number * 120);
-        table.note_end(now, digest("other"), (&life(&format!("o-{number}")), POPULATION), now);
+        table.record_crash(now, digest("other"), (&life(&format!("o-{number}")), POPULATION), now);
     }
     for number in 0..8 {
         let sent = 12_000 + number * 1_600;
         let backend = format!("s-{number}");
-        table.note_end(at(sent + 1_500), digest("item"), (&life(&backend), POPULATION), at(sent));
+        table.record_crash(
+            at(sent + 1_500),
+            digest("item"),
+            (&life(&backend), POPULATION),
+            at(sent),
+        );
         for other in 0..15 {
             let now = at(sent + 1_500 + other);
-            table.note_end(
+            table.record_crash(
                 now,
                 digest("other"),
                 (&life(&format!("p-{sent}-{other}")), POPULATION),
@@ -212,7 +222,12 @@
             Grant::Granted => {
                 probes.push(now / 1_000);
                 let backend = format!("p-{now}");
-                table.note_end(at(now + 100), digest("a"), (&life(&backend), POPULATION), at(now));
+                table.record_crash(
+                    at(now + 100),
+                    digest("a"),
+                    (&life(&backend), POPULATION),
+                    at(now),
+                );
                 now += 200;
             }
             Grant::Wait { ms } => now += ms,
@@ -230,9 +245,9 @@
         end_in_turn(&mut table, &format!("flood-{number}"), 10_000 + number, 1);
     }
     assert!(table.len() <= 1_024, "{} entries", table.len());
-    assert_eq!(table.repeats(&digest("a")), 3);
-    assert!(table.news(at(20_000)).len() <= MOST_NEWS);
-    assert!(table.news(at(20_000)).iter().any(|news| news.digest == digest("a")));
+    assert_eq!(table.crash_count(&digest("a")), 3);
+    assert!(table.updates(at(20_000)).len() <= MAX_UPDATES);
+    assert!(table.updates(at(20_000)).iter().any(|update| update.digest == digest("a")));
 }
 
 #[test]
@@ -240,8 +255,8 @@
     let (mut left, mut right) = (Table::default(), Table::default());
     end_in_turn(&mut left, "a", 0, 3);
     assert_ne!(left.fingerprint(), right.fingerprint());
-    for news in left.news(at(2_000)) {
-        right.take(at(77_000), news);
+    for update in left.updates(at(2_000)) {
+        right.merge(at(77_000), update);
     }
     assert_eq!(left.fingerprint(), right.fingerprint());
 }
@@ -293,7 +308,7 @@
         self.running = kept;
         for (name, started, body) in ended {
             let (digest, backend) = (digest(&body), (&life(&name), POPULATION));
-            self.table.note_end(at(self.now), digest, backend, at(started));
+            self.table.record_crash(at(self.now), digest, backend, at(started));
             self.start(body);
         }
     }
@@ -399,7 +414,7 @@
                 ended += 1;
                 let (backend, sent) = (format!("f-{step}"), storm.now - 100);
                 let backend = (&life(&backend), POPULATION);
-                storm.table.note_end(at(storm.now), digest("fatal"), backend, at(sent));
+                storm.table.record_crash(at(storm.now), digest("fatal"), backend, at(sent));
             }
         }
         assert!((3..=5).contains(&ended), "seed {seed}: {ended} back ends ended");
@@ -419,7 +434,7 @@
         }
         ended[body] += 1;
         let backend = format!("s-{step}");
-        table.note_end(at(now + 100), request, (&life(&backend), POPULATION), at(now));
+        table.record_crash(at(now + 100), request, (&life(&backend), POPULATION), at(now));
     }
     assert!(ended.iter().all(|ended| *ended <= 5), "{ended:?}");
 }
@@ -490,7 +505,7 @@
             self.ends[request].push(ends_at);
             let name = format!("s-{number}-{ends_at}");
             let backend = (&life(&name), POPULATION);
-            self.table.note_end(at(ends_at), Self::body(request), backend, at(sent));
+            self.table.record_crash(at(ends_at), Self::body(request), backend, at(sent));
         }
     }
 
@@ -546,7 +561,7 @@
             if process % 5 == 0 {
                 table.note_answer(at(now), &request);
             } else {
-                table.note_end(at(now), request, (&life(&format!("s-{number}")), 12), at(now - 9));
+                table.record_crash(at(now), request, (&life(&format!("s-{number}")), 12), at(now - 9));
             }
         }
         // Some news goes round by chance, then all of it, twice.
@@ -554,14 +569,14 @@
         let all: Vec<u8> = everybody.collect();
         for pair in order.iter().chain(&all).chain(&all) {
             let (from, to) = (usize::from(pair / 3 % 3), usize::from(pair % 3));
-            for news in tables[from].news(at(now)) {
-                tables[to].take(at(now), news);
+            for update in tables[from].updates(at(now)) {
+                tables[to].merge(at(now), update);
             }
         }
         for request in 0..4 {
             let request = digest(&request.to_string());
-            let repeats = tables[0].repeats(&request);
-            if tables.iter().any(|table| table.repeats(&request) != repeats) {
+            let crash_count = tables[0].crash_count(&request);
+            if tables.iter().any(|table| table.crash_count(&request) != crash_count) {
                 return TestResult::failed();
             }
         }
@@ -577,9 +592,9 @@
     for started_ms in 1..=3 {
         let backend = BackendLife { id: "s-1".into(), started_ms };
         let sent = 1_000 + started_ms * 400;
-        table.note_end(at(sent + 100), digest("a"), (&backend, POPULATION), at(sent));
+        table.record_crash(at(sent + 100), digest("a"), (&backend, POPULATION), at(sent));
     }
-    assert_eq!(table.repeats(&digest("a")), 3);
+    assert_eq!(table.crash_count(&digest("a")), 3);
 }
 
 /// Symptom: a request that ends back ends is held back late. Sequence: a back end ends under it, is back at its
@@ -589,9 +604,9 @@
 fn a_run_that_began_after_the_end_of_its_life_ran_at_a_later_one() {
     let mut table = Table::default();
     let backend = BackendLife { id: "s-1".into(), started_ms: 7 };
-    table.note_end(at(2_000), digest("a"), (&backend, POPULATION), at(1_900));
-    table.note_end(at(4_600), digest("a"), (&backend, POPULATION), at(4_500));
-    assert_eq!(table.repeats(&digest("a")), 2);
+    table.record_crash(at(2_000), digest("a"), (&backend, POPULATION), at(1_900));
+    table.record_crash(at(4_600), digest("a"), (&backend, POPULATION), at(4_500));
+    assert_eq!(table.crash_count(&digest("a")), 2);
 }
 
 /// A process that finds an end out late (it stood still, or a link was silent) adds none to the series.
@@ -599,7 +614,7 @@
 fn an_end_that_is_found_out_late_counts_once() {
     let mut table = Table::default();
     let backend = BackendLife { id: "s-1".into(), started_ms: 7 };
-    table.note_end(at(2_000), digest("a"), (&backend, POPULATION), at(1_900));
-    table.note_end(at(9_000), digest("a"), (&backend, POPULATION), at(1_950));
-    assert_eq!(table.repeats(&digest("a")), 1);
+    table.record_crash(at(2_000), digest("a"), (&backend, POPULATION), at(1_900));
+    table.record_crash(at(9_000), digest("a"), (&backend, POPULATION), at(1_950));
+    assert_eq!(table.crash_count(&digest("a")), 1);
 }
