--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,9 +1,9 @@
-//! Elapsed time, which counts while the machine is suspended.
+//! A clock that includes the time for which the machine is suspended.
 //!
-//! Two readings, for two questions. What a **timer** waits for, and a rate, is time in which this process could
-//! run: `tokio::time::Instant`, the steady clock, which stands still while the machine is suspended. What a
-//! **promise to another process** lasts (a lease, a token, the age of what was told) is time that passes for
-//! both: `ElapsedClock`, whose moments are `Timestamp`s, so that the compiler refuses to mix the two.
+//! Timers and rates measure time in which this process can run: `tokio::time::Instant`, the
+//! monotonic clock, which stops during suspension. Obligations between processes (a lease, the
+//! lifetime of a token, the age of received state) use time that passes for both sides:
+//! `ElapsedClock`, whose readings are `Timestamp`s, so that the compiler rejects mixing the two.
 
 use std::cell::Cell;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,22 +15,22 @@
 use yokefall_core::Timestamp;
 use yokefall_telemetry::{EventName, Line};
 
-/// Suspension that is told: shorter than any lease or the life of any token, and far longer than two readings
-/// of the clocks are apart.
+/// Minimum suspension that is reported: shorter than any lease or token lifetime, and far longer
+/// than the time between two clock readings.
 const MIN_REPORTED_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Where it is known from for how long the machine has been suspended.
+/// Source of the total suspension time of the machine.
 #[derive(Clone, Debug, Default)]
 pub enum SuspensionSource {
-    /// The machine's clocks: `CLOCK_BOOTTIME` counts it and `CLOCK_MONOTONIC` does not.
+    /// The machine's clocks: `CLOCK_BOOTTIME` includes suspension, `CLOCK_MONOTONIC` does not.
     #[default]
     Machine,
-    /// Milliseconds that somebody tells, for tests: a machine can't be suspended in one.
+    /// Suspension in milliseconds as set by a test, which cannot suspend the machine.
     Told(Arc<AtomicU64>),
 }
 
 impl SuspensionSource {
-    /// How long the machine has been suspended since it was started.
+    /// Total time for which the machine has been suspended since it booted.
     pub fn suspended(&self) -> Duration {
         match self {
             SuspensionSource::Machine => suspended_by_clocks(),
@@ -40,53 +40,54 @@
 }
 
 fn suspended_by_clocks() -> Duration {
-    // The clocks are read one after the other, so that the difference is never less than it is by more than
-    // the time between. A kernel without one of them tells that it was never suspended.
+    // The clocks are read one after the other, so the difference is too small by at most the time
+    // between the readings. A kernel without one of the clocks reports no suspension.
     let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).map(Duration::from).unwrap_or_default();
     let counting = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or(steady);
     counting.saturating_sub(steady)
 }
 
-/// Time since this clock was made, suspension included.
+/// Time since this clock was created, including suspension.
 #[derive(Debug)]
 pub struct ElapsedClock {
     origin: Instant,
     source: SuspensionSource,
     suspended_at_origin: Duration,
-    /// Suspension since then that has been told.
+    /// Suspension since the origin that has been reported.
     reported: Cell<Duration>,
 }
 
 impl ElapsedClock {
-    /// A clock that begins now.
+    /// Creates a clock that starts at zero.
     pub fn new(source: SuspensionSource) -> Self {
         let suspended_at_origin = source.suspended();
         Self { origin: Instant::now(), source, suspended_at_origin, reported: Cell::default() }
     }
 
-    /// The present moment. Invariant: it never goes back.
+    /// The current time. Invariant: it never decreases.
     pub fn now(&self) -> Timestamp {
         let elapsed = self.origin.elapsed() + self.suspended();
         Timestamp(elapsed.as_millis() as u64)
     }
 
-    /// The moment of something that this process did so long ago by its timers, without a suspension since.
+    /// Converts a past reading of the monotonic clock, assuming that the machine was not suspended
+    /// since.
     pub fn at(&self, moment: Instant) -> Timestamp {
         let now = self.now();
         Timestamp(now.0.saturating_sub(moment.elapsed().as_millis() as u64))
     }
 
-    /// When a timer is to go off for a moment of this clock.
+    /// The instant at which a timer for a timestamp of this clock must fire.
     pub fn timer_at(&self, moment: Timestamp) -> Instant {
         Instant::now() + Duration::from_millis(moment.millis_since(self.now()))
     }
 
-    /// Suspension since this clock was made.
+    /// Suspension since this clock was created.
     fn suspended(&self) -> Duration {
         let suspended = self.source.suspended().saturating_sub(self.suspended_at_origin);
         let reported = self.reported.get();
         if suspended < reported + MIN_REPORTED_SUSPENSION {
-            // Two clocks are never read at quite the same moment.
+            // Two clocks cannot be read at exactly the same time.
             return reported;
         }
         self.reported.set(suspended);
--- a/crates/clock/tests/elapsed.rs
+++ b/crates/clock/tests/elapsed.rs
@@ -1,4 +1,4 @@
-//! The clock that counts suspension, in virtual time with a suspension that is told.
+//! The clock that includes suspension, in virtual time with simulated suspension.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     suspended.fetch_add(5_000, Ordering::Relaxed);
     assert_eq!(steady.elapsed(), Duration::ZERO);
     assert_eq!(clock.now(), Timestamp(5_250));
-    // A second one counts beside the first.
+    // A second suspension adds to the first.
     suspended.fetch_add(1_000, Ordering::Relaxed);
     assert_eq!(clock.now(), Timestamp(6_250));
 }
@@ -65,7 +65,7 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
     let elapsed = clock.now().millis_since(before);
     assert!(elapsed >= 19, "{elapsed}");
-    // What the steady clock saw, but for a reading between.
+    // Equal to the monotonic clock, except for the time between the readings.
     let steady = steady.elapsed().as_millis() as u64;
     assert!(elapsed <= steady + 1, "{elapsed} of {steady}");
 }
--- a/crates/quota/src/accountant.rs
+++ b/crates/quota/src/accountant.rs
@@ -1,7 +1,7 @@
-//! The accountant of slots: grants tokens while its leases hold.
+//! Token issuer: grants tokens of the leased slots while the leases are valid.
 //!
-//! Invariant: a lease is counted from before it was asked for, on a clock that stands still for no
-//! one, so that it ends here before the leader may give the slot to another.
+//! Invariant: a lease is counted from before it was requested, on a clock that includes suspension
+//! of the machine, so that it expires here before the leader may assign the slot to another issuer.
 
 use std::collections::HashMap;
 
@@ -13,39 +13,40 @@
 use crate::message::{SlotLease, TokenAsk, TokenGrant};
 use crate::slot::SlotId;
 
-/// Time for which slots are leased. Longer than the job stores are without a leader after its loss
-/// (3.2 s on the sweep at 300 machines) and the interval between renewals together.
+/// Duration of a slot lease. It exceeds the time for which the job stores have no leader after its
+/// loss (3.2 s with 300 machines) plus the renewal interval.
 pub const LEASE_MS: u64 = 6_000;
-/// Interval at which leases are renewed.
+/// Interval between lease renewals.
 pub const RENEW_INTERVAL_MS: u64 = 700;
 
-/// A slot that is leased here.
+/// A slot that this process holds a lease for.
 #[derive(Debug)]
 struct LeasedSlot {
     generation: u64,
-    /// Since when its buckets fill.
+    /// Time from which its buckets fill.
     since: Timestamp,
     buckets: HashMap<TenantName, Bucket>,
 }
 
-/// Slots of this process.
+/// The slots leased to this process.
 #[derive(Debug)]
 pub struct Accountant {
     bounds: QuotaBounds,
     slots: HashMap<SlotId, LeasedSlot>,
     leased_until: Timestamp,
-    /// Whether all slots were given back for good: an answer that is on its way leases none.
+    /// Whether all slots were released for good: a renewal response that is still in transit leases
+    /// none.
     is_released: bool,
 }
 
 impl Accountant {
-    /// An accountant without slots.
+    /// Creates an issuer without slots.
     pub fn new(bounds: QuotaBounds) -> Self {
         Self { bounds, slots: HashMap::new(), leased_until: Timestamp(0), is_released: false }
     }
 
-    /// The leader answered a request for renewal that was sent at `asked_at`. Returns whether other
-    /// slots are held than before.
+    /// Applies the response to a renewal that was requested at `asked_at`. Returns whether the set
+    /// of held slots changed.
     pub fn renewed(&mut self, now: Timestamp, asked_at: Timestamp, leases: &[SlotLease]) -> bool {
         if self.is_released {
             return false;
@@ -59,7 +60,7 @@
         for lease in leases {
             self.slots.entry(lease.slot).or_insert_with(|| {
                 changed = true;
-                // Its last accountant may have granted what there was: it begins empty.
+                // The previous issuer may have granted all tokens, so the slot starts empty.
                 LeasedSlot { generation: lease.generation, since: now, buckets: HashMap::new() }
             });
         }
@@ -68,18 +69,19 @@
         changed
     }
 
-    /// Gives all slots back for good.
+    /// Releases all slots for good.
     pub fn release(&mut self) {
         self.is_released = true;
         self.slots.clear();
     }
 
-    /// Whether all slots were given back for good.
+    /// Whether all slots were released for good: a renewal response that is still in transit leases
+    /// none.
     pub fn is_released(&self) -> bool {
         self.is_released
     }
 
-    /// Slots held now.
+    /// Number of slots held now.
     pub fn held(&self, now: Timestamp) -> usize {
         if now < self.leased_until {
             self.slots.len()
@@ -106,7 +108,7 @@
         TokenGrant::Granted { tokens, wait_ms: bucket.wait_ms() }
     }
 
-    /// Drops buckets that would be the same if they were made anew.
+    /// Evicts buckets that a new bucket would be equal to.
     fn evict_idle_buckets(&mut self, now: Timestamp) {
         for held in self.slots.values_mut() {
             held.buckets.retain(|_, bucket| !bucket.is_evictable(now));
--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -1,6 +1,6 @@
-//! Which job store is the accountant of which slot. The assignment is part of the replicated log; the
-//! leader renews the leases of those who are named in it, and names another one only when the lease of
-//! the one before has certainly ended.
+//! Assignment of slots to job stores. It is part of the replicated log; the leader renews the
+//! leases of the assigned job stores, and assigns a slot to another one only when the previous
+//! lease has certainly expired.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,40 +12,41 @@
 use crate::message::SlotLease;
 use crate::slot::SlotId;
 
-/// Time beyond the length of a lease after which it has ended, whatever the rates of two clocks.
+/// Time added to the duration of a lease before it counts as expired, which covers clocks of
+/// different rates.
 const LEASE_MARGIN_MS: u64 = 250;
-/// Time after which a new leader assigns slots that nobody has had: job stores that start together
-/// know each other by then.
+/// Time for which a new leader assigns no slots: job stores that start together have discovered
+/// each other by then.
 const STARTUP_GRACE_MS: u64 = 2_500;
 
-/// The accountant of a slot.
+/// The token issuer of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Holder {
     /// Name of the job store.
     pub name: String,
-    /// Number of the assignment that gave it the slot.
+    /// Version of the assignment that gave it the slot.
     pub generation: u64,
 }
 
-/// The accountants of all slots, as the log has them.
+/// The token issuers of all slots, as recorded in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Assignment {
-    /// Rises with each change.
+    /// Grows with each change.
     pub version: u64,
     holders: BTreeMap<SlotId, Holder>,
 }
 
-/// A job store that may be an accountant.
+/// A job store that slots may be assigned to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// Its name.
     pub name: String,
-    /// Zone in which it stands.
+    /// Zone of the job store.
     pub zone: String,
 }
 
 impl Assignment {
-    /// Puts accountants in the place of those before.
+    /// Assigns slots to new issuers.
     pub fn assign(&mut self, changes: Vec<(SlotId, String)>) {
         self.version += 1;
         for (slot, name) in changes {
@@ -53,17 +54,17 @@
         }
     }
 
-    /// The accountant of a slot.
+    /// The token issuer of a slot.
     pub fn holder(&self, slot: SlotId) -> Option<&Holder> {
         self.holders.get(&slot)
     }
 
-    /// Whether a job store is the accountant of a slot.
+    /// Whether a job store is the token issuer of a slot.
     pub fn is_holder(&self, slot: SlotId, name: &str) -> bool {
         self.holder(slot).is_some_and(|holder| holder.name == name)
     }
 
-    /// Slots of one job store.
+    /// Leases of one job store.
     pub fn leases_of(&self, name: &str) -> Vec<SlotLease> {
         let held = self.holders.iter().filter(|(_, holder)| holder.name == name);
         held.map(|(slot, holder)| SlotLease { slot: *slot, generation: holder.generation })
@@ -71,25 +72,25 @@
     }
 }
 
-/// The leader's view of leases. It lives as long as the lead: what leaders before leased has ended
-/// `LEASE_MS` after their lead did, and so after this one began.
+/// The leader's view of leases, kept for one term only: leases of earlier leaders expire `LEASE_MS`
+/// after the end of their term, which was before this term began.
 #[derive(Debug)]
 pub struct Overseer {
     leader_since: Timestamp,
-    /// Last renewal of each job store; none for one that gave its slots back.
+    /// Last renewal of each job store; `None` for one that released its slots.
     last_renewals: HashMap<String, Option<Timestamp>>,
-    /// Changes that are on their way into the log.
+    /// Changes that are proposed but not yet applied.
     pending: BTreeMap<SlotId, String>,
 }
 
 impl Overseer {
-    /// The overseer of a lead that begins now.
+    /// Creates the lease manager of a leader whose term begins now.
     pub fn new(now: Timestamp) -> Self {
         Self { leader_since: now, last_renewals: HashMap::new(), pending: BTreeMap::new() }
     }
 
-    /// Renews the leases of a job store. Invariant: a slot that is on its way to another accountant is
-    /// not leased to the one before any more.
+    /// Renews the leases of a job store. Invariant: a slot with a pending move to another issuer is
+    /// no longer leased to the previous one.
     pub fn renew(&mut self, now: Timestamp, assignment: &Assignment, name: &str) -> Vec<SlotLease> {
         self.last_renewals.insert(name.to_owned(), Some(now));
         let mut leases = assignment.leases_of(name);
@@ -97,12 +98,12 @@
         leases
     }
 
-    /// A job store has given its slots back.
+    /// Records that a job store released its slots.
     pub fn released(&mut self, name: &str) {
         self.last_renewals.insert(name.to_owned(), None);
     }
 
-    /// Whether leases of a job store may still hold.
+    /// Whether a job store may still have valid leases.
     fn may_hold_lease(&self, now: Timestamp, name: &str) -> bool {
         let last = match self.last_renewals.get(name) {
             Some(None) => return false,
@@ -112,8 +113,8 @@
         now < last.plus_millis(LEASE_MS + LEASE_MARGIN_MS)
     }
 
-    /// Changes that are due. `candidates` are the job stores that answer, `leader` is the leader, which
-    /// takes slots only where there are too few others: it has work enough.
+    /// Changes that are due. `candidates` are the reachable job stores; `leader` is this process,
+    /// which gets slots only if there are too few others, since it has the load of leading.
     pub fn plan(
         &mut self,
         now: Timestamp,
@@ -147,8 +148,8 @@
         changes
     }
 
-    /// The best candidate for a slot: not the accountant of another part of the same limits, in a zone
-    /// of its own, not the leader, and then by rendezvous hash.
+    /// The best candidate for a slot: one that holds no other part of the same limits, in a zone
+    /// that holds none either, not the leader, and then by rendezvous hash.
     fn choose<'a>(
         &self,
         slot: SlotId,
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,35 +1,35 @@
-//! The token bucket of one part of a tenant's limit. All numbers are whole, so that no rounding adds
-//! up: a token of the whole limit is `UNITS_PER_TOKEN` units, and a part, which is filled at the rate of the
-//! whole limit, pays `PARTS_PER_LIMIT` times as much for each.
+//! Token bucket of one part of a tenant's limit. It uses integers only, so that no rounding errors
+//! accumulate: a token of the whole limit is `UNITS_PER_TOKEN` units, and a part, which is filled
+//! at the rate of the whole limit, pays `PARTS_PER_LIMIT` times as many for each token.
 
 use yokefall_core::Timestamp;
 use yokefall_types::RateLimit;
 
 use crate::slot::PARTS_PER_LIMIT;
 
-/// Units of a token: requests in 1,000 seconds times milliseconds.
+/// Units per token of a whole limit: requests per 1,000 seconds times milliseconds.
 const UNITS_PER_TOKEN: u64 = 1_000_000;
-/// What a part pays for a token.
+/// Units that a part pays per token.
 const UNITS_PER_PART_TOKEN: u64 = UNITS_PER_TOKEN * PARTS_PER_LIMIT as u64;
 
-/// Time without asks after which a full bucket is forgotten: far beyond the time in which a
-/// configuration is in force everywhere.
+/// Time without token requests after which a full bucket is evicted. It is far longer than a
+/// configuration takes to reach all gateways.
 const IDLE_EVICTION_MS: u64 = 60_000;
 
-/// Part of a limit with what is left of it.
+/// One part of a limit and its remaining tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     units: u64,
     updated_at: Timestamp,
     requested_at: Timestamp,
     limit: RateLimit,
-    /// Version of the configuration that gave the limit.
+    /// Version of the configuration that the limit was read from.
     version: u64,
     extra_tokens: u64,
 }
 
 impl Bucket {
-    /// A bucket that has been filling since `since`, from one token on.
+    /// Creates a bucket that has been filling since `since`, starting from one token.
     pub fn new(since: Timestamp, limit: RateLimit, version: u64, extra_tokens: u64) -> Self {
         Self {
             units: UNITS_PER_PART_TOKEN,
@@ -53,8 +53,8 @@
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Puts the limit of a newer configuration in force. Invariant: versions only rise, so that a
-    /// gateway that is behind cannot bring back a limit that was lowered.
+    /// Applies the limit of a newer configuration. Invariant: versions only grow, so that a gateway
+    /// with an older configuration cannot restore a limit that was lowered.
     pub fn set_limit(&mut self, now: Timestamp, limit: RateLimit, version: u64) {
         if version <= self.version {
             return;
@@ -65,7 +65,7 @@
         self.units = self.units.min(self.capacity());
     }
 
-    /// Takes as many tokens as there are, `wanted` at most.
+    /// Takes the available tokens, at most `wanted`.
     pub fn take(&mut self, now: Timestamp, wanted: u32) -> u32 {
         self.refill(now);
         self.requested_at = self.requested_at.max(now);
@@ -74,14 +74,14 @@
         tokens as u32
     }
 
-    /// Milliseconds until there is a token, as of the last take.
+    /// Time until a token is available, in milliseconds, as of the last `take`.
     pub fn wait_ms(&self) -> u64 {
         let missing = UNITS_PER_PART_TOKEN.saturating_sub(self.units);
         missing.div_ceil(self.limit.per_1000_seconds.max(1))
     }
 
-    /// Whether it would be as full if it was made anew, and was not asked for in a time within which
-    /// every gateway knows the limit that it has.
+    /// Whether a new bucket would be as full, and no request arrived for long enough that every
+    /// gateway has the limit that this bucket has.
     pub fn is_evictable(&mut self, now: Timestamp) -> bool {
         self.refill(now);
         self.units == self.capacity() && now.millis_since(self.requested_at) >= IDLE_EVICTION_MS
--- a/crates/quota/src/meter.rs
+++ b/crates/quota/src/issuer_selector.rs
@@ -1,4 +1,4 @@
-//! A gateway's choice of whom to ask for a token, and what it concludes from the answers.
+//! A gateway's selection of the token issuer to ask, and the state it derives from responses.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,46 +8,47 @@
 use crate::assignment::Assignment;
 use crate::slot::{part_order, Part, SlotId};
 
-/// What a gateway does next for a request.
+/// Next step of a gateway for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Asks an accountant.
+    /// Ask a token issuer.
     Ask {
         /// The part of the limit.
         part: Part,
-        /// Name of its accountant.
+        /// Name of its issuer.
         accountant: String,
     },
-    /// Every part is spent: the tenant is at its limit.
+    /// Every part is exhausted: the tenant is at its limit.
     OverLimit {
-        /// Milliseconds until one of them has a token.
+        /// Time until one of them has a token, in milliseconds.
         wait_ms: u64,
     },
-    /// Some accountants are not known or do not answer, and the others have no token.
+    /// Some issuers are unknown or unreachable, and the others have no token.
     Unknown,
 }
 
-/// A part that was asked for a token in vain.
+/// A part that gave no token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// The part.
     pub part: Part,
-    /// Milliseconds until it has a token; `None` where its accountant gave no answer.
+    /// Time until it has a token, in milliseconds; `None` if its issuer did not respond.
     pub wait_ms: Option<u64>,
 }
 
-/// What a gateway knows of accountants and of limits that are spent.
+/// A gateway's knowledge of issuers and of exhausted parts.
 #[derive(Debug)]
 pub struct Meter {
     gateway: String,
     assignment: Assignment,
     exhausted_until: HashMap<(TenantName, Part), Timestamp>,
-    /// Accountants that gave no answer; requests are not held up by asking them again.
+    /// Issuers that did not respond. They are probed separately, so that requests do not wait for
+    /// them again.
     unreachable: BTreeSet<String>,
 }
 
 impl Meter {
-    /// The meter of a gateway of this name.
+    /// Creates the selector of the gateway with this name.
     pub fn new(gateway: String) -> Self {
         Self {
             gateway,
@@ -57,12 +58,12 @@
         }
     }
 
-    /// The assignment that is known here; of version 0 where none is.
+    /// The current assignment; version 0 if none is known.
     pub fn assignment(&self) -> &Assignment {
         &self.assignment
     }
 
-    /// Takes a newer assignment.
+    /// Replaces the assignment if the given one is newer.
     pub fn set_assignment(&mut self, assignment: Assignment) {
         if assignment.version > self.assignment.version {
             self.assignment = assignment;
@@ -70,12 +71,12 @@
         }
     }
 
-    /// The parts of a tenant's limit in the order in which this gateway asks for them.
+    /// The order in which this gateway tries the parts of a tenant's limit.
     pub fn part_order(&self, tenant: &TenantName) -> impl Iterator<Item = Part> {
         part_order(&self.gateway, tenant)
     }
 
-    /// What to do for a request of a tenant to which some parts gave no token.
+    /// The next step for a request, given the parts that gave no token so far.
     pub fn next(&self, now: Timestamp, tenant: &TenantName, refused: &[Refused]) -> NextStep {
         let mut earliest: Option<u64> = None;
         let mut is_unknown = false;
@@ -103,13 +104,13 @@
         }
     }
 
-    /// The accountant of a part of a tenant's limit; `None` where none is known that answers.
+    /// The issuer of a part of a tenant's limit; `None` if it is unknown or unreachable.
     pub fn accountant(&self, tenant: &TenantName, part: Part) -> Option<String> {
         let holder = self.assignment.holder(SlotId::of(tenant, part))?;
         (!self.unreachable.contains(&holder.name)).then(|| holder.name.clone())
     }
 
-    /// What is known of each part of a tenant's limit, for a line.
+    /// Describes the state of each part of a tenant's limit for a log line.
     pub fn describe(&self, now: Timestamp, tenant: &TenantName) -> String {
         let part = |part: Part| {
             let Some(holder) = self.assignment.holder(SlotId::of(tenant, part)) else {
@@ -127,29 +128,29 @@
         self.part_order(tenant).map(part).collect::<Vec<String>>().join(", ")
     }
 
-    /// A part has no token for a while.
+    /// Records that a part has no token for `wait_ms`.
     pub fn spent(&mut self, now: Timestamp, tenant: &TenantName, part: Part, wait_ms: u64) {
         self.exhausted_until.insert((tenant.clone(), part), now.plus_millis(wait_ms.max(1)));
     }
 
-    /// An accountant gave no answer.
+    /// Records that an issuer did not respond.
     pub fn failed(&mut self, accountant: &str) {
         self.unreachable.insert(accountant.to_owned());
     }
 
-    /// An accountant answers.
+    /// Records that an issuer responds.
     pub fn answered(&mut self, accountant: &str) {
         self.unreachable.remove(accountant);
     }
 
-    /// Accountants that gave no answer and are to be tried again aside from requests.
+    /// Issuers that did not respond and should be probed.
     pub fn failing(&self) -> Vec<String> {
         let is_accountant =
             |name: &&String| SlotId::all().any(|slot| self.assignment.is_holder(slot, name));
         self.unreachable.iter().filter(is_accountant).cloned().collect()
     }
 
-    /// Drops what no longer holds.
+    /// Drops exhausted parts whose wait has passed.
     pub fn forget(&mut self, now: Timestamp) {
         self.exhausted_until.retain(|_, until| *until > now);
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,26 +1,27 @@
-//! Limits of tenants over all gateways.
+//! Rate limits of tenants, enforced across all gateways.
 //!
-//! Each limit is divided into parts of equal size. A part is held by one job store, its accountant,
-//! under a lease; whoever sends a request of the tenant takes a token from one of the accountants
-//! first. The group of job stores agrees on who holds what (`assignment`), leases end by a steady
-//! clock (`accountant`), and a gateway chooses whom it asks (`meter`).
+//! Each limit is divided into parts of equal size. A part is held by one job store, its token
+//! issuer, under a lease; a sender of requests first takes a token from one of the issuers. The job
+//! stores agree through their replicated log on who holds which part (`assignment`), leases are
+//! timed on a monotonic clock (`token_issuer`), and a gateway selects the issuer that it asks
+//! (`issuer_selector`).
 //!
-//! Invariant: in any window the requests that are sent stay within the limit and the tolerance that
-//! the bounds state. It follows from three others: a part has one accountant at a time; what an
-//! accountant grants follows a token bucket that begins empty with its lease; and a token is spent
-//! within its lifetime, counted from before it was granted.
+//! Invariant: in any window the number of requests sent stays within the limit plus the tolerance
+//! that `QuotaBounds` states. It follows from three others: a part has one issuer at a time; an
+//! issuer grants from a token bucket that starts empty with its lease; and a token must be spent
+//! within its lifetime, which is counted from before it was granted.
 
 pub mod accountant;
 pub mod assignment;
 pub mod bounds;
 pub mod bucket;
+pub mod issuer_selector;
 pub mod message;
-pub mod meter;
 pub mod slot;
 
 pub use accountant::Accountant;
 pub use assignment::{Assignment, Candidate, Holder, Overseer};
 pub use bounds::QuotaBounds;
+pub use issuer_selector::{Meter, NextStep, Refused};
 pub use message::{SlotLease, TokenAsk, TokenGrant};
-pub use meter::{Meter, NextStep, Refused};
 pub use slot::{Part, SlotId, PARTS_PER_LIMIT};
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,44 +1,44 @@
-//! What gateways, accountants and the leader of the job stores say to each other.
+//! Messages between gateways, token issuers and the leader of the job stores.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use yokefall_types::{RateLimit, TenantName};
 
 use crate::slot::{Part, SlotId};
 
-/// A gateway asks for tokens of a part of a tenant's limit.
+/// Request of a gateway for tokens of a part of a tenant's limit.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct TokenAsk {
     /// The tenant.
     pub tenant: TenantName,
     /// The part.
     pub part: Part,
-    /// The tenant's limit, as the gateway knows it.
+    /// The tenant's limit in the gateway's configuration.
     pub limit: RateLimit,
-    /// Version of the configuration that gave the limit.
+    /// Version of the configuration that the limit was read from.
     pub version: u64,
-    /// Tokens that are wanted.
+    /// Number of tokens requested.
     pub tokens: u32,
 }
 
-/// The answer to a `TokenAsk`.
+/// Response to a `TokenAsk`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum TokenGrant {
-    /// Tokens, maybe fewer than were wanted.
+    /// Tokens, possibly fewer than requested.
     Granted {
-        /// How many.
+        /// Number of tokens.
         tokens: u32,
-        /// Milliseconds until there is another one.
+        /// Time until the next token is available, in milliseconds.
         wait_ms: u64,
     },
-    /// The one who was asked does not hold the part.
+    /// The receiver does not hold the part.
     NotHeld,
 }
 
-/// A slot that the leader leases to an accountant.
+/// Lease of a slot, from the leader to a token issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SlotLease {
     /// The slot.
     pub slot: SlotId,
-    /// Number of its assignment; it rises each time the slot goes to another accountant.
+    /// Generation of the assignment; it grows each time the slot moves to another issuer.
     pub generation: u64,
 }
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -187,46 +187,46 @@
 #[test]
 fn a_gateway_goes_on_to_other_parts_and_tells_spent_from_unknown() {
     let (_, assignment) = assigned(&["a", "b", "c", "d"]);
-    let mut meter = Meter::new("edge-1".into());
-    assert_eq!(meter.next(START, &tenant(), &[]), NextStep::Unknown);
-    meter.set_assignment(assignment);
+    let mut selector = Meter::new("edge-1".into());
+    assert_eq!(selector.next(START, &tenant(), &[]), NextStep::Unknown);
+    selector.set_assignment(assignment);
     let mut refused = Vec::new();
     for _ in 0..3 {
-        let NextStep::Ask { part, .. } = meter.next(START, &tenant(), &refused) else {
+        let NextStep::Ask { part, .. } = selector.next(START, &tenant(), &refused) else {
             panic!("three parts");
         };
         assert!(refused.iter().all(|before: &Refused| before.part != part));
-        meter.spent(START, &tenant(), part, 100);
+        selector.spent(START, &tenant(), part, 100);
         refused.push(Refused { part, wait_ms: Some(100) });
     }
     let over = NextStep::OverLimit { wait_ms: 100 };
-    assert_eq!(meter.next(START, &tenant(), &refused), over);
+    assert_eq!(selector.next(START, &tenant(), &refused), over);
     // Until then nobody is asked again.
-    assert_eq!(meter.next(START, &tenant(), &[]), over);
+    assert_eq!(selector.next(START, &tenant(), &[]), over);
     let later = START.plus_millis(100);
-    let NextStep::Ask { part, accountant } = meter.next(later, &tenant(), &[]) else {
+    let NextStep::Ask { part, accountant } = selector.next(later, &tenant(), &[]) else {
         panic!("asked again");
     };
-    meter.failed(&accountant);
-    let next = meter.next(later, &tenant(), &[Refused { part, wait_ms: None }]);
+    selector.failed(&accountant);
+    let next = selector.next(later, &tenant(), &[Refused { part, wait_ms: None }]);
     assert!(matches!(next, NextStep::Ask { part: other, .. } if other != part));
-    assert_eq!(meter.failing().len(), 1);
-    assert_eq!(meter.failing()[0], accountant);
-    meter.answered(&accountant);
-    assert!(meter.failing().is_empty());
+    assert_eq!(selector.failing().len(), 1);
+    assert_eq!(selector.failing()[0], accountant);
+    selector.answered(&accountant);
+    assert!(selector.failing().is_empty());
 }
 
 #[test]
 fn an_unanswered_part_is_no_spent_one() {
     let (_, assignment) = assigned(&["a", "b", "c", "d"]);
-    let mut meter = Meter::new("edge-1".into());
-    meter.set_assignment(assignment);
+    let mut selector = Meter::new("edge-1".into());
+    selector.set_assignment(assignment);
     let refused = [
         Refused { part: Part(0), wait_ms: Some(50) },
         Refused { part: Part(1), wait_ms: None },
         Refused { part: Part(2), wait_ms: Some(70) },
     ];
-    assert_eq!(meter.next(START, &tenant(), &refused), NextStep::Unknown);
+    assert_eq!(selector.next(START, &tenant(), &refused), NextStep::Unknown);
 }
 
 #[test]
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -161,7 +161,7 @@
 }
 
 struct Gateway {
-    meter: Meter,
+    selector: Meter,
     cut_until: u64,
     frozen_until: u64,
     offset: u64,
@@ -215,7 +215,7 @@
         });
         let stores = stores.collect();
         let gateways = (0..plan.gateways).map(|gateway| Gateway {
-            meter: Meter::new(format!("edge-{gateway}")),
+            selector: Meter::new(format!("edge-{gateway}")),
             cut_until: 0,
             frozen_until: 0,
             offset: random.random_range(0..1_000_000),
@@ -331,7 +331,7 @@
             }
             Event::Probe { gateway } => self.probe(gateway),
             Event::AssignmentArrives { gateway, assignment } => {
-                self.gateways[gateway].meter.set_assignment(assignment);
+                self.gateways[gateway].selector.set_assignment(assignment);
             }
             Event::LimitsArrive { gateway, percent } => {
                 self.gateways[gateway].limit_percent = percent;
@@ -425,7 +425,7 @@
         let now = self.gateway_time(gateway);
         let tenant = self.plan.senders[sender].name.clone();
         let refused = self.requests[&request].refused.clone();
-        let step = self.gateways[gateway].meter.next(now, &tenant, &refused);
+        let step = self.gateways[gateway].selector.next(now, &tenant, &refused);
         let (part, accountant) = match step {
             NextStep::Ask { part, accountant } => (part, accountant),
             NextStep::OverLimit { .. } | NextStep::Unknown => {
@@ -494,7 +494,7 @@
             self.at(wake, Event::Answer { request, number, accountant, grant });
             return;
         }
-        self.gateways[gateway].meter.answered(&store_name(accountant));
+        self.gateways[gateway].selector.answered(&store_name(accountant));
         let tenant = self.plan.senders[sender].name.clone();
         let part = part_of(&self.assignment, &tenant, accountant);
         match grant {
@@ -510,7 +510,7 @@
             TokenGrant::Granted { wait_ms, .. } => {
                 let now = self.gateway_time(gateway);
                 if let Some(part) = part {
-                    self.gateways[gateway].meter.spent(now, &tenant, part, wait_ms);
+                    self.gateways[gateway].selector.spent(now, &tenant, part, wait_ms);
                 }
                 self.refused(request, part, Some(wait_ms));
             }
@@ -527,7 +527,7 @@
             return;
         }
         let (gateway, sender) = (held.gateway, held.sender);
-        self.gateways[gateway].meter.failed(&store_name(accountant));
+        self.gateways[gateway].selector.failed(&store_name(accountant));
         self.fetch_assignment(gateway);
         let tenant = self.plan.senders[sender].name.clone();
         let part = part_of(&self.assignment, &tenant, accountant);
@@ -587,19 +587,19 @@
 
     fn probe(&mut self, gateway: usize) {
         self.after(PROBE_INTERVAL_MS, Event::Probe { gateway });
-        if self.gateways[gateway].meter.assignment().version == 0 {
+        if self.gateways[gateway].selector.assignment().version == 0 {
             self.fetch_assignment(gateway);
         }
         if self.gateways[gateway].cut_until > self.now {
             return;
         }
-        for name in self.gateways[gateway].meter.failing() {
+        for name in self.gateways[gateway].selector.failing() {
             let is_up = |store: &Store| {
                 store.up && store.cut_until <= self.now && store.frozen_until <= self.now
             };
             let mut named = (0..self.plan.stores).filter(|store| store_name(*store) == name);
             if named.any(|store| is_up(&self.stores[store])) {
-                self.gateways[gateway].meter.answered(&name);
+                self.gateways[gateway].selector.answered(&name);
             }
         }
     }
--- a/crates/suspects/src/entry.rs
+++ b/crates/suspects/src/entry.rs
@@ -1,4 +1,4 @@
-//! What is held against one request: the ends of back ends under it, and what follows from them.
+//! The evidence against one request: the crashes under it, and what follows from them.
 
 use xxhash_rust::xxh3::xxh3_64;
 use yokefall_core::Timestamp;
@@ -8,76 +8,81 @@
 use crate::digest::RequestDigest;
 use crate::message::{CrashInfo, SuspectNews};
 
-/// Ends, one after the other, from which a request runs alone: one may be chance.
+/// Number of consecutive crashes from which a request runs isolated: a single one may be chance.
 pub(crate) const CRASHES_TO_ISOLATE: usize = 2;
-/// Ends, one after the other, from which a request is held back.
+/// Number of consecutive crashes from which a request is held back.
 const CRASHES_TO_HOLD_BACK: usize = 3;
-/// How improbable a series of one end, of two and so on must be by chance until its request runs alone, and
-/// until it is held back, in nats: the sums that one series in 100, and one in 10,000, of ends by chance
-/// exceeds. The sum over a series grows with its length whatever the cause: for ends by chance it has the
-/// distribution Gamma(length, 1).
+/// Surprisal in nats, by length of the series of crashes, from which a request runs isolated and
+/// from which it is held back. Only one series of crashes by chance in 100, or in 10,000, exceeds
+/// it. The sum over a series grows with its length whatever the cause: for crashes by chance it has
+/// the distribution Gamma(length, 1).
 const SURPRISAL_TO_ISOLATE: [f64; MAX_CRASHES] =
     [4.605, 6.638, 8.406, 10.045, 11.605, 13.108, 14.571, 16.000];
 const SURPRISAL_TO_HOLD_BACK: [f64; MAX_CRASHES] =
     [9.210, 11.756, 13.928, 15.914, 17.782, 19.567, 21.290, 22.962];
-/// Time from the second end until a request runs alone, in milliseconds, and how many times as long it takes
-/// after each further one: where chance can't be ruled out, what ends back ends does so ever more rarely.
+/// Time from the second crash until a request runs isolated, in milliseconds, and the factor by
+/// which each further crash extends it: if chance cannot be ruled out, a request that crashes back
+/// ends does so ever more rarely.
 const INITIAL_ISOLATION_BACKOFF_MS: u64 = 500;
 const ISOLATION_BACKOFF_FACTOR: u64 = 4;
-/// Longest such time of a request that its client sends again, and of an item, which nobody sends again and
-/// which its job waits for, in milliseconds.
+/// Maximum of that time, in milliseconds, for a request that its client sends again, and for a job
+/// item, which is not sent again by a client and delays its job.
 const MAX_ISOLATION_BACKOFF_MS: u64 = 30_000;
 const MAX_ITEM_ISOLATION_BACKOFF_MS: u64 = 4_000;
-/// Time from the last end until a request that is held back may run once, in milliseconds, and how many
-/// times as long each next one takes. A request that comes for ever costs 3 more back ends in 11 minutes.
+/// Time from the last crash until a request that is held back may run once, in milliseconds, and
+/// the factor for each further run. A request that is repeated forever costs 3 more back ends
+/// within 11 minutes.
 const INITIAL_PROBE_BACKOFF_MS: u64 = 30_000;
 const PROBE_BACKOFF_FACTOR: u64 = 4;
-/// Longest such time, in milliseconds.
+/// Maximum of that time, in milliseconds.
 const MAX_PROBE_BACKOFF_MS: u64 = 3_600_000;
-/// Time for which a request that was allowed to run alone counts as running while nothing is heard of it,
-/// in milliseconds: as long as most requests may take.
+/// Time for which a request that was granted an isolated run counts as running if nothing is heard
+/// of it, in milliseconds: as long as most requests may take.
 const ISOLATED_RUN_LEASE_MS: u64 = 10_000;
-/// When to ask again where the same request runs alone already, in milliseconds.
+/// Time after which to ask again if the same request already runs isolated, in milliseconds.
 pub(crate) const RETRY_AFTER_MS: u64 = 500;
-/// Other back ends that end at the same moment, from which an end has a cause in common with them.
+/// Number of other back ends that crash at the same time from which a crash is attributed to a
+/// common cause.
 const SIMULTANEOUS_CRASHES: usize = 2;
-/// Ends that are kept of one request.
+/// Maximum number of crashes recorded per request.
 const MAX_CRASHES: usize = 8;
-/// Time after the last change for which a request with a single end is kept, in milliseconds, and one with
-/// more: longer than the longest wait for a probe.
+/// Time after the last change for which a request is kept, in milliseconds: with a single crash,
+/// and with more, which is longer than the longest wait for a probe.
 const SINGLE_CRASH_RETENTION_MS: u64 = 600_000;
 const RETENTION_MS: u64 = 2 * MAX_PROBE_BACKOFF_MS;
 
-/// A back end that ended under a request.
+/// A crash of a back end while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Crash {
     pub(crate) backend: BackendLife,
-    /// When the request was sent there; the earliest, where it was sent more than once.
+    /// When the request was sent there; the earliest time if it was sent more than once.
     pub(crate) sent_at: Timestamp,
     pub(crate) crashed_at: Timestamp,
-    /// Ends of one back end by chance at that time, in a million seconds, to the process that saw most.
+    /// Baseline crash rate of one back end at that time, per million seconds: the highest that any
+    /// process observed.
     pub(crate) rate: u32,
 }
 
 impl Crash {
-    /// How long the request ran there.
+    /// Time for which the request ran there.
     pub(crate) fn run_ms(&self) -> u64 {
         self.crashed_at.millis_since(self.sent_at)
     }
 }
 
-/// Ends whose run began after the end before.
+/// Consecutive crashes: each run began after the previous crash.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Series {
     pub(crate) count: usize,
-    /// How improbable they are by chance, in nats.
+    /// Surprisal of the crashes under chance, in nats.
     pub(crate) surprisal: f64,
 }
 
 impl Series {
     pub(crate) fn needs_isolation(self) -> bool {
-        // From the third end on whether chance explains them or not: how often others end may be the doing of
-        // a second such request, and what it costs those who were merely there is a pause.
+        // From the third crash on, the request runs isolated whether or not chance explains the
+        // crashes: a high baseline rate may be caused by a second such request, and an innocent
+        // request loses only time.
         self.count >= CRASHES_TO_HOLD_BACK
             || (self.count >= CRASHES_TO_ISOLATE && self.exceeds(SURPRISAL_TO_ISOLATE))
     }
@@ -94,13 +99,14 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Entry {
-    /// Ends after `answered_at`, by their moment.
+    /// Crashes after `answered_at`, in order of time.
     pub(crate) crashes: Vec<Crash>,
     pub(crate) answered_at: Option<Timestamp>,
     pub(crate) isolated_at: Option<Timestamp>,
-    /// When a run alone was over without an answer and without an end.
+    /// When an isolated run finished without an answer and without a crash.
     pub(crate) inconclusive_at: Option<Timestamp>,
-    /// Longest time for which a back end ran it without ending, since `answered_at`, in milliseconds.
+    /// Longest time for which a back end ran it without crashing since `answered_at`, in
+    /// milliseconds.
     pub(crate) survived_ms: u64,
     pub(crate) probes: u32,
     pub(crate) changed_at: Timestamp,
@@ -111,29 +117,30 @@
 pub enum Standing {
     /// It may be sent.
     Free,
-    /// It may be sent where the leader of the job stores grants it.
+    /// It may be sent to a back end that the leader of the job stores grants.
     Alone,
     /// It may not be sent.
     HeldBack {
-        /// Time until it may run alone once, in milliseconds.
+        /// Time until it may run isolated once, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// Who sends a request.
+/// Origin of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// A client, which comes again as it is told.
+    /// A client, which retries when it is told to.
     Client,
-    /// A job, of which it is an item.
+    /// A job that the request is an item of.
     Job,
 }
 
 impl Entry {
-    /// The series of ends that may be its doing. All are weighed by the same time, the median of the runs or
-    /// the longest that did no harm: what ends back ends does so after about the same time in each, but for
-    /// a run that waited in a queue; and what ran for seconds without harm is not the cause of an end after a
-    /// few milliseconds.
+    /// The series of crashes that the request may have caused. All are weighed by the same run
+    /// time, the larger of the median run and the longest run without a crash: a request that
+    /// crashes back ends does so after about the same time in each, unless the run waited in a
+    /// queue, and one that ran for seconds without a crash does not cause one after a few
+    /// milliseconds.
     pub(crate) fn series(&self) -> Series {
         let mut runs: Vec<u64> = self.crashes.iter().map(Crash::run_ms).collect();
         runs.sort_unstable();
@@ -155,7 +162,7 @@
         self.crashes.last().map(|crash| crash.crashed_at)
     }
 
-    /// When it may run alone, after ends that chance may explain.
+    /// When it may run isolated, after crashes that chance may explain.
     pub(crate) fn isolation_due(&self, series: Series, sender: Sender) -> Timestamp {
         let longest = match sender {
             Sender::Client => MAX_ISOLATION_BACKOFF_MS,
@@ -190,7 +197,7 @@
         }
     }
 
-    /// Whether it was allowed to run alone, and nothing has been heard of that run.
+    /// Whether it was granted an isolated run whose result is not known yet.
     pub(crate) fn is_running_isolated(&self, now: Timestamp) -> bool {
         self.isolated_at.is_some_and(|tried| {
             now.millis_since(tried) < ISOLATED_RUN_LEASE_MS
@@ -199,7 +206,8 @@
         })
     }
 
-    /// Adds an end, or what else is known of one that is held already. Returns whether that is new.
+    /// Adds a crash, or merges it with the record of the same crash. Returns whether anything is
+    /// new.
     pub(crate) fn add(&mut self, crash: Crash) -> bool {
         if self.answered_at.is_some_and(|answered| crash.crashed_at <= answered) {
             return false;
@@ -221,7 +229,7 @@
         true
     }
 
-    /// Ends at about a moment at which others ended that this request did not run on prove nothing.
+    /// Crashes at about the time of crashes that this request was not present at prove nothing.
     pub(crate) fn discount_simultaneous(&mut self, background: &Background, at: Timestamp) {
         let own: Vec<BackendLife> =
             self.crashes.iter().map(|crash| crash.backend.clone()).collect();
@@ -234,7 +242,7 @@
         }
     }
 
-    /// A whole answer came at a moment. Returns whether it cleared the request of anything.
+    /// Records a complete answer. Returns whether it cleared any crashes.
     pub(crate) fn clear(&mut self, at: Timestamp) -> bool {
         if self.answered_at.is_some_and(|answered| answered >= at) {
             return false;
@@ -279,7 +287,7 @@
         }
     }
 
-    /// What it stands for beside its moments.
+    /// Hash of the content, excluding times.
     pub(crate) fn fingerprint(&self, digest: &RequestDigest) -> u64 {
         let mut bytes = digest.bytes().to_vec();
         let mut crashes: Vec<(&BackendLife, u32)> =
--- a/crates/suspects/src/exit_check.rs
+++ b/crates/suspects/src/exit_check.rs
@@ -1,5 +1,5 @@
-//! Whether a back end has ended: told apart from one that lost an answer, reset a connection, or can't be
-//! reached.
+//! Determines whether the process of a back end is gone, as opposed to a lost response, a reset
+//! connection or an unreachable host.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,25 +12,28 @@
 use tokio::sync::OnceCell;
 use yokefall_serving::BackendLife;
 
-/// Longest time for the check: many round trips between regions, and below the least patience with a
-/// request that may go to another back end.
+/// Timeout of the check: many round trips between regions, and shorter than the shortest timeout of
+/// a request that may go to another back end.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Checks under way, by life of the back end: what refuses connections to one says nothing of the next.
+/// Checks in progress, by incarnation of the back end: a refused connection to one incarnation says
+/// nothing about the next.
 #[derive(Debug, Default)]
 pub struct ExitChecks {
     checks: RefCell<HashMap<BackendLife, Rc<OnceCell<bool>>>>,
 }
 
 impl ExitChecks {
-    /// Whether the process at an address is gone, asked once for all requests that broke off there.
+    /// Returns whether the process at an address is gone; all requests that broke off there share
+    /// one check.
     ///
-    /// Only a refused connection proves it. A back end that lives takes one, or resets it later; one behind
-    /// a cut says nothing.
+    /// Only a refused connection proves it. A running back end accepts one, or resets it later; one
+    /// behind a network partition does not respond.
     pub async fn has_exited(&self, backend: &BackendLife, address: SocketAddr) -> bool {
         let check = self.checks.borrow_mut().entry(backend.clone()).or_default().clone();
         let has_exited = *check.get_or_init(|| refuses(address)).await;
-        // One that lives may end later; one that tells no start and has ended may be back.
+        // A running back end may crash later, and one that reports no start time may be back after
+        // a crash.
         self.checks.borrow_mut().remove(backend);
         has_exited
     }
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -1,14 +1,15 @@
-//! Requests that end the back ends which run them.
+//! Detection of requests that crash the back ends which run them.
 //!
-//! A back end that ends takes every request under way there with it, and a client, a gateway or the
-//! runner of items sends them again. Where one of them is the cause, each repeat costs another back end.
-//! No attempt, process or life of a process sees that by itself: the evidence adds up over the fleet.
+//! When a back end crashes, all of its requests in flight fail with it, and clients, gateways or
+//! the job runner send them again. If one of them is the cause, each retry costs another back end.
+//! No single attempt or process can detect that: the evidence accumulates across the fleet.
 //!
-//! `digest` names a request whoever sends it and however often. `table` holds which back ends ended under
-//! which request, each in an `entry`, and decides what may still be sent, `background` how much an end proves; both have no
-//! clock, randomness or input of their own.
-//! `message` is what processes tell each other of it, and `notices` tells it at once. `registry` is the table
-//! of one process with its time, lines and metrics; `exit_check` finds out whether a back end has ended.
+//! `digest` identifies a request independently of its sender and of the number of attempts. `table`
+//! records which back ends crashed under which request, each in an `entry`, and decides what may
+//! still be sent; `background` computes how much a crash proves. These modules have no clock,
+//! randomness or I/O. `message` defines what processes exchange, and `notices` broadcasts it.
+//! `registry` is the table of one process with its clock, log lines and metrics; `exit_check`
+//! determines whether the process of a back end is gone.
 
 pub mod background;
 pub mod digest;
--- a/crates/suspects/src/message.rs
+++ b/crates/suspects/src/message.rs
@@ -1,78 +1,79 @@
-//! What processes tell each other of suspects. Moments travel as ages in milliseconds, reckoned by the
-//! sender when it sends: clocks of processes have no common origin.
+//! Messages about suspects. Points in time are sent as ages in milliseconds, computed by the sender
+//! when it sends, since the clocks of processes have no common origin.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use yokefall_serving::BackendLife;
 
 use crate::digest::RequestDigest;
 
-/// A back end that ended under a request.
+/// A crash of a back end while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CrashInfo {
-    /// The back end, in the life that ended.
+    /// The back end, in the incarnation that crashed.
     pub backend: BackendLife,
-    /// How long ago the request was sent there, in milliseconds.
+    /// Time since the request was sent there, in milliseconds.
     pub started_age_ms: u64,
-    /// How long ago the back end ended, in milliseconds.
+    /// Time since the back end crashed, in milliseconds.
     pub crashed_age_ms: u64,
-    /// Ends of one back end of its service by chance, in a million seconds.
+    /// Baseline crash rate of one back end of its service, per million seconds.
     pub rate: u32,
 }
 
 impl CrashInfo {
-    /// The end without the request.
+    /// The crash without the request.
     pub fn backend_crash(&self) -> CrashedBackend {
         CrashedBackend { backend: self.backend.clone(), crashed_age_ms: self.crashed_age_ms }
     }
 }
 
-/// A back end that ended, under whatever requests.
+/// A crash of a back end, whichever requests it ran.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CrashedBackend {
-    /// The back end, in the life that ended.
+    /// The back end, in the incarnation that crashed.
     pub backend: BackendLife,
-    /// How long ago it ended, in milliseconds.
+    /// Time since it crashed, in milliseconds.
     pub crashed_age_ms: u64,
 }
 
-/// What a process knows of one request.
+/// What a process knows about one request.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspectNews {
     /// The request.
     pub digest: RequestDigest,
-    /// Back ends that ended under it since it was last answered.
+    /// Crashes under it since it was last answered.
     pub crashes: Vec<CrashInfo>,
-    /// How long ago a back end answered it whole, in milliseconds.
+    /// Time since a back end last answered it completely, in milliseconds.
     pub answered_age_ms: Option<u64>,
-    /// How long ago it was last allowed to run alone, in milliseconds.
+    /// Time since it was last granted an isolated run, in milliseconds.
     pub isolated_age_ms: Option<u64>,
-    /// How long ago such a run was over without an answer and without an end, in milliseconds.
+    /// Time since an isolated run finished without an answer and without a crash, in milliseconds.
     pub inconclusive_age_ms: Option<u64>,
-    /// Longest time for which a back end ran it without ending, since it was last answered, in milliseconds.
+    /// Longest time for which a back end ran it without crashing since it was last answered, in
+    /// milliseconds.
     pub survived_ms: u64,
-    /// How often it was allowed to run while it was held back.
+    /// Number of isolated runs granted while it was held back.
     pub probes: u32,
 }
 
-/// What a process tells another.
+/// Report of one process to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspectReport {
-    /// Requests.
+    /// Suspected requests.
     pub suspects: Vec<SuspectNews>,
-    /// Back ends that ended lately: how often they do decides what an end proves.
+    /// Recent crashes: their rate determines how much a single crash proves.
     pub ended: Vec<CrashedBackend>,
 }
 
-/// The answer to the question whether a suspect may run alone.
+/// Response to the question whether a suspect may run isolated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Grant {
-    /// It may run now, at the back end named.
+    /// It may run now at the named back end.
     Granted,
-    /// Another suspect runs alone at that back end.
+    /// Another suspect is running isolated at that back end.
     OtherBackend,
     /// It may not run now.
     Wait {
-        /// When to ask again, in milliseconds.
+        /// Time after which to ask again, in milliseconds.
         ms: u64,
     },
 }
--- a/crates/suspects/src/notices.rs
+++ b/crates/suspects/src/notices.rs
@@ -1,5 +1,5 @@
-//! Notices: what a process learnt by itself of suspects, told to all others at once in datagrams. They may
-//! be lost; a regular exchange with job stores brings what was missed.
+//! Notices: datagrams that broadcast what a process learned about suspects by itself. They may be
+//! lost; the periodic exchange with job stores delivers what was missed.
 
 use std::cmp::Reverse;
 use std::rc::Rc;
@@ -11,15 +11,17 @@
 use crate::message::{SuspectNews, SuspectReport};
 use crate::registry::Registry;
 
-/// Requests in one notice, which is one datagram of about 1 KB.
+/// Maximum number of requests in one notice, a datagram of about 1 KB.
 const UPDATES_PER_NOTICE: usize = 8;
-/// Time in which what belongs to one end is collected: several connections break off at once.
+/// Delay before a notice that collects the effects of one crash: several connections break off at
+/// once.
 const BATCH_DELAY: Duration = Duration::from_millis(4);
-/// Pause after a notice for each process that got it: 500 datagrams a second, some 3 ms of processor time.
-/// After the loss of many back ends at once the requests with the fewest ends are told later.
+/// Interval after a notice per process that received it: 500 datagrams per second, about 3 ms of
+/// processor time. After the loss of many back ends at once the requests with the fewest crashes
+/// are sent later.
 const SEND_INTERVAL_PER_PROCESS: Duration = Duration::from_millis(2);
 
-/// Tells other processes for ever what this one learns. `outgoing` carries encoded notices to them.
+/// Broadcasts what this process learns until the process ends. `outgoing` carries encoded notices.
 pub async fn tell(registry: Rc<Registry>, fleet: FleetCell, outgoing: UnboundedSender<Vec<u8>>) {
     loop {
         if registry.unpublished.borrow().is_empty() {
@@ -27,10 +29,10 @@
         }
         tokio::time::sleep(BATCH_DELAY).await;
         let report = registry.report_of(next_updates(&registry));
-        // Encoding into memory fails for no value of these types.
+        // Encoding into memory cannot fail for these types.
         let Ok(notice) = borsh::to_vec(&report) else { continue };
         if outgoing.send(notice).is_err() {
-            // The control thread has ended, and the process ends with it.
+            // The control thread has stopped, and the process is about to.
             return;
         }
         let processes = fleet.load().members.len() as u32;
@@ -38,7 +40,7 @@
     }
 }
 
-/// News of the requests with the most ends.
+/// Updates for the requests with the most crashes.
 fn next_updates(registry: &Registry) -> Vec<SuspectNews> {
     let mut unpublished = registry.unpublished.borrow_mut();
     unpublished.sort_by_key(|digest| Reverse(registry.crash_count(digest)));
@@ -46,12 +48,12 @@
     unpublished.drain(..count).filter_map(|digest| registry.news_of(&digest)).collect()
 }
 
-/// Takes the notices of other processes for ever.
+/// Applies the notices of other processes until the process ends.
 pub async fn hear(registry: Rc<Registry>, mut incoming: UnboundedReceiver<Vec<u8>>) {
     while let Some(notice) = incoming.recv().await {
         match borsh::from_slice::<SuspectReport>(&notice) {
             Ok(report) => registry.take(report),
-            // Not whole: what it said comes again with the next exchange.
+            // Malformed: the next exchange delivers its content again.
             Err(_) => metrics::counter!("suspect_notices_spoilt_total").increment(1),
         }
     }
--- a/crates/suspects/src/registry.rs
+++ b/crates/suspects/src/registry.rs
@@ -1,5 +1,5 @@
-//! The table of one process, with its time, and what it tells people by lines and metrics. What it tells
-//! other processes is `notices`'.
+//! The table of one process with its clock, log lines and metrics. `notices` sends updates to other
+//! processes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,24 +19,25 @@
 use crate::message::{Grant, SuspectNews, SuspectReport};
 use crate::table::Table;
 
-/// Time of this process's table before its start, in milliseconds: a day, which is longer than anything is kept.
+/// Time of this process's table at its start, in milliseconds: a day, which is longer than anything
+/// is kept.
 const TIME_BEFORE_START_MS: u64 = 86_400_000;
-/// Ends that are remembered so that each is told once.
+/// Number of crashes remembered so that each is logged once.
 const MAX_LOGGED_CRASHES: usize = 64;
-/// Ends from which an answer is told to all at once: until then nothing was held back.
+/// Number of crashes from which an answer is broadcast: below it nothing was held back.
 const MIN_CRASHES_TO_PUBLISH: usize = 2;
 
-/// What a connection that broke off came to.
+/// Why a connection to a back end broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectCause {
-    /// The back end lives, or it is not known whether it does, or it was about to leave.
+    /// The back end is running, its state is unknown, or it was about to leave.
     Unknown,
-    /// The back end has ended under the request.
+    /// The back end crashed while it ran the request.
     BackendCrashed,
 }
 
-/// A suspect that runs alone, as long as this lives. A run that ends without an answer and without the end
-/// of its back end (its client left, it was preempted) must not bar the next one.
+/// An isolated run of a suspect, which ends when this is dropped. A run that ends without an answer
+/// and without a crash (its client disconnected, or it was preempted) must not block the next one.
 #[derive(Debug)]
 pub struct AloneRun {
     registry: Rc<Registry>,
@@ -45,32 +46,32 @@
 
 impl Drop for AloneRun {
     fn drop(&mut self) {
-        // Whether its back end had begun with it is not known here.
+        // It is not known here whether the back end had started it.
         self.registry.note_concluded(&self.digest, Duration::ZERO);
     }
 }
 
-/// What a process knows of suspects. One thread has it.
+/// What a process knows about suspects; owned by one thread.
 #[derive(Debug)]
 pub struct Registry {
     table: RefCell<Table>,
     catalog: CatalogCell,
     checks: ExitChecks,
     clock: ElapsedClock,
-    /// Lives whose end has been told, and when.
+    /// Incarnations whose crash has been logged, and when.
     logged_crashes: RefCell<Vec<(BackendLife, Timestamp)>>,
-    /// Requests of which this process learnt something by itself that others are to be told.
+    /// Requests about which this process learned something that is not sent to other processes yet.
     pub(crate) unpublished: RefCell<Vec<RequestDigest>>,
-    /// Woken when there is something to tell others.
+    /// Notified when there is something to send.
     pub(crate) has_unpublished: Notify,
-    /// Woken when this process learnt something by itself.
+    /// Notified when this process learned something by itself.
     pub observed: Notify,
-    /// Woken when what is known changed, by itself or by others.
+    /// Notified when anything changed, learned here or received.
     pub changed: Notify,
 }
 
 impl Registry {
-    /// Nothing is known yet. Back ends that leave are told from those that end by `catalog`.
+    /// Creates an empty registry. `catalog` tells back ends that leave from those that crash.
     pub fn new(catalog: CatalogCell, clock: ElapsedClock) -> Rc<Self> {
         Rc::new(Self {
             table: RefCell::default(),
@@ -85,13 +86,13 @@
         })
     }
 
-    /// The present moment. What others tell is older than this process may be: its time begins far enough
-    /// before its start that no moment falls together with another.
+    /// The current time. Reports may be older than this process: its time begins far enough before
+    /// its start that distinct times stay distinct.
     fn now(&self) -> Timestamp {
         self.clock.now().plus_millis(TIME_BEFORE_START_MS)
     }
 
-    /// Whether nothing is held against any request: none needs a digest then.
+    /// Whether no request has any crashes, so that no digest needs to be computed.
     pub fn is_empty(&self) -> bool {
         self.table.borrow().is_empty()
     }
@@ -101,15 +102,16 @@
         self.table.borrow().standing(self.now(), digest)
     }
 
-    /// Ends, one after the other, under a request since it was last answered.
+    /// Number of consecutive crashes under a request since it was last answered.
     pub(crate) fn crash_count(&self, digest: &RequestDigest) -> usize {
         self.table.borrow().crash_count(digest)
     }
 
-    /// A connection broke off while a back end had a request, which was sent there at `sent`. Finds out
-    /// whether the back end has ended, and notes that. The end of one that was about to leave is no
-    /// evidence, nor is that of an earlier life of one that is back: it may have drained, and whoever takes or
-    /// refuses connections at its address now is another process.
+    /// Records that a connection broke off while a back end had a request, which was sent there at
+    /// `sent`, after determining whether the back end crashed. The end of a back end that was about
+    /// to leave is no evidence. Neither is that of an earlier incarnation of one that is back: it
+    /// may have drained, and whoever accepts or refuses connections at its address now is another
+    /// process.
     pub async fn note_break(
         &self,
         backend: &Backend,
@@ -142,7 +144,7 @@
         DisconnectCause::BackendCrashed
     }
 
-    /// A line for the first request that found a back end ended.
+    /// Logs the crash of a back end once, for the first request that detects it.
     fn log_crash(&self, backend: &Backend) {
         let (mut logged, now, life) =
             (self.logged_crashes.borrow_mut(), self.now(), backend.life());
@@ -163,7 +165,7 @@
             .write();
     }
 
-    /// A line where a request is held back from now on.
+    /// Logs that a request is held back from now on.
     fn log_held_back(&self, digest: &RequestDigest, was_before: bool) {
         if was_before || !self.is_held_back(digest) {
             return;
@@ -189,7 +191,7 @@
         metrics::gauge!("suspects_held_back").set(self.table.borrow().held_back() as f64);
     }
 
-    /// A back end answered a request whole.
+    /// Records that a back end answered a request completely.
     pub fn note_answer(&self, digest: &RequestDigest) {
         let was_held_back = self.is_held_back(digest);
         let cleared = self.table.borrow_mut().note_answer(self.now(), digest);
@@ -197,7 +199,7 @@
             return;
         }
         if was_held_back {
-            // The back ends that ended under it had another cause.
+            // The crashes had another cause.
             metrics::counter!("suspects_wrongly_held_back_total").increment(1);
         }
         self.update_gauge();
@@ -209,7 +211,7 @@
         self.publish_soon(*digest);
     }
 
-    /// Whether a request may run at a back end now; to be asked at the leader of the job stores.
+    /// Whether a request may run at a back end now; only the leader of the job stores decides this.
     pub fn grant(&self, digest: &RequestDigest, backend: &str, sender: Sender) -> Grant {
         if self.standing(digest) == Standing::Free {
             return Grant::Granted;
@@ -226,13 +228,13 @@
         grant
     }
 
-    /// A request runs alone, as the leader granted, until the guard is dropped.
+    /// Starts an isolated run, which the leader granted, until the guard is dropped.
     pub fn run_alone(self: &Rc<Self>, digest: RequestDigest) -> AloneRun {
         AloneRun { registry: self.clone(), digest }
     }
 
-    /// A run is over without an answer and without the end of its back end, which had `worked` on it for some
-    /// time. Where it ran alone, the next may follow.
+    /// Records that a run finished without an answer and without a crash after the back end had
+    /// worked on it for `worked`. If it was isolated, the next run may follow.
     pub fn note_concluded(&self, digest: &RequestDigest, worked: Duration) {
         let survived_ms = worked.as_millis() as u64;
         if self.table.borrow_mut().note_concluded(self.now(), digest, survived_ms) {
@@ -240,12 +242,12 @@
         }
     }
 
-    /// What is known of one request.
+    /// The update for one request.
     pub fn news_of(&self, digest: &RequestDigest) -> Option<SuspectNews> {
         self.table.borrow().news_of(self.now(), digest)
     }
 
-    /// What is known, as far as one message holds it.
+    /// All updates, up to the size of one message.
     pub fn report(&self) -> SuspectReport {
         self.report_of(self.table.borrow().updates(self.now()))
     }
@@ -254,19 +256,19 @@
         SuspectReport { suspects, ended: self.table.borrow().crashed_backends(self.now()) }
     }
 
-    /// What must outlive the loss of all processes: requests that do not run freely.
+    /// The report to persist in case all processes are lost: requests that are not `Free`.
     pub fn report_to_keep(&self) -> SuspectReport {
         let mut report = self.report();
         report.suspects.retain(|update| self.standing(&update.digest) != Standing::Free);
         report
     }
 
-    /// A number that differs where two processes would tell different news.
+    /// A fingerprint that differs if two processes would send different updates.
     pub fn fingerprint(&self) -> u64 {
         self.table.borrow().fingerprint()
     }
 
-    /// Takes what another process knows.
+    /// Applies the report of another process.
     pub fn take(&self, report: SuspectReport) {
         let now = self.now();
         let mut is_new = false;
@@ -283,7 +285,7 @@
         }
     }
 
-    /// This process learnt something by itself: others are to hear of it at once.
+    /// Schedules an update that this process learned by itself for immediate sending.
     fn publish_soon(&self, digest: RequestDigest) {
         let mut unpublished = self.unpublished.borrow_mut();
         if !unpublished.contains(&digest) {
@@ -294,7 +296,7 @@
         self.changed.notify_one();
     }
 
-    /// Drops what is over.
+    /// Drops expired entries.
     pub fn forget(&self) {
         self.table.borrow_mut().expire(self.now());
         self.update_gauge();
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -1,18 +1,19 @@
-//! Which back ends ended under which request, and what may still be sent.
+//! Records which back ends crashed under which request, and decides what may still be sent.
 //!
-//! An end is evidence against every request under way at that back end. Three things tell the culprit from
-//! those that were merely there:
+//! A crash is evidence against every request in flight at that back end. Three rules tell the cause
+//! from requests that were merely present:
 //!
-//! - repetition: an end counts once more only if its run **began after the end before**, so that a rack that
-//!   fails at once counts once for what ran on all of it;
-//! - a whole answer clears a request of all ends before it: a request that is popular is at almost every
-//!   end, and is answered elsewhere meanwhile;
-//! - chance: what each end proves is weighed by how improbable it was (`background`).
+//! - repetition: a further crash counts only if its run **began after the previous crash**, so that
+//!   a rack that fails at once counts once for a request that ran on all of it;
+//! - a complete answer clears a request of all earlier crashes: a popular request is present at
+//!   almost every crash, and is answered elsewhere in the meantime;
+//! - chance: each crash is weighed by how improbable it was (`background`).
 //!
-//! What is left runs alone, once at a time in the fleet, and is held back after the end that follows.
+//! A remaining suspect runs isolated, once at a time in the fleet, and is held back after the next
+//! crash.
 //!
-//! Tables of several processes merge in any order, any number of times, to the same content, but for
-//! moments, which shift by the time that news is under way.
+//! The tables of several processes converge to the same content when merged in any order and any
+//! number of times, except for times, which shift by the delay of the messages.
 
 use std::collections::HashMap;
 
@@ -24,37 +25,39 @@
 use crate::entry::{Crash, Entry, Sender, Standing, CRASHES_TO_ISOLATE, RETRY_AFTER_MS};
 use crate::message::{CrashInfo, CrashedBackend, Grant, SuspectNews};
 
-/// Requests that are kept at most, about 250 bytes each. Those with the fewest ends go first.
+/// Maximum number of requests, about 250 bytes each. Those with the fewest crashes are evicted
+/// first.
 const MAX_ENTRIES: usize = 1_024;
-/// Requests in one message at most, about 5 KB; those with the most ends go first.
+/// Maximum number of requests in one message, about 5 KB; those with the most crashes go first.
 pub const MAX_UPDATES: usize = 64;
 
-/// What is known of suspects. Invariant: the ends of an entry all follow its last whole answer.
+/// What is known about suspects. Invariant: the crashes of an entry all follow its last complete
+/// answer.
 #[derive(Debug, Default)]
 pub struct Table {
     entries: HashMap<RequestDigest, Entry>,
     background: Background,
-    /// Runs that this process granted, as the leader: the back end and the moment.
+    /// Isolated runs that this process granted as the leader: the back end and the time.
     granted: HashMap<RequestDigest, (String, Timestamp)>,
 }
 
 impl Table {
-    /// Whether nothing is held against any request, so that none needs a digest.
+    /// Whether no request has any crashes, so that no digest needs to be computed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Requests that are known.
+    /// Number of known requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Requests that are held back.
+    /// Number of requests that are held back.
     pub fn held_back(&self) -> usize {
         self.entries.values().filter(|entry| entry.series().is_held_back()).count()
     }
 
-    /// Whether a request is held back, or runs alone once although it is.
+    /// Whether a request is held back, including one that runs isolated as a probe.
     pub fn is_held_back(&self, digest: &RequestDigest) -> bool {
         self.entries.get(digest).is_some_and(|entry| entry.series().is_held_back())
     }
@@ -64,13 +67,13 @@
         self.entries.get(digest).map_or(Standing::Free, |entry| entry.standing(now, Sender::Client))
     }
 
-    /// Ends, one after the other, under a request since it was last answered.
+    /// Number of consecutive crashes under a request since it was last answered.
     pub fn crash_count(&self, digest: &RequestDigest) -> usize {
         self.entries.get(digest).map_or(0, |entry| entry.series().count)
     }
 
-    /// A back end ended. What ended with others at once proves nothing against requests that ran there and
-    /// not on the others: a rack failed, or a network did.
+    /// Records a crash of a back end. Simultaneous crashes prove nothing against a request that ran
+    /// on only some of the back ends: a rack or a network failed.
     fn record_background_crash(&mut self, backend: &BackendLife, at: Timestamp) {
         if !self.background.record(backend, at) {
             return;
@@ -80,8 +83,8 @@
         }
     }
 
-    /// A back end, one of `population` of its service, ended while it ran a request that was sent there at
-    /// `sent_at`.
+    /// Records the crash of a back end, one of `population` of its service, while it ran a request
+    /// that was sent there at `sent_at`.
     pub fn record_crash(
         &mut self,
         now: Timestamp,
@@ -99,8 +102,9 @@
         self.shrink(now);
     }
 
-    /// A run was over without an answer and without an end, after the back end had worked on it for some
-    /// time. Where it ran alone, the next may follow. Returns whether others should know.
+    /// Records that a run finished without an answer and without a crash after the back end had
+    /// worked on it. If it was isolated, the next run may follow. Returns whether other processes
+    /// should know.
     pub fn note_concluded(
         &mut self,
         now: Timestamp,
@@ -117,7 +121,7 @@
         was_running || (is_longer && entry.series().count >= CRASHES_TO_ISOLATE)
     }
 
-    /// A back end answered a request whole. Returns the ends that it is cleared of.
+    /// Records a complete answer. Returns the number of crashes that it clears.
     pub fn note_answer(&mut self, now: Timestamp, digest: &RequestDigest) -> usize {
         let crash_count = self.crash_count(digest);
         if self.entries.contains_key(digest) {
@@ -126,9 +130,9 @@
         crash_count.saturating_sub(self.crash_count(digest))
     }
 
-    /// Whether a suspect may run alone at a back end now; to be asked at the leader of the job stores.
-    /// Invariant: a request runs alone once at a time, and no two of them at one back end, so that the end
-    /// of that back end is evidence against one alone.
+    /// Whether a suspect may run isolated at a back end now; only the leader of the job stores
+    /// decides this. Invariant: a request has one isolated run at a time, and a back end runs one
+    /// suspect at a time, so that its crash is evidence against one request only.
     pub fn grant(
         &mut self,
         now: Timestamp,
@@ -163,7 +167,7 @@
         Grant::Granted
     }
 
-    /// Takes what another process knows. Returns whether anything of it was new.
+    /// Merges the update of another process. Returns whether anything was new.
     pub fn merge(&mut self, now: Timestamp, update: SuspectNews) -> bool {
         let at = |age_ms: u64| Timestamp(now.0.saturating_sub(age_ms));
         let SuspectNews { digest, crashes, answered_age_ms, survived_ms, probes, .. } = update;
@@ -188,7 +192,7 @@
             }
             is_new
         });
-        // After they are known as this request's own.
+        // This follows the merge, so that the crashes are known as this request's own.
         self.merge_crashed_backends(now, &crashed);
         if let Some(entry) = self.entries.get_mut(&digest) {
             for CrashedBackend { crashed_age_ms, .. } in &crashed {
@@ -199,19 +203,19 @@
         is_new
     }
 
-    /// Another process tells which back ends ended lately.
+    /// Merges the recent crashes that another process reported.
     pub fn merge_crashed_backends(&mut self, now: Timestamp, crashed: &[CrashedBackend]) {
         for CrashedBackend { backend, crashed_age_ms } in crashed {
             self.record_background_crash(backend, Timestamp(now.0.saturating_sub(*crashed_age_ms)));
         }
     }
 
-    /// Back ends that ended lately, as others should know.
+    /// Recent crashes to report to other processes.
     pub fn crashed_backends(&self, now: Timestamp) -> Vec<CrashedBackend> {
         self.background.recent_crashes(now)
     }
 
-    /// Changes an entry; it counts as changed where `change` says so.
+    /// Changes an entry and updates its time of change if `change` returns true.
     fn change(
         &mut self,
         now: Timestamp,
@@ -226,7 +230,7 @@
         is_new
     }
 
-    /// Drops what is over, and what is least known where there is too much.
+    /// Evicts expired entries and, if there are too many, those with the least evidence.
     fn shrink(&mut self, now: Timestamp) {
         if self.entries.len() <= MAX_ENTRIES {
             return;
@@ -235,31 +239,31 @@
         let mut ranked: Vec<(RequestDigest, (bool, usize, Timestamp))> =
             self.entries.iter().map(|(digest, entry)| (*digest, entry.rank())).collect();
         ranked.sort_unstable_by_key(|(_, rank)| *rank);
-        // Some more than must go, so that a flood is not ranked anew with each of its requests.
+        // Evicts more than necessary, so that a flood does not cause a ranking per request.
         let surplus = self.entries.len().saturating_sub(MAX_ENTRIES - MAX_ENTRIES / 8);
         for (digest, _) in ranked.into_iter().take(surplus) {
             self.entries.remove(&digest);
         }
     }
 
-    /// Drops what is over. Those that were cleared are kept for as long as one with a single end: news of
-    /// an end before may still come.
+    /// Drops expired entries. Cleared ones are kept as long as those with a single crash, since
+    /// updates about earlier crashes may still arrive.
     pub fn expire(&mut self, now: Timestamp) {
         self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
-    /// What is known of one request.
+    /// The update for one request.
     pub fn news_of(&self, now: Timestamp, digest: &RequestDigest) -> Option<SuspectNews> {
         self.entries.get(digest).map(|entry| entry.update(now, *digest))
     }
 
-    /// What is known, of the requests with the most ends first and `MAX_UPDATES` at most.
+    /// Updates for the requests with the most crashes, at most `MAX_UPDATES`.
     pub fn updates(&self, now: Timestamp) -> Vec<SuspectNews> {
         let ranked = self.ranked().into_iter();
         ranked.map(|(digest, entry)| entry.update(now, *digest)).collect()
     }
 
-    /// A number that differs where two tables would tell different news.
+    /// A fingerprint that differs if two tables would send different updates.
     pub fn fingerprint(&self) -> u64 {
         let ranked = self.ranked().into_iter().filter(|(_, entry)| !entry.crashes.is_empty());
         ranked.map(|(digest, entry)| entry.fingerprint(digest)).fold(0, u64::wrapping_add)
