--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,38 +1,40 @@
-//! Elections: trials and votes, and going on alone after the other of a pair.
+//! Elections: pre-votes, votes, and continuing as the sole voter after the loss of the other member
+//! of a pair.
 
 use crate::log::{Entry, Index, Payload, Term};
 use crate::message::{Body, MemberId, Members};
 use crate::node::{Consensus, Millis, Pair, Role, ELECTION_TIMEOUT_MIN_MS};
 
-/// What a candidate says of its log and its reasons.
+/// The parameters of a vote request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidacy {
-    /// Whether nothing is to be recorded yet.
+    /// Whether this is a pre-vote, for which nothing is recorded.
     pub pre_vote: bool,
-    /// Whether the leader itself asked for the election.
+    /// Whether the leader requested the election.
     pub leadership_transfer: bool,
-    /// Last entry.
+    /// Index of the candidate's last entry.
     pub last_index: Index,
     /// Its term.
     pub last_term: Term,
 }
 
 impl Consensus {
-    /// The pair that this member belongs to, where the group has just two voters.
+    /// The pair that this member belongs to if the group has exactly two voters.
     ///
-    /// Neither of a pair can go on without the other: there is no quorum. Each holds everything
-    /// that was committed, though, so either may go on alone as long as the other never does. A
-    /// claim on the pair, recorded once outside the group, decides which: see `outlive`.
+    /// Neither member of a pair has a quorum without the other. Both hold everything that was
+    /// committed, so either may continue alone as long as the other never does. A claim on the
+    /// pair, recorded once outside of the group, decides which one: see `outlive`.
     pub fn pair(&self) -> Option<Pair> {
         let members = self.members();
         let is_pair = members.voters.len() == 2 && members.voters.contains(&self.me);
-        // Newer entries may tell of other learners; members that were never committed are no pair.
+        // Newer entries may change the learners; a membership that was never committed is no pair.
         let settled = self.members_at(self.settled).epoch == members.epoch;
         (is_pair && settled).then_some(Pair { epoch: members.epoch })
     }
 
-    /// Goes on alone after the other of a pair. The caller must hold the claim on the pair, and the
-    /// members must not be changed from a pair by anyone without it.
+    /// Continues as the sole voter after the loss of the other member of a pair. The caller must
+    /// hold the claim on the pair, and the membership of a pair must not be changed without that
+    /// claim.
     pub fn outlive(&mut self, now: Millis, pair: Pair) -> bool {
         if self.pair() != Some(pair) {
             return false;
@@ -63,8 +65,8 @@
         self.heartbeat(now);
     }
 
-    /// This member's own vote counts once it is on the disk. One that led before could, after a loss
-    /// of power, lead in the same term again, with other entries.
+    /// Counts this member's own vote, which is valid once it is on disk: after a power loss a
+    /// leader whose vote was not stored could lead in the same term again, with other entries.
     pub(crate) fn vote_is_durable(&mut self, now: Millis) {
         match self.pending_takeover.take() {
             Some(pair) => self.lead_as_sole_voter(now, pair),
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Asks for votes; as a trial first, so that a member that was cut off does not raise terms.
+    /// Starts an election; with a pre-vote first, so that a member that was partitioned does not
+    /// increase terms.
     pub(crate) fn campaign(&mut self, now: Millis, role: Role, leadership_transfer: bool) {
         self.schedule_election(now);
         self.role = role;
@@ -107,8 +110,8 @@
         self.members().voters.iter().filter(|voter| **voter != self.me).cloned().collect()
     }
 
-    /// Only the votes of voters count, by the newest members that this log tells: a disk that is
-    /// not among them, such as an empty one, elects nobody.
+    /// Counts only votes of voters in the newest membership of this log: a member with an empty
+    /// disk, which is not among them, elects no leader.
     fn count_votes(&mut self, now: Millis) {
         let members = self.members();
         let given = members.voters.iter().filter(|voter| self.votes.contains(voter)).count();
@@ -134,8 +137,9 @@
         self.heartbeat(now);
     }
 
-    /// Within this time of a leader's sign of life, or of the member's start, no vote is given: a
-    /// leader's lease rests on it. A member that started does not know whom it heard before.
+    /// Whether this member must not vote. For the minimum election timeout after a message of a
+    /// leader, or after its own start, it grants no vote, since the leader's lease relies on that.
+    /// A restarted member does not know when it last heard of a leader.
     pub(crate) fn withholds_votes(&self, now: Millis) -> bool {
         now < self.last_contact + ELECTION_TIMEOUT_MIN_MS
     }
@@ -151,13 +155,13 @@
         let up_to_date = (last_term, last_index) >= (self.log.last_term(), self.log.last_index());
         let leads = self.role == Role::Leader && self.has_lease(now);
         if (self.withholds_votes(now) || leads) && !leadership_transfer {
-            // Without an answer the candidate tries again; its term is not taken over.
+            // The candidate gets no response and tries again; its term is not adopted.
             return;
         }
         if pre_vote {
             let granted = term > self.term && up_to_date;
-            let told = if granted { term } else { self.term };
-            self.send_after_sync(from, told, Body::VoteReply { pre_vote, granted });
+            let reply_term = if granted { term } else { self.term };
+            self.send_after_sync(from, reply_term, Body::VoteReply { pre_vote, granted });
             return;
         }
         if term > self.term {
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -1,11 +1,12 @@
-//! What a follower does with what a leader sends: entries, heartbeats, snapshots.
+//! Handling of a leader's messages by a follower: entries, heartbeats and snapshots.
 
 use crate::log::{Entry, Index, Snapshot, Term};
 use crate::message::{Body, MemberId};
 use crate::node::{Consensus, Millis, Role, Write};
 
 impl Consensus {
-    /// Whether a message comes from the leader of the present term; an old leader is told so.
+    /// Returns whether a message comes from the leader of the current term; the leader of an older
+    /// term gets a rejection.
     pub(crate) fn accept_leader(
         &mut self,
         now: Millis,
@@ -49,15 +50,15 @@
         let known = self.log.term_at(previous_index);
         let before_snapshot = previous_index < self.log.snapshot().index;
         if !before_snapshot && known != Some(previous_term) {
-            // Entries that are committed match: go back to them at most.
+            // Committed entries always match, so the leader never has to go back beyond them.
             let hint = self.log.last_index().min(previous_index.saturating_sub(1)).max(self.commit);
             let body = self.rejected(previous_index, hint, sent_at);
             self.send_after_sync(from, self.term, body);
             return;
         }
         if entries.is_empty() {
-            // A heartbeat is answered at once, for what is on the disk: a slow disk must not cost
-            // the leader its lease.
+            // A heartbeat is acknowledged immediately, for the entries that are already on disk: a
+            // slow disk must not cost the leader its lease.
             let matched = previous_index.min(self.durable_index);
             self.commit = self.commit.max(commit.min(previous_index));
             let body = self.accepted(matched, sent_at);
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Invariant: an entry that is committed is never removed. A sync that ends later must not
-    /// count for entries that took the place of removed ones.
+    /// Invariant: a committed entry is never removed. A sync that completes later must not count
+    /// for entries that replaced the removed ones.
     fn truncate_from(&mut self, index: Index) {
         debug_assert!(index > self.commit, "a committed entry would be removed");
         self.log.truncate_from(index);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,11 +1,12 @@
-//! A replicated log among a few members (the Raft scheme, Ongaro and Ousterhout, 2014, with
-//! pre-votes, leases and changes of one member at a time).
+//! A replicated log among a few members: Raft (Ongaro and Ousterhout, 2014) with pre-votes, leader
+//! leases and membership changes of one member at a time.
 //!
-//! A pure state machine: it takes the time and an event and returns [`Effects`] for the shell to
-//! carry out. It has no input or output, no clock and no randomness of its own.
+//! A deterministic state machine: it takes the time and an event and returns [`Effects`] for the
+//! caller to carry out. It has no I/O, clock or randomness of its own.
 //!
-//! A member is a name *and* the identity of its disk. A process that returns with an empty disk is
-//! a new member: it learns first and votes after, so that an empty disk never elects the past.
+//! A member is a name *and* the identity of its disk. A process that restarts with an empty disk is
+//! a new member: it receives the log before it votes, so that an empty disk never elects a leader
+//! with an outdated log.
 
 mod election;
 mod follower;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! Entries, and the part of the log that is held in memory.
+//! Log entries, and the part of the log that is held in memory.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,38 +8,39 @@
 
 use crate::message::Members;
 
-/// Number of an election.
+/// Number of an election term.
 pub type Term = u64;
-/// Position in the log, from 1.
+/// Index in the log, starting at 1.
 pub type Index = u64;
 
-/// What an entry holds.
+/// Payload of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Payload {
-    /// Nothing: begins a term.
+    /// No payload; marks the start of a term.
     Empty,
-    /// A command of the replicated state machine; the log, the disk and the links share its bytes.
+    /// A command of the replicated state machine; the log, the disk writer and the connections
+    /// share its bytes.
     Command(Arc<[u8]>),
-    /// The members from this entry on.
+    /// The membership from this entry on.
     Members(Members),
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Entry {
-    /// Position.
+    /// Index.
     pub index: Index,
-    /// Term of the leader that wrote it.
+    /// Term of the leader that created it.
     pub term: Term,
-    /// Content.
+    /// Payload.
     pub payload: Payload,
 }
 
-/// Overhead of an entry beside its command, in bytes.
+/// Size of an entry without its command, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 impl Entry {
-    /// About its size, in bytes.
+    /// Approximate size, in bytes.
     pub fn bytes(&self) -> usize {
         match &self.payload {
             Payload::Command(command) => command.len() + ENTRY_OVERHEAD_BYTES,
@@ -48,23 +49,23 @@
     }
 }
 
-/// The state after an entry, which takes the place of the entries up to it.
+/// The state after an entry, which replaces the entries up to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Snapshot {
-    /// Last entry in it.
+    /// Index of the last entry that it includes.
     pub index: Index,
-    /// Its term.
+    /// Term of that entry.
     pub term: Term,
-    /// The members after it.
+    /// Membership after that entry.
     pub members: Members,
-    /// Position of the entry that told them.
+    /// Index of the entry that set the membership.
     pub members_index: Index,
-    /// The state machine.
+    /// Encoded state of the state machine.
     pub state: Bytes,
 }
 
 impl Snapshot {
-    /// The same position without the state, which the log does not need to hold.
+    /// The snapshot's metadata without the state, which the log does not need to hold.
     pub fn position(&self) -> Self {
         Self {
             index: self.index,
@@ -76,8 +77,8 @@
     }
 }
 
-/// Entries after a snapshot. Of the snapshot only its position is held: the state machine has the
-/// state, and whoever needs it is sent the present one.
+/// The entries after a snapshot. The log holds only the snapshot's metadata: the state machine has
+/// the state, and a member that needs it is sent the current one.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     snapshot: Snapshot,
@@ -86,39 +87,39 @@
 }
 
 impl Log {
-    /// A log from what a disk held.
+    /// Creates a log from the contents of a disk.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let bytes = entries.iter().map(Entry::bytes).sum();
         Self { snapshot: snapshot.position(), entries: entries.into(), bytes }
     }
 
-    /// Position of the snapshot before the first entry.
+    /// Metadata of the snapshot before the first entry.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Bytes of the entries.
+    /// Size of the entries, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Bytes of the entries up to a position.
+    /// Size of the entries up to an index, in bytes.
     pub fn bytes_up_to(&self, index: Index) -> usize {
         let applied = self.entries.iter().take_while(|entry| entry.index <= index);
         applied.map(Entry::bytes).sum()
     }
 
-    /// Last position.
+    /// Last index.
     pub fn last_index(&self) -> Index {
         self.snapshot.index + self.entries.len() as u64
     }
 
-    /// Term of the last position.
+    /// Term of the last entry.
     pub fn last_term(&self) -> Term {
         self.entries.back().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Term of a position; `None` where the log does not reach, or reaches no longer.
+    /// Term of the entry at an index; `None` if the log does not contain it.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -126,13 +127,13 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// The entry at a position.
+    /// The entry at an index.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.snapshot.index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// Entries from a position on, up to `limit` bytes but one at least.
+    /// Entries from an index on, up to `limit` bytes but at least one.
     pub fn entries_from(&self, index: Index, limit: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut bytes = 0;
@@ -148,13 +149,13 @@
         taken
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry.
     pub fn push(&mut self, entry: Entry) {
         self.bytes += entry.bytes();
         self.entries.push_back(entry);
     }
 
-    /// Removes every entry from a position on.
+    /// Removes all entries from an index on.
     pub fn truncate_from(&mut self, index: Index) {
         while self.last_index() >= index {
             let Some(entry) = self.entries.pop_back() else { return };
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Puts a snapshot in the place of the entries up to it.
+    /// Replaces the entries up to a snapshot.
     pub fn compact(&mut self, snapshot: &Snapshot) {
         while self.entries.front().is_some_and(|entry| entry.index <= snapshot.index) {
             if let Some(entry) = self.entries.pop_front() {
@@ -172,14 +173,14 @@
         self.snapshot = snapshot.position();
     }
 
-    /// Puts a snapshot in the place of everything.
+    /// Replaces the whole log by a snapshot.
     pub fn reset(&mut self, snapshot: &Snapshot) {
         self.entries.clear();
         self.bytes = 0;
         self.snapshot = snapshot.position();
     }
 
-    /// The newest members in the log, and the position that holds them.
+    /// The newest membership in the log and the index of its entry.
     pub fn members(&self) -> (Index, &Members) {
         for entry in self.entries.iter().rev() {
             if let Payload::Members(members) = &entry.payload {
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! Members, and what they say to each other.
+//! Members, and the messages between them.
 
 use std::fmt;
 
@@ -7,12 +7,12 @@
 use crate::log::{Entry, Index, Snapshot, Term};
 use crate::node::Millis;
 
-/// A member: a machine's name and the identity of the disk that it votes from.
+/// A member: the name of a machine and the identity of the disk that it votes from.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct MemberId {
     /// Name of the machine's process.
     pub name: String,
-    /// Drawn when the disk was empty; a lost disk has another one.
+    /// Random number drawn for an empty disk, so that a replacement of a lost disk has another one.
     pub incarnation: u64,
 }
 
@@ -22,14 +22,15 @@
     }
 }
 
-/// Who belongs to the group.
+/// The members of the group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Members {
-    /// Members that vote and count for a quorum.
+    /// Members that vote and count towards a quorum.
     pub voters: Vec<MemberId>,
     /// Members that only receive the log.
     pub learners: Vec<MemberId>,
-    /// Grows with each change of the voters. Committed members of one epoch have the same voters.
+    /// Grows with each change of the voters. Committed memberships of the same epoch have the same
+    /// voters.
     pub epoch: u64,
 }
 
@@ -39,12 +40,12 @@
         self.voters.contains(member) || self.learners.contains(member)
     }
 
-    /// Voters that must agree.
+    /// Number of voters that must agree.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Every member.
+    /// All members.
     pub fn all(&self) -> impl Iterator<Item = &MemberId> {
         self.voters.iter().chain(&self.learners)
     }
@@ -55,69 +56,69 @@
 pub struct Message {
     /// The sender.
     pub from: MemberId,
-    /// The receiver; another disk at the same address must not take it.
+    /// The receiver; a member with another disk at the same address must not accept the message.
     pub to: MemberId,
-    /// Term of the sender, or the one that a pre-vote asks about.
+    /// Term of the sender; in a pre-vote, the term that it asks about.
     pub term: Term,
-    /// Content.
+    /// The payload.
     pub body: Body,
 }
 
 /// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Body {
-    /// Asks for a vote, or whether one would be given.
+    /// Requests a vote, or asks whether one would be given.
     Vote {
-        /// Whether the term has not begun: nothing is recorded.
+        /// Whether this is a pre-vote: the term has not started and nothing is recorded.
         pre_vote: bool,
-        /// Whether the leader itself asked for this election.
+        /// Whether the leader requested this election.
         leadership_transfer: bool,
         /// Last entry of the candidate.
         last_index: Index,
         /// Its term.
         last_term: Term,
     },
-    /// Answers a vote.
+    /// Response to a vote request.
     VoteReply {
-        /// Whether the question was a trial.
+        /// Whether it responds to a pre-vote.
         pre_vote: bool,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat.
+    /// Log entries, or none for a heartbeat.
     Append {
-        /// Entry before the first.
+        /// Index of the entry before the first.
         previous_index: Index,
         /// Its term.
         previous_term: Term,
         /// The entries.
         entries: Vec<Entry>,
-        /// Entry up to which the leader knows a quorum to agree.
+        /// Index up to which the leader knows entries to be committed.
         commit: Index,
-        /// Clock of the leader, echoed.
+        /// Time on the leader's clock, echoed in the response.
         sent_at: Millis,
     },
-    /// Answers an append or a snapshot.
+    /// Response to an append or a snapshot.
     AppendReply {
-        /// Whether the entry before matched and all is on disk.
+        /// Whether the previous entry matched and all entries are on disk.
         accepted: bool,
-        /// Last entry that matches; after a refusal, where to try again.
+        /// Index of the last matching entry; in a rejection, where to try again.
         matched: Index,
-        /// After a refusal, the entry that did not match: an answer to a message that the leader has
-        /// given up tells it nothing.
+        /// In a rejection, the index of the entry that did not match. The leader ignores rejections
+        /// of messages that it no longer waits for.
         rejected_index: Index,
-        /// Position of the newest members that the sender's disk knows to be committed.
+        /// Index of the newest membership entry that the sender has recorded on disk as committed.
         settled: Index,
-        /// Clock of the leader as it was sent.
+        /// Time on the leader's clock when it sent the message.
         sent_at: Millis,
     },
-    /// The state up to an entry that the leader's log no longer has.
+    /// The state up to an entry that is no longer in the leader's log.
     Install {
         /// The state.
         snapshot: Snapshot,
-        /// Clock of the leader, echoed.
+        /// Time on the leader's clock, echoed in the response.
         sent_at: Millis,
     },
-    /// Asks the receiver to stand for election at once.
+    /// Asks the receiver to start an election immediately.
     HandOver,
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,5 +1,5 @@
-//! One member: its terms, its role, what must be on disk and what was committed. What a follower does with
-//! entries is in `follower`, what a leader does in `replication`, votes in `election`.
+//! One member: its term, its role, what must be on disk and what is committed. `follower` handles a
+//! leader's messages, `replication` implements the leader, `election` the votes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,69 +12,69 @@
 use crate::message::{Body, MemberId, Members, Message};
 use crate::replication::{Progress, Reply};
 
-/// Milliseconds on the member's own steady clock.
+/// Time on the member's own monotonic clock, in milliseconds.
 pub type Millis = u64;
 
-/// Least time without a leader after which a member stands for election, in milliseconds.
+/// Minimum time without a leader after which a member starts an election, in milliseconds.
 pub const ELECTION_TIMEOUT_MIN_MS: Millis = 300;
-/// Longest such time.
+/// Maximum of that time, in milliseconds.
 const ELECTION_TIMEOUT_MAX_MS: Millis = 550;
 /// Interval between a leader's heartbeats, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: Millis = 100;
-/// Time after a quorum's answered heartbeat was sent during which no other leader can exist, in
-/// milliseconds. Less than `ELECTION_TIMEOUT_MIN_MS`, within which followers refuse votes: the difference
-/// is what clocks may differ in speed over that time.
+/// Time after sending a heartbeat that a quorum acknowledged during which no other leader can
+/// exist, in milliseconds. It is shorter than `ELECTION_TIMEOUT_MIN_MS`, during which followers
+/// grant no votes; the difference covers clocks of different rates.
 pub const LEASE_MS: Millis = 240;
 
-/// What must be on disk.
+/// A write to the disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
     /// Term and vote.
     State {
         /// The term.
         term: Term,
-        /// Who got the vote of this member in it.
+        /// The member that this member voted for in the term.
         voted_for: Option<MemberId>,
-        /// Position of the newest members that are known to be committed.
+        /// Index of the newest membership entry that is known to be committed.
         settled: Index,
     },
-    /// Entries; they take the place of any at their positions and after.
+    /// Entries, which replace any entries at their indices and after.
     Entries(Vec<Entry>),
-    /// A snapshot; it takes the place of the entries up to it, or of everything.
+    /// A snapshot, which replaces the entries up to it, or the whole log.
     Snapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// Whether entries after it stay.
+        /// Whether later entries are kept.
         keep_later_entries: bool,
     },
 }
 
-/// What the shell must do.
+/// The actions that the caller must carry out.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// To be written, in this order, then synced. The shell calls `Consensus::persisted` after.
+    /// Writes in order, to be followed by a sync. The caller then calls `Consensus::persisted`.
     pub writes: Vec<Write>,
-    /// May be sent at once.
+    /// Messages that may be sent immediately.
     pub messages: Vec<Message>,
-    /// May be sent only when everything written so far is synced.
+    /// Messages that may be sent only when everything written so far is synced.
     pub messages_after_sync: Vec<Message>,
-    /// A state to put in the place of the state machine's, before `committed`.
+    /// A snapshot that replaces the state of the state machine, before `committed` is applied.
     pub install: Option<Snapshot>,
     /// Entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Members that need the whole state. After `committed` is applied the shell calls
-    /// `Consensus::install` for each with the state.
+    /// Members that need a snapshot. After applying `committed`, the caller calls
+    /// `Consensus::install` for each of them with the state.
     pub installs: Vec<MemberId>,
 }
 
-/// What a disk held.
+/// The contents of a disk.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
     /// Term.
     pub term: Term,
-    /// Vote in it.
+    /// Vote in that term.
     pub voted_for: Option<MemberId>,
-    /// Position of the newest members that are known to be committed.
+    /// Index of the newest membership entry that is known to be committed.
     pub settled: Index,
     /// Snapshot.
     pub snapshot: Snapshot,
@@ -82,7 +82,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// Two voters that are a whole group, by the epoch of the members.
+/// A group of exactly two voters, identified by the epoch of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Pair {
     /// The epoch.
@@ -90,22 +90,22 @@
 }
 
 impl Recovered {
-    /// Last position that the disk held.
+    /// Last index on the disk.
     pub fn last_index(&self) -> Index {
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 }
 
-/// What a member does at present.
+/// The current role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether an election could be won.
+    /// Asks for pre-votes.
     Trial,
-    /// Stands for election.
+    /// Asks for votes.
     Candidate,
-    /// Leads.
+    /// Leads the group.
     Leader,
 }
 
@@ -122,30 +122,30 @@
     pub(crate) me: MemberId,
     pub(crate) term: Term,
     pub(crate) voted_for: Option<MemberId>,
-    /// Position of the newest members that are known to be committed. It is kept on disk: a member
-    /// that returns alone must know whether the members that it sees were ever in force.
+    /// Index of the newest membership entry that is known to be committed. It is stored on disk: a
+    /// member that restarts alone must know whether its membership was ever committed.
     pub(crate) settled: Index,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
     pub(crate) log: Log,
     pub(crate) commit: Index,
     pub(crate) applied: Index,
-    /// Last entry that is on this member's disk.
+    /// Index of the last entry that is on this member's disk.
     pub(crate) durable_index: Index,
-    /// What each batch of writes that is not synced yet brings to the disk.
+    /// What each batch of writes that is not synced yet adds to the disk.
     pub(crate) unsynced: VecDeque<Unsynced>,
-    /// `settled` as far as it is on this member's disk.
+    /// The value of `settled` that is on this member's disk.
     pub(crate) durable_members_index: Index,
     pub(crate) votes: BTreeSet<MemberId>,
-    /// The pair that this member is about to outlive.
+    /// The pair of which this member is about to become the sole voter.
     pub(crate) pending_takeover: Option<Pair>,
-    /// When a valid leader was last heard, or the member started.
+    /// When the last message of a valid leader arrived, or this member started.
     pub(crate) last_contact: Millis,
     election_at: Millis,
     generator: SmallRng,
     pub(crate) progress: BTreeMap<MemberId, Progress>,
     pub(crate) heartbeat_at: Millis,
-    /// Entry with which the leader's term began.
+    /// Index of the first entry of the leader's term.
     pub(crate) term_start: Index,
     /// Whether the leader has asked another member to take over.
     pub(crate) transferring_leadership: bool,
@@ -153,7 +153,7 @@
 }
 
 impl Consensus {
-    /// A member from what its disk held. Its draws follow from `seed`.
+    /// Creates a member from the contents of its disk. `seed` determines its random numbers.
     pub fn new(me: MemberId, recovered: Recovered, now: Millis, seed: u64) -> Self {
         let log = Log::new(recovered.snapshot, recovered.entries);
         let applied = log.snapshot().index;
@@ -185,7 +185,7 @@
         node
     }
 
-    /// Begins a group whose only member is this one. The disk must be empty.
+    /// Starts a group whose only member is this one. The disk must be empty.
     pub fn found(&mut self, now: Millis) {
         if self.log.last_index() > 0 {
             return;
@@ -196,12 +196,12 @@
         self.election_at = now;
     }
 
-    /// This member.
+    /// The id of this member.
     pub fn id(&self) -> &MemberId {
         &self.me
     }
 
-    /// What it does at present.
+    /// Its current role.
     pub fn role(&self) -> Role {
         self.role
     }
@@ -211,37 +211,37 @@
         self.term
     }
 
-    /// Who got this member's vote in its term.
+    /// The member that this member voted for in its term.
     pub fn voted_for(&self) -> Option<&MemberId> {
         self.voted_for.as_ref()
     }
 
-    /// The leader, as far as known.
+    /// The leader, if it is known.
     pub fn leader(&self) -> Option<&MemberId> {
         self.leader.as_ref()
     }
 
-    /// The members of the group, by the newest entry that tells them.
+    /// The newest membership in the log, committed or not.
     pub fn members(&self) -> &Members {
         self.log.members().1
     }
 
-    /// Position of the newest members that are known to be committed.
+    /// Index of the newest membership entry that is known to be committed.
     pub fn settled(&self) -> Index {
         self.settled
     }
 
-    /// Voters of the newest members that are known to be committed.
+    /// Number of voters of the newest membership that is known to be committed.
     pub fn committed_voters(&self) -> usize {
         self.members_at(self.commit).voters.len()
     }
 
-    /// Time since a leader was heard.
+    /// Time since the last message of a leader.
     pub fn leaderless_ms(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_contact)
     }
 
-    /// Last entry that a quorum is known to have.
+    /// Index of the last entry that is known to be committed.
     pub fn commit_index(&self) -> Index {
         self.commit
     }
@@ -251,7 +251,7 @@
         &self.log
     }
 
-    /// What must be done since the last call.
+    /// Takes the actions that accumulated since the last call.
     pub fn take_effects(&mut self) -> Effects {
         self.collect_committed();
         std::mem::take(&mut self.effects)
@@ -272,7 +272,7 @@
         }
     }
 
-    /// When `tick` has something to do.
+    /// When `tick` must be called.
     pub fn next_deadline(&self) -> Millis {
         if self.role == Role::Leader {
             return self.heartbeat_at;
@@ -283,7 +283,7 @@
         Millis::MAX
     }
 
-    /// Time has passed.
+    /// Handles the passage of time.
     pub fn tick(&mut self, now: Millis) {
         if self.role == Role::Leader {
             self.tick_leader(now);
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Everything written by the oldest batch of effects that had writes is synced.
+    /// Must be called when the writes of the oldest unsynced batch are synced.
     pub fn persisted(&mut self, now: Millis) {
         let Some(Unsynced { last_index, settled, term }) = self.unsynced.pop_front() else {
             return;
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Notes a batch of writes; the shell calls this for each batch before it writes it.
+    /// Must be called for each batch of writes before it is written.
     pub fn writing(&mut self) {
         let (last_index, settled, term) = (self.log.last_index(), self.settled, self.term);
         self.unsynced.push_back(Unsynced { last_index, settled, term });
@@ -355,7 +355,7 @@
         self.effects.messages_after_sync.push(Message { from: self.me.clone(), to, term, body });
     }
 
-    /// A message arrived.
+    /// Handles a received message.
     pub fn receive(&mut self, now: Millis, message: Message) {
         if message.to != self.me {
             return;
@@ -400,7 +400,7 @@
         }
     }
 
-    /// Puts the state after the last applied entry in the place of the entries up to it.
+    /// Replaces the log up to the last applied entry by a snapshot with this state.
     pub fn compact(&mut self, state: Bytes) {
         let index = self.applied;
         let Some(term) = self.log.term_at(index) else { return };
@@ -413,7 +413,7 @@
         self.effects.writes.push(Write::Snapshot { snapshot, keep_later_entries: true });
     }
 
-    /// Bytes of the entries that `compact` would remove.
+    /// Size of the entries that `compact` would remove, in bytes.
     pub fn applied_bytes(&self) -> usize {
         self.log.bytes_up_to(self.applied)
     }
@@ -422,7 +422,7 @@
         self.members_with_index_at(index).1
     }
 
-    /// The members after a position, and the position of the entry that told them.
+    /// The membership at an index, and the index of the entry that set it.
     pub(crate) fn members_with_index_at(&self, index: Index) -> (Index, Members) {
         let mut at = index;
         while at > self.log.snapshot().index {
--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -1,48 +1,51 @@
-//! Which members the group should have: decided by the leader from who asks to join, who answers
-//! and who is to be emptied.
+//! Membership policy of the leader: decides on changes from which members ask to join, which
+//! respond and which are being drained.
 
 use crate::message::{MemberId, Members};
 use crate::node::{Consensus, Millis, Role};
 use crate::replication::VoterChange;
 use crate::zones::Zones;
 
-/// Time without an answer after which a voter gives way to a member that waits, in milliseconds.
+/// Time without a response after which a voter may be replaced by a waiting member, in
+/// milliseconds.
 const VOTER_TIMEOUT_MS: Millis = 2_500;
-/// Time without the other of a pair after which one goes on alone, in milliseconds.
+/// Time without the other member of a pair after which one continues alone, in milliseconds.
 const PAIR_TIMEOUT_MS: Millis = 6_000;
-/// The same where the other one's disk is known to be lost.
+/// The same if the disk of the other member is known to be lost, in milliseconds.
 const LOST_DISK_TIMEOUT_MS: Millis = 1_200;
-/// Time without an answer after which a learner is dropped, in milliseconds; it may ask again.
+/// Time without a response after which a learner is removed, in milliseconds; it may ask to join
+/// again.
 const LEARNER_TIMEOUT_MS: Millis = 5_000;
-/// Entries that a learner may lack when it becomes a voter.
+/// Maximum number of entries that a learner may lack when it becomes a voter.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 64;
 
-/// What the leader hears from outside the log.
+/// Inputs of the policy from outside of the log.
 #[derive(Clone, Debug, Default)]
 pub struct Wishes {
     /// Members that ask to join.
     pub joining: Vec<MemberId>,
-    /// Names of members that are to be emptied.
+    /// Names of members that are being drained.
     pub leaving: Vec<String>,
-    /// Voters wanted.
+    /// Desired number of voters.
     pub voters: usize,
     /// Zones of machines.
     pub zones: Zones,
 }
 
-/// What the leader should do next.
+/// The next action of the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing.
     Rest,
-    /// Propose these members.
+    /// Propose this membership.
     Change(Members),
-    /// Ask another voter to lead.
+    /// Ask another voter to take over leadership.
     HandOver(MemberId),
 }
 
-/// The next step. One voter changes at a time, and a place is filled before another one is given
-/// up, so that the group is a pair only where there are no more than two machines for it.
+/// Computes the next step. One voter changes at a time, and a replacement becomes a voter before
+/// the old voter is removed, so that the group is a pair only if there are no more than two
+/// machines for it.
 pub fn next_step(node: &Consensus, now: Millis, wishes: &Wishes) -> Step {
     let members = node.members();
     let step = admit(node, now, members, wishes)
@@ -55,15 +58,15 @@
     step.unwrap_or(Step::Rest)
 }
 
-/// Whether a step changes who votes in a pair, other than by a successor of a lost disk. Such a step
-/// needs the claim on the pair: the other one may have gone on alone, or may try to.
+/// Whether a change of a pair's voters, other than the replacement of a lost disk, needs the claim
+/// on the pair: the other member may have continued alone, or may try to.
 pub fn needs_claim(node: &Consensus, members: &Members) -> bool {
     let voter_change = node.voter_change(members);
     node.members().voters.len() == 2 && voter_change == VoterChange::One
 }
 
-/// Whether a member of a pair should try to go on alone: soon where the other one asks to join with
-/// an empty disk, and after a time longer than cuts usually last where it is silent.
+/// Whether a member of a pair should try to continue alone: soon if the other one asks to join with
+/// an empty disk, and after a time that exceeds most network partitions if it does not respond.
 pub fn should_outlive(node: &Consensus, now: Millis, joining: &[MemberId]) -> bool {
     if node.role() == Role::Leader || node.pair().is_none() {
         return false;
@@ -81,8 +84,8 @@
         && node.silent_ms(now, member) < VOTER_TIMEOUT_MS
 }
 
-/// Puts a learner that has caught up in the place of the voter of the same name. That it answers
-/// proves that the other disk is gone: a machine runs one process, which opened an empty disk.
+/// Replaces a voter by the caught-up learner of the same name. Its response proves that the other
+/// disk is gone: a machine runs one process, and that one opened an empty disk.
 fn replace_lost_disk(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
     let succeeds = |learner: &&MemberId| {
         members.voters.iter().any(|voter| voter.name == learner.name)
@@ -106,14 +109,15 @@
     }
 }
 
-/// Whether a member that asks may belong to the group at all.
+/// Whether a member that asks to join may belong to the group at all.
 fn may_join(members: &Members, wishes: &Wishes, member: &MemberId) -> bool {
     !members.contains(member) && !wishes.leaving.contains(&member.name)
 }
 
-/// Lets a member that asks begin to learn, where the group has or is about to have too few voters.
-/// The others stand by with nothing: each member costs the leader the whole log. One whose name the
-/// group knows has a new disk in the place of a lost one, and is always admitted.
+/// Admits a member that asks to join as a learner if the group has too few voters or is about to.
+/// Other candidates stay outside without any data, since each member costs the leader a copy of the
+/// log. A member whose name is in the group already has replaced a lost disk, and is always
+/// admitted.
 fn admit(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
     let stays = |member: &&MemberId| {
         node.silent_ms(now, member) < VOTER_TIMEOUT_MS && !wishes.leaving.contains(&member.name)
@@ -130,8 +134,9 @@
     Some(Step::Change(members))
 }
 
-/// Makes a learner that has caught up a voter, where a place is free, or is about to be: one that a
-/// silent or leaving voter still holds. Everyone else must answer, or the change could not commit.
+/// Makes a caught-up learner a voter if a place is free or about to become free: one of a voter
+/// that does not respond or is being drained. All others must respond, or the change could not
+/// commit.
 fn promote(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
     let learner = members.learners.iter().find(|learner| {
         is_caught_up(node, now, learner)
@@ -157,8 +162,9 @@
     Some(Step::Change(members))
 }
 
-/// Moves a voter from a crowded zone to one with fewer, in three steps, each only while all voters answer: a
-/// machine of that zone learns, then votes, then the one in the crowded zone goes.
+/// Moves a voter from a zone with many voters to one with fewer. There are three steps, each taken
+/// only while all voters respond: a machine of the smaller zone becomes a learner, then a voter,
+/// then the voter of the larger zone is removed.
 fn rebalance_zones(
     node: &Consensus,
     now: Millis,
@@ -197,7 +203,7 @@
     Some(Step::Change(changed))
 }
 
-/// Removes a silent voter where others have taken its place.
+/// Removes a voter that does not respond if others have taken its place.
 fn drop_unresponsive_voter(
     node: &Consensus,
     now: Millis,
@@ -209,16 +215,16 @@
     (members.voters.len() > wishes.voters).then(|| Step::Change(without(members, gone)))
 }
 
-/// Removes a learner that has been silent for long: each look at it costs the whole state.
+/// Removes a learner that has not responded for long: each attempt to reach it may cost a copy of
+/// the whole state.
 fn drop_unresponsive_learner(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
     let silent = |learner: &&MemberId| node.silent_ms(now, learner) >= LEARNER_TIMEOUT_MS;
     let gone = members.learners.iter().find(silent)?;
     Some(Step::Change(without(members, gone)))
 }
 
-/// Removes a member that is to be emptied, once enough others vote and have everything: as many as
-/// are wanted, where other machines could still fill its place, since the loss of several may follow
-/// at once.
+/// Removes a member that is being drained, once enough caught-up voters remain: as many as desired
+/// if other machines can still take its place, since the loss of several may follow immediately.
 fn remove_leaving(
     node: &Consensus,
     now: Millis,
@@ -247,7 +253,7 @@
         return None;
     }
     if leaving == node.id() {
-        // The lead can go only to one that has everything.
+        // Leadership can only be transferred to a member that has every entry.
         let nearest = others.iter().max_by_key(|other| node.matched(other));
         return nearest.map(|other| Step::HandOver((*other).clone()));
     }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! What a leader does: sends entries, counts who has them, holds its lease, changes members.
+//! The leader: replication, commitment, lease, and membership changes.
 
 use std::collections::VecDeque;
 
@@ -10,49 +10,50 @@
     Consensus, Millis, Role, ELECTION_TIMEOUT_MIN_MS, HEARTBEAT_INTERVAL_MS, LEASE_MS,
 };
 
-/// Most bytes of entries in one message.
+/// Maximum size of the entries in one message, in bytes.
 const MAX_APPEND_BYTES: usize = 128 * 1024;
-/// Most messages with entries under way to one member.
+/// Maximum number of unacknowledged messages with entries per member.
 const MAX_IN_FLIGHT_APPENDS: usize = 8;
-/// Time after which an unanswered probe counts as lost, in milliseconds.
+/// Time after which an unacknowledged probe counts as lost, in milliseconds.
 const PROBE_TIMEOUT_MS: Millis = 2_000;
-/// Time within which a member must have been heard to be sent a state, in milliseconds.
+/// Maximum time since the last message of a member for it to be sent a snapshot, in milliseconds.
 const SNAPSHOT_CONTACT_MS: Millis = 1_000;
-/// Time after which an unanswered state counts as lost, in milliseconds.
+/// Time after which an unacknowledged snapshot counts as lost, in milliseconds.
 const SNAPSHOT_TIMEOUT_MS: Millis = 3_000;
 
-/// How two sets of voters differ.
+/// Difference between two sets of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterChange {
-    /// Not at all.
+    /// The same voters.
     None,
-    /// One voter more or less.
+    /// One voter added or removed.
     One,
-    /// A voter gives way to another disk under its name.
+    /// A voter is replaced by a member of the same name with another disk.
     Successor,
-    /// In any other way.
+    /// Any other difference.
     Many,
 }
 
-/// What a leader knows of another member.
+/// Replication state of another member.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Last entry that is on its disk.
+    /// Index of the last entry that is on its disk.
     pub matched: Index,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     next: Index,
-    /// Whether it is not known yet which entry matches: one message is under way at a time.
+    /// Whether the last matching entry is unknown, in which case one message is in flight at a
+    /// time.
     probing: bool,
-    /// Last entry of each message with entries that is not answered, and when the newest was sent.
+    /// Index of the last entry of each unacknowledged message.
     in_flight: VecDeque<Index>,
-    /// Whether the state itself is under way.
+    /// Whether a snapshot is in flight.
     installing: bool,
     sent_at: Millis,
-    /// Leader's clock when it sent the newest message that was answered.
+    /// Time on the leader's clock when it sent the newest acknowledged message.
     acknowledged_at: Option<Millis>,
-    /// When anything was last heard of it.
+    /// Time of the last message from it.
     last_contact: Millis,
-    /// Position of the newest members that its disk knows to be committed.
+    /// Index of the newest membership entry that it has recorded on disk as committed.
     settled: Index,
 }
 
@@ -69,12 +70,12 @@
         self.next = self.next.max(self.matched + 1);
     }
 
-    /// Goes back to where the member says that it can match. Invariant: a refusal counts once, and
-    /// only for the message that it answers. Each of the others under way is refused as well; if
-    /// they counted, each would have the whole window sent again.
+    /// Goes back to the index that the member proposes. Invariant: a rejection counts once, and
+    /// only for the message that it responds to. The other messages in flight are rejected as well;
+    /// if those rejections counted, each would cause the whole window to be sent again.
     fn reject(&mut self, rejected_index: Index, hint: Index) {
         if self.installing {
-            // The answer to a heartbeat: the state that it asks for is under way.
+            // Response to a heartbeat; the snapshot that the member needs is already in flight.
             return;
         }
         let stale = if self.probing {
@@ -91,7 +92,7 @@
         self.next = (hint + 1).max(self.matched + 1);
     }
 
-    /// Forgets a message that was not answered for so long that it must be lost.
+    /// Gives up on a message that has been unacknowledged for so long that it must be lost.
     fn expire_lost(&mut self, now: Millis) {
         let timeout = if self.installing { SNAPSHOT_TIMEOUT_MS } else { PROBE_TIMEOUT_MS };
         let waits = self.probing || self.installing;
@@ -104,7 +105,7 @@
     }
 }
 
-/// What a member answers to an append or a snapshot.
+/// Response of a member to an append or a snapshot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reply {
     pub accepted: bool,
@@ -115,9 +116,8 @@
 }
 
 impl Consensus {
-    /// Proposes a command. Returns its position, or `None` where this member does not lead. A
-    /// position is no promise: the command is in force when its entry, of the same term, is
-    /// committed.
+    /// Proposes a command. Returns its index, or `None` if this member is not the leader. The
+    /// command takes effect only when the entry with this index and term is committed.
     pub fn propose(&mut self, now: Millis, command: Vec<u8>) -> Option<Index> {
         if self.role != Role::Leader || self.transferring_leadership {
             return None;
@@ -132,8 +132,9 @@
         index
     }
 
-    /// Whether members may be changed now: one change at a time, and none before an entry of the
-    /// leader's own term is committed. Two majorities without a common member could exist else.
+    /// Whether the membership may be changed now: one change at a time, and none before an entry of
+    /// the leader's own term is committed. Otherwise two majorities without a common member could
+    /// exist.
     pub fn can_change_members(&self) -> bool {
         let (index, _) = self.log.members();
         self.role == Role::Leader
@@ -142,11 +143,12 @@
             && self.commit >= self.term_start
     }
 
-    /// Proposes new members that differ from the present ones in one voter at most, or in a voter
-    /// whose disk is lost and the member that has its name now.
+    /// Proposes a membership that differs from the current one in at most one voter, or that
+    /// replaces a voter with a lost disk by the member that now has its name.
     ///
-    /// The second is as safe as the first: the lost disk is in no quorum any more, and with n voters
-    /// a quorum of the others before and one after, of more than n / 2 each, share a member.
+    /// The latter is as safe as the former: the lost disk can no longer be part of a quorum, and
+    /// with n voters, a quorum of the remaining old voters and one of the new voters, each of more
+    /// than n / 2 members, share a member.
     pub fn change_members(&mut self, now: Millis, mut members: Members) -> bool {
         let voter_change = self.voter_change(&members);
         let grows = voter_change != VoterChange::None;
@@ -165,7 +167,7 @@
         true
     }
 
-    /// How the voters of new members differ from the present ones.
+    /// Compares the voters of a new membership with the current ones.
     pub fn voter_change(&self, members: &Members) -> VoterChange {
         let present = &self.members().voters;
         let added: Vec<&MemberId> =
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Keeps one record of progress for each other member.
+    /// Keeps one `Progress` for each other member.
     pub(crate) fn follow_members(&mut self, now: Millis) {
         let members = self.members().clone();
         let next = self.log.last_index() + 1;
@@ -200,7 +202,7 @@
         }
     }
 
-    /// What the leader knows of a member.
+    /// Index of the last entry that a member is known to have on disk.
     pub fn matched(&self, member: &MemberId) -> Index {
         if *member == self.me {
             return self.durable_index;
@@ -208,12 +210,12 @@
         self.progress.get(member).map_or(0, |progress| progress.matched)
     }
 
-    /// Time since a member was heard; zero for the leader itself.
+    /// Time since the last message of a member; zero for the leader itself.
     pub fn silent_ms(&self, now: Millis, member: &MemberId) -> Millis {
         self.progress.get(member).map_or(0, |progress| now.saturating_sub(progress.last_contact))
     }
 
-    /// Leader's deadlines: heartbeats, and giving up where no quorum answers.
+    /// Handles the leader's deadline: sends heartbeats, or steps down if no quorum responds.
     pub(crate) fn tick_leader(&mut self, now: Millis) {
         if now < self.heartbeat_at {
             return;
@@ -226,7 +228,7 @@
         self.heartbeat(now);
     }
 
-    /// Sends an append to every member, with entries or without.
+    /// Sends an append to every member, with or without entries.
     pub(crate) fn heartbeat(&mut self, now: Millis) {
         self.heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         let members: Vec<MemberId> = self.progress.keys().cloned().collect();
@@ -249,7 +251,8 @@
         self.advance_commit(now);
     }
 
-    /// Sends what a member lacks, as far as the window allows. Returns whether anything was sent.
+    /// Sends the entries that a member lacks, as far as the window allows. Returns whether anything
+    /// was sent.
     fn send_entries(&mut self, now: Millis, member: &MemberId) -> bool {
         let mut sent = false;
         while let Some(progress) = self.progress.get_mut(member) {
@@ -258,8 +261,8 @@
                 break;
             }
             if progress.next <= self.log.snapshot().index {
-                // One at a time: the state is large, and each is a copy of it under way. One that is
-                // not heard would keep it from the others.
+                // Snapshots are large and are sent one at a time. A member that does not respond
+                // must not block the others.
                 let is_heard = now < progress.last_contact + SNAPSHOT_CONTACT_MS;
                 if is_heard && self.effects.installs.is_empty() && !self.is_installing() {
                     self.effects.installs.push(member.clone());
@@ -275,13 +278,13 @@
         sent
     }
 
-    /// Whether a state is under way to a member that may still take it.
+    /// Whether a snapshot is in flight to a member that may still acknowledge it.
     fn is_installing(&self) -> bool {
         self.progress.values().any(|progress| progress.installing && !progress.in_flight.is_empty())
     }
 
-    /// Sends a member the state after the last applied entry, which `state` must be: the log no
-    /// longer has what the member lacks.
+    /// Sends a member the state after the last applied entry, which `state` must be: the entries
+    /// that the member lacks are no longer in the log.
     pub fn install(&mut self, now: Millis, member: &MemberId, state: Bytes) {
         let index = self.applied;
         let Some(term) = self.log.term_at(index) else { return };
@@ -308,7 +311,7 @@
         self.send(member.clone(), self.term, body);
     }
 
-    /// A member answered.
+    /// Handles the response of a member.
     pub(crate) fn handle_append_reply(&mut self, now: Millis, from: &MemberId, reply: Reply) {
         let Reply { accepted, matched, rejected_index, settled, sent_at } = reply;
         let Some(progress) = self.progress.get_mut(from) else { return };
@@ -324,7 +327,7 @@
         self.send_entries(now, from);
     }
 
-    /// The highest value that a quorum of voters reaches; the leader's own is `own`.
+    /// The highest value that a quorum of voters reaches; `own` is the value of the leader.
     fn quorum_value(&self, value: impl Fn(&Progress) -> Option<u64>, own: u64) -> Option<u64> {
         let members = self.members();
         let mut values: Vec<u64> = Vec::with_capacity(members.voters.len());
@@ -339,8 +342,8 @@
         values.get(members.quorum() - 1).copied()
     }
 
-    /// Invariant: only an entry of the leader's own term is committed by counting; those before it
-    /// follow. An older one that a quorum has could still be replaced.
+    /// Invariant: only entries of the leader's own term are committed by counting; earlier ones are
+    /// committed along with them. An older entry that a quorum has could still be replaced.
     pub(crate) fn advance_commit(&mut self, now: Millis) {
         let quorum = self.quorum_value(|progress| Some(progress.matched), self.durable_index);
         let Some(index) = quorum else { return };
@@ -355,13 +358,13 @@
         if !members.voters.contains(&self.me) {
             self.become_follower(now, self.term);
         } else if !self.members_are_settled() {
-            // Others hear at once that the members are in force.
+            // The other members learn immediately that the membership is committed.
             self.heartbeat_at = now;
         }
     }
 
-    /// Whether the disk of every voter knows that the present members are committed. Until then one
-    /// that is left alone could not tell whether they ever were.
+    /// Whether every voter has recorded on disk that the current membership is committed. Until
+    /// then, a voter that is left alone could not tell whether it ever was.
     pub fn members_are_settled(&self) -> bool {
         let (position, members) = self.log.members();
         let settled = |voter: &MemberId| match self.progress.get(voter) {
@@ -380,13 +383,13 @@
         acknowledged.is_some_and(|at| now < at + LEASE_MS)
     }
 
-    /// Whether the applied state may answer a read: everything that any leader acknowledged before
-    /// is applied here, and no other leader can exist.
+    /// Whether reads may be served from the applied state: it includes everything that any earlier
+    /// leader acknowledged, and no other leader can exist.
     pub fn can_read(&self, now: Millis) -> bool {
         self.has_lease(now) && self.commit >= self.term_start
     }
 
-    /// Asks a voter to take over. The lease ends with the asking.
+    /// Asks a voter to take over leadership. The lease ends immediately.
     pub fn hand_over(&mut self, now: Millis, to: &MemberId) -> bool {
         let votes = self.members().voters.contains(to) && *to != self.me;
         if self.role != Role::Leader || !votes || self.matched(to) < self.log.last_index() {
--- a/crates/consensus/src/zones.rs
+++ b/crates/consensus/src/zones.rs
@@ -1,17 +1,18 @@
-//! Spread of members over zones: the loss of one zone should leave a majority of the voters.
+//! Distribution of members over zones, so that the loss of one zone leaves a majority of the
+//! voters.
 
 use std::collections::HashMap;
 
 use crate::message::{MemberId, Members};
 
-/// Zones of machines by their names, as far as they are known.
+/// Zones of machines by name, as far as they are known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Zones {
     of: HashMap<String, String>,
 }
 
 impl Zones {
-    /// Zones of machines.
+    /// Creates the map from machine names to zones.
     pub fn new(of: impl IntoIterator<Item = (String, String)>) -> Self {
         Self { of: of.into_iter().collect() }
     }
@@ -20,7 +21,7 @@
         self.of.get(&member.name).map(String::as_str)
     }
 
-    /// How many of some members stand in the zone of a machine; none where that is not known.
+    /// Number of `members` in the zone of a member; zero if its zone is unknown.
     fn count_in_zone_of<'a>(
         &self,
         member: &MemberId,
@@ -30,8 +31,8 @@
         members.into_iter().filter(|held| self.of(held) == Some(zone)).count()
     }
 
-    /// The one to admit of some that ask: from the zone with the fewest members. Those that learn count as
-    /// well, or several would be admitted for the same place.
+    /// The candidate to admit: one from the zone with the fewest members. Learners count as well,
+    /// or several candidates would be admitted for the same place.
     pub(crate) fn from_smallest_zone<'a>(
         &self,
         members: &Members,
@@ -40,9 +41,9 @@
         asking.min_by_key(|member| (self.count_in_zone_of(member, members.all()), &member.name))
     }
 
-    /// A voter that a machine of another zone should take the place of: its zone has at least two more than
-    /// the machine's, so that the exchange makes the largest number smaller. The leader stays. Nothing is
-    /// moved while a voter's zone is not known.
+    /// A voter to be replaced by a member of another zone: its zone must have at least two voters
+    /// more than the other, so that the replacement lowers the largest number per zone. The leader
+    /// stays. No voter is replaced while the zone of any voter is unknown.
     pub(crate) fn voter_to_replace<'a>(
         &self,
         voters: &'a [MemberId],
