--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -166,12 +166,12 @@
         };
         let zones: Vec<&str> = others.iter().filter_map(|name| zone_of(name)).collect();
         let score = rendezvous_score(&slot.key());
-        let released = |name: &str| matches!(self.last_renewals.get(name), Some(None));
+        let has_released = |name: &str| matches!(self.last_renewals.get(name), Some(None));
         let rank = |candidate: &&Candidate| {
             let name = candidate.name.as_str();
             let holds_no_sibling = !others.contains(&name);
             let zone_is_unused = !zones.contains(&candidate.zone.as_str());
-            (!released(name), holds_no_sibling, name != leader, zone_is_unused, score(name))
+            (!has_released(name), holds_no_sibling, name != leader, zone_is_unused, score(name))
         };
         candidates.iter().max_by_key(rank).map(|candidate| candidate.name.as_str())
     }
