--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -13,7 +13,7 @@
 use nix::time::{clock_gettime, ClockId};
 use tokio::time::Instant;
 use yokefall_core::Timestamp;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 /// Minimum suspension that is reported: shorter than any lease or token lifetime, and far longer
 /// than the time between two clock readings.
@@ -26,7 +26,7 @@
     #[default]
     Machine,
     /// Suspension in milliseconds as set by a test, which cannot suspend the machine.
-    Told(Arc<AtomicU64>),
+    Simulated(Arc<AtomicU64>),
 }
 
 impl SuspensionSource {
@@ -34,7 +34,7 @@
     pub fn suspended(&self) -> Duration {
         match self {
             SuspensionSource::Machine => suspended_by_clocks(),
-            SuspensionSource::Told(ms) => Duration::from_millis(ms.load(Ordering::Relaxed)),
+            SuspensionSource::Simulated(ms) => Duration::from_millis(ms.load(Ordering::Relaxed)),
         }
     }
 }
@@ -93,7 +93,7 @@
         self.reported.set(suspended);
         let amount = suspended - reported;
         metrics::counter!("suspended_milliseconds_total").increment(amount.as_millis() as u64);
-        Line::new(EventName::MachineSuspended)
+        LogLine::new(EventName::MachineSuspended)
             .field("suspended_ms", amount.as_millis() as u64)
             .write();
         suspended
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -23,19 +23,20 @@
     ///
     /// Neither member of a pair has a quorum without the other. Both hold everything that was
     /// committed, so either may continue alone as long as the other never does. A claim on the
-    /// pair, recorded once outside of the group, decides which one: see `outlive`.
+    /// pair, recorded once outside of the group, decides which one: see `become_sole_voter`.
     pub fn pair(&self) -> Option<Pair> {
         let members = self.members();
         let is_pair = members.voters.len() == 2 && members.voters.contains(&self.me);
         // Newer entries may change the learners; a membership that was never committed is no pair.
-        let settled = self.members_at(self.settled).epoch == members.epoch;
-        (is_pair && settled).then_some(Pair { epoch: members.epoch })
+        let committed_members_index =
+            self.members_at(self.committed_members_index).epoch == members.epoch;
+        (is_pair && committed_members_index).then_some(Pair { epoch: members.epoch })
     }
 
     /// Continues as the sole voter after the loss of the other member of a pair. The caller must
     /// hold the claim on the pair, and the membership of a pair must not be changed without that
     /// claim.
-    pub fn outlive(&mut self, now: Millis, pair: Pair) -> bool {
+    pub fn become_sole_voter(&mut self, now: Millis, pair: Pair) -> bool {
         if self.pair() != Some(pair) {
             return false;
         }
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -29,13 +29,25 @@
     }
 
     fn accepted(&self, matched: Index, sent_at: Millis) -> Body {
-        let settled = self.durable_members_index;
-        Body::AppendReply { accepted: true, matched, rejected_index: 0, settled, sent_at }
+        let committed_members_index = self.durable_members_index;
+        Body::AppendReply {
+            accepted: true,
+            matched,
+            rejected_index: 0,
+            committed_members_index,
+            sent_at,
+        }
     }
 
     fn rejected(&self, rejected_index: Index, hint: Index, sent_at: Millis) -> Body {
-        let settled = self.durable_members_index;
-        Body::AppendReply { accepted: false, matched: hint, rejected_index, settled, sent_at }
+        let committed_members_index = self.durable_members_index;
+        Body::AppendReply {
+            accepted: false,
+            matched: hint,
+            rejected_index,
+            committed_members_index,
+            sent_at,
+        }
     }
 
     pub(crate) fn handle_append(
@@ -113,7 +125,7 @@
             for unsynced in &mut self.unsynced {
                 unsynced.last_index = unsynced.last_index.min(matched);
             }
-            self.settled = self.settled.max(matched);
+            self.committed_members_index = self.committed_members_index.max(matched);
             self.effects.committed.clear();
             self.effects.install = Some(snapshot.clone());
             self.effects.writes.push(Write::Snapshot { snapshot, keep_later_entries: false });
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -134,7 +134,7 @@
     }
 
     /// Entries from an index on, up to `limit` bytes but at least one.
-    pub fn entries_from(&self, index: Index, limit: usize) -> Vec<Entry> {
+    pub fn from(&self, index: Index, limit: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut bytes = 0;
         let mut index = index;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -108,7 +108,7 @@
         /// of messages that it no longer waits for.
         rejected_index: Index,
         /// Index of the newest membership entry that the sender has recorded on disk as committed.
-        settled: Index,
+        committed_members_index: Index,
         /// Time on the leader's clock when it sent the message.
         sent_at: Millis,
     },
@@ -120,5 +120,5 @@
         sent_at: Millis,
     },
     /// Asks the receiver to start an election immediately.
-    HandOver,
+    TransferLeadership,
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -36,7 +36,7 @@
         /// The member that this member voted for in the term.
         voted_for: Option<MemberId>,
         /// Index of the newest membership entry that is known to be committed.
-        settled: Index,
+        committed_members_index: Index,
     },
     /// Entries, which replace any entries at their indices and after.
     Entries(Vec<Entry>),
@@ -52,7 +52,7 @@
 /// The actions that the caller must carry out.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Writes in order, to be followed by a sync. The caller then calls `Consensus::persisted`.
+    /// Writes in order, to be followed by a sync. The caller then calls `Consensus::writes_synced`.
     pub writes: Vec<Write>,
     /// Messages that may be sent immediately.
     pub messages: Vec<Message>,
@@ -64,7 +64,7 @@
     pub committed: Vec<Entry>,
     /// Members that need a snapshot. After applying `committed`, the caller calls
     /// `Consensus::install` for each of them with the state.
-    pub installs: Vec<MemberId>,
+    pub snapshot_targets: Vec<MemberId>,
 }
 
 /// The contents of a disk.
@@ -75,7 +75,7 @@
     /// Vote in that term.
     pub voted_for: Option<MemberId>,
     /// Index of the newest membership entry that is known to be committed.
-    pub settled: Index,
+    pub committed_members_index: Index,
     /// Snapshot.
     pub snapshot: Snapshot,
     /// Entries after it.
@@ -112,7 +112,7 @@
 #[derive(Debug)]
 pub(crate) struct Unsynced {
     pub(crate) last_index: Index,
-    pub(crate) settled: Index,
+    pub(crate) committed_members_index: Index,
     term: Term,
 }
 
@@ -124,7 +124,7 @@
     pub(crate) voted_for: Option<MemberId>,
     /// Index of the newest membership entry that is known to be committed. It is stored on disk: a
     /// member that restarts alone must know whether its membership was ever committed.
-    pub(crate) settled: Index,
+    pub(crate) committed_members_index: Index,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
     pub(crate) log: Log,
@@ -134,7 +134,7 @@
     pub(crate) durable_index: Index,
     /// What each batch of writes that is not synced yet adds to the disk.
     pub(crate) unsynced: VecDeque<Unsynced>,
-    /// The value of `settled` that is on this member's disk.
+    /// The value of `committed_members_index` that is on this member's disk.
     pub(crate) durable_members_index: Index,
     pub(crate) votes: BTreeSet<MemberId>,
     /// The pair of which this member is about to become the sole voter.
@@ -161,8 +161,8 @@
             me,
             term: recovered.term,
             voted_for: recovered.voted_for,
-            settled: recovered.settled,
-            durable_members_index: recovered.settled,
+            committed_members_index: recovered.committed_members_index,
+            durable_members_index: recovered.committed_members_index,
             role: Role::Follower,
             leader: None,
             commit: applied,
@@ -186,7 +186,7 @@
     }
 
     /// Starts a group whose only member is this one. The disk must be empty.
-    pub fn found(&mut self, now: Millis) {
+    pub fn bootstrap(&mut self, now: Millis) {
         if self.log.last_index() > 0 {
             return;
         }
@@ -227,8 +227,8 @@
     }
 
     /// Index of the newest membership entry that is known to be committed.
-    pub fn settled(&self) -> Index {
-        self.settled
+    pub fn committed_members_index(&self) -> Index {
+        self.committed_members_index
     }
 
     /// Number of voters of the newest membership that is known to be committed.
@@ -258,16 +258,16 @@
     }
 
     fn collect_committed(&mut self) {
-        let settled = self.settled;
+        let committed_members_index = self.committed_members_index;
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied + 1) else { break };
             if matches!(entry.payload, Payload::Members(_)) {
-                self.settled = self.settled.max(entry.index);
+                self.committed_members_index = self.committed_members_index.max(entry.index);
             }
             self.effects.committed.push(entry.clone());
             self.applied += 1;
         }
-        if self.settled > settled {
+        if self.committed_members_index > committed_members_index {
             self.save_state();
         }
     }
@@ -295,12 +295,14 @@
     }
 
     /// Must be called when the writes of the oldest unsynced batch are synced.
-    pub fn persisted(&mut self, now: Millis) {
-        let Some(Unsynced { last_index, settled, term }) = self.unsynced.pop_front() else {
+    pub fn writes_synced(&mut self, now: Millis) {
+        let Some(Unsynced { last_index, committed_members_index, term }) =
+            self.unsynced.pop_front()
+        else {
             return;
         };
         self.durable_index = self.durable_index.max(last_index.min(self.log.last_index()));
-        self.durable_members_index = self.durable_members_index.max(settled);
+        self.durable_members_index = self.durable_members_index.max(committed_members_index);
         if self.role == Role::Leader {
             self.advance_commit(now);
         }
@@ -310,9 +312,10 @@
     }
 
     /// Must be called for each batch of writes before it is written.
-    pub fn writing(&mut self) {
-        let (last_index, settled, term) = (self.log.last_index(), self.settled, self.term);
-        self.unsynced.push_back(Unsynced { last_index, settled, term });
+    pub fn writes_started(&mut self) {
+        let (last_index, committed_members_index, term) =
+            (self.log.last_index(), self.committed_members_index, self.term);
+        self.unsynced.push_back(Unsynced { last_index, committed_members_index, term });
     }
 
     pub(crate) fn schedule_election(&mut self, now: Millis) {
@@ -321,8 +324,9 @@
     }
 
     pub(crate) fn save_state(&mut self) {
-        let (term, voted_for, settled) = (self.term, self.voted_for.clone(), self.settled);
-        self.effects.writes.push(Write::State { term, voted_for, settled });
+        let (term, voted_for, committed_members_index) =
+            (self.term, self.voted_for.clone(), self.committed_members_index);
+        self.effects.writes.push(Write::State { term, voted_for, committed_members_index });
     }
 
     pub(crate) fn append_own(&mut self, entries: Vec<Entry>) {
@@ -380,18 +384,30 @@
                     self.handle_install(from, snapshot, sent_at);
                 }
             }
-            Body::AppendReply { accepted, matched, rejected_index, settled, sent_at } => {
+            Body::AppendReply {
+                accepted,
+                matched,
+                rejected_index,
+                committed_members_index,
+                sent_at,
+            } => {
                 if term > self.term {
                     self.become_follower(now, term);
                 } else if term == self.term && self.role == Role::Leader {
                     self.handle_append_reply(
                         now,
                         &from,
-                        Reply { accepted, matched, rejected_index, settled, sent_at },
+                        Reply {
+                            accepted,
+                            matched,
+                            rejected_index,
+                            committed_members_index,
+                            sent_at,
+                        },
                     );
                 }
             }
-            Body::HandOver => {
+            Body::TransferLeadership => {
                 let votes = self.members().voters.contains(&self.me);
                 if term == self.term && votes && self.role == Role::Follower {
                     self.campaign(now, Role::Candidate, true);
--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -21,7 +21,7 @@
 
 /// Inputs of the policy from outside of the log.
 #[derive(Clone, Debug, Default)]
-pub struct Wishes {
+pub struct DesiredMembership {
     /// Members that ask to join.
     pub joining: Vec<MemberId>,
     /// Names of members that are being drained.
@@ -36,17 +36,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing.
-    Rest,
+    Idle,
     /// Propose this membership.
     Change(Members),
     /// Ask another voter to take over leadership.
-    HandOver(MemberId),
+    TransferLeadership(MemberId),
 }
 
 /// Computes the next step. One voter changes at a time, and a replacement becomes a voter before
 /// the old voter is removed, so that the group is a pair only if there are no more than two
 /// machines for it.
-pub fn next_step(node: &Consensus, now: Millis, wishes: &Wishes) -> Step {
+pub fn next_step(node: &Consensus, now: Millis, wishes: &DesiredMembership) -> Step {
     let members = node.members();
     let step = admit(node, now, members, wishes)
         .or_else(|| replace_lost_disk(node, now, members))
@@ -55,7 +55,7 @@
         .or_else(|| drop_unresponsive_voter(node, now, members, wishes))
         .or_else(|| drop_unresponsive_learner(node, now, members))
         .or_else(|| rebalance_zones(node, now, members, wishes));
-    step.unwrap_or(Step::Rest)
+    step.unwrap_or(Step::Idle)
 }
 
 /// Whether a change of a pair's voters, other than the replacement of a lost disk, needs the claim
@@ -67,7 +67,7 @@
 
 /// Whether a member of a pair should try to continue alone: soon if the other one asks to join with
 /// an empty disk, and after a time that exceeds most network partitions if it does not respond.
-pub fn should_outlive(node: &Consensus, now: Millis, joining: &[MemberId]) -> bool {
+pub fn should_become_sole_voter(node: &Consensus, now: Millis, joining: &[MemberId]) -> bool {
     if node.role() == Role::Leader || node.pair().is_none() {
         return false;
     }
@@ -110,7 +110,7 @@
 }
 
 /// Whether a member that asks to join may belong to the group at all.
-fn may_join(members: &Members, wishes: &Wishes, member: &MemberId) -> bool {
+fn may_join(members: &Members, wishes: &DesiredMembership, member: &MemberId) -> bool {
     !members.contains(member) && !wishes.leaving.contains(&member.name)
 }
 
@@ -118,7 +118,12 @@
 /// Other candidates stay outside without any data, since each member costs the leader a copy of the
 /// log. A member whose name is in the group already has replaced a lost disk, and is always
 /// admitted.
-fn admit(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
+fn admit(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &DesiredMembership,
+) -> Option<Step> {
     let stays = |member: &&MemberId| {
         node.silent_ms(now, member) < VOTER_TIMEOUT_MS && !wishes.leaving.contains(&member.name)
     };
@@ -137,7 +142,12 @@
 /// Makes a caught-up learner a voter if a place is free or about to become free: one of a voter
 /// that does not respond or is being drained. All others must respond, or the change could not
 /// commit.
-fn promote(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
+fn promote(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &DesiredMembership,
+) -> Option<Step> {
     let learner = members.learners.iter().find(|learner| {
         is_caught_up(node, now, learner)
             && !wishes.leaving.contains(&learner.name)
@@ -169,10 +179,10 @@
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &Wishes,
+    wishes: &DesiredMembership,
 ) -> Option<Step> {
     let answers = |member: &MemberId| node.silent_ms(now, member) < VOTER_TIMEOUT_MS;
-    if !members.voters.iter().all(answers) || !node.members_are_settled() {
+    if !members.voters.iter().all(answers) || !node.members_durably_committed() {
         return None;
     }
     let voter_to_replace =
@@ -208,7 +218,7 @@
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &Wishes,
+    wishes: &DesiredMembership,
 ) -> Option<Step> {
     let silent = |voter: &&MemberId| node.silent_ms(now, voter) >= VOTER_TIMEOUT_MS;
     let gone = members.voters.iter().find(silent)?;
@@ -229,7 +239,7 @@
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &Wishes,
+    wishes: &DesiredMembership,
 ) -> Option<Step> {
     let leaving = members.all().find(|member| wishes.leaving.contains(&member.name))?;
     let others: Vec<&MemberId> = members
@@ -255,7 +265,7 @@
     if leaving == node.id() {
         // Leadership can only be transferred to a member that has every entry.
         let nearest = others.iter().max_by_key(|other| node.matched(other));
-        return nearest.map(|other| Step::HandOver((*other).clone()));
+        return nearest.map(|other| Step::TransferLeadership((*other).clone()));
     }
     Some(Step::Change(without(members, leaving)))
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -54,7 +54,7 @@
     /// Time of the last message from it.
     last_contact: Millis,
     /// Index of the newest membership entry that it has recorded on disk as committed.
-    settled: Index,
+    committed_members_index: Index,
 }
 
 impl Progress {
@@ -111,7 +111,7 @@
     pub accepted: bool,
     pub matched: Index,
     pub rejected_index: Index,
-    pub settled: Index,
+    pub committed_members_index: Index,
     pub sent_at: Millis,
 }
 
@@ -197,7 +197,7 @@
                 sent_at: now,
                 acknowledged_at: None,
                 last_contact: now,
-                settled: 0,
+                committed_members_index: 0,
             });
         }
     }
@@ -264,13 +264,13 @@
                 // Snapshots are large and are sent one at a time. A member that does not respond
                 // must not block the others.
                 let is_heard = now < progress.last_contact + SNAPSHOT_CONTACT_MS;
-                if is_heard && self.effects.installs.is_empty() && !self.is_installing() {
-                    self.effects.installs.push(member.clone());
+                if is_heard && self.effects.snapshot_targets.is_empty() && !self.is_installing() {
+                    self.effects.snapshot_targets.push(member.clone());
                 }
                 break;
             }
             progress.sent_at = now;
-            let entries = self.log.entries_from(progress.next, MAX_APPEND_BYTES);
+            let entries = self.log.from(progress.next, MAX_APPEND_BYTES);
             progress.in_flight.extend(entries.last().map(|entry| entry.index));
             self.send_append(now, member, entries);
             sent = true;
@@ -313,10 +313,11 @@
 
     /// Handles the response of a member.
     pub(crate) fn handle_append_reply(&mut self, now: Millis, from: &MemberId, reply: Reply) {
-        let Reply { accepted, matched, rejected_index, settled, sent_at } = reply;
+        let Reply { accepted, matched, rejected_index, committed_members_index, sent_at } = reply;
         let Some(progress) = self.progress.get_mut(from) else { return };
         progress.last_contact = now;
-        progress.settled = progress.settled.max(settled);
+        progress.committed_members_index =
+            progress.committed_members_index.max(committed_members_index);
         progress.acknowledged_at = progress.acknowledged_at.max(Some(sent_at));
         if accepted {
             progress.accept(matched);
@@ -357,7 +358,7 @@
         }
         if !members.voters.contains(&self.me) {
             self.become_follower(now, self.term);
-        } else if !self.members_are_settled() {
+        } else if !self.members_durably_committed() {
             // The other members learn immediately that the membership is committed.
             self.heartbeat_at = now;
         }
@@ -365,13 +366,13 @@
 
     /// Whether every voter has recorded on disk that the current membership is committed. Until
     /// then, a voter that is left alone could not tell whether it ever was.
-    pub fn members_are_settled(&self) -> bool {
+    pub fn members_durably_committed(&self) -> bool {
         let (position, members) = self.log.members();
-        let settled = |voter: &MemberId| match self.progress.get(voter) {
-            Some(progress) => progress.settled >= position,
+        let committed_members_index = |voter: &MemberId| match self.progress.get(voter) {
+            Some(progress) => progress.committed_members_index >= position,
             None => *voter == self.me && self.durable_members_index >= position,
         };
-        self.role == Role::Leader && members.voters.iter().all(settled)
+        self.role == Role::Leader && members.voters.iter().all(committed_members_index)
     }
 
     /// Whether no other leader can exist now.
@@ -390,14 +391,14 @@
     }
 
     /// Asks a voter to take over leadership. The lease ends immediately.
-    pub fn hand_over(&mut self, now: Millis, to: &MemberId) -> bool {
+    pub fn transfer_leadership(&mut self, now: Millis, to: &MemberId) -> bool {
         let votes = self.members().voters.contains(to) && *to != self.me;
         if self.role != Role::Leader || !votes || self.matched(to) < self.log.last_index() {
             return false;
         }
         self.transferring_leadership = true;
         self.heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
-        self.send(to.clone(), self.term, Body::HandOver);
+        self.send(to.clone(), self.term, Body::TransferLeadership);
         true
     }
 }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -10,10 +10,10 @@
 
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use yokefall_serving::admission::{load_limit, Held, HoldQueue, Terms};
-use yokefall_serving::{Catalog, Need, Residency, TenantName};
+use yokefall_serving::admission::{load_limit, AdmissionQueue, QueueLimits, QueuedRequest};
+use yokefall_serving::{Catalog, Requirements, Residency, TenantName};
 use yokefall_telemetry::EventName;
-use yokefall_upstream::Place;
+use yokefall_upstream::BackendSlot;
 
 use crate::order::Order;
 use crate::shared::Shared;
@@ -27,7 +27,7 @@
 
 /// Where a held request hears of its place, and what its choice needs.
 struct Waiter {
-    grant: oneshot::Sender<Result<Option<Place>, GivenUp>>,
+    grant: oneshot::Sender<Result<Option<BackendSlot>, GivenUp>>,
     affinity: Option<u64>,
     target: Duration,
     host: String,
@@ -44,18 +44,21 @@
 }
 
 impl Pool {
-    fn of(need: &Need) -> Self {
-        Self { residency: Reverse(need.residency.clone()), service: need.service.to_owned() }
+    fn of(requirements: &Requirements) -> Self {
+        Self {
+            residency: Reverse(requirements.residency.clone()),
+            service: requirements.service.to_owned(),
+        }
     }
 
-    fn need(&self) -> Need<'_> {
-        Need { service: &self.service, residency: &self.residency.0 }
+    fn requirements(&self) -> Requirements<'_> {
+        Requirements { service: &self.service, residency: &self.residency.0 }
     }
 }
 
 #[derive(Default)]
 struct Holding {
-    queue: HoldQueue,
+    queue: AdmissionQueue,
     waiters: HashMap<u64, Waiter>,
 }
 
@@ -90,28 +93,31 @@
     shared: &Shared,
     order: &Order,
     affinity: Option<u64>,
-) -> Result<Option<Place>, GivenUp> {
+) -> Result<Option<BackendSlot>, GivenUp> {
     let admission = &shared.admission;
     let target = Duration::from_millis(order.route.target_latency_ms);
-    let pool = Pool::of(&order.need());
+    let pool = Pool::of(&order.requirements());
     let is_first = admission.is_empty(&pool);
     if !shared.policy.hold_requests
         || target.is_zero()
-        || (is_first && has_room(shared, &order.need(), target))
+        || (is_first && has_room(shared, &order.requirements(), target))
     {
-        return Ok(choose(shared, &order.need(), &[], affinity));
+        return Ok(choose(shared, &order.requirements(), &[], affinity));
     }
     let ticket = admission.next_ticket.get();
     admission.next_ticket.set(ticket + 1);
-    let terms =
-        Terms { rank: order.rank, target, time: order.deadline.duration_since(order.arrived) };
+    let terms = QueueLimits {
+        rank: order.rank,
+        target,
+        timeout: order.deadline.duration_since(order.arrived),
+    };
     let (grant, granted) = oneshot::channel();
-    let held = shared.places.with(|_, now| Held::new(ticket, now, terms));
+    let held = shared.balancer.with(|_, now| QueuedRequest::new(ticket, now, terms));
     let (host, path) = (order.route.host.clone(), order.parts.uri.path().to_owned());
     let tenant = order.caller.tenant().map(|tenant| tenant.name.clone());
-    admission.hold(pool, held, Waiter { grant, affinity, target, host, path, tenant });
+    admission.enqueue(pool, held, Waiter { grant, affinity, target, host, path, tenant });
     // Whoever waits for room must hear of the new one, which may have to be given up first.
-    shared.places.room.notify_one();
+    shared.balancer.room.notify_one();
     let began = Instant::now();
     let leave = Leave { shared, ticket };
     let outcome = granted.await.unwrap_or(Err(GivenUp));
@@ -131,10 +137,10 @@
         self.pools.borrow().get(pool).is_none_or(|holding| holding.queue.is_empty())
     }
 
-    fn hold(&self, pool: Pool, held: Held, waiter: Waiter) {
+    fn enqueue(&self, pool: Pool, held: QueuedRequest, waiter: Waiter) {
         let mut pools = self.pools.borrow_mut();
         let holding = pools.entry(pool).or_default();
-        holding.queue.hold(held);
+        holding.queue.enqueue(held);
         holding.waiters.insert(held.ticket, waiter);
     }
 
@@ -149,7 +155,7 @@
                 let Some(held) = queue.remove(ticket) else { continue };
                 let now = catalog.residency_at(&waiter.host, &waiter.path, waiter.tenant.as_ref());
                 let residency = Reverse(now.unwrap_or_else(|| pool.residency.0.clone()));
-                self.hold(Pool { residency, service: pool.service.clone() }, held, waiter);
+                self.enqueue(Pool { residency, service: pool.service.clone() }, held, waiter);
             }
         }
     }
@@ -162,14 +168,17 @@
 
 /// Whether the emptiest back ends of a service are below the load up to which requests with a target
 /// are sent. Where none is known to live, requests are not held: the choice says what is wrong.
-fn has_room(shared: &Shared, need: &Need, target: Duration) -> bool {
+fn has_room(shared: &Shared, requirements: &Requirements, target: Duration) -> bool {
     let catalog = shared.catalog.load();
-    shared.places.with(|balancer, now| {
-        let Some(service_ms) = balancer.service_ms(need.service) else { return true };
-        let drawn = shared.eligibility.draw(&catalog, need, None, balancer.generator());
-        let level = match drawn {
-            Some(drawn) => balancer.online_level_of_part(now, &drawn.backends, drawn.part),
-            None => balancer.online_level(now, &shared.eligibility.candidates(&catalog, need)),
+    shared.balancer.with(|balancer, now| {
+        let Some(service_ms) = balancer.service_ms(requirements.service) else { return true };
+        let sample = shared.eligibility.sample(&catalog, requirements, None, balancer.generator());
+        let level = match sample {
+            Some(sample) => {
+                balancer.projected_online_load_of_sample(now, &sample.backends, sample.fraction)
+            }
+            None => balancer
+                .projected_online_load(now, &shared.eligibility.candidates(&catalog, requirements)),
         };
         level.is_none_or(|level| level <= load_limit(target, service_ms))
     })
@@ -178,21 +187,22 @@
 /// A place at a back end of a service that is not in `tried`; `None` where there is none.
 pub fn choose(
     shared: &Shared,
-    need: &Need,
+    requirements: &Requirements,
     tried: &[String],
     affinity: Option<u64>,
-) -> Option<Place> {
+) -> Option<BackendSlot> {
     let catalog = shared.catalog.load_full();
-    let backend = shared.places.with(|balancer, now| {
-        let drawn = shared.eligibility.draw(&catalog, need, affinity, balancer.generator());
-        let chosen = drawn.and_then(|drawn| balancer.choose_drawn(now, &drawn, tried));
+    let backend = shared.balancer.with(|balancer, now| {
+        let sample =
+            shared.eligibility.sample(&catalog, requirements, affinity, balancer.generator());
+        let chosen = sample.and_then(|sample| balancer.choose_from_sample(now, &sample, tried));
         chosen.or_else(|| {
             // There are few of them, or all that were drawn are left out for failures.
-            let candidates = shared.eligibility.candidates(&catalog, need);
+            let candidates = shared.eligibility.candidates(&catalog, requirements);
             balancer.choose(now, &candidates, tried, affinity)
         })
     })?;
-    Some(shared.places.take(backend))
+    Some(shared.balancer.take(backend))
 }
 
 /// Sends what is held, for ever: whenever there may be room, and when a request is given up.
@@ -201,11 +211,11 @@
         let wait = match shared.admission.next_expiry() {
             None => None,
             Some(at) => {
-                let wait = shared.places.with(|_, now| at.millis_since(now).max(1));
+                let wait = shared.balancer.with(|_, now| at.millis_since(now).max(1));
                 Some(Duration::from_millis(wait).min(LOOK_INTERVAL))
             }
         };
-        let room = shared.places.room.notified();
+        let room = shared.balancer.room.notified();
         match wait {
             None => room.await,
             Some(wait) => {
@@ -228,7 +238,7 @@
 fn give_up(shared: &Shared, pool: &Pool) {
     let mut pools = shared.admission.pools.borrow_mut();
     let Some(holding) = pools.get_mut(pool) else { return };
-    let expired = shared.places.with(|_, now| holding.queue.expire(now));
+    let expired = shared.balancer.with(|_, now| holding.queue.expire(now));
     for held in expired {
         if let Some(waiter) = holding.waiters.remove(&held.ticket) {
             let _ = waiter.grant.send(Err(GivenUp));
@@ -241,10 +251,10 @@
     let waiter = {
         let mut pools = shared.admission.pools.borrow_mut();
         let Some(holding) = pools.get_mut(pool) else { return false };
-        let next = shared.places.with(|_, now| holding.queue.next(now));
+        let next = shared.balancer.with(|_, now| holding.queue.next(now));
         let Some(held) = next else { return false };
         let target = holding.waiters.get(&held.ticket).map(|waiter| waiter.target);
-        if target.is_some_and(|target| !has_room(shared, &pool.need(), target)) {
+        if target.is_some_and(|target| !has_room(shared, &pool.requirements(), target)) {
             return false;
         }
         holding.queue.remove(held.ticket);
@@ -252,11 +262,11 @@
     };
     // One whose caller has just left has no waiter any more.
     let Some(waiter) = waiter else { return true };
-    let place = match choose(shared, &pool.need(), &[], waiter.affinity) {
+    let slot = match choose(shared, &pool.requirements(), &[], waiter.affinity) {
         // No back end takes work in its regions any more: it is to be told that.
         None if pool.residency.0 != Residency::Anywhere => Ok(None),
-        place => place.map(Some).ok_or(GivenUp),
+        slot => slot.map(Some).ok_or(GivenUp),
     };
-    let _ = waiter.grant.send(place);
+    let _ = waiter.grant.send(slot);
     true
 }
--- a/crates/gateway/src/crowding.rs
+++ b/crates/gateway/src/crowding.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::connection::PhaseCell;
 
@@ -32,7 +32,7 @@
         let now = Instant::now();
         if self.told_at.get().is_none_or(|at| now - at >= TELL_INTERVAL) {
             self.told_at.set(Some(now));
-            Line::new(EventName::ConnectionsCrowded).text("cause", error).write();
+            LogLine::new(EventName::ConnectionsCrowded).text("cause", error).write();
         }
         self.crowded.notify_waiters();
     }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 use yokefall_serving::{Ineligible, Outcome, Residency};
-use yokefall_telemetry::{EventName, Line};
-use yokefall_upstream::{exchange, ConnectFailure, Connection, Place, SendFailure};
+use yokefall_telemetry::{EventName, LogLine};
+use yokefall_upstream::{exchange, BackendSlot, ConnectFailure, Connection, SendFailure};
 
 use crate::admission::{admit, choose, GivenUp};
 use crate::answer::{plain, refusal, Answer};
@@ -54,7 +54,7 @@
     /// The connection.
     pub connection: Connection,
     /// The place.
-    pub place: Place,
+    pub slot: BackendSlot,
 }
 
 /// Why no back end answered.
@@ -192,7 +192,7 @@
     let mut admitted = match is_new {
         false => None,
         true => match admit(shared, order, affinity).await {
-            Ok(place) => place,
+            Ok(slot) => slot,
             Err(GivenUp) => return Err(NoAnswer::Held),
         },
     };
@@ -204,22 +204,24 @@
         }
         let catalog = shared.catalog.load_full();
         order.follow_regions(&catalog);
-        let place =
-            admitted.take().or_else(|| choose(shared, &order.need(), &order.tried, affinity));
-        let Some(mut place) = place else {
-            if let Some(wait_ms) = shared.eligibility.cold_wait_ms(&catalog, &order.need()) {
+        let slot = admitted
+            .take()
+            .or_else(|| choose(shared, &order.requirements(), &order.tried, affinity));
+        let Some(mut slot) = slot else {
+            if let Some(wait_ms) = shared.eligibility.cold_wait_ms(&catalog, &order.requirements())
+            {
                 return Err(all_cold(order, wait_ms));
             }
             break;
         };
-        let backend = place.backend.clone();
+        let backend = slot.backend.clone();
         order.tried.push(backend.id.clone());
         let most = connections_allowed(shared, catalog.max_connections(&order.service));
         let limit = CONNECT_TIMEOUT.min(order.deadline.duration_since(Instant::now()));
         let mut connection = match shared.pool.connect(&backend, limit, most).await {
             Ok(connection) => connection,
             Err(error) => {
-                place.outcome = match error {
+                slot.outcome = match error {
                     ConnectFailure::Unreachable { .. } => Outcome::Unreachable,
                     ConnectFailure::Exhausted => Outcome::Full,
                 };
@@ -230,7 +232,7 @@
         };
         match suspect::clear(shared, order, &backend.id).await {
             Clearance::Clear => {}
-            Clearance::OtherBackend => {
+            Clearance::BackendBusy => {
                 shared.pool.put_back(connection);
                 last = format!("{} runs another suspect alone", backend.id);
                 tell_attempt(order, &backend.id, &last);
@@ -249,15 +251,15 @@
             return Err(NoAnswer::NotRun("the request cannot be passed on".into()));
         };
         let names = shared.dialect.headers();
-        let id_header = shared.dialect.marks_answers().then_some(&names.request_id);
+        let id_header = shared.dialect.signs_responses().then_some(&names.request_id);
         order.follow_regions(&shared.catalog.load());
-        let permit = match shared.eligibility.permit(&backend, &order.need()) {
+        let permit = match shared.eligibility.permit(&backend, &order.requirements()) {
             Ok(permit) => permit,
             Err(cause) => {
                 shared.pool.put_back(connection);
                 last = format!("{}: {cause}", backend.id);
                 tell_attempt(order, &backend.id, &last);
-                cause.tell_kept_from(&order.id, &backend);
+                cause.record_rejection(&order.id, &backend);
                 if matches!(cause, Ineligible::Cold { .. }) {
                     // Another request took the share meanwhile: it was no try, and is no candidate now.
                     order.tried.pop();
@@ -268,7 +270,7 @@
         };
         let sent = exchange(&mut connection, request, id_header, permit);
         let limit = patience(order);
-        let answer = match wait_for(shared, &place, limit, sent).await {
+        let answer = match wait_for(shared, &slot, limit, sent).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(SendFailure::NotSent { cause })) => {
                 // The back end closed a kept connection: it is no sign of its health.
@@ -278,12 +280,15 @@
                 continue;
             }
             Ok(Err(SendFailure::MayHaveRun { cause })) => {
-                place.outcome = Outcome::Failed;
-                place.broke();
+                slot.outcome = Outcome::Failed;
+                slot.record_failure();
                 order.note_may_have_run();
                 last = format!("{}: {cause}", backend.id);
                 tell_attempt(order, &backend.id, &last);
-                shared.suspects.note_break(&backend, place.taken(), || order.digest()).await;
+                shared
+                    .suspects
+                    .record_disconnect(&backend, slot.acquired_at(), || order.digest())
+                    .await;
                 if may_repeat(order) {
                     continue;
                 }
@@ -291,7 +296,7 @@
             }
             Err(_) => {
                 let out_of_time = limit >= order.deadline;
-                place.outcome = if out_of_time { Outcome::Abandoned } else { Outcome::Failed };
+                slot.outcome = if out_of_time { Outcome::Abandoned } else { Outcome::Failed };
                 order.note_may_have_run();
                 if !out_of_time && may_repeat(order) {
                     last = format!("{} gave no answer", backend.id);
@@ -302,9 +307,9 @@
             }
         };
         connection.note_keep_alive(answer.headers());
-        place.heard();
-        note_told(shared, &place, answer.headers());
-        let taken = Taken { answer, connection, place };
+        slot.record_activity();
+        note_told(shared, &slot, answer.headers());
+        let taken = Taken { answer, connection, slot };
         match judge(shared, order, taken) {
             Verdict::Use(taken) => return Ok(*taken),
             Verdict::NotRun(cause) => {
@@ -323,7 +328,7 @@
     if order.may_have_run > 0 {
         return Err(NoAnswer::MayHaveRun(last));
     }
-    if regions::lack_back_ends(shared, &order.need()) {
+    if regions::lack_back_ends(shared, &order.requirements()) {
         return Err(NoAnswer::NoRegion(order.residency.clone()));
     }
     Err(NoAnswer::NotRun(last))
@@ -353,15 +358,15 @@
 }
 
 /// Notes that a back end has said nothing for a while.
-pub fn tell_silent(shared: &Shared, place: &Place) {
-    if !place.fell_silent(SILENCE) {
+pub fn tell_silent(shared: &Shared, slot: &BackendSlot) {
+    if !slot.record_silence(SILENCE) {
         return;
     }
-    shared.pool.forget_kept(&place.backend);
-    Line::new(EventName::BackendSilent)
-        .id(&place.backend.id)
-        .field("started_ms", place.backend.started_ms)
-        .text("address", place.backend.address)
+    shared.pool.close_idle(&slot.backend);
+    LogLine::new(EventName::BackendSilent)
+        .id(&slot.backend.id)
+        .field("started_ms", slot.backend.started_ms)
+        .text("address", slot.backend.address)
         .field("after_ms", SILENCE.as_millis() as u64)
         .write();
 }
@@ -369,7 +374,7 @@
 /// Waits for an answer, and notes the back end's silence meanwhile.
 async fn wait_for<T>(
     shared: &Shared,
-    place: &Place,
+    slot: &BackendSlot,
     limit: Instant,
     answer: impl std::future::Future<Output = T>,
 ) -> Result<T, tokio::time::error::Elapsed> {
@@ -378,7 +383,7 @@
         loop {
             match tokio::time::timeout(SILENCE, answer.as_mut()).await {
                 Ok(answer) => return answer,
-                Err(_) => tell_silent(shared, place),
+                Err(_) => tell_silent(shared, slot),
             }
         }
     })
@@ -394,16 +399,16 @@
 /// What an answer's head says: whether the request ran, and whether the client should have it.
 fn judge(shared: &Shared, order: &mut Order, mut taken: Taken) -> Verdict {
     let status = taken.answer.status();
-    let told = format!("{} answered {status}", taken.place.backend.id);
+    let told = format!("{} answered {status}", taken.slot.backend.id);
     if status == StatusCode::MISDIRECTED_REQUEST {
-        taken.place.outcome = Outcome::Misdirected;
+        taken.slot.outcome = Outcome::Misdirected;
         return Verdict::NotRun(told);
     }
     if taken.answer.headers().contains_key(&shared.dialect.headers().not_run) {
         if status == StatusCode::BAD_REQUEST {
             return Verdict::Use(Box::new(taken));
         }
-        taken.place.outcome = Outcome::Full;
+        taken.slot.outcome = Outcome::Full;
         return Verdict::NotRun(told);
     }
     order.note_may_have_run();
@@ -414,11 +419,11 @@
     ];
     if promises.contains(&status) {
         // The client would take it as a promise, which the back end did not give.
-        taken.place.outcome = Outcome::Failed;
+        taken.slot.outcome = Outcome::Failed;
         return Verdict::Ran(told);
     }
     if status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT {
-        taken.place.outcome = Outcome::Failed;
+        taken.slot.outcome = Outcome::Failed;
         if may_repeat(order) {
             return Verdict::Ran(told);
         }
@@ -427,14 +432,14 @@
 }
 
 /// Takes what a back end tells of itself with its answer.
-fn note_told(shared: &Shared, place: &Place, headers: &HeaderMap) {
+fn note_told(shared: &Shared, slot: &BackendSlot, headers: &HeaderMap) {
     let load = headers.get(&shared.dialect.headers().load);
     if let Some(load) = load.and_then(|value| shared.dialect.parse_load(value)) {
-        place.told(load);
+        slot.record_report(load);
     }
     let cold = headers.get(&shared.dialect.headers().cold_ms);
     if let Some(remaining_ms) = cold.and_then(|value| shared.dialect.parse_cold(value)) {
-        place.told_cold(remaining_ms);
+        slot.record_cold_remaining(remaining_ms);
     }
 }
 
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -8,10 +8,10 @@
 use http::request::Parts;
 use http::{header, HeaderName, HeaderValue, Response, StatusCode};
 use tokio::time::Instant;
-use yokefall_jobstore::residence::residency_of_job;
+use yokefall_jobstore::residency::residency_of_job;
 use yokefall_jobstore::{CallOutcome, Reply, Request, Submission};
 use yokefall_serving::{BadSubmission, Caller, JobCall, JobItem, Requester, Residency, Route};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::answer::{json, plain, refusal, Answer, AnswerBody};
 use crate::regions;
@@ -73,7 +73,7 @@
         max_queue_ms: route.batch.map_or(DEFAULT_MAX_QUEUE_MS, |batch| batch.max_queue_ms),
         completion_target_ms: route.batch.map_or(0, |batch| batch.completion_target_ms),
         queue: format!("{} {}{}", sender.caller.name(), route.host, route.path_prefix),
-        most_queued_tokens: route.batch.and_then(|batch| batch.most_queued_tokens),
+        max_queued_tokens: route.batch.and_then(|batch| batch.max_queued_tokens),
         items,
     };
     let requester = sender.caller.requester();
@@ -91,8 +91,8 @@
             *answer.status_mut() = StatusCode::TOO_MANY_REQUESTS;
             answer
         }
-        CallOutcome::Answered(Reply::Taken) => taken(),
-        CallOutcome::Answered(Reply::OutOfRegions { members }) => {
+        CallOutcome::Answered(Reply::JobIdConflict) => taken(),
+        CallOutcome::Answered(Reply::ResidencyViolation { members }) => {
             regions::refuse_job(shared, job, &residency, &members)
         }
         CallOutcome::NotDone => no_job_store(shared),
@@ -118,10 +118,10 @@
     (residency, far): (&Residency, Vec<String>),
     deadline: Instant,
 ) -> Answer {
-    let request = Request::IsKept { job: job.to_owned(), requester };
+    let request = Request::HasJob { job: job.to_owned(), requester };
     match shared.jobs.call(request, deadline).await {
         CallOutcome::Answered(Reply::Accepted) => accepted(),
-        CallOutcome::Answered(Reply::Taken) => taken(),
+        CallOutcome::Answered(Reply::JobIdConflict) => taken(),
         CallOutcome::Answered(Reply::NotFound) => regions::refuse_job(shared, job, residency, &far),
         CallOutcome::NotDone => no_job_store(shared),
         CallOutcome::Unknown | CallOutcome::Answered(_) => may_be_taken(),
@@ -192,7 +192,7 @@
         CallOutcome::NotDone => false,
         CallOutcome::Unknown => true,
     };
-    Line::new(EventName::JobCallFailed)
+    LogLine::new(EventName::JobCallFailed)
         .id(job)
         .field("step", step)
         .field("may_be_done", may_be_done)
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -7,12 +7,14 @@
 
 use tokio::time::Instant;
 use yokefall_jobstore::aggregators::ReportTarget;
-use yokefall_jobstore::loads::{report_interval, BUSY_INTERVAL, IDLE_INTERVAL, THOUSANDTHS};
+use yokefall_jobstore::loads::{
+    report_interval, IDLE_REPORT_INTERVAL, MAX_BUSY_REPORT_INTERVAL, OUTCOME_SCALE,
+};
 use yokefall_jobstore::{
     BackendCount, BackendOutcomes, LoadAnswer, LoadReport, Reply, Request, ServiceRate,
 };
-use yokefall_serving::{Backend, BackendLife, InFlight, Outcomes};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_serving::{Backend, BackendIncarnation, InFlight, Outcomes};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::shared::Shared;
 
@@ -28,8 +30,8 @@
     target: ReportTarget,
     aggregator: String,
     /// The job store that got reports before, until the present one has taken one.
-    moved_from: Option<String>,
-    totals: HashMap<BackendLife, InFlight>,
+    previous_aggregator: Option<String>,
+    totals: HashMap<BackendIncarnation, InFlight>,
     /// Whether `totals` followed from every answer so far.
     is_current: bool,
 }
@@ -39,20 +41,20 @@
     let mut known = Known {
         target,
         aggregator: String::new(),
-        moved_from: None,
+        previous_aggregator: None,
         totals: HashMap::new(),
         is_current: false,
     };
     let mut longest_interval = Duration::ZERO;
     let mut reports: u32 = 0;
     loop {
-        let changed = shared.places.changed.notified();
+        let changed = shared.balancer.changed.notified();
         let _ = tokio::time::timeout(longest_interval, changed).await;
         let gateways = shared.fleet.load().gateways().count();
         tokio::time::sleep(report_interval(gateways)).await;
         longest_interval = match report_once(&shared, &mut known).await {
-            Reported::Nothing => IDLE_INTERVAL,
-            Reported::Load | Reported::NotTaken => BUSY_INTERVAL,
+            Reported::Nothing => IDLE_REPORT_INTERVAL,
+            Reported::Load | Reported::NotTaken => MAX_BUSY_REPORT_INTERVAL,
         };
         reports += 1;
         if reports % REPORTS_TO_FORGET == 0 {
@@ -75,14 +77,14 @@
     let fleet = shared.fleet.load_full();
     let Some(aggregator) = known.target.choose(&fleet) else { return Reported::NotTaken };
     if aggregator.name != known.aggregator {
-        Line::new(EventName::AggregatorChanged)
+        LogLine::new(EventName::AggregatorChanged)
             .id(&aggregator.name)
             .field("leader", known.target.leader())
             .write();
         let before = std::mem::replace(&mut known.aggregator, aggregator.name.clone());
         // One that took no report has nothing to forget.
-        let taken_by = known.moved_from.take().unwrap_or(before);
-        known.moved_from =
+        let taken_by = known.previous_aggregator.take().unwrap_or(before);
+        known.previous_aggregator =
             (!taken_by.is_empty() && taken_by != aggregator.name).then_some(taken_by);
         known.is_current = false;
     }
@@ -92,8 +94,8 @@
         counts: counts.clone(),
         arrivals: arrivals(shared),
         outcomes: outcomes(shared),
-        answer_all: !known.is_current,
-        moved_from: known.moved_from.clone(),
+        wants_all_totals: !known.is_current,
+        previous_aggregator: known.previous_aggregator.clone(),
     };
     let reported = match report.is_idle() {
         true => Reported::Nothing,
@@ -103,7 +105,7 @@
     match shared.jobs.call_member(aggregator.address, Request::Load(report), limit).await {
         Some(Reply::Load(answer)) => {
             known.target.answered(&aggregator.name, answer.leader.clone());
-            known.moved_from = None;
+            known.previous_aggregator = None;
             take_answer(shared, known, answer, &counts);
             reported
         }
@@ -119,34 +121,34 @@
 /// Drops what is held of back ends that nobody knows any more.
 fn forget_gone(shared: &Shared) {
     let catalog = shared.catalog.load();
-    shared.pool.retain(|life| catalog.is_ready_life(life));
-    shared.places.with(|balancer, now| {
-        balancer.retain(|life| catalog.is_ready_life(life));
-        balancer.forget_idle(now);
+    shared.pool.retain(|incarnation| catalog.is_ready_incarnation(incarnation));
+    shared.balancer.with(|balancer, now| {
+        balancer.retain(|incarnation| catalog.is_ready_incarnation(incarnation));
+        balancer.prune_idle(now);
     });
 }
 
 fn counts(shared: &Shared) -> Vec<BackendCount> {
-    shared.places.with(|balancer, _| {
+    shared.balancer.with(|balancer, _| {
         let count = |(backend, requests)| BackendCount { backend, requests };
         balancer.all_in_flight().map(count).collect()
     })
 }
 
 fn arrivals(shared: &Shared) -> Vec<ServiceRate> {
-    shared.places.with(|balancer, now| {
+    shared.balancer.with(|balancer, now| {
         let rate = |(service, per_ms): (&str, f64)| ServiceRate {
             service: service.to_owned(),
             per_1000_seconds: (per_ms * MILLISECONDS_IN_1000_SECONDS) as u64,
         };
-        balancer.own_arrivals(now).map(rate).filter(|rate| rate.per_1000_seconds > 0).collect()
+        balancer.own_arrival_rates(now).map(rate).filter(|rate| rate.per_1000_seconds > 0).collect()
     })
 }
 
 fn outcomes(shared: &Shared) -> Vec<BackendOutcomes> {
-    let thousandths = |requests: f64| (requests * THOUSANDTHS) as u64;
-    shared.places.with(|balancer, now| {
-        let outcome = |(backend, sums): (BackendLife, Outcomes)| BackendOutcomes {
+    let thousandths = |requests: f64| (requests * OUTCOME_SCALE) as u64;
+    shared.balancer.with(|balancer, now| {
+        let outcome = |(backend, sums): (BackendIncarnation, Outcomes)| BackendOutcomes {
             backend,
             failed: thousandths(sums.failed),
             answered: thousandths(sums.answered),
@@ -157,21 +159,23 @@
 
 /// Leaves out back ends that fail for all gateways. Where these are more than half of a service, the
 /// fault may be a link of those who report, and each gateway judges for itself.
-fn leave_out_failing(shared: &Shared, failing: &[BackendLife]) {
+fn leave_out_failing(shared: &Shared, failing: &[BackendIncarnation]) {
     if failing.is_empty() {
         return;
     }
     // Whatever the fault is: some of them may start again.
-    shared.cold.failed_for_all(failing.iter().map(|life| life.id.as_str()));
+    shared.cold.record_reported_failure(failing.iter().map(|incarnation| incarnation.id.as_str()));
     let catalog = shared.catalog.load();
     for (_, backends) in catalog.ready_services() {
-        let of_service = |life: &BackendLife| {
-            backends.get(&life.id).filter(|backend| backend.started_ms == life.started_ms)
+        let of_service = |incarnation: &BackendIncarnation| {
+            backends
+                .get(&incarnation.id)
+                .filter(|backend| backend.started_ms == incarnation.started_ms)
         };
         let failing: Vec<&Backend> =
             failing.iter().filter_map(of_service).map(|backend| backend.as_ref()).collect();
         if failing.len() * 2 <= backends.len() {
-            shared.places.with(|balancer, now| balancer.fail_for_all(now, failing.into_iter()));
+            shared.balancer.with(|balancer, now| balancer.eject_reported(now, failing.into_iter()));
         }
     }
 }
@@ -183,7 +187,7 @@
         known.is_current = true;
     }
     let gateways = shared.fleet.load().gateways().count();
-    let is_informed = answer.covers_most_of(gateways);
+    let is_informed = answer.covers_majority_of(gateways);
     for change in answer.changes {
         let total = InFlight { online: change.online, items: change.items };
         if total == InFlight::default() {
@@ -196,17 +200,20 @@
     if !is_informed {
         return;
     }
-    let own = |life: &BackendLife| {
-        reported.iter().find(|count| count.backend == *life).map_or(0, |count| count.requests)
+    let own = |incarnation: &BackendIncarnation| {
+        reported
+            .iter()
+            .find(|count| count.backend == *incarnation)
+            .map_or(0, |count| count.requests)
     };
-    let totals = known.totals.iter().map(|(life, total)| (life, *total));
-    shared.places.with(|balancer, now| {
-        balancer.set_choosers(gateways, report_interval(gateways).as_millis() as u64);
-        balancer.heard_totals(now, totals, own);
+    let totals = known.totals.iter().map(|(incarnation, total)| (incarnation, *total));
+    shared.balancer.with(|balancer, now| {
+        balancer.set_balancer_count(gateways, report_interval(gateways).as_millis() as u64);
+        balancer.update_totals(now, totals, own);
         for rate in answer.arrivals {
             let per_ms = rate.per_1000_seconds as f64 / MILLISECONDS_IN_1000_SECONDS;
-            balancer.set_arrivals_of_all(now, rate.service, per_ms);
+            balancer.set_total_arrival_rate(now, rate.service, per_ms);
         }
     });
-    shared.places.room.notify_one();
+    shared.balancer.room.notify_one();
 }
--- a/crates/gateway/src/order.rs
+++ b/crates/gateway/src/order.rs
@@ -5,9 +5,9 @@
 
 use http::request::Parts;
 use tokio::time::Instant;
-use yokefall_serving::{Caller, Catalog, Need, Residency, Route, RouteKind};
-use yokefall_suspects::{AloneRun, RequestDigest, RequestIdentity};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_serving::{Caller, Catalog, Requirements, Residency, Route, RouteKind};
+use yokefall_suspects::{IsolatedRun, RequestDigest, RequestIdentity};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::body::HeldBody;
 use crate::quota::Token;
@@ -47,13 +47,13 @@
     /// Its digest, worked out where something asks for it: on most requests nothing does.
     pub digest: OnceCell<RequestDigest>,
     /// Held while it runs alone, as the leader of the job stores granted.
-    pub alone: Option<AloneRun>,
+    pub alone: Option<IsolatedRun>,
 }
 
 impl Order {
     /// What it asks of a back end.
-    pub fn need(&self) -> Need<'_> {
-        Need { service: &self.service, residency: &self.residency }
+    pub fn requirements(&self) -> Requirements<'_> {
+        Requirements { service: &self.service, residency: &self.residency }
     }
 
     /// Takes over where the newest configuration lets it be served: what was allowed when it came may be
@@ -84,8 +84,8 @@
     }
 
     /// A line about this request, with what decided about it.
-    pub fn line(&self, event: EventName) -> Line {
-        Line::new(event)
+    pub fn line(&self, event: EventName) -> LogLine {
+        LogLine::new(event)
             .id(&self.id)
             .field("route", self.route.name.as_str())
             .field("service", self.service.as_str())
@@ -104,7 +104,7 @@
     }
 
     /// The line about the end of this request.
-    pub fn end_line(&self, event: EventName) -> Line {
+    pub fn end_line(&self, event: EventName) -> LogLine {
         self.told.set(true);
         let seconds = self.arrived.elapsed().as_secs_f64();
         metrics::histogram!("gateway_request_seconds", "route" => self.route.name.clone())
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,5 +1,5 @@
 //! Tokens of tenants' limits: a request of a limited tenant is sent only with one. Whom to ask is
-//! decided by `yokefall_quota::Meter`; asks of the same moment travel together.
+//! decided by `yokefall_quota::IssuerSelector`; asks of the same moment travel together.
 
 pub mod asks;
 pub mod assignment;
@@ -15,7 +15,9 @@
 use tokio::time::Instant;
 use yokefall_clock::ElapsedClock;
 use yokefall_core::Timestamp;
-use yokefall_quota::{Assignment, Meter, NextStep, Part, QuotaBounds, Refused, TokenAsk};
+use yokefall_quota::{
+    Assignment, IssuerSelector, NextStep, Part, PartRefusal, QuotaBounds, TokenRequest,
+};
 use yokefall_serving::{Caller, RateLimit, Route, TenantName};
 
 use self::asks::{ask_accountant, Answer, Waiting};
@@ -53,7 +55,7 @@
 
 /// Limits as this gateway knows them.
 pub struct Quota {
-    meter: RefCell<Meter>,
+    meter: RefCell<IssuerSelector>,
     queues: RefCell<HashMap<String, UnboundedSender<Waiting>>>,
     /// Woken when another assignment is wanted.
     refresh: Notify,
@@ -69,7 +71,7 @@
     /// Knows nothing yet.
     pub fn new(gateway: String, bounds: QuotaBounds, clock: ElapsedClock) -> Self {
         Self {
-            meter: RefCell::new(Meter::new(gateway)),
+            meter: RefCell::new(IssuerSelector::new(gateway)),
             queues: RefCell::default(),
             refresh: Notify::new(),
             failed: Notify::new(),
@@ -127,9 +129,9 @@
         Some(Self { tenant: &tenant.name, limit: tenant.limit?, version, target })
     }
 
-    fn ask(&self, part: Part) -> TokenAsk {
+    fn ask(&self, part: Part) -> TokenRequest {
         let tenant = self.tenant.clone();
-        TokenAsk { tenant, part, limit: self.limit, version: self.version, tokens: 1 }
+        TokenRequest { tenant, part, limit: self.limit, version: self.version, tokens: 1 }
     }
 }
 
@@ -149,11 +151,11 @@
 
 async fn try_take(shared: &Rc<Shared>, wanted: Wanted<'_>) -> Result<Token, NoToken> {
     let quota = &shared.quota;
-    let mut refused: Vec<Refused> = Vec::new();
+    let mut refused: Vec<PartRefusal> = Vec::new();
     loop {
-        let step = quota.meter.borrow().next(quota.now(), wanted.tenant, &refused);
-        let (part, accountant) = match step {
-            NextStep::Ask { part, accountant } => (part, accountant),
+        let step = quota.meter.borrow().next_step(quota.now(), wanted.tenant, &refused);
+        let (part, token_issuer) = match step {
+            NextStep::Ask { part, token_issuer } => (part, token_issuer),
             NextStep::OverLimit { wait_ms } => {
                 return Err(NoToken::OverLimit { wait: Duration::from_millis(wait_ms) });
             }
@@ -166,10 +168,10 @@
                 return take_by_relay(shared, wanted).await;
             }
         };
-        let wait_ms = match ask_accountant(shared, &accountant, wanted.ask(part)).await {
+        let wait_ms = match ask_accountant(shared, &token_issuer, wanted.ask(part)).await {
             Answer::Token { asked_at } => return Ok(quota.token(asked_at)),
             Answer::Spent { wait_ms } => {
-                quota.meter.borrow_mut().spent(quota.now(), wanted.tenant, part, wait_ms);
+                quota.meter.borrow_mut().mark_exhausted(quota.now(), wanted.tenant, part, wait_ms);
                 Some(wait_ms)
             }
             Answer::NotHeld | Answer::None => {
@@ -177,6 +179,6 @@
                 None
             }
         };
-        refused.push(Refused { part, wait_ms });
+        refused.push(PartRefusal { part, wait_ms });
     }
 }
--- a/crates/gateway/src/quota/asks.rs
+++ b/crates/gateway/src/quota/asks.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use yokefall_core::Timestamp;
 use yokefall_jobstore::{Reply, Request};
-use yokefall_quota::{TokenAsk, TokenGrant};
+use yokefall_quota::{TokenGrant, TokenRequest};
 
 use crate::shared::Shared;
 
@@ -30,21 +30,29 @@
 
 /// An ask that waits to be sent.
 pub(super) struct Waiting {
-    ask: TokenAsk,
+    ask: TokenRequest,
     answer: oneshot::Sender<Answer>,
 }
 
 /// Queues an ask for an accountant and waits for its answer.
-pub(super) async fn ask_accountant(shared: &Rc<Shared>, accountant: &str, ask: TokenAsk) -> Answer {
+pub(super) async fn ask_accountant(
+    shared: &Rc<Shared>,
+    token_issuer: &str,
+    ask: TokenRequest,
+) -> Answer {
     let (answer, answered) = oneshot::channel();
     let queue = {
         let mut queues = shared.quota.queues.borrow_mut();
         let start = || {
             let (sender, receiver) = unbounded_channel();
-            tokio::task::spawn_local(serve_queue(shared.clone(), accountant.to_owned(), receiver));
+            tokio::task::spawn_local(serve_queue(
+                shared.clone(),
+                token_issuer.to_owned(),
+                receiver,
+            ));
             sender
         };
-        queues.entry(accountant.to_owned()).or_insert_with(start).clone()
+        queues.entry(token_issuer.to_owned()).or_insert_with(start).clone()
     };
     if queue.send(Waiting { ask, answer }).is_err() {
         return Answer::None;
@@ -55,7 +63,7 @@
 /// Sends what is queued for one accountant, for ever.
 async fn serve_queue(
     shared: Rc<Shared>,
-    accountant: String,
+    token_issuer: String,
     mut queue: UnboundedReceiver<Waiting>,
 ) {
     let mut waiting = Vec::new();
@@ -63,12 +71,12 @@
         let asked_at = shared.quota.now();
         let groups = group(std::mem::take(&mut waiting));
         let asks = groups.iter().map(|group| group.ask.clone()).collect();
-        let grants = call(&shared, &accountant, asks).await;
+        let grants = call(&shared, &token_issuer, asks).await;
         {
             let mut meter = shared.quota.meter.borrow_mut();
             match grants {
-                Some(_) => meter.answered(&accountant),
-                None => meter.failed(&accountant),
+                Some(_) => meter.mark_reachable(&token_issuer),
+                None => meter.mark_unreachable(&token_issuer),
             }
         }
         if grants.is_none() {
@@ -84,7 +92,7 @@
 
 /// Asks of the same part of the same tenant's limit.
 struct Group {
-    ask: TokenAsk,
+    ask: TokenRequest,
     answers: Vec<oneshot::Sender<Answer>>,
 }
 
@@ -127,12 +135,12 @@
 /// Asks an accountant; `None` where it gave no answer in time.
 pub(super) async fn call(
     shared: &Shared,
-    accountant: &str,
-    asks: Vec<TokenAsk>,
+    token_issuer: &str,
+    asks: Vec<TokenRequest>,
 ) -> Option<Vec<TokenGrant>> {
     let address = {
         let fleet = shared.fleet.load();
-        let found = fleet.job_stores().find(|member| member.name == accountant);
+        let found = fleet.job_stores().find(|member| member.name == token_issuer);
         found.map(|member| member.address)
     }?;
     let limit = Instant::now() + ASK_TIMEOUT;
--- a/crates/gateway/src/quota/relays.rs
+++ b/crates/gateway/src/quota/relays.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::Instant;
 use yokefall_jobstore::{Reply, Request};
-use yokefall_quota::{TokenAsk, TokenGrant};
+use yokefall_quota::{TokenGrant, TokenRequest};
 
 use super::asks::{ask_accountant, Answer, ASK_TIMEOUT};
 use super::{NoToken, Token, Wanted};
@@ -62,12 +62,12 @@
 }
 
 /// Grants tokens to another gateway, which cannot reach the accountants itself.
-pub async fn relay(shared: &Rc<Shared>, asks: Vec<TokenAsk>) -> Vec<TokenGrant> {
+pub async fn relay(shared: &Rc<Shared>, asks: Vec<TokenRequest>) -> Vec<TokenGrant> {
     let mut grants = Vec::with_capacity(asks.len());
     for ask in asks {
-        let accountant = shared.quota.meter.borrow().accountant(&ask.tenant, ask.part);
-        let answer = match accountant {
-            Some(accountant) => ask_accountant(shared, &accountant, ask).await,
+        let token_issuer = shared.quota.meter.borrow().token_issuer(&ask.tenant, ask.part);
+        let answer = match token_issuer {
+            Some(token_issuer) => ask_accountant(shared, &token_issuer, ask).await,
             None => Answer::NotHeld,
         };
         grants.push(match answer {
--- a/crates/gateway/src/regions.rs
+++ b/crates/gateway/src/regions.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use http::HeaderName;
-use yokefall_serving::{Caller, FleetMember, Need, Residency, Route};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_serving::{Caller, FleetMember, Requirements, Residency, Route};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::answer::{refusal, Answer};
 use crate::shared::Shared;
@@ -20,10 +20,10 @@
 const MOST_NAMES: usize = 3;
 
 /// Whether a request is restricted and no back end takes work where it may be served.
-pub fn lack_back_ends(shared: &Shared, need: &Need) -> bool {
+pub fn lack_back_ends(shared: &Shared, requirements: &Requirements) -> bool {
     let catalog = shared.catalog.load();
-    let is_restricted = *need.residency != Residency::Anywhere;
-    is_restricted && shared.eligibility.candidates(&catalog, need).is_empty()
+    let is_restricted = *requirements.residency != Residency::Anywhere;
+    is_restricted && shared.eligibility.candidates(&catalog, requirements).is_empty()
 }
 
 /// The answer to a request that was not run. It is 503 even where configurations would have to change: a status
@@ -39,7 +39,7 @@
 
 /// A line for a request whose route and tenant have no region in common.
 pub fn tell_nowhere(id: &str, route: &Route, caller: &Caller, version: u64) {
-    Line::new(EventName::RegionRefused)
+    LogLine::new(EventName::RegionRefused)
         .id(id)
         .field("route", route.name.as_str())
         .field("tenant", caller.name())
@@ -64,7 +64,7 @@
 /// The answer to a job that would go to job stores at which it may not be kept.
 pub fn refuse_job(shared: &Shared, job: &str, residency: &Residency, far: &[String]) -> Answer {
     let few: Vec<&str> = far.iter().take(MOST_NAMES).map(String::as_str).collect();
-    Line::new(EventName::RegionRefused)
+    LogLine::new(EventName::RegionRefused)
         .id(job)
         .field("version", shared.catalog.load().version())
         .text("regions", residency)
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -10,8 +10,8 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, Sleep};
 use yokefall_serving::{Outcome, RouteKind};
-use yokefall_telemetry::{EventName, Line};
-use yokefall_upstream::{Connection, Place};
+use yokefall_telemetry::{EventName, LogLine};
+use yokefall_upstream::{BackendSlot, Connection};
 
 use crate::answer::{Answer, AnswerBody, BrokenAnswer};
 use crate::forward::{send, tell_silent, Taken, SILENCE};
@@ -34,16 +34,16 @@
     taken: Taken,
 ) -> Result<Answer, (Box<Order>, String)> {
     let streamed = order.route.kind == RouteKind::Stream && taken.answer.status().is_success();
-    let Taken { answer, connection, place } = taken;
+    let Taken { answer, connection, slot } = taken;
     let (head, body) = answer.into_parts();
     let resumes = streamed && order.route.resumable;
     let last_event = if resumes { asked_event(shared, &order) } else { 0 };
     let deadline = Box::pin(tokio::time::sleep_until(order.deadline));
-    let close = Connection::is_last(&head.headers);
+    let close = Connection::closes_after(&head.headers);
     let mut relay = Relay {
         shared: shared.clone(),
         order: Box::new(order),
-        source: Some(Source { body, connection, place, close }),
+        source: Some(Source { body, connection, slot, close }),
         deadline,
         silence: Box::pin(tokio::time::sleep(SILENCE)),
         resumes,
@@ -89,7 +89,7 @@
 struct Source {
     body: Incoming,
     connection: Connection,
-    place: Place,
+    slot: BackendSlot,
     /// Whether the back end closes the connection after the answer.
     close: bool,
 }
@@ -140,9 +140,9 @@
                     return Some(Err(BrokenAnswer("its time ended".into())));
                 }
                 Next::Broken(cause) => {
-                    source.place.outcome = Outcome::Failed;
-                    source.place.broke();
-                    self.note_break().await;
+                    source.slot.outcome = Outcome::Failed;
+                    source.slot.record_failure();
+                    self.record_disconnect().await;
                     self.source = None;
                     if !self.resumes || !self.resume().await {
                         self.tell(self.order.end_line(EventName::AnswerBroken), &cause);
@@ -154,22 +154,22 @@
     }
 
     /// Finds out whether the back end ended under the request.
-    async fn note_break(&self) {
+    async fn record_disconnect(&self) {
         let Some(source) = &self.source else { return };
-        let (backend, sent) = (&source.place.backend, source.place.taken());
-        self.shared.suspects.note_break(backend, sent, || self.order.digest()).await;
+        let (backend, sent) = (&source.slot.backend, source.slot.acquired_at());
+        self.shared.suspects.record_disconnect(backend, sent, || self.order.digest()).await;
     }
 
-    fn tell(&self, line: Line, cause: &str) {
+    fn tell(&self, line: LogLine, cause: &str) {
         line.field("last_event", self.last_event).field("cause", cause).write();
     }
 
     fn finish(&mut self) {
         let Some(mut source) = self.source.take() else { return };
         let line = self.order.end_line(EventName::RequestAnswered);
-        line.field("backend", source.place.backend.id.as_str()).write();
-        source.place.outcome = Outcome::Answered;
-        suspect::note_answer(&self.shared, &self.order);
+        line.field("backend", source.slot.backend.id.as_str()).write();
+        source.slot.outcome = Outcome::Answered;
+        suspect::record_answer(&self.shared, &self.order);
         if !source.close {
             self.shared.pool.put_back(source.connection);
         }
@@ -194,13 +194,13 @@
             return false;
         }
         let sent = send(&self.shared, &mut self.order, self.last_event).await;
-        let Ok(Taken { answer, connection, place }) = sent else { return false };
+        let Ok(Taken { answer, connection, slot }) = sent else { return false };
         if !answer.status().is_success() {
             return false;
         }
         self.tell(self.order.line(EventName::StreamResumed), "the back end before broke off");
-        let close = Connection::is_last(answer.headers());
-        self.source = Some(Source { body: answer.into_body(), connection, place, close });
+        let close = Connection::closes_after(answer.headers());
+        self.source = Some(Source { body: answer.into_body(), connection, slot, close });
         true
     }
 
@@ -229,7 +229,7 @@
             () = deadline.as_mut() => return Next::OutOfTime,
             () = silence.as_mut() => {
                 if waiting_since.elapsed() >= SILENCE {
-                    tell_silent(shared, &source.place);
+                    tell_silent(shared, &source.slot);
                 }
                 silence.as_mut().reset(Instant::now() + SILENCE);
                 continue;
@@ -237,7 +237,7 @@
         };
         match frame {
             Some(Ok(frame)) => {
-                source.place.heard();
+                source.slot.record_activity();
                 if let Ok(data) = frame.into_data() {
                     return Next::Data(data);
                 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -58,7 +58,7 @@
     let headers = request.headers_mut()?;
     copy_headers(&order.parts.headers, headers);
     headers.remove(header::CONTENT_LENGTH);
-    order.caller.mark(&names.tenant, headers);
+    order.caller.set_tenant_header(&names.tenant, headers);
     let left = order.deadline.duration_since(Instant::now()).as_millis().max(1) as u64;
     headers.insert(&names.deadline_ms, HeaderValue::from(left));
     headers.insert(&names.expected_backend, HeaderValue::try_from(backend).ok()?);
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -8,10 +8,10 @@
 use yokefall_jobstore::JobClient;
 use yokefall_serving::table::Splitter;
 use yokefall_serving::{
-    CatalogCell, ColdStart, Dialect, Eligibility, FleetCell, Freshness, Policy, ZoneMap,
+    CatalogCell, ColdStartLimiter, Dialect, Eligibility, FleetCell, Freshness, Policy, ZoneMap,
 };
 use yokefall_suspects::Registry;
-use yokefall_upstream::{Places, Pool};
+use yokefall_upstream::{Pool, SharedBalancer};
 
 use crate::admission::Admission;
 use crate::crowding::Crowding;
@@ -25,7 +25,7 @@
     /// Which back ends may take a request.
     pub eligibility: Eligibility,
     /// What may be sent to back ends that are not known to be warm.
-    pub cold: Rc<ColdStart>,
+    pub cold: Rc<ColdStartLimiter>,
     /// How old what is known of the platform is.
     pub freshness: Freshness,
     /// The system's processes.
@@ -35,7 +35,7 @@
     /// Names and formats.
     pub dialect: Arc<dyn Dialect>,
     /// Load and health of back ends.
-    pub places: Rc<Places>,
+    pub balancer: Rc<SharedBalancer>,
     /// Limits of tenants.
     pub quota: Quota,
     /// Requests under which back ends ended.
--- a/crates/gateway/src/suspect.rs
+++ b/crates/gateway/src/suspect.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use yokefall_jobstore::client::CallOutcome;
 use yokefall_jobstore::{Reply, Request};
-use yokefall_suspects::{Grant, Standing};
+use yokefall_suspects::{Grant, SuspectStatus};
 
 use crate::order::Order;
 use crate::shared::Shared;
@@ -25,7 +25,7 @@
     /// It may.
     Clear,
     /// It may go to another one.
-    OtherBackend,
+    BackendBusy,
     /// It may not be sent before this time has passed.
     HeldBack(Duration),
 }
@@ -35,9 +35,9 @@
     if shared.suspects.is_empty() {
         return None;
     }
-    match shared.suspects.standing(&order.digest()) {
-        Standing::HeldBack { wait_ms } => Some(Duration::from_millis(wait_ms)),
-        Standing::Free | Standing::Alone => None,
+    match shared.suspects.status(&order.digest()) {
+        SuspectStatus::HeldBack { wait_ms } => Some(Duration::from_millis(wait_ms)),
+        SuspectStatus::Free | SuspectStatus::Isolated => None,
     }
 }
 
@@ -48,23 +48,23 @@
         return Clearance::Clear;
     }
     let digest = order.digest();
-    match shared.suspects.standing(&digest) {
-        Standing::Free => return Clearance::Clear,
-        Standing::HeldBack { wait_ms } => {
+    match shared.suspects.status(&digest) {
+        SuspectStatus::Free => return Clearance::Clear,
+        SuspectStatus::HeldBack { wait_ms } => {
             return Clearance::HeldBack(Duration::from_millis(wait_ms));
         }
-        Standing::Alone => {}
+        SuspectStatus::Isolated => {}
     }
-    let Some(news) = shared.suspects.news_of(&digest) else { return Clearance::Clear };
-    let request = Request::TrySuspect { news, backend: backend.to_owned() };
+    let Some(update) = shared.suspects.update_for(&digest) else { return Clearance::Clear };
+    let request = Request::TrySuspect { update, backend: backend.to_owned() };
     let deadline = order.deadline.min(Instant::now() + GRANT_TIMEOUT);
     match shared.jobs.call(request, deadline).await {
-        CallOutcome::Answered(Reply::Tried(Grant::Granted)) => {
-            order.alone = Some(shared.suspects.run_alone(digest));
+        CallOutcome::Answered(Reply::TrialGrant(Grant::Granted)) => {
+            order.alone = Some(shared.suspects.run_isolated(digest));
             Clearance::Clear
         }
-        CallOutcome::Answered(Reply::Tried(Grant::OtherBackend)) => Clearance::OtherBackend,
-        CallOutcome::Answered(Reply::Tried(Grant::Wait { ms })) => {
+        CallOutcome::Answered(Reply::TrialGrant(Grant::BackendBusy)) => Clearance::BackendBusy,
+        CallOutcome::Answered(Reply::TrialGrant(Grant::Wait { ms })) => {
             Clearance::HeldBack(Duration::from_millis(ms))
         }
         _ => Clearance::HeldBack(NO_LEADER_WAIT),
@@ -72,8 +72,8 @@
 }
 
 /// A back end answered a request whole: where ends are held against it, they had another cause.
-pub fn note_answer(shared: &Shared, order: &Order) {
+pub fn record_answer(shared: &Shared, order: &Order) {
     if !shared.suspects.is_empty() {
-        shared.suspects.note_answer(&order.digest());
+        shared.suspects.record_answer(&order.digest());
     }
 }
--- a/crates/gateway/tests/read_ahead.rs
+++ b/crates/gateway/tests/read_ahead.rs
@@ -34,15 +34,15 @@
 /// An answer of so many pieces, each of which names its place; it may break off after the last.
 fn answer(source: &Rc<Source>, pieces: usize, breaks: bool) -> Pieces {
     let open = CloseOnDrop(source.clone());
-    let stream = futures::stream::unfold((0, open), move |(place, open)| async move {
+    let stream = futures::stream::unfold((0, open), move |(slot, open)| async move {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        open.0.read.set(place);
-        match place {
-            place if place < pieces => {
-                Some((Ok(Bytes::from(vec![place as u8; PIECE_BYTES])), (place + 1, open)))
+        open.0.read.set(slot);
+        match slot {
+            slot if slot < pieces => {
+                Some((Ok(Bytes::from(vec![slot as u8; PIECE_BYTES])), (slot + 1, open)))
             }
-            place if breaks && place == pieces => {
-                Some((Err(BrokenAnswer("reset".into())), (place + 1, open)))
+            slot if breaks && slot == pieces => {
+                Some((Err(BrokenAnswer("reset".into())), (slot + 1, open)))
             }
             _ => None,
         }
@@ -54,14 +54,14 @@
 async fn rest(
     mut pieces: impl Stream<Item = Result<Bytes, BrokenAnswer>> + Unpin,
 ) -> (Vec<u8>, bool) {
-    let mut places = Vec::new();
+    let mut balancer = Vec::new();
     while let Some(piece) = pieces.next().await {
         match piece {
-            Ok(piece) => places.push(piece[0]),
-            Err(_) => return (places, true),
+            Ok(piece) => balancer.push(piece[0]),
+            Err(_) => return (balancer, true),
         }
     }
-    (places, false)
+    (balancer, false)
 }
 
 async fn locally<T>(test: impl std::future::Future<Output = T>) -> T {
@@ -107,10 +107,10 @@
     locally(async {
         let (ahead, source) = (started(1_000_000), Rc::new(Source::default()));
         let mut pieces = ahead.pass(answer(&source, 50, false));
-        for place in 0..50 {
+        for slot in 0..50 {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            assert_eq!(pieces.next().await.expect("a piece").expect("whole")[0], place);
-            assert!(source.read.get() <= usize::from(place) + 1);
+            assert_eq!(pieces.next().await.expect("a piece").expect("whole")[0], slot);
+            assert!(source.read.get() <= usize::from(slot) + 1);
             assert_eq!(ahead.held_bytes(), 0);
         }
     })
--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -8,9 +8,9 @@
 use yokefall_core::Timestamp;
 use yokefall_types::rendezvous_score;
 
-use crate::accountant::LEASE_MS;
 use crate::message::SlotLease;
 use crate::slot::SlotId;
+use crate::token_issuer::LEASE_MS;
 
 /// Time added to the duration of a lease before it counts as expired, which covers clocks of
 /// different rates.
@@ -75,7 +75,7 @@
 /// The leader's view of leases, kept for one term only: leases of earlier leaders expire `LEASE_MS`
 /// after the end of their term, which was before this term began.
 #[derive(Debug)]
-pub struct Overseer {
+pub struct LeaseManager {
     leader_since: Timestamp,
     /// Last renewal of each job store; `None` for one that released its slots.
     last_renewals: HashMap<String, Option<Timestamp>>,
@@ -83,7 +83,7 @@
     pending: BTreeMap<SlotId, String>,
 }
 
-impl Overseer {
+impl LeaseManager {
     /// Creates the lease manager of a leader whose term begins now.
     pub fn new(now: Timestamp) -> Self {
         Self { leader_since: now, last_renewals: HashMap::new(), pending: BTreeMap::new() }
@@ -99,7 +99,7 @@
     }
 
     /// Records that a job store released its slots.
-    pub fn released(&mut self, name: &str) {
+    pub fn mark_released(&mut self, name: &str) {
         self.last_renewals.insert(name.to_owned(), None);
     }
 
--- a/crates/quota/src/issuer_selector.rs
+++ b/crates/quota/src/issuer_selector.rs
@@ -16,7 +16,7 @@
         /// The part of the limit.
         part: Part,
         /// Name of its issuer.
-        accountant: String,
+        token_issuer: String,
     },
     /// Every part is exhausted: the tenant is at its limit.
     OverLimit {
@@ -29,7 +29,7 @@
 
 /// A part that gave no token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct PartRefusal {
     /// The part.
     pub part: Part,
     /// Time until it has a token, in milliseconds; `None` if its issuer did not respond.
@@ -38,7 +38,7 @@
 
 /// A gateway's knowledge of issuers and of exhausted parts.
 #[derive(Debug)]
-pub struct Meter {
+pub struct IssuerSelector {
     gateway: String,
     assignment: Assignment,
     exhausted_until: HashMap<(TenantName, Part), Timestamp>,
@@ -47,7 +47,7 @@
     unreachable: BTreeSet<String>,
 }
 
-impl Meter {
+impl IssuerSelector {
     /// Creates the selector of the gateway with this name.
     pub fn new(gateway: String) -> Self {
         Self {
@@ -72,15 +72,20 @@
     }
 
     /// The order in which this gateway tries the parts of a tenant's limit.
-    pub fn part_order(&self, tenant: &TenantName) -> impl Iterator<Item = Part> {
+    pub fn order(&self, tenant: &TenantName) -> impl Iterator<Item = Part> {
         part_order(&self.gateway, tenant)
     }
 
     /// The next step for a request, given the parts that gave no token so far.
-    pub fn next(&self, now: Timestamp, tenant: &TenantName, refused: &[Refused]) -> NextStep {
+    pub fn next_step(
+        &self,
+        now: Timestamp,
+        tenant: &TenantName,
+        refused: &[PartRefusal],
+    ) -> NextStep {
         let mut earliest: Option<u64> = None;
         let mut is_unknown = false;
-        for part in self.part_order(tenant) {
+        for part in self.order(tenant) {
             let asked = refused.iter().find(|refused| refused.part == part);
             let spent = self.exhausted_until.get(&(tenant.clone(), part));
             let spent = spent.filter(|until| **until > now).map(|until| until.millis_since(now));
@@ -94,7 +99,7 @@
             }
             let holder = self.assignment.holder(SlotId::of(tenant, part));
             match holder.filter(|holder| !self.unreachable.contains(&holder.name)) {
-                Some(holder) => return NextStep::Ask { part, accountant: holder.name.clone() },
+                Some(holder) => return NextStep::Ask { part, token_issuer: holder.name.clone() },
                 None => is_unknown = true,
             }
         }
@@ -105,7 +110,7 @@
     }
 
     /// The issuer of a part of a tenant's limit; `None` if it is unknown or unreachable.
-    pub fn accountant(&self, tenant: &TenantName, part: Part) -> Option<String> {
+    pub fn token_issuer(&self, tenant: &TenantName, part: Part) -> Option<String> {
         let holder = self.assignment.holder(SlotId::of(tenant, part))?;
         (!self.unreachable.contains(&holder.name)).then(|| holder.name.clone())
     }
@@ -125,33 +130,39 @@
             };
             format!("part {}: {} {state}", part.0, holder.name)
         };
-        self.part_order(tenant).map(part).collect::<Vec<String>>().join(", ")
+        self.order(tenant).map(part).collect::<Vec<String>>().join(", ")
     }
 
     /// Records that a part has no token for `wait_ms`.
-    pub fn spent(&mut self, now: Timestamp, tenant: &TenantName, part: Part, wait_ms: u64) {
+    pub fn mark_exhausted(
+        &mut self,
+        now: Timestamp,
+        tenant: &TenantName,
+        part: Part,
+        wait_ms: u64,
+    ) {
         self.exhausted_until.insert((tenant.clone(), part), now.plus_millis(wait_ms.max(1)));
     }
 
     /// Records that an issuer did not respond.
-    pub fn failed(&mut self, accountant: &str) {
-        self.unreachable.insert(accountant.to_owned());
+    pub fn mark_unreachable(&mut self, token_issuer: &str) {
+        self.unreachable.insert(token_issuer.to_owned());
     }
 
     /// Records that an issuer responds.
-    pub fn answered(&mut self, accountant: &str) {
-        self.unreachable.remove(accountant);
+    pub fn mark_reachable(&mut self, token_issuer: &str) {
+        self.unreachable.remove(token_issuer);
     }
 
     /// Issuers that did not respond and should be probed.
-    pub fn failing(&self) -> Vec<String> {
+    pub fn unreachable(&self) -> Vec<String> {
         let is_accountant =
             |name: &&String| SlotId::all().any(|slot| self.assignment.is_holder(slot, name));
         self.unreachable.iter().filter(is_accountant).cloned().collect()
     }
 
     /// Drops exhausted parts whose wait has passed.
-    pub fn forget(&mut self, now: Timestamp) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.exhausted_until.retain(|_, until| *until > now);
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -11,17 +11,17 @@
 //! issuer grants from a token bucket that starts empty with its lease; and a token must be spent
 //! within its lifetime, which is counted from before it was granted.
 
-pub mod accountant;
 pub mod assignment;
 pub mod bounds;
 pub mod bucket;
 pub mod issuer_selector;
 pub mod message;
 pub mod slot;
+pub mod token_issuer;
 
-pub use accountant::Accountant;
-pub use assignment::{Assignment, Candidate, Holder, Overseer};
+pub use assignment::{Assignment, Candidate, Holder, LeaseManager};
 pub use bounds::QuotaBounds;
-pub use issuer_selector::{Meter, NextStep, Refused};
-pub use message::{SlotLease, TokenAsk, TokenGrant};
+pub use issuer_selector::{IssuerSelector, NextStep, PartRefusal};
+pub use message::{SlotLease, TokenGrant, TokenRequest};
 pub use slot::{Part, SlotId, PARTS_PER_LIMIT};
+pub use token_issuer::TokenIssuer;
--- a/crates/quota/src/accountant.rs
+++ b/crates/quota/src/token_issuer.rs
@@ -10,7 +10,7 @@
 
 use crate::bounds::QuotaBounds;
 use crate::bucket::Bucket;
-use crate::message::{SlotLease, TokenAsk, TokenGrant};
+use crate::message::{SlotLease, TokenGrant, TokenRequest};
 use crate::slot::SlotId;
 
 /// Duration of a slot lease. It exceeds the time for which the job stores have no leader after its
@@ -30,7 +30,7 @@
 
 /// The slots leased to this process.
 #[derive(Debug)]
-pub struct Accountant {
+pub struct TokenIssuer {
     bounds: QuotaBounds,
     slots: HashMap<SlotId, LeasedSlot>,
     leased_until: Timestamp,
@@ -39,7 +39,7 @@
     is_released: bool,
 }
 
-impl Accountant {
+impl TokenIssuer {
     /// Creates an issuer without slots.
     pub fn new(bounds: QuotaBounds) -> Self {
         Self { bounds, slots: HashMap::new(), leased_until: Timestamp(0), is_released: false }
@@ -47,7 +47,12 @@
 
     /// Applies the response to a renewal that was requested at `asked_at`. Returns whether the set
     /// of held slots changed.
-    pub fn renewed(&mut self, now: Timestamp, asked_at: Timestamp, leases: &[SlotLease]) -> bool {
+    pub fn apply_leases(
+        &mut self,
+        now: Timestamp,
+        asked_at: Timestamp,
+        leases: &[SlotLease],
+    ) -> bool {
         if self.is_released {
             return false;
         }
@@ -82,7 +87,7 @@
     }
 
     /// Number of slots held now.
-    pub fn held(&self, now: Timestamp) -> usize {
+    pub fn held_slots(&self, now: Timestamp) -> usize {
         if now < self.leased_until {
             self.slots.len()
         } else {
@@ -91,7 +96,7 @@
     }
 
     /// Grants tokens.
-    pub fn take(&mut self, now: Timestamp, ask: &TokenAsk) -> TokenGrant {
+    pub fn take(&mut self, now: Timestamp, ask: &TokenRequest) -> TokenGrant {
         if now >= self.leased_until {
             return TokenGrant::NotHeld;
         }
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -7,10 +7,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use yokefall_core::Timestamp;
-use yokefall_quota::accountant::RENEW_INTERVAL_MS;
+use yokefall_quota::token_issuer::RENEW_INTERVAL_MS;
 use yokefall_quota::{
-    Accountant, Assignment, Candidate, Meter, NextStep, Overseer, Part, QuotaBounds, Refused,
-    SlotId, SlotLease, TokenAsk, TokenGrant,
+    Assignment, Candidate, IssuerSelector, LeaseManager, NextStep, Part, PartRefusal, QuotaBounds,
+    SlotId, SlotLease, TokenGrant, TokenIssuer, TokenRequest,
 };
 use yokefall_types::{RateLimit, TenantName};
 
@@ -122,7 +122,7 @@
 struct Request {
     gateway: usize,
     sender: usize,
-    refused: Vec<Refused>,
+    refused: Vec<PartRefusal>,
     asked_at: u64,
     /// The ask that is open.
     open_token_request: Option<u64>,
@@ -131,27 +131,77 @@
 }
 
 enum Event {
-    Arrive { sender: usize },
-    Step { request: u64 },
-    TokenRequestArrives { store: usize, incarnation: u64, request: u64, number: u64, ask: TokenAsk },
-    Answer { request: u64, number: u64, accountant: usize, grant: TokenGrant },
-    Timeout { request: u64, number: u64, accountant: usize },
-    Send { request: u64, expires_at: u64 },
-    Renew { store: usize, incarnation: u64 },
-    RenewArrives { store: usize, incarnation: u64, asked_at: u64 },
-    Renewed { store: usize, incarnation: u64, asked_at: u64, leases: Vec<SlotLease> },
+    Arrive {
+        sender: usize,
+    },
+    Step {
+        request: u64,
+    },
+    TokenRequestArrives {
+        store: usize,
+        incarnation: u64,
+        request: u64,
+        number: u64,
+        ask: TokenRequest,
+    },
+    Answer {
+        request: u64,
+        number: u64,
+        token_issuer: usize,
+        grant: TokenGrant,
+    },
+    Timeout {
+        request: u64,
+        number: u64,
+        token_issuer: usize,
+    },
+    Send {
+        request: u64,
+        expires_at: u64,
+    },
+    Renew {
+        store: usize,
+        incarnation: u64,
+    },
+    RenewArrives {
+        store: usize,
+        incarnation: u64,
+        asked_at: u64,
+    },
+    Renewed {
+        store: usize,
+        incarnation: u64,
+        asked_at: u64,
+        leases: Vec<SlotLease>,
+    },
     AssignSlots,
-    Commit { term: u64, changes: Vec<(SlotId, String)> },
-    Probe { gateway: usize },
-    AssignmentArrives { gateway: usize, assignment: Assignment },
-    LimitsArrive { gateway: usize, percent: u64 },
+    Commit {
+        term: u64,
+        changes: Vec<(SlotId, String)>,
+    },
+    Probe {
+        gateway: usize,
+    },
+    AssignmentArrives {
+        gateway: usize,
+        assignment: Assignment,
+    },
+    LimitsArrive {
+        gateway: usize,
+        percent: u64,
+    },
     Begin(Fault),
-    StartStore { store: usize },
-    BecomeLeader { store: usize, term: u64 },
+    StartStore {
+        store: usize,
+    },
+    BecomeLeader {
+        store: usize,
+        term: u64,
+    },
 }
 
 struct Store {
-    accountant: Accountant,
+    token_issuer: TokenIssuer,
     incarnation: u64,
     up: bool,
     cut_until: u64,
@@ -161,7 +211,7 @@
 }
 
 struct Gateway {
-    selector: Meter,
+    selector: IssuerSelector,
     cut_until: u64,
     frozen_until: u64,
     offset: u64,
@@ -181,7 +231,7 @@
     gateways: Vec<Gateway>,
     assignment: Assignment,
     /// The leader with the number of its lead.
-    leader: Option<(usize, u64, Overseer)>,
+    leader: Option<(usize, u64, LeaseManager)>,
     term: u64,
     requests: HashMap<u64, Request>,
     next_request: u64,
@@ -205,7 +255,7 @@
         let mut random = StdRng::seed_from_u64(plan.seed);
         let bounds = QuotaBounds::default();
         let stores = (0..plan.stores).map(|_| Store {
-            accountant: Accountant::new(bounds),
+            token_issuer: TokenIssuer::new(bounds),
             incarnation: 0,
             up: true,
             cut_until: 0,
@@ -215,7 +265,7 @@
         });
         let stores = stores.collect();
         let gateways = (0..plan.gateways).map(|gateway| Gateway {
-            selector: Meter::new(format!("edge-{gateway}")),
+            selector: IssuerSelector::new(format!("edge-{gateway}")),
             cut_until: 0,
             frozen_until: 0,
             offset: random.random_range(0..1_000_000),
@@ -309,11 +359,11 @@
             Event::TokenRequestArrives { store, incarnation, request, number, ask } => {
                 self.token_request_arrives(store, incarnation, request, number, ask);
             }
-            Event::Answer { request, number, accountant, grant } => {
-                self.answer(request, number, accountant, grant);
+            Event::Answer { request, number, token_issuer, grant } => {
+                self.answer(request, number, token_issuer, grant);
             }
-            Event::Timeout { request, number, accountant } => {
-                self.timeout(request, number, accountant);
+            Event::Timeout { request, number, token_issuer } => {
+                self.timeout(request, number, token_issuer);
             }
             Event::Send { request, expires_at } => self.send(request, expires_at),
             Event::Renew { store, incarnation } => self.renew(store, incarnation),
@@ -321,7 +371,7 @@
                 self.renew_arrives(store, incarnation, asked_at);
             }
             Event::Renewed { store, incarnation, asked_at, leases } => {
-                self.renewed(store, incarnation, asked_at, leases);
+                self.apply_leases(store, incarnation, asked_at, leases);
             }
             Event::AssignSlots => self.assign_slots(),
             Event::Commit { term, changes } => {
@@ -345,7 +395,7 @@
             }
             Event::BecomeLeader { store, term } => {
                 let now = self.store_time(store);
-                self.leader = Some((store, term, Overseer::new(now)));
+                self.leader = Some((store, term, LeaseManager::new(now)));
             }
         }
     }
@@ -425,20 +475,20 @@
         let now = self.gateway_time(gateway);
         let tenant = self.plan.senders[sender].name.clone();
         let refused = self.requests[&request].refused.clone();
-        let step = self.gateways[gateway].selector.next(now, &tenant, &refused);
-        let (part, accountant) = match step {
-            NextStep::Ask { part, accountant } => (part, accountant),
+        let step = self.gateways[gateway].selector.next_step(now, &tenant, &refused);
+        let (part, token_issuer) = match step {
+            NextStep::Ask { part, token_issuer } => (part, token_issuer),
             NextStep::OverLimit { .. } | NextStep::Unknown => {
                 self.reject(request);
                 return;
             }
         };
-        let store = (0..self.plan.stores).find(|store| store_name(*store) == accountant);
+        let store = (0..self.plan.stores).find(|store| store_name(*store) == token_issuer);
         let store = store.expect("a job store of the fleet");
         let percent = self.gateways[gateway].limit_percent;
         let limit = self.limit_of(sender, percent);
         let version = self.gateways[gateway].version;
-        let ask = TokenAsk { tenant, part, limit, version, tokens: 1 };
+        let ask = TokenRequest { tenant, part, limit, version, tokens: 1 };
         let number = self.next_token_request;
         self.next_token_request += 1;
         if let Some(held) = self.requests.get_mut(&request) {
@@ -453,7 +503,10 @@
             delay += cut - self.now;
         }
         self.after(delay, Event::TokenRequestArrives { store, incarnation, request, number, ask });
-        self.after(TOKEN_REQUEST_TIMEOUT_MS, Event::Timeout { request, number, accountant: store });
+        self.after(
+            TOKEN_REQUEST_TIMEOUT_MS,
+            Event::Timeout { request, number, token_issuer: store },
+        );
     }
 
     fn token_request_arrives(
@@ -462,7 +515,7 @@
         incarnation: u64,
         request: u64,
         number: u64,
-        ask: TokenAsk,
+        ask: TokenRequest,
     ) {
         let held = &self.stores[store];
         if !held.up || held.incarnation != incarnation {
@@ -475,15 +528,15 @@
         }
         let now = self.store_time(store);
         self.stores[store].token_requests += 1;
-        let grant = self.stores[store].accountant.take(now, &ask);
+        let grant = self.stores[store].token_issuer.take(now, &ask);
         let mut delay = self.delay();
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
         }
-        self.after(delay, Event::Answer { request, number, accountant: store, grant });
+        self.after(delay, Event::Answer { request, number, token_issuer: store, grant });
     }
 
-    fn answer(&mut self, request: u64, number: u64, accountant: usize, grant: TokenGrant) {
+    fn answer(&mut self, request: u64, number: u64, token_issuer: usize, grant: TokenGrant) {
         let Some(held) = self.requests.get(&request) else { return };
         if held.open_token_request != Some(number) {
             return;
@@ -491,12 +544,12 @@
         let (gateway, sender, asked_at) = (held.gateway, held.sender, held.asked_at);
         if self.gateways[gateway].frozen_until > self.now {
             let wake = self.gateways[gateway].frozen_until;
-            self.at(wake, Event::Answer { request, number, accountant, grant });
+            self.at(wake, Event::Answer { request, number, token_issuer, grant });
             return;
         }
-        self.gateways[gateway].selector.answered(&store_name(accountant));
+        self.gateways[gateway].selector.mark_reachable(&store_name(token_issuer));
         let tenant = self.plan.senders[sender].name.clone();
-        let part = part_of(&self.assignment, &tenant, accountant);
+        let part = part_of(&self.assignment, &tenant, token_issuer);
         match grant {
             TokenGrant::Granted { tokens, .. } if tokens > 0 => {
                 let expires_at = asked_at + self.bounds.token_lifetime().as_millis() as u64;
@@ -510,7 +563,7 @@
             TokenGrant::Granted { wait_ms, .. } => {
                 let now = self.gateway_time(gateway);
                 if let Some(part) = part {
-                    self.gateways[gateway].selector.spent(now, &tenant, part, wait_ms);
+                    self.gateways[gateway].selector.mark_exhausted(now, &tenant, part, wait_ms);
                 }
                 self.refused(request, part, Some(wait_ms));
             }
@@ -521,16 +574,16 @@
         }
     }
 
-    fn timeout(&mut self, request: u64, number: u64, accountant: usize) {
+    fn timeout(&mut self, request: u64, number: u64, token_issuer: usize) {
         let Some(held) = self.requests.get(&request) else { return };
         if held.open_token_request != Some(number) {
             return;
         }
         let (gateway, sender) = (held.gateway, held.sender);
-        self.gateways[gateway].selector.failed(&store_name(accountant));
+        self.gateways[gateway].selector.mark_unreachable(&store_name(token_issuer));
         self.fetch_assignment(gateway);
         let tenant = self.plan.senders[sender].name.clone();
-        let part = part_of(&self.assignment, &tenant, accountant);
+        let part = part_of(&self.assignment, &tenant, token_issuer);
         self.refused(request, part, None);
     }
 
@@ -541,7 +594,7 @@
             self.reject(request);
             return;
         };
-        held.refused.push(Refused { part, wait_ms });
+        held.refused.push(PartRefusal { part, wait_ms });
         self.step(request);
     }
 
@@ -593,13 +646,13 @@
         if self.gateways[gateway].cut_until > self.now {
             return;
         }
-        for name in self.gateways[gateway].selector.failing() {
+        for name in self.gateways[gateway].selector.unreachable() {
             let is_up = |store: &Store| {
                 store.up && store.cut_until <= self.now && store.frozen_until <= self.now
             };
             let mut named = (0..self.plan.stores).filter(|store| store_name(*store) == name);
             if named.any(|store| is_up(&self.stores[store])) {
-                self.gateways[gateway].selector.answered(&name);
+                self.gateways[gateway].selector.mark_reachable(&name);
             }
         }
     }
@@ -626,8 +679,8 @@
         let Some((leader, _, _)) = &self.leader else { return };
         let leader = *leader;
         let now = self.store_time(leader);
-        let Some((_, _, overseer)) = &mut self.leader else { return };
-        let leases = overseer.renew(now, &self.assignment, &store_name(store));
+        let Some((_, _, lease_manager)) = &mut self.leader else { return };
+        let leases = lease_manager.renew(now, &self.assignment, &store_name(store));
         let mut delay = self.delay();
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
@@ -635,7 +688,13 @@
         self.after(delay, Event::Renewed { store, incarnation, asked_at, leases });
     }
 
-    fn renewed(&mut self, store: usize, incarnation: u64, asked_at: u64, leases: Vec<SlotLease>) {
+    fn apply_leases(
+        &mut self,
+        store: usize,
+        incarnation: u64,
+        asked_at: u64,
+        leases: Vec<SlotLease>,
+    ) {
         if self.stores[store].incarnation != incarnation {
             return;
         }
@@ -646,7 +705,7 @@
         }
         let now = self.store_time(store);
         let asked_at = Timestamp(asked_at + self.stores[store].offset);
-        self.stores[store].accountant.renewed(now, asked_at, &leases);
+        self.stores[store].token_issuer.apply_leases(now, asked_at, &leases);
     }
 
     fn assign_slots(&mut self) {
@@ -662,8 +721,8 @@
             .map(|store| Candidate { name: store_name(store), zone: format!("hall-{}", store % 3) })
             .collect();
         let now = self.store_time(leader);
-        let Some((_, _, overseer)) = &mut self.leader else { return };
-        let changes = overseer.plan(now, &self.assignment, &candidates, &store_name(leader));
+        let Some((_, _, lease_manager)) = &mut self.leader else { return };
+        let changes = lease_manager.plan(now, &self.assignment, &candidates, &store_name(leader));
         if !changes.is_empty() {
             self.after(5, Event::Commit { term, changes });
         }
@@ -675,7 +734,7 @@
                 let held = &mut self.stores[store];
                 held.up = false;
                 held.incarnation += 1;
-                held.accountant = Accountant::new(self.bounds);
+                held.token_issuer = TokenIssuer::new(self.bounds);
                 self.after(for_ms, Event::StartStore { store });
                 if self.leader.as_ref().is_some_and(|(leader, _, _)| *leader == store) {
                     self.lose_leader(2_000);
--- a/crates/suspects/src/background.rs
+++ b/crates/suspects/src/background.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 use crate::message::CrashedBackend;
 
@@ -36,7 +36,10 @@
 /// Whether two observations are the same crash. Crashes of two incarnations are distinct, however
 /// close. Two observations of one incarnation that are seconds apart are distinct as well: until a
 /// process learns of a new incarnation, it attributes what it sends there to the previous one.
-pub fn is_same_crash(left: (&BackendLife, Timestamp), right: (&BackendLife, Timestamp)) -> bool {
+pub fn is_same_crash(
+    left: (&BackendIncarnation, Timestamp),
+    right: (&BackendIncarnation, Timestamp),
+) -> bool {
     left.0 == right.0 && left.1 .0.abs_diff(right.1 .0) <= SAME_CRASH_MS
 }
 
@@ -62,12 +65,12 @@
 /// Recent crashes of back ends.
 #[derive(Debug, Default)]
 pub struct Background {
-    crashes: VecDeque<(BackendLife, Timestamp)>,
+    crashes: VecDeque<(BackendIncarnation, Timestamp)>,
 }
 
 impl Background {
     /// Records a crash. Returns whether it is new.
-    pub fn record(&mut self, backend: &BackendLife, at: Timestamp) -> bool {
+    pub fn record(&mut self, backend: &BackendIncarnation, at: Timestamp) -> bool {
         if self.crashes.iter().any(|(known, then)| is_same_crash((known, *then), (backend, at))) {
             return false;
         }
@@ -79,26 +82,30 @@
     }
 
     /// Number of back ends that crashed at about the same time, excluding those that `own` accepts.
-    pub fn simultaneous(&self, moment: Timestamp, own: impl Fn(&BackendLife) -> bool) -> usize {
+    pub fn simultaneous(
+        &self,
+        moment: Timestamp,
+        own: impl Fn(&BackendIncarnation) -> bool,
+    ) -> usize {
         let others = self.crashes.iter().filter(|(backend, _)| !own(backend));
         others.filter(|(_, at)| are_simultaneous(*at, moment)).count()
     }
 
     /// Baseline crash rate of one back end, per million seconds: how often other back ends of the
     /// `population` of its service crashed recently, whatever they ran.
-    pub fn rate(&self, now: Timestamp, backend: &BackendLife, population: usize) -> u32 {
+    pub fn rate(&self, now: Timestamp, backend: &BackendIncarnation, population: usize) -> u32 {
         let others = self.recent(now).filter(|(other, _)| other != backend).count();
         let back_end_seconds = population.max(1) as f64 * WINDOW_MS as f64 / 1_000.0;
         ((others as f64 / back_end_seconds).max(MIN_RATE_PER_SECOND) * MILLIONTHS) as u32
     }
 
-    fn recent(&self, now: Timestamp) -> impl Iterator<Item = &(BackendLife, Timestamp)> {
+    fn recent(&self, now: Timestamp) -> impl Iterator<Item = &(BackendIncarnation, Timestamp)> {
         self.crashes.iter().filter(move |(_, at)| now.millis_since(*at) < WINDOW_MS)
     }
 
     /// Recent crashes to report to other processes, newest first.
     pub fn recent_crashes(&self, now: Timestamp) -> Vec<CrashedBackend> {
-        let to_info = |(backend, at): &(BackendLife, Timestamp)| CrashedBackend {
+        let to_info = |(backend, at): &(BackendIncarnation, Timestamp)| CrashedBackend {
             backend: backend.clone(),
             crashed_age_ms: now.millis_since(*at),
         };
--- a/crates/suspects/src/entry.rs
+++ b/crates/suspects/src/entry.rs
@@ -2,11 +2,11 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 use yokefall_core::Timestamp;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 use crate::background::{are_simultaneous, is_same_crash, surprisal, Background, CERTAIN};
 use crate::digest::RequestDigest;
-use crate::message::{CrashInfo, SuspectNews};
+use crate::message::{CrashInfo, SuspectUpdate};
 
 /// Number of consecutive crashes from which a request runs isolated: a single one may be chance.
 pub(crate) const CRASHES_TO_ISOLATE: usize = 2;
@@ -54,7 +54,7 @@
 /// A crash of a back end while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Crash {
-    pub(crate) backend: BackendLife,
+    pub(crate) backend: BackendIncarnation,
     /// When the request was sent there; the earliest time if it was sent more than once.
     pub(crate) sent_at: Timestamp,
     pub(crate) crashed_at: Timestamp,
@@ -114,11 +114,11 @@
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SuspectStatus {
     /// It may be sent.
     Free,
     /// It may be sent to a back end that the leader of the job stores grants.
-    Alone,
+    Isolated,
     /// It may not be sent.
     HeldBack {
         /// Time until it may run isolated once, in milliseconds.
@@ -128,7 +128,7 @@
 
 /// Origin of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sender {
+pub enum RequestSource {
     /// A client, which retries when it is told to.
     Client,
     /// A job that the request is an item of.
@@ -163,10 +163,10 @@
     }
 
     /// When it may run isolated, after crashes that chance may explain.
-    pub(crate) fn isolation_due(&self, series: Series, sender: Sender) -> Timestamp {
+    pub(crate) fn isolation_due(&self, series: Series, sender: RequestSource) -> Timestamp {
         let longest = match sender {
-            Sender::Client => MAX_ISOLATION_BACKOFF_MS,
-            Sender::Job => MAX_ITEM_ISOLATION_BACKOFF_MS,
+            RequestSource::Client => MAX_ISOLATION_BACKOFF_MS,
+            RequestSource::Job => MAX_ITEM_ISOLATION_BACKOFF_MS,
         };
         let further = series.count.saturating_sub(CRASHES_TO_ISOLATE) as u32;
         let wait = INITIAL_ISOLATION_BACKOFF_MS
@@ -182,18 +182,18 @@
         last.plus_millis(wait.min(MAX_PROBE_BACKOFF_MS))
     }
 
-    pub(crate) fn standing(&self, now: Timestamp, sender: Sender) -> Standing {
+    pub(crate) fn status(&self, now: Timestamp, sender: RequestSource) -> SuspectStatus {
         let series = self.series();
         if !series.needs_isolation() {
-            return Standing::Free;
+            return SuspectStatus::Free;
         }
         let due = match series.is_held_back() {
             true => self.probe_due(),
             false => self.isolation_due(series, sender),
         };
         match due.millis_since(now) {
-            0 => Standing::Alone,
-            wait_ms => Standing::HeldBack { wait_ms },
+            0 => SuspectStatus::Isolated,
+            wait_ms => SuspectStatus::HeldBack { wait_ms },
         }
     }
 
@@ -231,9 +231,9 @@
 
     /// Crashes at about the time of crashes that this request was not present at prove nothing.
     pub(crate) fn discount_simultaneous(&mut self, background: &Background, at: Timestamp) {
-        let own: Vec<BackendLife> =
+        let own: Vec<BackendIncarnation> =
             self.crashes.iter().map(|crash| crash.backend.clone()).collect();
-        let is_own = |backend: &BackendLife| own.contains(backend);
+        let is_own = |backend: &BackendIncarnation| own.contains(backend);
         let is_near = |crash: &&mut Crash| are_simultaneous(crash.crashed_at, at);
         for crash in self.crashes.iter_mut().filter(is_near) {
             if background.simultaneous(crash.crashed_at, is_own) >= SIMULTANEOUS_CRASHES {
@@ -268,7 +268,7 @@
         now.millis_since(self.changed_at) >= lifetime
     }
 
-    pub(crate) fn update(&self, now: Timestamp, digest: RequestDigest) -> SuspectNews {
+    pub(crate) fn update(&self, now: Timestamp, digest: RequestDigest) -> SuspectUpdate {
         let age = |at: Timestamp| now.millis_since(at);
         let crash = |crash: &Crash| CrashInfo {
             backend: crash.backend.clone(),
@@ -276,7 +276,7 @@
             crashed_age_ms: age(crash.crashed_at),
             rate: crash.rate,
         };
-        SuspectNews {
+        SuspectUpdate {
             digest,
             crashes: self.crashes.iter().map(crash).collect(),
             answered_age_ms: self.answered_at.map(age),
@@ -290,7 +290,7 @@
     /// Hash of the content, excluding times.
     pub(crate) fn fingerprint(&self, digest: &RequestDigest) -> u64 {
         let mut bytes = digest.bytes().to_vec();
-        let mut crashes: Vec<(&BackendLife, u32)> =
+        let mut crashes: Vec<(&BackendIncarnation, u32)> =
             self.crashes.iter().map(|crash| (&crash.backend, crash.rate)).collect();
         crashes.sort_unstable();
         for (backend, rate) in crashes {
--- a/crates/suspects/src/exit_check.rs
+++ b/crates/suspects/src/exit_check.rs
@@ -10,7 +10,7 @@
 
 use tokio::net::TcpStream;
 use tokio::sync::OnceCell;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 /// Timeout of the check: many round trips between regions, and shorter than the shortest timeout of
 /// a request that may go to another back end.
@@ -20,7 +20,7 @@
 /// nothing about the next.
 #[derive(Debug, Default)]
 pub struct ExitChecks {
-    checks: RefCell<HashMap<BackendLife, Rc<OnceCell<bool>>>>,
+    checks: RefCell<HashMap<BackendIncarnation, Rc<OnceCell<bool>>>>,
 }
 
 impl ExitChecks {
@@ -29,7 +29,7 @@
     ///
     /// Only a refused connection proves it. A running back end accepts one, or resets it later; one
     /// behind a network partition does not respond.
-    pub async fn has_exited(&self, backend: &BackendLife, address: SocketAddr) -> bool {
+    pub async fn has_exited(&self, backend: &BackendIncarnation, address: SocketAddr) -> bool {
         let check = self.checks.borrow_mut().entry(backend.clone()).or_default().clone();
         let has_exited = *check.get_or_init(|| refuses(address)).await;
         // A running back end may crash later, and one that reports no start time may be back after
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod table;
 
 pub use digest::{RequestDigest, RequestIdentity};
-pub use entry::{Sender, Standing};
-pub use message::{CrashInfo, CrashedBackend, Grant, SuspectNews, SuspectReport};
-pub use registry::{AloneRun, DisconnectCause, Registry};
+pub use entry::{RequestSource, SuspectStatus};
+pub use message::{CrashInfo, CrashedBackend, Grant, SuspectReport, SuspectUpdate};
+pub use registry::{DisconnectCause, IsolatedRun, Registry};
 pub use table::Table;
--- a/crates/suspects/src/message.rs
+++ b/crates/suspects/src/message.rs
@@ -2,7 +2,7 @@
 //! when it sends, since the clocks of processes have no common origin.
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 use crate::digest::RequestDigest;
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CrashInfo {
     /// The back end, in the incarnation that crashed.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// Time since the request was sent there, in milliseconds.
     pub started_age_ms: u64,
     /// Time since the back end crashed, in milliseconds.
@@ -30,14 +30,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CrashedBackend {
     /// The back end, in the incarnation that crashed.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// Time since it crashed, in milliseconds.
     pub crashed_age_ms: u64,
 }
 
 /// What a process knows about one request.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct SuspectNews {
+pub struct SuspectUpdate {
     /// The request.
     pub digest: RequestDigest,
     /// Crashes under it since it was last answered.
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspectReport {
     /// Suspected requests.
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectUpdate>,
     /// Recent crashes: their rate determines how much a single crash proves.
-    pub ended: Vec<CrashedBackend>,
+    pub crashed_backends: Vec<CrashedBackend>,
 }
 
 /// Response to the question whether a suspect may run isolated.
@@ -70,7 +70,7 @@
     /// It may run now at the named back end.
     Granted,
     /// Another suspect is running isolated at that back end.
-    OtherBackend,
+    BackendBusy,
     /// It may not run now.
     Wait {
         /// Time after which to ask again, in milliseconds.
--- a/crates/suspects/src/notices.rs
+++ b/crates/suspects/src/notices.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use yokefall_serving::FleetCell;
 
-use crate::message::{SuspectNews, SuspectReport};
+use crate::message::{SuspectReport, SuspectUpdate};
 use crate::registry::Registry;
 
 /// Maximum number of requests in one notice, a datagram of about 1 KB.
@@ -22,7 +22,7 @@
 const SEND_INTERVAL_PER_PROCESS: Duration = Duration::from_millis(2);
 
 /// Broadcasts what this process learns until the process ends. `outgoing` carries encoded notices.
-pub async fn tell(registry: Rc<Registry>, fleet: FleetCell, outgoing: UnboundedSender<Vec<u8>>) {
+pub async fn publish(registry: Rc<Registry>, fleet: FleetCell, outgoing: UnboundedSender<Vec<u8>>) {
     loop {
         if registry.unpublished.borrow().is_empty() {
             registry.has_unpublished.notified().await;
@@ -41,15 +41,15 @@
 }
 
 /// Updates for the requests with the most crashes.
-fn next_updates(registry: &Registry) -> Vec<SuspectNews> {
+fn next_updates(registry: &Registry) -> Vec<SuspectUpdate> {
     let mut unpublished = registry.unpublished.borrow_mut();
     unpublished.sort_by_key(|digest| Reverse(registry.crash_count(digest)));
     let count = unpublished.len().min(UPDATES_PER_NOTICE);
-    unpublished.drain(..count).filter_map(|digest| registry.news_of(&digest)).collect()
+    unpublished.drain(..count).filter_map(|digest| registry.update_for(&digest)).collect()
 }
 
 /// Applies the notices of other processes until the process ends.
-pub async fn hear(registry: Rc<Registry>, mut incoming: UnboundedReceiver<Vec<u8>>) {
+pub async fn receive(registry: Rc<Registry>, mut incoming: UnboundedReceiver<Vec<u8>>) {
     while let Some(notice) = incoming.recv().await {
         match borsh::from_slice::<SuspectReport>(&notice) {
             Ok(report) => registry.take(report),
--- a/crates/suspects/src/registry.rs
+++ b/crates/suspects/src/registry.rs
@@ -9,14 +9,14 @@
 use tokio::time::Instant;
 use yokefall_clock::ElapsedClock;
 use yokefall_core::Timestamp;
-use yokefall_serving::{Backend, BackendLife, CatalogCell};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_serving::{Backend, BackendIncarnation, CatalogCell};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::background::is_same_crash;
 use crate::digest::RequestDigest;
-use crate::entry::{Sender, Standing};
+use crate::entry::{RequestSource, SuspectStatus};
 use crate::exit_check::ExitChecks;
-use crate::message::{Grant, SuspectNews, SuspectReport};
+use crate::message::{Grant, SuspectReport, SuspectUpdate};
 use crate::table::Table;
 
 /// Time of this process's table at its start, in milliseconds: a day, which is longer than anything
@@ -39,15 +39,15 @@
 /// An isolated run of a suspect, which ends when this is dropped. A run that ends without an answer
 /// and without a crash (its client disconnected, or it was preempted) must not block the next one.
 #[derive(Debug)]
-pub struct AloneRun {
+pub struct IsolatedRun {
     registry: Rc<Registry>,
     digest: RequestDigest,
 }
 
-impl Drop for AloneRun {
+impl Drop for IsolatedRun {
     fn drop(&mut self) {
         // It is not known here whether the back end had started it.
-        self.registry.note_concluded(&self.digest, Duration::ZERO);
+        self.registry.record_inconclusive_run(&self.digest, Duration::ZERO);
     }
 }
 
@@ -59,7 +59,7 @@
     checks: ExitChecks,
     clock: ElapsedClock,
     /// Incarnations whose crash has been logged, and when.
-    logged_crashes: RefCell<Vec<(BackendLife, Timestamp)>>,
+    logged_crashes: RefCell<Vec<(BackendIncarnation, Timestamp)>>,
     /// Requests about which this process learned something that is not sent to other processes yet.
     pub(crate) unpublished: RefCell<Vec<RequestDigest>>,
     /// Notified when there is something to send.
@@ -98,8 +98,8 @@
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, digest: &RequestDigest) -> Standing {
-        self.table.borrow().standing(self.now(), digest)
+    pub fn status(&self, digest: &RequestDigest) -> SuspectStatus {
+        self.table.borrow().status(self.now(), digest)
     }
 
     /// Number of consecutive crashes under a request since it was last answered.
@@ -112,27 +112,27 @@
     /// to leave is no evidence. Neither is that of an earlier incarnation of one that is back: it
     /// may have drained, and whoever accepts or refuses connections at its address now is another
     /// process.
-    pub async fn note_break(
+    pub async fn record_disconnect(
         &self,
         backend: &Backend,
         sent: Instant,
         digest: impl FnOnce() -> RequestDigest,
     ) -> DisconnectCause {
-        let life = backend.life();
-        let is_leaving = !self.catalog.load().is_ready_life(&life);
-        if is_leaving || !self.checks.has_exited(&life, backend.address).await {
+        let incarnation = backend.incarnation();
+        let is_leaving = !self.catalog.load().is_ready_incarnation(&incarnation);
+        if is_leaving || !self.checks.has_exited(&incarnation, backend.address).await {
             return DisconnectCause::Unknown;
         }
         let digest = digest();
         let before = self.is_held_back(&digest);
         let population =
             self.catalog.load().ready_table(&backend.service).map_or(0, |table| table.len());
-        let crashed = (&life, population);
+        let crashed = (&incarnation, population);
         let sent_at = self.clock.at(sent).plus_millis(TIME_BEFORE_START_MS);
         self.table.borrow_mut().record_crash(self.now(), digest, crashed, sent_at);
         let crash_count = self.crash_count(&digest);
         self.log_crash(backend);
-        Line::new(EventName::BackendEndedUnder)
+        LogLine::new(EventName::BackendEndedUnder)
             .id(digest)
             .text("backend", &backend.id)
             .field("started_ms", backend.started_ms)
@@ -146,18 +146,18 @@
 
     /// Logs the crash of a back end once, for the first request that detects it.
     fn log_crash(&self, backend: &Backend) {
-        let (mut logged, now, life) =
-            (self.logged_crashes.borrow_mut(), self.now(), backend.life());
-        if logged.iter().any(|(known, at)| is_same_crash((known, *at), (&life, now))) {
+        let (mut logged, now, incarnation) =
+            (self.logged_crashes.borrow_mut(), self.now(), backend.incarnation());
+        if logged.iter().any(|(known, at)| is_same_crash((known, *at), (&incarnation, now))) {
             return;
         }
         if logged.len() >= MAX_LOGGED_CRASHES {
             logged.remove(0);
         }
-        logged.push((life, now));
+        logged.push((incarnation, now));
         metrics::counter!("backends_ended_total", "service" => backend.service.clone())
             .increment(1);
-        Line::new(EventName::BackendEnded)
+        LogLine::new(EventName::BackendEnded)
             .id(&backend.id)
             .field("started_ms", backend.started_ms)
             .text("address", backend.address)
@@ -172,11 +172,11 @@
         }
         self.update_gauge();
         metrics::counter!("suspects_held_back_total").increment(1);
-        let wait_ms = match self.standing(digest) {
-            Standing::HeldBack { wait_ms } => wait_ms,
-            Standing::Free | Standing::Alone => 0,
+        let wait_ms = match self.status(digest) {
+            SuspectStatus::HeldBack { wait_ms } => wait_ms,
+            SuspectStatus::Free | SuspectStatus::Isolated => 0,
         };
-        Line::new(EventName::SuspectHeldBack)
+        LogLine::new(EventName::SuspectHeldBack)
             .id(digest)
             .field("ends", self.crash_count(digest))
             .field("wait_ms", wait_ms)
@@ -192,9 +192,9 @@
     }
 
     /// Records that a back end answered a request completely.
-    pub fn note_answer(&self, digest: &RequestDigest) {
+    pub fn record_answer(&self, digest: &RequestDigest) {
         let was_held_back = self.is_held_back(digest);
-        let cleared = self.table.borrow_mut().note_answer(self.now(), digest);
+        let cleared = self.table.borrow_mut().record_answer(self.now(), digest);
         if cleared < MIN_CRASHES_TO_PUBLISH {
             return;
         }
@@ -203,7 +203,7 @@
             metrics::counter!("suspects_wrongly_held_back_total").increment(1);
         }
         self.update_gauge();
-        Line::new(EventName::SuspectCleared)
+        LogLine::new(EventName::SuspectCleared)
             .id(digest)
             .field("ends", cleared)
             .field("was_held_back", was_held_back)
@@ -212,13 +212,13 @@
     }
 
     /// Whether a request may run at a back end now; only the leader of the job stores decides this.
-    pub fn grant(&self, digest: &RequestDigest, backend: &str, sender: Sender) -> Grant {
-        if self.standing(digest) == Standing::Free {
+    pub fn grant(&self, digest: &RequestDigest, backend: &str, sender: RequestSource) -> Grant {
+        if self.status(digest) == SuspectStatus::Free {
             return Grant::Granted;
         }
         let grant = self.table.borrow_mut().grant(self.now(), digest, backend, sender);
         if grant == Grant::Granted {
-            Line::new(EventName::SuspectTried)
+            LogLine::new(EventName::SuspectTried)
                 .id(digest)
                 .text("backend", backend)
                 .field("ends", self.crash_count(digest))
@@ -229,22 +229,22 @@
     }
 
     /// Starts an isolated run, which the leader granted, until the guard is dropped.
-    pub fn run_alone(self: &Rc<Self>, digest: RequestDigest) -> AloneRun {
-        AloneRun { registry: self.clone(), digest }
+    pub fn run_isolated(self: &Rc<Self>, digest: RequestDigest) -> IsolatedRun {
+        IsolatedRun { registry: self.clone(), digest }
     }
 
     /// Records that a run finished without an answer and without a crash after the back end had
     /// worked on it for `worked`. If it was isolated, the next run may follow.
-    pub fn note_concluded(&self, digest: &RequestDigest, worked: Duration) {
+    pub fn record_inconclusive_run(&self, digest: &RequestDigest, worked: Duration) {
         let survived_ms = worked.as_millis() as u64;
-        if self.table.borrow_mut().note_concluded(self.now(), digest, survived_ms) {
+        if self.table.borrow_mut().record_inconclusive_run(self.now(), digest, survived_ms) {
             self.publish_soon(*digest);
         }
     }
 
     /// The update for one request.
-    pub fn news_of(&self, digest: &RequestDigest) -> Option<SuspectNews> {
-        self.table.borrow().news_of(self.now(), digest)
+    pub fn update_for(&self, digest: &RequestDigest) -> Option<SuspectUpdate> {
+        self.table.borrow().update_for(self.now(), digest)
     }
 
     /// All updates, up to the size of one message.
@@ -252,14 +252,17 @@
         self.report_of(self.table.borrow().updates(self.now()))
     }
 
-    pub(crate) fn report_of(&self, suspects: Vec<SuspectNews>) -> SuspectReport {
-        SuspectReport { suspects, ended: self.table.borrow().crashed_backends(self.now()) }
+    pub(crate) fn report_of(&self, suspects: Vec<SuspectUpdate>) -> SuspectReport {
+        SuspectReport {
+            suspects,
+            crashed_backends: self.table.borrow().crashed_backends(self.now()),
+        }
     }
 
     /// The report to persist in case all processes are lost: requests that are not `Free`.
-    pub fn report_to_keep(&self) -> SuspectReport {
+    pub fn persistent_report(&self) -> SuspectReport {
         let mut report = self.report();
-        report.suspects.retain(|update| self.standing(&update.digest) != Standing::Free);
+        report.suspects.retain(|update| self.status(&update.digest) != SuspectStatus::Free);
         report
     }
 
@@ -272,7 +275,7 @@
     pub fn take(&self, report: SuspectReport) {
         let now = self.now();
         let mut is_new = false;
-        self.table.borrow_mut().merge_crashed_backends(now, &report.ended);
+        self.table.borrow_mut().merge_crashed_backends(now, &report.crashed_backends);
         for update in report.suspects {
             let digest = update.digest;
             let before = self.is_held_back(&digest);
@@ -297,7 +300,7 @@
     }
 
     /// Drops expired entries.
-    pub fn forget(&self) {
+    pub fn expire(&self) {
         self.table.borrow_mut().expire(self.now());
         self.update_gauge();
     }
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -18,12 +18,14 @@
 use std::collections::HashMap;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 use crate::background::Background;
 use crate::digest::RequestDigest;
-use crate::entry::{Crash, Entry, Sender, Standing, CRASHES_TO_ISOLATE, RETRY_AFTER_MS};
-use crate::message::{CrashInfo, CrashedBackend, Grant, SuspectNews};
+use crate::entry::{
+    Crash, Entry, RequestSource, SuspectStatus, CRASHES_TO_ISOLATE, RETRY_AFTER_MS,
+};
+use crate::message::{CrashInfo, CrashedBackend, Grant, SuspectUpdate};
 
 /// Maximum number of requests, about 250 bytes each. Those with the fewest crashes are evicted
 /// first.
@@ -63,8 +65,10 @@
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, now: Timestamp, digest: &RequestDigest) -> Standing {
-        self.entries.get(digest).map_or(Standing::Free, |entry| entry.standing(now, Sender::Client))
+    pub fn status(&self, now: Timestamp, digest: &RequestDigest) -> SuspectStatus {
+        self.entries
+            .get(digest)
+            .map_or(SuspectStatus::Free, |entry| entry.status(now, RequestSource::Client))
     }
 
     /// Number of consecutive crashes under a request since it was last answered.
@@ -74,7 +78,7 @@
 
     /// Records a crash of a back end. Simultaneous crashes prove nothing against a request that ran
     /// on only some of the back ends: a rack or a network failed.
-    fn record_background_crash(&mut self, backend: &BackendLife, at: Timestamp) {
+    fn record_background_crash(&mut self, backend: &BackendIncarnation, at: Timestamp) {
         if !self.background.record(backend, at) {
             return;
         }
@@ -89,7 +93,7 @@
         &mut self,
         now: Timestamp,
         digest: RequestDigest,
-        (backend, population): (&BackendLife, usize),
+        (backend, population): (&BackendIncarnation, usize),
         sent_at: Timestamp,
     ) {
         let rate = self.background.rate(now, backend, population);
@@ -105,7 +109,7 @@
     /// Records that a run finished without an answer and without a crash after the back end had
     /// worked on it. If it was isolated, the next run may follow. Returns whether other processes
     /// should know.
-    pub fn note_concluded(
+    pub fn record_inconclusive_run(
         &mut self,
         now: Timestamp,
         digest: &RequestDigest,
@@ -122,7 +126,7 @@
     }
 
     /// Records a complete answer. Returns the number of crashes that it clears.
-    pub fn note_answer(&mut self, now: Timestamp, digest: &RequestDigest) -> usize {
+    pub fn record_answer(&mut self, now: Timestamp, digest: &RequestDigest) -> usize {
         let crash_count = self.crash_count(digest);
         if self.entries.contains_key(digest) {
             self.change(now, *digest, |entry| entry.clear(now));
@@ -138,23 +142,23 @@
         now: Timestamp,
         digest: &RequestDigest,
         backend: &str,
-        sender: Sender,
+        sender: RequestSource,
     ) -> Grant {
         let Some(entry) = self.entries.get(digest) else { return Grant::Granted };
-        match entry.standing(now, sender) {
-            Standing::Free => return Grant::Granted,
-            Standing::HeldBack { wait_ms } => return Grant::Wait { ms: wait_ms },
-            Standing::Alone if entry.is_running_isolated(now) => {
+        match entry.status(now, sender) {
+            SuspectStatus::Free => return Grant::Granted,
+            SuspectStatus::HeldBack { wait_ms } => return Grant::Wait { ms: wait_ms },
+            SuspectStatus::Isolated if entry.is_running_isolated(now) => {
                 return Grant::Wait { ms: RETRY_AFTER_MS }
             }
-            Standing::Alone => {}
+            SuspectStatus::Isolated => {}
         }
         let entries = &self.entries;
         self.granted.retain(|digest, _| {
             entries.get(digest).is_some_and(|e| !e.crashes.is_empty() && e.is_running_isolated(now))
         });
         if self.granted.values().any(|(taken, _)| taken == backend) {
-            return Grant::OtherBackend;
+            return Grant::BackendBusy;
         }
         self.granted.insert(*digest, (backend.to_owned(), now));
         self.change(now, *digest, |entry| {
@@ -168,9 +172,9 @@
     }
 
     /// Merges the update of another process. Returns whether anything was new.
-    pub fn merge(&mut self, now: Timestamp, update: SuspectNews) -> bool {
+    pub fn merge(&mut self, now: Timestamp, update: SuspectUpdate) -> bool {
         let at = |age_ms: u64| Timestamp(now.0.saturating_sub(age_ms));
-        let SuspectNews { digest, crashes, answered_age_ms, survived_ms, probes, .. } = update;
+        let SuspectUpdate { digest, crashes, answered_age_ms, survived_ms, probes, .. } = update;
         let (isolated_age_ms, inconclusive_age_ms) =
             (update.isolated_age_ms, update.inconclusive_age_ms);
         let crashed: Vec<CrashedBackend> = crashes.iter().map(CrashInfo::backend_crash).collect();
@@ -253,12 +257,12 @@
     }
 
     /// The update for one request.
-    pub fn news_of(&self, now: Timestamp, digest: &RequestDigest) -> Option<SuspectNews> {
+    pub fn update_for(&self, now: Timestamp, digest: &RequestDigest) -> Option<SuspectUpdate> {
         self.entries.get(digest).map(|entry| entry.update(now, *digest))
     }
 
     /// Updates for the requests with the most crashes, at most `MAX_UPDATES`.
-    pub fn updates(&self, now: Timestamp) -> Vec<SuspectNews> {
+    pub fn updates(&self, now: Timestamp) -> Vec<SuspectUpdate> {
         let ranked = self.ranked().into_iter();
         ranked.map(|(digest, entry)| entry.update(now, *digest)).collect()
     }
--- a/crates/upstream/src/place.rs
+++ b/crates/upstream/src/place.rs
@@ -9,14 +9,14 @@
 use tokio::time::Instant;
 use yokefall_clock::ElapsedClock;
 use yokefall_core::Timestamp;
-use yokefall_serving::{Backend, BackendLoad, Balancer, ColdStart, Outcome};
+use yokefall_serving::{Backend, BackendLoad, Balancer, ColdStartLimiter, Outcome};
 
 /// Load and health of back ends as one thread sees them.
 #[derive(Debug)]
-pub struct Places {
+pub struct SharedBalancer {
     balancer: RefCell<Balancer>,
     /// Hears of back ends that failed: they may have started again.
-    cold: Option<Rc<ColdStart>>,
+    cold: Option<Rc<ColdStartLimiter>>,
     clock: ElapsedClock,
     /// Woken when a place is taken or given back.
     pub changed: Notify,
@@ -24,7 +24,7 @@
     pub room: Notify,
 }
 
-impl Places {
+impl SharedBalancer {
     /// Nothing in flight yet.
     pub fn new(balancer: Balancer, clock: ElapsedClock) -> Rc<Self> {
         Self::build(balancer, clock, None)
@@ -34,12 +34,16 @@
     pub fn with_cold_start(
         balancer: Balancer,
         clock: ElapsedClock,
-        cold: Rc<ColdStart>,
+        cold: Rc<ColdStartLimiter>,
     ) -> Rc<Self> {
         Self::build(balancer, clock, Some(cold))
     }
 
-    fn build(balancer: Balancer, clock: ElapsedClock, cold: Option<Rc<ColdStart>>) -> Rc<Self> {
+    fn build(
+        balancer: Balancer,
+        clock: ElapsedClock,
+        cold: Option<Rc<ColdStartLimiter>>,
+    ) -> Rc<Self> {
         let balancer = RefCell::new(balancer);
         Rc::new(Self { balancer, clock, cold, changed: Notify::new(), room: Notify::new() })
     }
@@ -51,18 +55,18 @@
     }
 
     /// Takes a place at a back end.
-    pub fn take(self: &Rc<Self>, backend: Arc<Backend>) -> Place {
-        self.with(|balancer, _| balancer.started(&backend));
+    pub fn take(self: &Rc<Self>, backend: Arc<Backend>) -> BackendSlot {
+        self.with(|balancer, _| balancer.record_start(&backend));
         self.changed.notify_one();
         let taken = Instant::now();
-        Place { places: self.clone(), backend, taken, outcome: Outcome::Abandoned }
+        BackendSlot { balancer: self.clone(), backend, taken, outcome: Outcome::Abandoned }
     }
 }
 
 /// A place taken at a back end.
 #[derive(Debug)]
-pub struct Place {
-    places: Rc<Places>,
+pub struct BackendSlot {
+    balancer: Rc<SharedBalancer>,
     /// The back end.
     pub backend: Arc<Backend>,
     taken: Instant,
@@ -70,61 +74,61 @@
     pub outcome: Outcome,
 }
 
-impl Place {
+impl BackendSlot {
     /// When it was taken, right before the request went there.
-    pub fn taken(&self) -> Instant {
+    pub fn acquired_at(&self) -> Instant {
         self.taken
     }
 
     /// Something came from the back end.
-    pub fn heard(&self) {
-        self.places.with(|balancer, now| balancer.heard(now, &self.backend));
-        if let Some(cold) = &self.places.cold {
-            cold.heard(&self.backend.id);
+    pub fn record_activity(&self) {
+        self.balancer.with(|balancer, now| balancer.record_activity(now, &self.backend));
+        if let Some(cold) = &self.balancer.cold {
+            cold.record_activity(&self.backend.id);
         }
     }
 
     /// The back end has said nothing on this request for a while. Returns whether it is left out.
-    pub fn fell_silent(&self, silence: Duration) -> bool {
+    pub fn record_silence(&self, silence: Duration) -> bool {
         let silence_ms = silence.as_millis() as u64;
         // No sign that it started again: one that has too much to do is silent as well, and the connection stands.
-        self.places.with(|balancer, now| balancer.fell_silent(now, &self.backend, silence_ms))
+        self.balancer.with(|balancer, now| balancer.record_silence(now, &self.backend, silence_ms))
     }
 
     /// The back end broke off, or gave no answer in time.
-    pub fn broke(&self) {
-        if let Some(cold) = &self.places.cold {
-            cold.failed(&self.backend.id);
+    pub fn record_failure(&self) {
+        if let Some(cold) = &self.balancer.cold {
+            cold.record_failure(&self.backend.id);
         }
     }
 
     /// The back end told for how much longer it is cold.
-    pub fn told_cold(&self, remaining_ms: u64) {
-        if let Some(cold) = &self.places.cold {
-            cold.told(&self.backend, remaining_ms);
+    pub fn record_cold_remaining(&self, remaining_ms: u64) {
+        if let Some(cold) = &self.balancer.cold {
+            cold.record_report(&self.backend, remaining_ms);
         }
     }
 
     /// The back end told its load.
-    pub fn told(&self, load: BackendLoad) {
-        self.places.with(|balancer, now| balancer.told(now, &self.backend, load));
+    pub fn record_report(&self, load: BackendLoad) {
+        self.balancer.with(|balancer, now| balancer.record_report(now, &self.backend, load));
     }
 }
 
-impl Drop for Place {
+impl Drop for BackendSlot {
     fn drop(&mut self) {
         let outcome = self.outcome;
         if outcome == Outcome::Unreachable {
-            self.broke();
+            self.record_failure();
         }
         let took = self.taken.elapsed().as_secs_f64() * 1_000.0;
-        self.places.with(|balancer, now| {
-            balancer.ended(now, &self.backend, outcome);
+        self.balancer.with(|balancer, now| {
+            balancer.record_end(now, &self.backend, outcome);
             if outcome == Outcome::Answered {
-                balancer.took(&self.backend.service, took);
+                balancer.record_service_time(&self.backend.service, took);
             }
         });
-        self.places.changed.notify_one();
-        self.places.room.notify_one();
+        self.balancer.changed.notify_one();
+        self.balancer.room.notify_one();
     }
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
-use yokefall_serving::{Backend, BackendLife, ByLife};
+use yokefall_serving::{Backend, BackendIncarnation, ByIncarnation};
 
 /// Time for which a connection is kept where the back end tells none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(10);
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    pub(crate) life: BackendLife,
+    pub(crate) incarnation: BackendIncarnation,
     idle: Duration,
 }
 
@@ -71,7 +71,7 @@
     }
 
     /// Whether an answer's head says that the connection ends with it.
-    pub fn is_last(headers: &HeaderMap) -> bool {
+    pub fn closes_after(headers: &HeaderMap) -> bool {
         let value = headers.get(header::CONNECTION).and_then(|value| value.to_str().ok());
         value.is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
@@ -92,7 +92,7 @@
 /// Connections of one process to all back ends.
 #[derive(Debug, Default)]
 pub struct Pool {
-    backends: RefCell<ByLife<BackendConnections>>,
+    backends: RefCell<ByIncarnation<BackendConnections>>,
 }
 
 impl Pool {
@@ -128,12 +128,12 @@
             let _ = driver.await;
             drop(open);
         });
-        Ok(Connection { sender, life: backend.life(), idle: DEFAULT_IDLE })
+        Ok(Connection { sender, incarnation: backend.incarnation(), idle: DEFAULT_IDLE })
     }
 
     fn reserve(&self, backend: &Backend, most: usize) -> Option<Rc<()>> {
         let mut backends = self.backends.borrow_mut();
-        let connections = backends.entry(backend.life());
+        let connections = backends.entry(backend.incarnation());
         (Rc::strong_count(&connections.open) <= most).then(|| connections.open.clone())
     }
 
@@ -156,7 +156,7 @@
             return;
         }
         let mut backends = self.backends.borrow_mut();
-        let Some(connections) = backends.of_life_mut(&connection.life) else { return };
+        let Some(connections) = backends.incarnation_mut(&connection.incarnation) else { return };
         let now = Instant::now();
         connections.idle.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
         let until = now + connection.idle;
@@ -165,16 +165,16 @@
 
     /// Drops what is kept to a back end that says nothing on a request. Its connections may have gone silent
     /// together and for good, while it takes new ones; each that is used would cost a request.
-    pub fn forget_kept(&self, backend: &Backend) {
+    pub fn close_idle(&self, backend: &Backend) {
         if let Some(connections) = self.backends.borrow_mut().get_mut(backend) {
             connections.idle.clear();
         }
     }
 
     /// Drops what is kept to lives that nobody knows any more.
-    pub fn retain(&self, known: impl Fn(&BackendLife) -> bool) {
-        self.backends.borrow_mut().retain(|life, connections| {
-            if known(life) {
+    pub fn retain(&self, known: impl Fn(&BackendIncarnation) -> bool) {
+        self.backends.borrow_mut().retain(|incarnation, connections| {
+            if known(incarnation) {
                 return true;
             }
             connections.idle.clear();
