--- a/crates/clock/tests/elapsed.rs
+++ b/crates/clock/tests/elapsed.rs
@@ -9,13 +9,13 @@
 use yokefall_core::Timestamp;
 
 fn simulated_clock() -> (Arc<AtomicU64>, ElapsedClock) {
-    let ms = Arc::new(AtomicU64::new(7_000));
-    let clock = ElapsedClock::new(SuspensionSource::Simulated(ms.clone()));
-    (ms, clock)
+    let suspended_ms = Arc::new(AtomicU64::new(7_000));
+    let clock = ElapsedClock::new(SuspensionSource::Simulated(suspended_ms.clone()));
+    (suspended_ms, clock)
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_runs_with_the_steady_clock_while_the_machine_runs() {
+async fn it_follows_the_monotonic_clock_without_suspension() {
     let (_, clock) = simulated_clock();
     assert_eq!(clock.now(), Timestamp(0));
     tokio::time::sleep(Duration::from_millis(250)).await;
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_counts_a_suspension_that_the_steady_clock_does_not_see() {
+async fn it_includes_a_suspension_that_the_monotonic_clock_misses() {
     let (suspended, clock) = simulated_clock();
     tokio::time::sleep(Duration::from_millis(250)).await;
     let steady = Instant::now();
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_never_goes_back_and_does_not_take_a_late_reading_for_a_suspension() {
+async fn it_never_decreases_and_ignores_skew_between_clock_readings() {
     let (suspended, clock) = simulated_clock();
     suspended.fetch_add(40, Ordering::Relaxed);
     assert_eq!(clock.now(), Timestamp(0));
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_timer_for_one_of_its_moments_waits_for_what_is_left() {
+async fn a_timer_waits_for_the_remaining_time() {
     let (suspended, clock) = simulated_clock();
     let lease_ends = clock.now().plus_millis(6_000);
     assert_eq!(clock.timer_at(lease_ends), Instant::now() + Duration::from_millis(6_000));
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn the_clocks_of_this_machine_tell_no_suspension_while_it_runs() {
+async fn the_clocks_of_a_running_machine_show_no_suspension() {
     let clock = ElapsedClock::new(SuspensionSource::Machine);
     let before = clock.now();
     let steady = Instant::now();
--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -46,15 +46,15 @@
 /// Computes the next step. One voter changes at a time, and a replacement becomes a voter before
 /// the old voter is removed, so that the group is a pair only if there are no more than two
 /// machines for it.
-pub fn next_step(node: &Consensus, now: Millis, wishes: &DesiredMembership) -> Step {
+pub fn next_step(node: &Consensus, now: Millis, desired: &DesiredMembership) -> Step {
     let members = node.members();
-    let step = admit(node, now, members, wishes)
+    let step = admit(node, now, members, desired)
         .or_else(|| replace_lost_disk(node, now, members))
-        .or_else(|| promote(node, now, members, wishes))
-        .or_else(|| remove_leaving(node, now, members, wishes))
-        .or_else(|| drop_unresponsive_voter(node, now, members, wishes))
+        .or_else(|| promote(node, now, members, desired))
+        .or_else(|| remove_leaving(node, now, members, desired))
+        .or_else(|| drop_unresponsive_voter(node, now, members, desired))
         .or_else(|| drop_unresponsive_learner(node, now, members))
-        .or_else(|| rebalance_zones(node, now, members, wishes));
+        .or_else(|| rebalance_zones(node, now, members, desired));
     step.unwrap_or(Step::Idle)
 }
 
@@ -74,8 +74,9 @@
     let is_lost = |voter: &MemberId| {
         joining.iter().any(|member| member.name == voter.name && member != voter)
     };
-    let lost = node.members().voters.iter().any(|voter| voter != node.id() && is_lost(voter));
-    let timeout = if lost { LOST_DISK_TIMEOUT_MS } else { PAIR_TIMEOUT_MS };
+    let other_disk_lost =
+        node.members().voters.iter().any(|voter| voter != node.id() && is_lost(voter));
+    let timeout = if other_disk_lost { LOST_DISK_TIMEOUT_MS } else { PAIR_TIMEOUT_MS };
     node.leaderless_ms(now) >= timeout
 }
 
@@ -110,8 +111,8 @@
 }
 
 /// Whether a member that asks to join may belong to the group at all.
-fn may_join(members: &Members, wishes: &DesiredMembership, member: &MemberId) -> bool {
-    !members.contains(member) && !wishes.leaving.contains(&member.name)
+fn may_join(members: &Members, desired: &DesiredMembership, member: &MemberId) -> bool {
+    !members.contains(member) && !desired.leaving.contains(&member.name)
 }
 
 /// Admits a member that asks to join as a learner if the group has too few voters or is about to.
@@ -122,17 +123,18 @@
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
     let stays = |member: &&MemberId| {
-        node.silent_ms(now, member) < VOTER_TIMEOUT_MS && !wishes.leaving.contains(&member.name)
+        node.silent_ms(now, member) < VOTER_TIMEOUT_MS && !desired.leaving.contains(&member.name)
     };
     let staying = members.all().filter(stays).count();
     let wanted = |member: &&MemberId| {
         let known = members.all().any(|held| held.name == member.name);
-        may_join(members, wishes, member) && (known || staying < wishes.voters)
+        may_join(members, desired, member) && (known || staying < desired.voters)
     };
-    let joining = wishes.zones.from_smallest_zone(members, wishes.joining.iter().filter(wanted))?;
+    let joining =
+        desired.zones.from_smallest_zone(members, desired.joining.iter().filter(wanted))?;
     let mut members = members.clone();
     members.learners.retain(|learner| learner.name != joining.name);
     members.learners.push(joining.clone());
@@ -146,24 +148,24 @@
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
     let learner = members.learners.iter().find(|learner| {
         is_caught_up(node, now, learner)
-            && !wishes.leaving.contains(&learner.name)
+            && !desired.leaving.contains(&learner.name)
             && !members.voters.iter().any(|voter| voter.name == learner.name)
     })?;
-    let answers = |voter: &&MemberId| node.silent_ms(now, voter) < VOTER_TIMEOUT_MS;
-    let answering = members.voters.iter().filter(answers).count();
+    let responds = |voter: &&MemberId| node.silent_ms(now, voter) < VOTER_TIMEOUT_MS;
+    let responding = members.voters.iter().filter(responds).count();
     let staying = members
         .voters
         .iter()
-        .filter(answers)
-        .filter(|voter| !wishes.leaving.contains(&voter.name))
+        .filter(responds)
+        .filter(|voter| !desired.leaving.contains(&voter.name))
         .count();
     let voters_after = members.voters.len() + 1;
     let quorum_after = voters_after / 2 + 1;
-    if staying >= wishes.voters || answering + 1 < quorum_after {
+    if staying >= desired.voters || responding + 1 < quorum_after {
         return None;
     }
     let mut members = members.clone();
@@ -179,23 +181,23 @@
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
-    let answers = |member: &MemberId| node.silent_ms(now, member) < VOTER_TIMEOUT_MS;
-    if !members.voters.iter().all(answers) || !node.members_durably_committed() {
+    let responds = |member: &MemberId| node.silent_ms(now, member) < VOTER_TIMEOUT_MS;
+    if !members.voters.iter().all(responds) || !node.members_durably_committed() {
         return None;
     }
     let voter_to_replace =
-        |by: &MemberId| wishes.zones.voter_to_replace(&members.voters, by, node.id());
-    if members.voters.len() > wishes.voters {
-        let gone = members.voters.iter().find_map(voter_to_replace)?;
-        return Some(Step::Change(without(members, gone)));
+        |by: &MemberId| desired.zones.voter_to_replace(&members.voters, by, node.id());
+    if members.voters.len() > desired.voters {
+        let removed = members.voters.iter().find_map(voter_to_replace)?;
+        return Some(Step::Change(without(members, removed)));
     }
-    if members.voters.len() < wishes.voters {
+    if members.voters.len() < desired.voters {
         return None;
     }
     let may_vote = |learner: &&MemberId| {
-        is_caught_up(node, now, learner) && !wishes.leaving.contains(&learner.name)
+        is_caught_up(node, now, learner) && !desired.leaving.contains(&learner.name)
     };
     let moves = |member: &&MemberId| voter_to_replace(member).is_some();
     let mut changed = members.clone();
@@ -207,9 +209,9 @@
     if !members.learners.is_empty() {
         return None;
     }
-    let may_learn = |member: &&MemberId| may_join(members, wishes, member) && moves(member);
-    let asking = wishes.joining.iter().filter(may_learn);
-    changed.learners.push(wishes.zones.from_smallest_zone(members, asking)?.clone());
+    let may_learn = |member: &&MemberId| may_join(members, desired, member) && moves(member);
+    let asking = desired.joining.iter().filter(may_learn);
+    changed.learners.push(desired.zones.from_smallest_zone(members, asking)?.clone());
     Some(Step::Change(changed))
 }
 
@@ -218,19 +220,19 @@
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
-    let silent = |voter: &&MemberId| node.silent_ms(now, voter) >= VOTER_TIMEOUT_MS;
-    let gone = members.voters.iter().find(silent)?;
-    (members.voters.len() > wishes.voters).then(|| Step::Change(without(members, gone)))
+    let is_unresponsive = |voter: &&MemberId| node.silent_ms(now, voter) >= VOTER_TIMEOUT_MS;
+    let removed = members.voters.iter().find(is_unresponsive)?;
+    (members.voters.len() > desired.voters).then(|| Step::Change(without(members, removed)))
 }
 
 /// Removes a learner that has not responded for long: each attempt to reach it may cost a copy of
 /// the whole state.
 fn drop_unresponsive_learner(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
-    let silent = |learner: &&MemberId| node.silent_ms(now, learner) >= LEARNER_TIMEOUT_MS;
-    let gone = members.learners.iter().find(silent)?;
-    Some(Step::Change(without(members, gone)))
+    let is_unresponsive = |learner: &&MemberId| node.silent_ms(now, learner) >= LEARNER_TIMEOUT_MS;
+    let removed = members.learners.iter().find(is_unresponsive)?;
+    Some(Step::Change(without(members, removed)))
 }
 
 /// Removes a member that is being drained, once enough caught-up voters remain: as many as desired
@@ -239,25 +241,25 @@
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
-    let leaving = members.all().find(|member| wishes.leaving.contains(&member.name))?;
+    let leaving = members.all().find(|member| desired.leaving.contains(&member.name))?;
     let others: Vec<&MemberId> = members
         .voters
         .iter()
-        .filter(|voter| *voter != leaving && !wishes.leaving.contains(&voter.name))
+        .filter(|voter| *voter != leaving && !desired.leaving.contains(&voter.name))
         // The removal commits only once a quorum of them has every entry before it.
         .filter(|voter| is_caught_up(node, now, voter))
         .collect();
-    let can_fill = |member: &&MemberId| !wishes.leaving.contains(&member.name);
+    let can_fill = |member: &&MemberId| !desired.leaving.contains(&member.name);
     let learners = members.learners.iter().filter(can_fill);
     let successor =
         learners.into_iter().any(|learner| node.silent_ms(now, learner) < VOTER_TIMEOUT_MS)
-            || wishes.joining.iter().any(|member| may_join(members, wishes, member));
+            || desired.joining.iter().any(|member| may_join(members, desired, member));
     let is_voter = members.voters.contains(leaving);
     let enough = match successor && is_voter {
-        true => wishes.voters,
-        false => wishes.voters.min(2),
+        true => desired.voters,
+        false => desired.voters.min(2),
     };
     if others.len() < enough {
         return None;
--- a/crates/consensus/src/zones.rs
+++ b/crates/consensus/src/zones.rs
@@ -54,11 +54,12 @@
         if voters.iter().any(|voter| self.of(voter).is_none()) {
             return None;
         }
-        let beside_it = self.count_in_zone_of(by, voters.iter().filter(|voter| *voter != by));
+        let count_beside_candidate =
+            self.count_in_zone_of(by, voters.iter().filter(|voter| *voter != by));
         let crowded = |voter: &&MemberId| {
             *voter != leader
                 && *voter != by
-                && self.count_in_zone_of(voter, voters) >= beside_it + 2
+                && self.count_in_zone_of(voter, voters) >= count_beside_candidate + 2
         };
         let most = |voter: &&MemberId| (self.count_in_zone_of(voter, voters), voter.name.clone());
         voters.iter().filter(crowded).max_by_key(most)
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -1,12 +1,12 @@
-//! A member that has nothing is brought up to date without sending anything much more than once.
+//! Bringing an empty member up to date without sending much more than one copy of the log.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use yokefall_consensus::{Body, Consensus, MemberId, Members, Message, Millis, Recovered};
 
-/// Time from one member to the other, in milliseconds: a link with a full queue.
+/// One-way latency between the members, in milliseconds: a link with a full queue.
 const LATENCY_MS: Millis = 30;
-/// Entries before the learner comes, and their size in bytes.
+/// Number of entries before the learner joins, and their size in bytes.
 const ENTRIES: u64 = 2_000;
 const ENTRY_BYTES: usize = 2_000;
 
@@ -18,7 +18,7 @@
     Consensus::new(member(name), Recovered::default(), 0, 1)
 }
 
-/// Carries out effects with a disk that syncs at once; gives the messages.
+/// Carries out effects with a disk that syncs immediately; returns the messages.
 fn drain(core: &mut Consensus, now: Millis) -> Vec<Message> {
     let mut messages = Vec::new();
     loop {
@@ -44,8 +44,8 @@
     }
 }
 
-/// Found by a day of the users' bench: refusals of messages that were under way had the whole window
-/// sent again, each of them, and links filled with entries that were there already.
+/// Guards against resending the whole window for each rejection of a message in flight, which
+/// filled links with entries that the learner already had.
 #[test]
 fn a_learner_is_sent_each_entry_about_once() {
     let mut leader = core("a");
@@ -85,8 +85,8 @@
     assert!(sent < entries * 3 / 2, "{sent} entries were sent for {entries}");
 }
 
-/// Members with a disk that syncs at once and links that take a millisecond, and long for a state;
-/// `dead` ones hear nothing.
+/// Members with disks that sync immediately and links with a latency of one millisecond, except for
+/// snapshots; `dead` members receive nothing.
 struct Group {
     now: Millis,
     members: Vec<Consensus>,
@@ -96,7 +96,7 @@
     states_sent: usize,
 }
 
-/// Time that a state takes, in milliseconds.
+/// Latency of a snapshot, in milliseconds.
 const STATE_LATENCY_MS: Millis = 700;
 
 impl Group {
@@ -167,10 +167,10 @@
 
 const STATE: &[u8] = b"the state";
 
-/// Found by a day of the users' bench: states go out one at a time, and a voter that is gone for good
-/// got one after the other, so that the member which was to take its place never had any.
+/// Guards against starving a learner. Snapshots are sent one at a time, and a voter that was lost
+/// for good got one after the other, so that the member that was to replace it never received any.
 #[test]
-fn a_member_that_is_gone_does_not_keep_the_state_from_another() {
+fn a_lost_member_does_not_block_the_snapshot_of_another() {
     let mut group = Group::of(&["a", "b", "c", "d"]);
     group.at("a").bootstrap(0);
     group.run(10);
@@ -201,6 +201,6 @@
     let now = group.now;
     assert!(group.at("b").change_members(now, members));
     group.run(8_000);
-    assert_eq!(group.applied.get("d"), Some(&1), "the learner has no state");
-    assert_eq!(group.states_sent, 1, "the state was sent again while it was under way");
+    assert_eq!(group.applied.get("d"), Some(&1), "the learner got no snapshot");
+    assert_eq!(group.states_sent, 1, "the snapshot was sent again while it was in flight");
 }
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -1,11 +1,12 @@
-//! Randomized histories of a group against an oracle: what was acknowledged stays, a position never
-//! changes, and a read misses nothing. `HISTORIES` sets how many are played.
+//! Randomized histories of a group, checked against an oracle: acknowledged commands are kept, an
+//! index never changes its content, and a read misses nothing. `HISTORIES` sets the number of
+//! histories.
 
 mod support;
 
 use support::{play, play_pair, play_standby, Mutation, ALL_FAULTS};
 
-/// Histories in CI.
+/// Number of histories in CI.
 const HISTORIES: u64 = 400;
 
 fn histories() -> u64 {
@@ -13,7 +14,7 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_under_any_fault() {
+fn acknowledged_commands_survive_any_fault() {
     let threads = 4;
     let total = histories();
     let play_part = move |part: u64| {
@@ -29,47 +30,47 @@
     }
 }
 
-fn is_found(mutation: Mutation) -> bool {
+fn is_detected(mutation: Mutation) -> bool {
     (0..histories()).any(|seed| play(seed, ALL_FAULTS, mutation).is_err())
 }
 
 #[test]
-fn an_answer_before_the_sync_is_found() {
-    assert!(is_found(Mutation::AnswerBeforeSync));
+fn a_response_before_the_sync_is_detected() {
+    assert!(is_detected(Mutation::RespondBeforeSync));
 }
 
 #[test]
-fn a_lost_disk_that_votes_is_found() {
-    assert!(is_found(Mutation::WipedDiskVotes));
+fn a_lost_disk_that_votes_is_detected() {
+    assert!(is_detected(Mutation::WipedDiskVotes));
 }
 
 #[test]
-fn a_read_without_a_lease_is_found() {
-    assert!(is_found(Mutation::ReadWithoutLease));
+fn a_read_without_a_lease_is_detected() {
+    assert!(is_detected(Mutation::ReadWithoutLease));
 }
 
-/// Histories with machines that stand by in CI.
+/// Number of histories with standby machines in CI.
 const STANDBY_HISTORIES: u64 = 60;
 
 #[test]
-fn a_group_with_machines_that_stand_by_is_filled_from_them() {
+fn a_group_with_standby_machines_is_filled_from_them() {
     for seed in 0..STANDBY_HISTORIES {
         play_standby(seed).unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
-/// Histories of a pair in CI.
+/// Number of histories of a pair in CI.
 const PAIR_HISTORIES: u64 = 60;
 
 #[test]
-fn a_pair_that_loses_sight_of_each_other_goes_on_as_one() {
+fn a_partitioned_pair_continues_as_one_group() {
     for seed in 0..PAIR_HISTORIES {
         play_pair(seed, Mutation::None).unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
 #[test]
-fn going_on_alone_without_a_claim_is_found() {
-    let found = |seed| play_pair(seed, Mutation::AloneWithoutClaim).is_err();
+fn becoming_sole_voter_without_a_claim_is_detected() {
+    let found = |seed| play_pair(seed, Mutation::SoleVoterWithoutClaim).is_err();
     assert!((0..PAIR_HISTORIES).any(found));
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A group under virtual time, with disks that lose what was not synced, a network that drops,
-//! delays, repeats and cuts, and an oracle of what was acknowledged.
+//! A group in virtual time, with disks that lose what was not synced, a network that drops, delays,
+//! duplicates and partitions, and an oracle of acknowledged commands.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -14,10 +14,10 @@
     Consensus, Effects, Entry, Index, MemberId, Message, Millis, Pair, Payload, Recovered, Write,
 };
 
-/// What went wrong, for the assertion's message.
+/// Description of a violation, for the assertion message.
 pub type Violation = String;
 
-/// What a disk holds: everything written, and how much of it is synced.
+/// Contents of a disk: all writes, and how many of them are synced.
 #[derive(Clone, Debug, Default)]
 struct Disk {
     incarnation: u64,
@@ -53,7 +53,7 @@
 
 #[derive(Debug)]
 struct Batch {
-    /// Writes on the disk once this batch is synced.
+    /// Number of writes on the disk once this batch is synced.
     until: usize,
     has_writes: bool,
     held: Vec<Message>,
@@ -66,7 +66,7 @@
     disk: Disk,
     core: Option<Consensus>,
     batches: Vec<Batch>,
-    /// Commands applied by this life, by position.
+    /// Commands applied by this incarnation, by index.
     applied: BTreeMap<Index, u64>,
     frozen_until: Millis,
     disk_stalled_until: Millis,
@@ -79,26 +79,26 @@
     number: u64,
 }
 
-/// Faults that a history may hold.
+/// Kinds of faults in a history.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Processes are killed, disks keep all.
+    /// Processes are killed; disks keep everything.
     pub kills: bool,
-    /// Power is lost, alone or everywhere at once.
+    /// Power is lost, on one machine or on all at once.
     pub power: bool,
     /// Disks are lost, one at a time.
     pub wipes: bool,
-    /// Processes stand still.
+    /// Processes are frozen.
     pub freezes: bool,
-    /// Members cannot reach each other, in one direction or both.
+    /// Members are partitioned, in one direction or both.
     pub cuts: bool,
-    /// Disks answer nothing for a while.
+    /// Disks stall for a while.
     pub stalls: bool,
-    /// Machines are added, replaced and emptied.
+    /// Machines are added, replaced and drained.
     pub changes: bool,
 }
 
-/// Every fault.
+/// All kinds of faults.
 pub const ALL_FAULTS: Faults = Faults {
     kills: true,
     power: true,
@@ -109,22 +109,22 @@
     changes: true,
 };
 
-/// A mutation of the environment, to show that the oracle sees it.
+/// A defect in the environment, to show that the oracle detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// None.
+    /// No defect.
     None,
-    /// Answers leave before the disk has synced.
-    AnswerBeforeSync,
+    /// Responses are sent before the disk has synced.
+    RespondBeforeSync,
     /// A lost disk returns with its former identity.
     WipedDiskVotes,
-    /// Reads are answered by any member that thinks it leads, without a lease.
+    /// Reads are served by any member that considers itself the leader, without a lease.
     ReadWithoutLease,
-    /// A member of a pair goes on alone without having claimed it.
-    AloneWithoutClaim,
+    /// A member of a pair continues alone without a claim.
+    SoleVoterWithoutClaim,
 }
 
-/// The group.
+/// The simulated group.
 pub struct Simulation {
     now: Millis,
     random: SmallRng,
@@ -135,30 +135,30 @@
     cuts: BTreeSet<(usize, usize)>,
     loss: f64,
     next_command: u64,
-    /// Position to command, as first applied anywhere.
+    /// Commands by index, as first applied on any member.
     history: BTreeMap<Index, u64>,
-    /// Commands acknowledged to a client.
+    /// Commands that were acknowledged to a client.
     acknowledged: BTreeSet<u64>,
     pending: BTreeMap<usize, Vec<(Index, u64, u64)>>,
     mutation: Mutation,
     leaving: Vec<String>,
     /// Machines that never return.
     gone: Vec<String>,
-    /// Claims on pairs, as the platform's store records them.
+    /// Claims on pairs, as recorded by the platform's store.
     claims: BTreeMap<Pair, String>,
-    /// Whether the platform's store answers.
-    claims_answer: bool,
+    /// Whether the platform's store is available.
+    claims_available: bool,
     wipe_allowed_at: Millis,
-    /// Voters wanted.
+    /// Desired number of voters.
     voters: usize,
-    /// Machines that were emptied and are gone.
+    /// Number of machines that were drained and removed.
     retired: usize,
-    /// What happened, to print with a violation.
+    /// Events, printed with a violation.
     pub events: Vec<String>,
 }
 
 impl Simulation {
-    /// A group of `members` on empty disks.
+    /// Creates a group of `members` machines with empty disks.
     pub fn new(seed: u64, members: usize, mutation: Mutation) -> Self {
         let mut simulation = Self {
             now: 0,
@@ -177,7 +177,7 @@
             leaving: Vec::new(),
             gone: Vec::new(),
             claims: BTreeMap::new(),
-            claims_answer: true,
+            claims_available: true,
             wipe_allowed_at: 0,
             voters: 3,
             retired: 0,
@@ -270,7 +270,7 @@
         let until = node.disk.writes.len();
         let before = node.batches.last().map_or(0, |batch| batch.ready_at);
         let ready_at = (self.now + delay).max(before).max(node.disk_stalled_until);
-        if self.mutation == Mutation::AnswerBeforeSync {
+        if self.mutation == Mutation::RespondBeforeSync {
             for message in messages_after_sync {
                 self.post(at, message);
             }
@@ -281,7 +281,7 @@
         Ok(())
     }
 
-    /// Sends the applied state to members that need it whole.
+    /// Sends snapshots of the applied state to members that need one.
     fn install(&mut self, at: usize, members: &[MemberId]) {
         let state = encode(&self.nodes[at].applied);
         let Some(core) = self.nodes[at].core.as_mut() else { return };
@@ -294,7 +294,7 @@
         let command = match &entry.payload {
             Payload::Command(bytes) => u64::from_le_bytes(bytes[..8].try_into().expect("8 bytes")),
             Payload::Empty | Payload::Members(_) => {
-                // Not a command, but no less bound to its position.
+                // Not a command, but bound to its index as well.
                 let bytes = borsh::to_vec(&entry).expect("an entry");
                 bytes.iter().fold(1 << 63, |hash: u64, byte| {
                     hash.rotate_left(5).wrapping_add(u64::from(*byte)) | 1 << 63
@@ -303,7 +303,7 @@
         };
         let held = *self.history.entry(entry.index).or_insert(command);
         if held != command {
-            return Err(format!("position {} held {held}, now {command}", entry.index));
+            return Err(format!("index {} held {held}, now {command}", entry.index));
         }
         self.nodes[at].applied.insert(entry.index, command);
         let done =
@@ -320,7 +320,7 @@
     fn check_applied(&self, at: usize) -> Result<(), Violation> {
         for (index, command) in &self.nodes[at].applied {
             if self.history.get(index).is_some_and(|held| held != command) {
-                return Err(format!("snapshot differs at position {index}"));
+                return Err(format!("snapshot differs at index {index}"));
             }
         }
         Ok(())
@@ -350,7 +350,7 @@
         }
     }
 
-    /// One millisecond of every node.
+    /// Runs one millisecond on every node.
     fn step(&mut self) -> Result<(), Violation> {
         self.now += 1;
         while self.queue.peek().is_some_and(|Reverse(next)| next.at <= self.now) {
@@ -400,7 +400,7 @@
         Ok(())
     }
 
-    /// Runs for a while, with a client that proposes now and then.
+    /// Runs for a while, with a client that proposes at intervals.
     pub fn run(&mut self, milliseconds: Millis) -> Result<(), Violation> {
         let end = self.now + milliseconds;
         while self.now < end {
@@ -429,7 +429,7 @@
             let command = self.next_command;
             self.next_command += 1;
             let Some(core) = self.nodes[at].core.as_mut() else { continue };
-            // As the product does: nothing is taken before two disks can hold it.
+            // As in the job store: no command is accepted before two disks can hold it.
             if core.committed_voters() < self.voters / 2 + 1 {
                 continue;
             }
@@ -448,7 +448,7 @@
         Ok(())
     }
 
-    /// A member that may answer reads has applied everything that was acknowledged.
+    /// A member that may serve reads has applied everything that was acknowledged.
     fn read(&mut self) -> Result<(), Violation> {
         for at in self.leaders() {
             let Some(core) = self.nodes[at].core.as_ref() else { continue };
@@ -460,7 +460,7 @@
             }
             let has: BTreeSet<u64> = self.nodes[at].applied.values().copied().collect();
             if let Some(lacking) = self.acknowledged.iter().find(|command| !has.contains(command)) {
-                return Err(format!("{} reads without {lacking}", self.nodes[at].name));
+                return Err(format!("{} serves reads without {lacking}", self.nodes[at].name));
             }
         }
         Ok(())
@@ -483,8 +483,8 @@
                 self.nodes.iter().enumerate().map(|(n, node)| (node.name.clone(), zone(n))),
             );
             let leaving = self.leaving.clone();
-            let wishes = DesiredMembership { joining, leaving, voters: self.voters, zones };
-            let step = next_step(core, self.now, &wishes);
+            let desired = DesiredMembership { joining, leaving, voters: self.voters, zones };
+            let step = next_step(core, self.now, &desired);
             let pair = core.pair().filter(|_| match &step {
                 Step::Change(members) => needs_claim(core, members),
                 Step::Idle | Step::TransferLeadership(_) => false,
@@ -507,16 +507,16 @@
         self.become_sole_voter()
     }
 
-    /// Whether a member has the claim on a pair; nothing needs one where there is no pair.
+    /// Whether a member has the claim on a pair; without a pair no claim is needed.
     fn claim(&mut self, at: usize, pair: Option<Pair>) -> bool {
         let Some(pair) = pair else { return true };
-        if self.mutation == Mutation::AloneWithoutClaim {
+        if self.mutation == Mutation::SoleVoterWithoutClaim {
             return true;
         }
         let Some(me) = self.nodes[at].core.as_ref().map(|core| core.id().to_string()) else {
             return false;
         };
-        self.claims_answer && *self.claims.entry(pair).or_insert(me.clone()) == me
+        self.claims_available && *self.claims.entry(pair).or_insert(me.clone()) == me
     }
 
     fn become_sole_voter(&mut self) -> Result<(), Violation> {
@@ -542,13 +542,13 @@
             if let Some(core) = self.nodes[at].core.as_mut() {
                 core.become_sole_voter(self.now, pair);
             }
-            self.note(format!("{at} goes on alone"));
+            self.note(format!("{at} becomes the sole voter"));
             self.carry_out(at)?;
         }
         Ok(())
     }
 
-    /// A machine that is not gone.
+    /// A random machine that is not removed.
     fn any(&mut self) -> usize {
         loop {
             let at = self.random.random_range(0..self.nodes.len());
@@ -562,7 +562,8 @@
         self.gone.contains(&node.name) || self.retired > 0 && self.leaving.contains(&node.name)
     }
 
-    /// Everything that counts is back for the catch-up time: another disk may be lost.
+    /// Whether another disk may be lost: all machines are up and the time for catching up has
+    /// passed.
     fn may_wipe(&self) -> bool {
         let calm = |node: &Node| {
             self.is_gone(node) || node.core.is_some() && node.frozen_until <= self.now
@@ -573,7 +574,8 @@
             && self.is_fully_replicated()
     }
 
-    /// Whether a leader's group is whole: every place taken, by members that have everything.
+    /// Whether a leader's group is complete: every place is taken, by members that have every
+    /// entry.
     fn is_fully_replicated(&self) -> bool {
         self.leaders().iter().any(|&at| {
             let Some(core) = self.nodes[at].core.as_ref() else { return false };
@@ -590,7 +592,7 @@
         })
     }
 
-    /// One fault, and what follows it.
+    /// Injects one fault and lets it take effect.
     pub fn fault(&mut self, faults: Faults) -> Result<(), Violation> {
         let length = self.random.random_range(100..3_000);
         match self.random.random_range(0..12) {
@@ -639,7 +641,8 @@
                 self.run(length)?;
             }
             8 if faults.changes && self.may_wipe() && self.leaving.is_empty() => self.retire()?,
-            // Of a pair, one cut off for long and then the other's disk lost is more than it bears.
+            // A pair does not tolerate a long partition of one member followed by the loss of the
+            // other's disk.
             9 if faults.cuts && faults.wipes && self.retired == 0 && self.may_wipe() => {
                 self.cut_off_then_wipe(length)?;
             }
@@ -653,15 +656,15 @@
         Ok(())
     }
 
-    /// One member misses changes; then another one's disk is lost, the rest are dark, and the cut
-    /// heals: those two must not elect the past.
+    /// One member misses changes; then another one loses its disk, the rest are down, and the
+    /// partition heals: those two must not elect a leader with an outdated log.
     fn cut_off_then_wipe(&mut self, length: Millis) -> Result<(), Violation> {
         let cut_off = self.any();
         let mut wiped = (cut_off + 1) % self.nodes.len();
         while self.is_gone(&self.nodes[wiped]) || wiped == cut_off {
             wiped = (wiped + 1) % self.nodes.len();
         }
-        self.note(format!("{cut_off} is cut off, then {wiped} wiped, the others dark"));
+        self.note(format!("{cut_off} is partitioned, then {wiped} wiped, the others down"));
         for other in (0..self.nodes.len()).filter(|other| *other != cut_off) {
             self.cuts.insert((cut_off, other));
             self.cuts.insert((other, cut_off));
@@ -684,7 +687,7 @@
         Ok(())
     }
 
-    /// Every disk but one answers nothing for longer than the fault that follows.
+    /// Stalls every disk but one for longer than the fault that follows.
     fn stall_all_but_one(&mut self) {
         let spared = self.any();
         self.note(format!("stall every disk but {spared}"));
@@ -729,7 +732,7 @@
     fn cut(&mut self, length: Millis) -> Result<(), Violation> {
         let one_way = self.random.random_bool(0.3);
         let split = self.random.random_range(1..self.nodes.len());
-        self.note(format!("cut at {split} one way {one_way} for {length}"));
+        self.note(format!("partition at {split} one way {one_way} for {length}"));
         for left in 0..split {
             for right in split..self.nodes.len() {
                 self.cuts.insert((left, right));
@@ -743,11 +746,11 @@
         Ok(())
     }
 
-    /// Empties a machine; once it is out of the group its disk is gone.
+    /// Drains a machine; once it is out of the group its disk is erased.
     fn retire(&mut self) -> Result<(), Violation> {
         let at = self.any();
         let name = self.nodes[at].name.clone();
-        self.note(format!("retire {at}"));
+        self.note(format!("drain {at}"));
         self.leaving.push(name.clone());
         for _ in 0..2_000 {
             self.run(5)?;
@@ -762,7 +765,7 @@
             if out {
                 self.stop(at, true);
                 self.nodes[at].disk = Disk::default();
-                self.note(format!("retired {at}"));
+                self.note(format!("drained {at}"));
                 self.retired = 1;
                 return self.lose_another();
             }
@@ -771,7 +774,8 @@
         Ok(())
     }
 
-    /// Right after, another machine loses its disk, or is replaced by one with another name.
+    /// Immediately afterwards another machine loses its disk, or is replaced by one with another
+    /// name.
     fn lose_another(&mut self) -> Result<(), Violation> {
         let pause = self.random.random_range(1..400).max(200) - 199;
         self.run(pause)?;
@@ -784,23 +788,23 @@
         }
         self.wipe(at);
         self.wipe_allowed_at = self.now + 4_700;
-        self.claims_answer = self.random.random_bool(0.7);
+        self.claims_available = self.random.random_bool(0.7);
         self.run(1_500)?;
         if self.random.random_bool(0.5) {
             self.start(at);
         } else {
-            self.note(format!("{at} is gone, a new machine comes"));
+            self.note(format!("{at} is lost, a new machine joins"));
             self.gone.push(self.nodes[at].name.clone());
             self.add_node(false);
         }
         self.run(2_000)?;
-        self.claims_answer = true;
+        self.claims_available = true;
         self.run(6_000)
     }
 
-    /// Cuts one member off for so long that members of a pair give each other up.
+    /// Partitions one member for so long that the members of a pair give up on each other.
     fn cut_long(&mut self, at: usize) -> Result<(), Violation> {
-        self.note(format!("{at} is cut off for long"));
+        self.note(format!("{at} is partitioned for long"));
         for other in (0..self.nodes.len()).filter(|other| *other != at) {
             self.cuts.insert((at, other));
             self.cuts.insert((other, at));
@@ -810,7 +814,8 @@
         self.run(3_000)
     }
 
-    /// Ends all faults and checks that the group serves and has everything acknowledged.
+    /// Ends all faults and checks that the group makes progress and has everything that was
+    /// acknowledged.
     pub fn settle(&mut self) -> Result<(), Violation> {
         self.note("settle".into());
         for at in 0..self.nodes.len() {
@@ -823,7 +828,7 @@
         self.run(6_000)?;
         if self.acknowledged.len() <= before + 50 {
             return Err(format!(
-                "stands still: {before} acknowledged, {}",
+                "no progress: {before} acknowledged, now {}",
                 self.acknowledged.len()
             ));
         }
@@ -832,21 +837,21 @@
             .iter()
             .find(|&&at| self.nodes[at].core.as_ref().is_some_and(|core| core.can_read(self.now)))
         else {
-            return Err("nobody leads".into());
+            return Err("no leader".into());
         };
         let has: BTreeSet<u64> = self.nodes[leader].applied.values().copied().collect();
         match self.acknowledged.iter().find(|command| !has.contains(command)) {
-            Some(lost) => Err(format!("{lost} was acknowledged and is lost")),
+            Some(lost) => Err(format!("acknowledged command {lost} is lost")),
             None => Ok(()),
         }
     }
 
-    /// Notes what each member holds, to be read beside a violation.
+    /// Records the state of each member, to be printed with a violation.
     fn note_nodes(&mut self) {
         let describe = |node: &Node| match &node.core {
             None => format!("{}: down", node.name),
             Some(core) => format!(
-                "{}: {:?} term {} last {}/{} commit {} settled {} members {:?}",
+                "{}: {:?} term {} last {}/{} commit {} committed members {} members {:?}",
                 core.id(),
                 core.role(),
                 core.term(),
@@ -861,7 +866,7 @@
         described.into_iter().for_each(|text| self.note(text));
     }
 
-    /// Commands acknowledged so far.
+    /// Number of commands acknowledged so far.
     pub fn acknowledged(&self) -> usize {
         self.acknowledged.len()
     }
@@ -878,7 +883,7 @@
     borsh::from_slice(state).expect("a map")
 }
 
-/// Plays a history in which two machines remain and lose sight of each other, or one its disk.
+/// Runs a history in which two machines remain and are partitioned, or one loses its disk.
 pub fn play_pair(seed: u64, mutation: Mutation) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, 3, mutation);
     let outcome = play_pair_steps(&mut simulation);
@@ -899,11 +904,11 @@
     simulation.settle()
 }
 
-/// Machines of which five vote and the others stand by; two disks may be lost at once.
+/// Number of machines, of which five vote and the others stand by; two disks may be lost at once.
 const STANDBY_MACHINES: usize = 9;
 const STANDBY_VOTERS: usize = 5;
 
-/// Plays a history of a group with machines that stand by.
+/// Runs a history of a group with standby machines.
 pub fn play_standby(seed: u64) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, STANDBY_MACHINES, Mutation::None);
     simulation.voters = STANDBY_VOTERS;
@@ -932,9 +937,10 @@
 }
 
 impl Simulation {
-    /// Exactly as many vote as are wanted, and nobody learns: those that stand by hold nothing.
+    /// Checks that there are exactly as many voters as desired and no learners: standby machines
+    /// hold nothing.
     fn check_voters(&self) -> Result<(), Violation> {
-        let Some(&leader) = self.leaders().first() else { return Err("nobody leads".into()) };
+        let Some(&leader) = self.leaders().first() else { return Err("no leader".into()) };
         let Some(core) = self.nodes[leader].core.as_ref() else { return Ok(()) };
         let members = core.members();
         if members.voters.len() == self.voters && members.learners.is_empty() {
@@ -943,7 +949,7 @@
         Err(format!("{} voters and {} learners", members.voters.len(), members.learners.len()))
     }
 
-    /// A machine that votes, by the leader's word.
+    /// A random machine that votes, according to any member.
     fn any_voter(&mut self) -> usize {
         loop {
             let at = self.any();
@@ -978,7 +984,7 @@
 
     fn lose_one_for_good(&mut self) -> Result<(), Violation> {
         let at = self.any_voter();
-        self.note(format!("{at} is gone, a new machine comes"));
+        self.note(format!("{at} is lost, a new machine joins"));
         self.stop(at, true);
         self.gone.push(self.nodes[at].name.clone());
         self.run(1_000)?;
@@ -986,15 +992,16 @@
         Ok(())
     }
 
-    /// Empties a voter; once that could be reported, two others lose their disks.
+    /// Drains a voter; once that could be reported, two others lose their disks.
     fn retire_and_wipe_two(&mut self) -> Result<(), Violation> {
         let at = self.any_voter();
         let name = self.nodes[at].name.clone();
-        self.note(format!("retire {at}"));
+        self.note(format!("drain {at}"));
         self.leaving.push(name.clone());
         for _ in 0..2_000 {
             self.run(5)?;
-            // Also between two proposals: a leader that was just given one cannot hand over.
+            // Also between two proposals: a leader that was just given a command cannot transfer
+            // leadership.
             self.change_members()?;
             let out = self.leaders().iter().any(|&leader| {
                 self.nodes[leader].core.as_ref().is_some_and(|core| {
@@ -1015,19 +1022,19 @@
         }
         let told = |&leader: &usize| {
             let core = self.nodes[leader].core.as_ref()?;
-            let committed_members_index = core.members_durably_committed();
+            let durably_committed = core.members_durably_committed();
             Some(format!(
-                "{}: may change {}, settled {committed_members_index}",
+                "{}: may change {}, committed durably {durably_committed}",
                 core.id(),
                 core.can_change_members()
             ))
         };
         let leaders: Vec<String> = self.leaders().iter().filter_map(told).collect();
-        Err(format!("{name} is never let go; {leaders:?}"))
+        Err(format!("{name} is never removed; {leaders:?}"))
     }
 }
 
-/// Plays one history; the error holds the seed and what happened.
+/// Runs one history; the error holds the seed and the events.
 pub fn play(seed: u64, faults: Faults, mutation: Mutation) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, 3, mutation);
     let outcome = play_steps(&mut simulation, faults);
@@ -1047,7 +1054,7 @@
     simulation.settle()
 }
 
-/// Machines stand in three zones, one after the other.
+/// Distributes machines over three zones.
 fn zone(number: usize) -> String {
     format!("zone-{}", number % 3)
 }
--- a/crates/consensus/tests/zones.rs
+++ b/crates/consensus/tests/zones.rs
@@ -1,8 +1,9 @@
-//! Where voters stand. Symptom: after the loss of one zone of three there was no leader for as long as the zone
-//! was away, so nobody could tell who grants tokens, and gateways that started meanwhile refused all
-//! requests of limited tenants. Sequence: 16 machines in three zones ask to join; five voters are wanted; a
-//! zone is lost. Cause: three of the five stood in one zone. Those that learnt did not count when the next one was
-//! chosen, and voters stayed where they were when other machines came back.
+//! Distribution of voters over zones. Guards against losing the majority with one zone: 16 machines
+//! in three zones asked to join a group of five voters, and three of the five were in one zone,
+//! since learners did not count when the next one was chosen and voters stayed where they were when
+//! other machines came back. After the loss of that zone there was no leader until it returned, so
+//! nobody could name the token issuers, and gateways that started in the meantime rejected all
+//! requests of limited tenants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +13,7 @@
 const VOTERS: usize = 5;
 const POLICY_INTERVAL_MS: Millis = 100;
 
-/// Machines with disks that sync at once and links that take no time.
+/// Machines with disks that sync immediately and links without latency.
 struct Machines {
     now: Millis,
     cores: BTreeMap<String, Consensus>,
@@ -83,8 +84,8 @@
         let asks = running.map(|(_, core)| core.id()).filter(|id| !leader.members().contains(id));
         let zones = Zones::new(self.cores.keys().map(|name| (name.clone(), zone_of(name))));
         let joining = asks.cloned().collect();
-        let wishes = DesiredMembership { joining, leaving: Vec::new(), voters: VOTERS, zones };
-        let Step::Change(members) = next_step(leader, self.now, &wishes) else { return };
+        let desired = DesiredMembership { joining, leaving: Vec::new(), voters: VOTERS, zones };
+        let Step::Change(members) = next_step(leader, self.now, &desired) else { return };
         let name = leader.id().name.clone();
         let now = self.now;
         self.cores.get_mut(&name).expect("the leader").change_members(now, members);
@@ -95,7 +96,7 @@
         self.lost = lost.cloned().collect();
     }
 
-    /// Voters by zone.
+    /// Number of voters by zone.
     fn voters(&self) -> BTreeMap<String, usize> {
         let mut by_zone = BTreeMap::new();
         for voter in &self.leader().expect("a leader").members().voters {
@@ -105,7 +106,7 @@
     }
 }
 
-/// In order of name, as they are asked: the first zone alone would fill the group.
+/// In order of name, in which they are admitted: the first zone alone would fill the group.
 const SIXTEEN: [&str; 16] = [
     "a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6", "c1", "c2", "c3", "c4",
 ];
@@ -124,22 +125,22 @@
 }
 
 #[test]
-fn any_zone_may_be_lost_one_after_the_other() {
+fn each_zone_can_be_lost_in_turn() {
     let mut machines = Machines::new(&SIXTEEN);
     machines.run(10_000);
     for zone in ["b", "a", "c", "b"] {
         machines.lose(zone);
         machines.run(7_000);
-        assert!(machines.leader().is_some(), "nobody leads without zone {zone}");
+        assert!(machines.leader().is_some(), "no leader without zone {zone}");
         machines.lost.clear();
         machines.run(10_000);
         assert_spread(&machines);
     }
 }
 
-/// The first zone starts before the others, so that all voters stand there at first.
+/// The first zone starts before the others, so that all voters are in it at first.
 #[test]
-fn voters_move_to_zones_that_come_later() {
+fn voters_move_to_zones_that_start_later() {
     let mut machines = Machines::new(&SIXTEEN);
     let others = SIXTEEN.iter().filter(|name| !name.starts_with('a'));
     machines.lost = others.map(|name| (*name).to_owned()).collect();
--- a/crates/quota/src/issuer_selector.rs
+++ b/crates/quota/src/issuer_selector.rs
@@ -86,14 +86,15 @@
         let mut earliest: Option<u64> = None;
         let mut is_unknown = false;
         for part in self.order(tenant) {
-            let asked = refused.iter().find(|refused| refused.part == part);
-            let spent = self.exhausted_until.get(&(tenant.clone(), part));
-            let spent = spent.filter(|until| **until > now).map(|until| until.millis_since(now));
-            if let Some(wait) = spent.or(asked.and_then(|refused| refused.wait_ms)) {
+            let refusal = refused.iter().find(|refused| refused.part == part);
+            let exhausted = self.exhausted_until.get(&(tenant.clone(), part));
+            let exhausted =
+                exhausted.filter(|until| **until > now).map(|until| until.millis_since(now));
+            if let Some(wait) = exhausted.or(refusal.and_then(|refused| refused.wait_ms)) {
                 earliest = Some(earliest.map_or(wait, |held| held.min(wait)));
                 continue;
             }
-            if asked.is_some() {
+            if refusal.is_some() {
                 is_unknown = true;
                 continue;
             }
@@ -121,9 +122,9 @@
             let Some(holder) = self.assignment.holder(SlotId::of(tenant, part)) else {
                 return format!("part {}: nobody", part.0);
             };
-            let is_spent =
+            let is_exhausted =
                 self.exhausted_until.get(&(tenant.clone(), part)).is_some_and(|at| *at > now);
-            let state = match (self.unreachable.contains(&holder.name), is_spent) {
+            let state = match (self.unreachable.contains(&holder.name), is_exhausted) {
                 (true, _) => "gave no answer",
                 (false, true) => "has no token",
                 (false, false) => "answers",
@@ -156,9 +157,9 @@
 
     /// Issuers that did not respond and should be probed.
     pub fn unreachable(&self) -> Vec<String> {
-        let is_accountant =
+        let is_issuer =
             |name: &&String| SlotId::all().any(|slot| self.assignment.is_holder(slot, name));
-        self.unreachable.iter().filter(is_accountant).cloned().collect()
+        self.unreachable.iter().filter(is_issuer).cloned().collect()
     }
 
     /// Drops exhausted parts whose wait has passed.
--- a/crates/quota/src/token_issuer.rs
+++ b/crates/quota/src/token_issuer.rs
@@ -45,12 +45,12 @@
         Self { bounds, slots: HashMap::new(), leased_until: Timestamp(0), is_released: false }
     }
 
-    /// Applies the response to a renewal that was requested at `asked_at`. Returns whether the set
+    /// Applies the response to a renewal that was requested at `requested_at`. Returns whether the set
     /// of held slots changed.
     pub fn apply_leases(
         &mut self,
         now: Timestamp,
-        asked_at: Timestamp,
+        requested_at: Timestamp,
         leases: &[SlotLease],
     ) -> bool {
         if self.is_released {
@@ -69,7 +69,7 @@
                 LeasedSlot { generation: lease.generation, since: now, buckets: HashMap::new() }
             });
         }
-        self.leased_until = asked_at.plus_millis(LEASE_MS);
+        self.leased_until = requested_at.plus_millis(LEASE_MS);
         self.evict_idle_buckets(now);
         changed
     }
@@ -96,20 +96,19 @@
     }
 
     /// Grants tokens.
-    pub fn take(&mut self, now: Timestamp, ask: &TokenRequest) -> TokenGrant {
+    pub fn take(&mut self, now: Timestamp, token_request: &TokenRequest) -> TokenGrant {
         if now >= self.leased_until {
             return TokenGrant::NotHeld;
         }
-        let slot = SlotId::of(&ask.tenant, ask.part);
+        let slot = SlotId::of(&token_request.tenant, token_request.part);
         let Some(held) = self.slots.get_mut(&slot) else { return TokenGrant::NotHeld };
         let extra = self.bounds.extra_tokens();
         let since = held.since;
-        let bucket = held
-            .buckets
-            .entry(ask.tenant.clone())
-            .or_insert_with(|| Bucket::new(since, ask.limit, ask.version, extra));
-        bucket.set_limit(now, ask.limit, ask.version);
-        let tokens = bucket.take(now, ask.tokens);
+        let bucket = held.buckets.entry(token_request.tenant.clone()).or_insert_with(|| {
+            Bucket::new(since, token_request.limit, token_request.version, extra)
+        });
+        bucket.set_limit(now, token_request.limit, token_request.version);
+        let tokens = bucket.take(now, token_request.tokens);
         TokenGrant::Granted { tokens, wait_ms: bucket.wait_ms() }
     }
 
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -1,6 +1,6 @@
-//! Limits over all gateways in virtual time. The rule: in every sliding window a tenant sends at most
-//! (rate x window + burst) x 1.1 + 20. What is shown beside it: how many requests within the limit are
-//! refused, and how many asks it takes.
+//! Rate limits across all gateways in virtual time. The rule: in every sliding window a tenant
+//! sends at most (rate x window + burst) x 1.1 + 20 requests. Also measured: how many requests
+//! within the limit are rejected, and how many token requests that takes.
 
 mod support;
 
@@ -11,20 +11,21 @@
 
 const WINDOW_MS: u64 = 5_000;
 
-/// Tenants of very unequal size that send 100 requests a second together, each with a limit of 1.6
-/// times what it sends. `hot` of them send `times` their usual between seconds 4 and 10.
-fn senders(count: usize, hot: usize, times: f64) -> Vec<Sender> {
+/// Tenants of very unequal size that send 100 requests per second in total, each with a limit of
+/// 1.6 times its rate. The first `surging` of them send `factor` times their usual rate between
+/// seconds 4 and 10.
+fn senders(count: usize, surging: usize, factor: f64) -> Vec<Sender> {
     let weights: Vec<f64> = (1..=count).map(|rank| 1.0 / rank as f64).collect();
     let sum: f64 = weights.iter().sum();
     let sender = |(number, weight): (usize, &f64)| {
         let rate = (100.0 * weight / sum).max(0.2);
         let limit = (rate * 1.6).ceil();
-        let surge = Surge { from_ms: 4_000, until_ms: 10_000, times };
+        let surge = Surge { from_ms: 4_000, until_ms: 10_000, factor };
         Sender {
             name: TenantName::new(format!("tenant-{number}")),
             limit: RateLimit { per_1000_seconds: limit as u64 * 1_000, burst: limit as u64 },
             rate,
-            surge: (number < hot).then_some(surge),
+            surge: (number < surging).then_some(surge),
         }
     };
     weights.iter().enumerate().map(sender).collect()
@@ -34,8 +35,8 @@
     Plan { seed, gateways, stores: 10, senders, faults, length_ms: 16_000, client_gateways: None }
 }
 
-/// Plays a plan and checks the rule for each tenant.
-fn play(plan: Plan) -> Outcome {
+/// Runs a plan and checks the rule for each tenant.
+fn run_plan(plan: Plan) -> Outcome {
     let (seed, senders) = (plan.seed, plan.senders.clone());
     let outcome = Fleet::new(plan).run();
     let bounds = QuotaBounds::default();
@@ -48,13 +49,13 @@
 }
 
 #[test]
-fn calm_fleets_refuse_almost_nothing_within_the_limit() {
+fn fleets_without_faults_reject_almost_nothing_within_the_limit() {
     for gateways in [11, 50, 250, 550] {
         for tenants in [72, 260] {
-            let outcome = play(plan(1, gateways, senders(tenants, 0, 1.0), vec![]));
+            let outcome = run_plan(plan(1, gateways, senders(tenants, 0, 1.0), vec![]));
             let share = outcome.rejected_fraction();
             println!(
-                "{gateways} gateways, {tenants} tenants: refused {share:.5}, asks {} for {} requests, \
+                "{gateways} gateways, {tenants} tenants: rejected {share:.5}, {} token requests for {} requests, \
                  {} at the busiest job store",
                 outcome.token_requests, outcome.within_limit, outcome.max_token_requests
             );
@@ -64,19 +65,19 @@
 }
 
 #[test]
-fn tenants_that_send_many_times_their_usual_stay_within_their_limit() {
-    for (hot, times) in [(1, 8.0), (1, 20.0), (3, 8.0), (3, 20.0)] {
+fn tenants_that_exceed_their_usual_rate_stay_within_their_limit() {
+    for (surging, factor) in [(1, 8.0), (1, 20.0), (3, 8.0), (3, 20.0)] {
         for gateways in [11, 50, 250] {
-            let outcome = play(plan(2, gateways, senders(72, hot, times), vec![]));
+            let outcome = run_plan(plan(2, gateways, senders(72, surging, factor), vec![]));
             let sent = |number: usize| {
                 let name = TenantName::new(format!("tenant-{number}"));
                 outcome.sends.get(&name).map_or(0, Vec::len)
             };
-            let sent: usize = (0..hot).map(sent).sum();
+            let sent: usize = (0..surging).map(sent).sum();
             let share = sent as f64 / outcome.within_limit_of_surging as f64;
             println!(
-                "{hot} hot x{times}, {gateways} gateways: others refused {:.5}, hot sent {share:.3} of \
-                 what they may, asks {} for {} requests",
+                "{surging} hot x{factor}, {gateways} gateways: others rejected {:.5}, surging sent {share:.3} of \
+                 their limit, {} token requests for {} requests",
                 outcome.rejected_fraction(),
                 outcome.token_requests,
                 outcome.within_limit + outcome.within_limit_of_surging
@@ -88,35 +89,41 @@
 }
 
 #[test]
-fn clients_that_all_use_three_gateways_are_served_alike() {
+fn clients_that_all_use_three_gateways_are_served_equally() {
     let mut plan = plan(3, 50, senders(72, 1, 8.0), vec![]);
     plan.client_gateways = Some(3);
-    let outcome = play(plan);
+    let outcome = run_plan(plan);
     assert!(outcome.rejected_fraction() < 0.001, "{}", outcome.rejected_fraction());
 }
 
 #[test]
-fn one_fault_refuses_under_one_in_a_hundred_within_the_limit() {
+fn one_fault_rejects_under_one_percent_within_the_limit() {
     let faults: [(&str, Vec<Fault>); 6] = [
         ("a job store is killed", vec![Fault::KillStore { at_ms: 5_000, store: 4, for_ms: 1_000 }]),
         ("a job store is lost", vec![Fault::KillStore { at_ms: 5_000, store: 4, for_ms: 60_000 }]),
-        ("a job store is cut off", vec![Fault::CutStore { at_ms: 5_000, store: 5, for_ms: 5_500 }]),
-        ("a job store freezes", vec![Fault::FreezeStore { at_ms: 5_000, store: 6, for_ms: 8_000 }]),
+        (
+            "a job store is partitioned",
+            vec![Fault::CutStore { at_ms: 5_000, store: 5, for_ms: 5_500 }],
+        ),
+        (
+            "a job store is frozen",
+            vec![Fault::FreezeStore { at_ms: 5_000, store: 6, for_ms: 8_000 }],
+        ),
         ("the leader is lost", vec![Fault::LoseLeader { at_ms: 5_000, gap_ms: 3_200 }]),
         ("the leader is killed", vec![Fault::KillStore { at_ms: 5_000, store: 0, for_ms: 60_000 }]),
     ];
     for (name, faults) in faults {
-        let outcome = play(plan(4, 50, senders(72, 0, 1.0), faults));
-        println!("{name}: refused {:.5}", outcome.rejected_fraction());
+        let outcome = run_plan(plan(4, 50, senders(72, 0, 1.0), faults));
+        println!("{name}: rejected {:.5}", outcome.rejected_fraction());
         assert!(outcome.rejected_fraction() < 0.01, "{name}: {}", outcome.rejected_fraction());
     }
 }
 
 #[test]
-fn a_lowered_limit_binds_one_window_after_it_is_known() {
+fn a_lowered_limit_is_enforced_one_window_after_gateways_learn_it() {
     let faults = vec![Fault::SetLimits { at_ms: 4_000, percent: 50, within_ms: 3_000 }];
     let senders = senders(72, 3, 20.0);
-    let outcome = play(plan(5, 50, senders.clone(), faults));
+    let outcome = run_plan(plan(5, 50, senders.clone(), faults));
     let bounds = QuotaBounds::default();
     for sender in &senders {
         let limit = RateLimit {
@@ -130,7 +137,7 @@
     }
 }
 
-/// Faults of any kind, one after the other and together.
+/// Random faults of all kinds, in sequence and concurrent.
 fn faults(random: &mut Gen) -> Vec<Fault> {
     let number = |random: &mut Gen, below: u64| -> u64 {
         let drawn: u64 = quickcheck::Arbitrary::arbitrary(random);
@@ -155,37 +162,37 @@
     (0..count).map(one).collect()
 }
 
-/// Histories of random faults with tenants far beyond their limits. The generator is seeded: every
-/// run plays the same.
+/// Random faults with tenants far beyond their limits. The generator is seeded, so that every run
+/// is the same.
 #[test]
-fn no_history_of_faults_breaks_the_rule() {
+fn random_faults_never_exceed_the_limit() {
     let histories = 150;
     let mut random = Gen::from_size_and_seed(100, 20_261_202);
     for seed in 0..histories {
         let faults = faults(&mut random);
-        play(plan(100 + seed, 50, senders(24, 6, 20.0), faults));
+        run_plan(plan(100 + seed, 50, senders(24, 6, 20.0), faults));
     }
 }
 
-/// Requests with tokens that all wait for the same back ends are not sent together long afterwards.
+/// Requests that hold tokens while back ends stall must not be sent together long afterwards.
 #[test]
-fn tokens_do_not_outlive_a_stall_of_back_ends() {
+fn tokens_expire_during_a_stall_of_back_ends() {
     for for_ms in [500, 1_500, 2_500] {
         let faults = vec![Fault::StallBackEnds { at_ms: 6_000, for_ms }];
-        play(plan(7, 50, senders(12, 6, 20.0), faults));
+        run_plan(plan(7, 50, senders(12, 6, 20.0), faults));
     }
 }
 
-/// Kills of all accountants again and again: each new life begins with empty buckets.
+/// Repeated kills of all issuers: each new incarnation starts with empty buckets.
 #[test]
-fn lives_that_end_soon_grant_no_more_than_one_that_lasts() {
+fn frequent_restarts_of_issuers_do_not_exceed_the_limit() {
     fn kills(interval_ms: u16) -> bool {
         let interval = 2_100 + u64::from(interval_ms % 1_500);
         let kill_all = |number: u64| {
             let at_ms = 4_000 + number * interval;
             (0..10).map(move |store| Fault::KillStore { at_ms, store, for_ms: 300 })
         };
-        play(plan(6, 20, senders(12, 6, 20.0), (0..5).flat_map(kill_all).collect()));
+        run_plan(plan(6, 20, senders(12, 6, 20.0), (0..5).flat_map(kill_all).collect()));
         true
     }
     QuickCheck::new()
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: gateways, job stores, the lead among them, and what goes wrong. The replicated
-//! log is taken for granted: one assignment, at most one leader, and a gap between two leads.
+//! A fleet in virtual time: gateways, job stores with their leader, and faults. The replicated log
+//! is not simulated: there is one assignment, at most one leader, and a gap between two leaders.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -14,58 +14,58 @@
 };
 use yokefall_types::{RateLimit, TenantName};
 
-/// Time for an accountant to answer, as in the gateway.
+/// Timeout of a token request, as in the gateway.
 const TOKEN_REQUEST_TIMEOUT_MS: u64 = 120;
 /// Interval between probes, as in the gateway.
 const PROBE_INTERVAL_MS: u64 = 700;
-/// Interval between two looks of the leader.
+/// Interval at which the leader checks the assignment.
 const ASSIGN_INTERVAL_MS: u64 = 500;
-/// Time before the first request: the lead is settled and buckets are full.
+/// Time before the first request: the leader is established and the buckets are full.
 pub const WARM_UP_MS: u64 = 14_000;
 
-/// A tenant and how much it sends.
+/// A tenant and the load that it sends.
 #[derive(Clone, Debug)]
 pub struct Sender {
-    /// Name.
     pub name: TenantName,
-    /// Limit in force at the start.
+    /// Limit at the start.
     pub limit: RateLimit,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Times its rate from a moment on, for a while.
+    /// Period of higher load.
     pub surge: Option<Surge>,
 }
 
-/// A tenant sends more for a while.
+/// A period in which a tenant sends `factor` times its rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Surge {
     pub from_ms: u64,
     pub until_ms: u64,
-    pub times: f64,
+    pub factor: f64,
 }
 
-/// Something that goes wrong; times are from the first request on.
+/// A fault; times are relative to the first request.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A job store is killed and begins a new life later.
+    /// A job store is killed and restarts later.
     KillStore { at_ms: u64, store: usize, for_ms: u64 },
-    /// Job stores are cut off from the others and from gateways; what is on its way comes afterwards.
+    /// A job store is partitioned from the others and from gateways; messages in transit arrive
+    /// afterwards.
     CutStore { at_ms: u64, store: usize, for_ms: u64 },
-    /// A job store stands still; its clock goes on.
+    /// A job store is frozen; its clock continues.
     FreezeStore { at_ms: u64, store: usize, for_ms: u64 },
-    /// The leader is lost; another job store leads after the gap.
+    /// The leader is lost; another job store takes over after the gap.
     LoseLeader { at_ms: u64, gap_ms: u64 },
     /// A gateway reaches no job store.
     CutGateway { at_ms: u64, gateway: usize, for_ms: u64 },
-    /// A gateway stands still, with tokens in hand.
+    /// A gateway is frozen while it holds tokens.
     FreezeGateway { at_ms: u64, gateway: usize, for_ms: u64 },
-    /// Back ends have no room; what has a token is held, and all of it is sent when they have.
+    /// Back ends have no free slots; requests with tokens wait, and are all sent when there are.
     StallBackEnds { at_ms: u64, for_ms: u64 },
-    /// All limits are this part of what they were; gateways learn of it within the time.
+    /// All limits change to this percentage; gateways learn of it within the given time.
     SetLimits { at_ms: u64, percent: u64, within_ms: u64 },
 }
 
-/// What a run is made of.
+/// Parameters of a run.
 pub struct Plan {
     pub seed: u64,
     pub gateways: usize,
@@ -73,36 +73,36 @@
     pub senders: Vec<Sender>,
     pub faults: Vec<Fault>,
     pub length_ms: u64,
-    /// Gateways that clients use; all where none is given.
+    /// Number of gateways that clients use; all if `None`.
     pub client_gateways: Option<usize>,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Moments of sends, by tenant.
+    /// Times of sends, by tenant.
     pub sends: BTreeMap<TenantName, Vec<u64>>,
-    /// Requests that were within the limit by a bucket that sees them all, of tenants that send their
-    /// usual.
+    /// Number of requests within the limit, by a reference bucket that sees all of them, of tenants
+    /// that send their usual rate.
     pub within_limit: u64,
-    /// Of them, those that were refused.
+    /// Number of those that were rejected.
     pub rejected_within_limit: u64,
-    /// The same of tenants that send more than they may. Which of their requests are the ones within the
-    /// limit is anybody's choice: what counts is how many are sent.
+    /// The same for tenants that exceed their limit. Which of their requests are within the limit
+    /// is arbitrary, so only the number of sends counts.
     pub within_limit_of_surging: u64,
-    /// Asks that accountants answered.
+    /// Token requests that issuers answered.
     pub token_requests: u64,
-    /// Most asks that one job store answered.
+    /// Maximum number of token requests that one job store answered.
     pub max_token_requests: u64,
 }
 
 impl Outcome {
-    /// Refused part of the requests that were within the limit.
+    /// Rejected fraction of the requests within the limit.
     pub fn rejected_fraction(&self) -> f64 {
         self.rejected_within_limit as f64 / self.within_limit.max(1) as f64
     }
 
-    /// The largest number of sends of a tenant in a window that begins at `from_ms` or later.
+    /// The maximum number of sends of a tenant in a window that starts at `from_ms` or later.
     pub fn max_sends_in_window(&self, tenant: &TenantName, window_ms: u64, from_ms: u64) -> usize {
         let Some(sends) = self.sends.get(tenant) else { return 0 };
         let mut sends: Vec<u64> = sends.iter().copied().filter(|at| *at >= from_ms).collect();
@@ -123,8 +123,8 @@
     gateway: usize,
     sender: usize,
     refused: Vec<PartRefusal>,
-    asked_at: u64,
-    /// The ask that is open.
+    requested_at: u64,
+    /// The token request in flight.
     open_token_request: Option<u64>,
     is_within: bool,
     hold_ms: u64,
@@ -142,7 +142,7 @@
         incarnation: u64,
         request: u64,
         number: u64,
-        ask: TokenRequest,
+        token_request: TokenRequest,
     },
     Answer {
         request: u64,
@@ -166,12 +166,12 @@
     RenewArrives {
         store: usize,
         incarnation: u64,
-        asked_at: u64,
+        requested_at: u64,
     },
     Renewed {
         store: usize,
         incarnation: u64,
-        asked_at: u64,
+        requested_at: u64,
         leases: Vec<SlotLease>,
     },
     AssignSlots,
@@ -219,7 +219,7 @@
     version: u64,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Fleet {
     plan: Plan,
     random: StdRng,
@@ -230,13 +230,14 @@
     stores: Vec<Store>,
     gateways: Vec<Gateway>,
     assignment: Assignment,
-    /// The leader with the number of its lead.
+    /// The leader with its term.
     leader: Option<(usize, u64, LeaseManager)>,
     term: u64,
     requests: HashMap<u64, Request>,
     next_request: u64,
     next_token_request: u64,
-    /// Buckets of whole limits, which see every request at once: units of a thousandth of a request.
+    /// Reference buckets of whole limits, which see every request: units of a thousandth of a
+    /// request.
     reference: Vec<(u64, u64)>,
     limit_percent: u64,
     version: u64,
@@ -250,7 +251,7 @@
 }
 
 impl Fleet {
-    /// A fleet that has not begun.
+    /// Creates a fleet at time zero.
     pub fn new(plan: Plan) -> Self {
         let mut random = StdRng::seed_from_u64(plan.seed);
         let bounds = QuotaBounds::default();
@@ -299,7 +300,7 @@
         }
     }
 
-    /// Plays it to the end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> Outcome {
         for store in 0..self.plan.stores {
             let at = self.random.random_range(0..RENEW_INTERVAL_MS);
@@ -344,7 +345,7 @@
         self.at(self.now + ms, event);
     }
 
-    /// Time on the way, longer now and then.
+    /// Network delay, occasionally long.
     fn delay(&mut self) -> u64 {
         match self.random.random_range(0..100) {
             0 => self.random.random_range(5..60),
@@ -356,8 +357,8 @@
         match event {
             Event::Arrive { sender } => self.arrive(sender),
             Event::Step { request } => self.step(request),
-            Event::TokenRequestArrives { store, incarnation, request, number, ask } => {
-                self.token_request_arrives(store, incarnation, request, number, ask);
+            Event::TokenRequestArrives { store, incarnation, request, number, token_request } => {
+                self.token_request_arrives(store, incarnation, request, number, token_request);
             }
             Event::Answer { request, number, token_issuer, grant } => {
                 self.answer(request, number, token_issuer, grant);
@@ -367,11 +368,11 @@
             }
             Event::Send { request, expires_at } => self.send(request, expires_at),
             Event::Renew { store, incarnation } => self.renew(store, incarnation),
-            Event::RenewArrives { store, incarnation, asked_at } => {
-                self.renew_arrives(store, incarnation, asked_at);
+            Event::RenewArrives { store, incarnation, requested_at } => {
+                self.renew_arrives(store, incarnation, requested_at);
             }
-            Event::Renewed { store, incarnation, asked_at, leases } => {
-                self.apply_leases(store, incarnation, asked_at, leases);
+            Event::Renewed { store, incarnation, requested_at, leases } => {
+                self.apply_leases(store, incarnation, requested_at, leases);
             }
             Event::AssignSlots => self.assign_slots(),
             Event::Commit { term, changes } => {
@@ -421,21 +422,21 @@
         let since = self.now - WARM_UP_MS;
         if let Some(surge) = self.plan.senders[sender].surge {
             if (surge.from_ms..surge.until_ms).contains(&since) {
-                rate *= surge.times;
+                rate *= surge.factor;
             }
         }
         let gap = -(self.random.random_range(f64::EPSILON..1.0f64)).ln() / rate * 1_000.0;
         self.after((gap as u64).max(1), Event::Arrive { sender });
         let is_within = self.is_within(sender);
-        let is_hot = self.plan.senders[sender].surge.is_some();
-        match (is_within, is_hot) {
+        let is_surging = self.plan.senders[sender].surge.is_some();
+        match (is_within, is_surging) {
             (true, false) => self.outcome.within_limit += 1,
             (true, true) => self.outcome.within_limit_of_surging += 1,
             (false, _) => {}
         }
         let used = self.plan.client_gateways.unwrap_or(self.plan.gateways);
         let gateway = self.random.random_range(0..used);
-        // A few are held for want of free slots.
+        // A few requests wait for free slots.
         let is_held = self.random.random_range(0..20) == 0;
         let hold_ms = if is_held { self.random.random_range(0..1_000) } else { 0 };
         let request = self.next_request;
@@ -444,7 +445,7 @@
             gateway,
             sender,
             refused: Vec::new(),
-            asked_at: self.now,
+            requested_at: self.now,
             open_token_request: None,
             is_within,
             hold_ms,
@@ -453,7 +454,7 @@
         self.step(request);
     }
 
-    /// Whether a bucket that sees all requests of the tenant has a token.
+    /// Whether the reference bucket of the tenant has a token.
     fn is_within(&mut self, sender: usize) -> bool {
         let limit = self.limit_of(sender, self.limit_percent);
         let (units, at) = self.reference[sender];
@@ -488,21 +489,24 @@
         let percent = self.gateways[gateway].limit_percent;
         let limit = self.limit_of(sender, percent);
         let version = self.gateways[gateway].version;
-        let ask = TokenRequest { tenant, part, limit, version, tokens: 1 };
+        let token_request = TokenRequest { tenant, part, limit, version, tokens: 1 };
         let number = self.next_token_request;
         self.next_token_request += 1;
         if let Some(held) = self.requests.get_mut(&request) {
             held.open_token_request = Some(number);
-            held.asked_at = self.now;
+            held.requested_at = self.now;
         }
         let incarnation = self.stores[store].incarnation;
         let mut delay = self.delay();
         let cut = self.gateways[gateway].cut_until.max(self.stores[store].cut_until);
         if cut > self.now {
-            // What is on its way through a cut comes when it heals.
+            // Messages in transit through a partition arrive when it heals.
             delay += cut - self.now;
         }
-        self.after(delay, Event::TokenRequestArrives { store, incarnation, request, number, ask });
+        self.after(
+            delay,
+            Event::TokenRequestArrives { store, incarnation, request, number, token_request },
+        );
         self.after(
             TOKEN_REQUEST_TIMEOUT_MS,
             Event::Timeout { request, number, token_issuer: store },
@@ -515,7 +519,7 @@
         incarnation: u64,
         request: u64,
         number: u64,
-        ask: TokenRequest,
+        token_request: TokenRequest,
     ) {
         let held = &self.stores[store];
         if !held.up || held.incarnation != incarnation {
@@ -523,12 +527,15 @@
         }
         if held.frozen_until > self.now {
             let wake = held.frozen_until;
-            self.at(wake, Event::TokenRequestArrives { store, incarnation, request, number, ask });
+            self.at(
+                wake,
+                Event::TokenRequestArrives { store, incarnation, request, number, token_request },
+            );
             return;
         }
         let now = self.store_time(store);
         self.stores[store].token_requests += 1;
-        let grant = self.stores[store].token_issuer.take(now, &ask);
+        let grant = self.stores[store].token_issuer.take(now, &token_request);
         let mut delay = self.delay();
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
@@ -541,7 +548,7 @@
         if held.open_token_request != Some(number) {
             return;
         }
-        let (gateway, sender, asked_at) = (held.gateway, held.sender, held.asked_at);
+        let (gateway, sender, requested_at) = (held.gateway, held.sender, held.requested_at);
         if self.gateways[gateway].frozen_until > self.now {
             let wake = self.gateways[gateway].frozen_until;
             self.at(wake, Event::Answer { request, number, token_issuer, grant });
@@ -552,7 +559,7 @@
         let part = part_of(&self.assignment, &tenant, token_issuer);
         match grant {
             TokenGrant::Granted { tokens, .. } if tokens > 0 => {
-                let expires_at = asked_at + self.bounds.token_lifetime().as_millis() as u64;
+                let expires_at = requested_at + self.bounds.token_lifetime().as_millis() as u64;
                 let hold_ms = held.hold_ms;
                 if let Some(held) = self.requests.get_mut(&request) {
                     held.open_token_request = None;
@@ -671,11 +678,11 @@
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
         }
-        let asked_at = self.now;
-        self.after(delay, Event::RenewArrives { store, incarnation, asked_at });
+        let requested_at = self.now;
+        self.after(delay, Event::RenewArrives { store, incarnation, requested_at });
     }
 
-    fn renew_arrives(&mut self, store: usize, incarnation: u64, asked_at: u64) {
+    fn renew_arrives(&mut self, store: usize, incarnation: u64, requested_at: u64) {
         let Some((leader, _, _)) = &self.leader else { return };
         let leader = *leader;
         let now = self.store_time(leader);
@@ -685,14 +692,14 @@
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
         }
-        self.after(delay, Event::Renewed { store, incarnation, asked_at, leases });
+        self.after(delay, Event::Renewed { store, incarnation, requested_at, leases });
     }
 
     fn apply_leases(
         &mut self,
         store: usize,
         incarnation: u64,
-        asked_at: u64,
+        requested_at: u64,
         leases: Vec<SlotLease>,
     ) {
         if self.stores[store].incarnation != incarnation {
@@ -700,12 +707,12 @@
         }
         if self.stores[store].frozen_until > self.now {
             let wake = self.stores[store].frozen_until;
-            self.at(wake, Event::Renewed { store, incarnation, asked_at, leases });
+            self.at(wake, Event::Renewed { store, incarnation, requested_at, leases });
             return;
         }
         let now = self.store_time(store);
-        let asked_at = Timestamp(asked_at + self.stores[store].offset);
-        self.stores[store].token_issuer.apply_leases(now, asked_at, &leases);
+        let requested_at = Timestamp(requested_at + self.stores[store].offset);
+        self.stores[store].token_issuer.apply_leases(now, requested_at, &leases);
     }
 
     fn assign_slots(&mut self) {
@@ -785,7 +792,7 @@
     }
 }
 
-/// The part of a tenant's limit that a job store holds now, as the log has it.
+/// The part of a tenant's limit that a job store currently holds according to the log.
 fn part_of(assignment: &Assignment, tenant: &TenantName, store: usize) -> Option<Part> {
     let name = store_name(store);
     let mut parts = (0..yokefall_quota::PARTS_PER_LIMIT).map(Part);
--- a/crates/suspects/tests/registry.rs
+++ b/crates/suspects/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What a connection that broke off comes to.
+//! Classification of broken connections.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -48,17 +48,17 @@
 }
 
 #[tokio::test]
-async fn a_back_end_that_takes_connections_has_not_ended() {
+async fn a_back_end_that_accepts_connections_has_not_crashed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let lives = backend("lives", listener.local_addr().expect("an address"));
-    let registry = registry(catalog_of(std::slice::from_ref(&lives)));
-    let conclusion = registry.record_disconnect(&lives, Instant::now(), digest).await;
+    let running = backend("lives", listener.local_addr().expect("an address"));
+    let registry = registry(catalog_of(std::slice::from_ref(&running)));
+    let conclusion = registry.record_disconnect(&running, Instant::now(), digest).await;
     assert_eq!(conclusion, DisconnectCause::Unknown);
     assert!(registry.is_empty());
-    // It ends later, and is asked again.
+    // It crashes later, and is checked again.
     drop(listener);
     assert_eq!(
-        registry.record_disconnect(&lives, Instant::now(), digest).await,
+        registry.record_disconnect(&running, Instant::now(), digest).await,
         DisconnectCause::BackendCrashed
     );
     assert!(!registry.is_empty());
@@ -78,10 +78,11 @@
     assert!(registry.is_empty());
 }
 
-/// What happened: a process that had just started took news of ends that were older than itself. All of them came
-/// to the moment of its start, passed for simultaneous, and proved nothing: what the others held back ran on.
+/// Guards against losing evidence in a process that has just started. Updates about crashes older
+/// than the process were all clamped to the time of its start, so that they counted as simultaneous
+/// and proved nothing, and the process ran requests that others held back.
 #[tokio::test]
-async fn a_process_that_has_just_started_holds_back_what_the_others_do() {
+async fn a_process_that_has_just_started_holds_back_what_others_hold_back() {
     let update_of = |path: &str, offset: u64| {
         let crash = |number: u64| CrashInfo {
             backend: BackendIncarnation { id: format!("{path}-{number}"), started_ms: 0 },
@@ -103,18 +104,19 @@
     let registry = registry(catalog_of(&[]));
     registry.take(SuspectReport { suspects, crashed_backends: Vec::new() });
     for path in ["/one", "/two", "/three"] {
-        let standing = registry.status(&digest_of(path));
-        let SuspectStatus::HeldBack { wait_ms } = standing else { panic!("{path}: {standing:?}") };
-        // The second probe comes two minutes after the last end.
+        let status = registry.status(&digest_of(path));
+        let SuspectStatus::HeldBack { wait_ms } = status else { panic!("{path}: {status:?}") };
+        // The second probe is due two minutes after the last crash.
         assert!((70_000..80_000).contains(&wait_ms), "{path}: {wait_ms}");
     }
 }
 
-/// Symptom: requests that broke off in a planned restart of all servers are held back. Sequence: a server drains
-/// and starts again under its id; a process hears of the new life before the break, and finds the port of the
-/// earlier one closed. Cause: an id that takes work was taken for the life that the request ran on.
+/// Guards against holding back requests that broke off in a planned restart. A server drains and
+/// restarts under its id; a process learns of the new incarnation before the connection breaks, and
+/// finds the port of the previous one closed. The ready id was mistaken for the incarnation that
+/// the request ran on.
 #[tokio::test]
-async fn the_end_of_an_earlier_life_of_a_back_end_that_is_back_is_no_evidence() {
+async fn the_end_of_an_earlier_incarnation_is_no_evidence() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let before = backend("back", listener.local_addr().expect("an address"));
     drop(listener);
--- a/crates/suspects/tests/table.rs
+++ b/crates/suspects/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table of suspects: what counts as evidence, what clears, what may still run.
+//! The table of suspects: what counts as evidence, what clears it, and what may still run.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,11 +14,11 @@
     Grant, RequestDigest, RequestIdentity, RequestSource, SuspectStatus, Table,
 };
 
-/// Back ends of the service, and slots of all of them.
+/// Number of back ends of the service, and of all their slots.
 const POPULATION: usize = 12;
 const SLOTS: usize = 60;
 
-/// The life of a back end that tells no start.
+/// The incarnation of a back end that reports no start time.
 fn incarnation(id: &str) -> BackendIncarnation {
     BackendIncarnation { id: id.into(), started_ms: 0 }
 }
@@ -37,8 +37,8 @@
     Timestamp(ms)
 }
 
-/// Back ends that end one after the other under a body, each 100 ms after the body came there.
-fn end_in_turn(table: &mut Table, body: &str, first_ms: u64, count: u64) {
+/// Crashes one after the other under a body, each 100 ms after the body was sent.
+fn crash_in_turn(table: &mut Table, body: &str, first_ms: u64, count: u64) {
     for number in 0..count {
         let sent = first_ms + number * 500;
         let backend = format!("{body}-{first_ms}-{number}");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn attempts_of_one_request_have_one_digest_and_other_requests_another() {
+fn attempts_of_one_request_share_a_digest_and_other_requests_differ() {
     let identity = RequestIdentity {
         method: "POST",
         host: "maps.example",
@@ -68,7 +68,7 @@
         RequestIdentity { path: "/generate?", ..identity },
         RequestIdentity { tenant: "wards", ..identity },
         RequestIdentity { body: b"Body", ..identity },
-        // The end of one field is not the beginning of the next.
+        // The end of one field must not pass for the beginning of the next.
         RequestIdentity { tenant: "guide", body: b"sbody", ..identity },
     ];
     for other in others {
@@ -77,26 +77,26 @@
 }
 
 #[test]
-fn a_request_runs_freely_after_one_end_alone_after_two_and_not_after_three() {
+fn a_request_runs_freely_after_one_crash_isolated_after_two_and_not_after_three() {
     let mut table = Table::default();
     assert_eq!(table.status(at(0), &digest("a")), SuspectStatus::Free);
-    end_in_turn(&mut table, "a", 0, 1);
+    crash_in_turn(&mut table, "a", 0, 1);
     assert_eq!(table.status(at(400), &digest("a")), SuspectStatus::Free);
-    end_in_turn(&mut table, "a", 1_000, 1);
+    crash_in_turn(&mut table, "a", 1_000, 1);
     assert_eq!(table.status(at(1_200), &digest("a")), SuspectStatus::HeldBack { wait_ms: 400 });
     assert_eq!(table.status(at(1_600), &digest("a")), SuspectStatus::Isolated);
-    end_in_turn(&mut table, "a", 2_000, 1);
+    crash_in_turn(&mut table, "a", 2_000, 1);
     let SuspectStatus::HeldBack { wait_ms } = table.status(at(2_200), &digest("a")) else {
-        panic!("it runs after three ends");
+        panic!("it runs after three crashes");
     };
     assert_eq!(wait_ms, 29_900);
     assert_eq!(table.status(at(2_200), &digest("b")), SuspectStatus::Free);
 }
 
 #[test]
-fn many_back_ends_that_end_at_once_count_once() {
+fn simultaneous_crashes_count_once() {
     let mut table = Table::default();
-    // A popular request runs on all of a rack that loses power.
+    // A popular request runs on all back ends of a rack that loses power.
     for number in 0..20 {
         let (sent, ended) = (900 + number, 1_000 + number);
         table.record_crash(
@@ -111,31 +111,31 @@
 }
 
 #[test]
-fn a_whole_answer_clears_what_came_before_it_and_nothing_else() {
+fn a_complete_answer_clears_earlier_crashes_only() {
     let mut table = Table::default();
-    end_in_turn(&mut table, "a", 0, 3);
+    crash_in_turn(&mut table, "a", 0, 3);
     assert_eq!(table.record_answer(at(5_000), &digest("a")), 3);
     assert_eq!(table.status(at(5_000), &digest("a")), SuspectStatus::Free);
-    end_in_turn(&mut table, "a", 6_000, 2);
+    crash_in_turn(&mut table, "a", 6_000, 2);
     assert_eq!(table.status(at(8_000), &digest("a")), SuspectStatus::Isolated);
     assert_eq!(table.record_answer(at(9_000), &digest("b")), 0);
 }
 
 #[test]
-fn old_news_of_an_end_does_not_undo_a_later_answer() {
+fn a_late_update_about_a_crash_does_not_undo_a_later_answer() {
     let mut observer = Table::default();
-    end_in_turn(&mut observer, "a", 0, 3);
+    crash_in_turn(&mut observer, "a", 0, 3);
     let mut table = Table::default();
     for update in observer.updates(at(2_000)) {
         assert!(table.merge(at(2_000), update));
     }
     table.record_answer(at(3_000), &digest("a"));
-    // The observer was cut off meanwhile and tells the same again.
+    // The observer was partitioned in the meantime and sends the same updates again.
     for update in observer.updates(at(9_000)) {
         assert!(!table.merge(at(9_000), update));
     }
     assert_eq!(table.status(at(9_000), &digest("a")), SuspectStatus::Free);
-    // It hears of the answer in turn.
+    // The observer learns of the answer in turn.
     for update in table.updates(at(9_000)) {
         observer.merge(at(9_000), update);
     }
@@ -143,10 +143,10 @@
 }
 
 #[test]
-fn suspects_run_alone_once_at_a_time_and_each_at_a_back_end_of_its_own() {
+fn isolated_runs_are_one_per_request_and_one_per_back_end() {
     let mut table = Table::default();
-    end_in_turn(&mut table, "a", 0, 2);
-    end_in_turn(&mut table, "b", 0, 2);
+    crash_in_turn(&mut table, "a", 0, 2);
+    crash_in_turn(&mut table, "b", 0, 2);
     let now = at(2_000);
     assert_eq!(table.grant(now, &digest("free"), "s-1", RequestSource::Client), Grant::Granted);
     assert_eq!(table.grant(now, &digest("a"), "s-1", RequestSource::Client), Grant::Granted);
@@ -156,7 +156,7 @@
     );
     assert_eq!(table.grant(now, &digest("b"), "s-1", RequestSource::Client), Grant::BackendBusy);
     assert_eq!(table.grant(now, &digest("b"), "s-2", RequestSource::Client), Grant::Granted);
-    // What runs alone ends its back end: only that one is held back.
+    // An isolated request crashes its back end: only that request is held back.
     table.record_crash(at(2_100), digest("a"), (&incarnation("s-1"), POPULATION), now);
     assert!(
         matches!(table.grant(at(2_200), &digest("a"), "s-3", RequestSource::Client), Grant::Wait { ms } if ms > 500)
@@ -166,9 +166,9 @@
 }
 
 #[test]
-fn a_run_of_which_nothing_is_heard_does_not_bar_the_next_for_ever() {
+fn an_isolated_run_without_a_result_does_not_block_the_next_forever() {
     let mut table = Table::default();
-    end_in_turn(&mut table, "a", 0, 2);
+    crash_in_turn(&mut table, "a", 0, 2);
     assert_eq!(table.grant(at(2_000), &digest("a"), "s-1", RequestSource::Client), Grant::Granted);
     assert_eq!(
         table.grant(at(11_900), &digest("a"), "s-2", RequestSource::Client),
@@ -177,10 +177,11 @@
     assert_eq!(table.grant(at(12_000), &digest("a"), "s-2", RequestSource::Client), Grant::Granted);
 }
 
-/// What happened: on days on which many back ends ended, items were at series of ends that chance explains. Each
-/// waited for up to 30 s, until after the end of the day, and its job was left lying.
+/// Guards against items that wait for too long. With many crashes in the fleet, items were present
+/// at series of crashes that chance explains, and each waited for up to 30 s, so that its job was
+/// not finished.
 #[test]
-fn an_item_whose_ends_chance_explains_waits_for_seconds_at_most() {
+fn an_item_whose_crashes_chance_explains_waits_for_seconds_at_most() {
     let mut table = Table::default();
     for number in 0..40 {
         let now = at(10_000 + number * 120);
@@ -227,9 +228,9 @@
 }
 
 #[test]
-fn probes_of_what_is_held_back_grow_rare() {
+fn probes_of_held_back_requests_back_off() {
     let mut table = Table::default();
-    end_in_turn(&mut table, "a", 0, 3);
+    crash_in_turn(&mut table, "a", 0, 3);
     let mut now = 1_200;
     let mut probes = Vec::new();
     while now < 3_600_000 {
@@ -246,18 +247,18 @@
                 now += 200;
             }
             Grant::Wait { ms } => now += ms,
-            Grant::BackendBusy => panic!("nothing else runs"),
+            Grant::BackendBusy => panic!("no other suspect runs"),
         }
     }
     assert_eq!(probes, [31, 151, 631, 2_551]);
 }
 
 #[test]
-fn a_flood_of_suspects_is_bounded_and_does_not_push_out_what_is_held_back() {
+fn a_flood_of_suspects_is_bounded_and_does_not_evict_held_back_requests() {
     let mut table = Table::default();
-    end_in_turn(&mut table, "a", 0, 3);
+    crash_in_turn(&mut table, "a", 0, 3);
     for number in 0..5_000 {
-        end_in_turn(&mut table, &format!("flood-{number}"), 10_000 + number, 1);
+        crash_in_turn(&mut table, &format!("flood-{number}"), 10_000 + number, 1);
     }
     assert!(table.len() <= 1_024, "{} entries", table.len());
     assert_eq!(table.crash_count(&digest("a")), 3);
@@ -266,9 +267,9 @@
 }
 
 #[test]
-fn tables_that_know_the_same_have_the_same_fingerprint() {
+fn tables_with_the_same_content_have_the_same_fingerprint() {
     let (mut left, mut right) = (Table::default(), Table::default());
-    end_in_turn(&mut left, "a", 0, 3);
+    crash_in_turn(&mut left, "a", 0, 3);
     assert_ne!(left.fingerprint(), right.fingerprint());
     for update in left.updates(at(2_000)) {
         right.merge(at(77_000), update);
@@ -276,27 +277,27 @@
     assert_eq!(left.fingerprint(), right.fingerprint());
 }
 
-/// A fleet whose back ends end by chance: every two seconds, 30 in 100 of them, and requests that are sent
-/// again whenever that breaks them off.
-struct Storm {
+/// A fleet whose back ends crash by chance, 30 in 100 of them every two seconds, and requests that
+/// are retried after each crash.
+struct CrashStorm {
     table: Table,
     generator: StdRng,
     now: u64,
-    lives: u64,
-    /// Items that were started first so far.
+    generation: u64,
+    /// Number of items started so far.
     items: u64,
-    /// When each back end got which request.
+    /// Running requests: back end, start time and body.
     running: Vec<(String, u64, String)>,
 }
 
-impl Storm {
+impl CrashStorm {
     fn new(seed: u64) -> Self {
         let generator = StdRng::seed_from_u64(seed);
         Self {
             table: Table::default(),
             generator,
             now: 1_000,
-            lives: 0,
+            generation: 0,
             items: 0,
             running: Vec::new(),
         }
@@ -307,12 +308,12 @@
     }
 
     fn name(&self, number: usize) -> String {
-        format!("s-{number}-{}", self.lives)
+        format!("s-{number}-{}", self.generation)
     }
 
-    /// Ends some back ends at once; what ran there is sent again.
-    fn end_some(&mut self, count: usize) {
-        self.lives += 1;
+    /// Crashes some back ends at once; their requests are sent again.
+    fn crash_some(&mut self, count: usize) {
+        self.generation += 1;
         let victims: Vec<usize> = (0..count).map(|_| self.draw()).collect();
         let hit = |name: &str| {
             let number = name.split('-').nth(1).and_then(|number| number.parse::<usize>().ok());
@@ -328,7 +329,7 @@
         }
     }
 
-    /// Starts items, as many as there are slots.
+    /// Starts items until all slots are used.
     fn fill(&mut self) {
         while self.running.len() < SLOTS {
             self.items += 1;
@@ -342,8 +343,8 @@
         self.running.push((name, self.now, body));
     }
 
-    /// Requests that have run for long enough are answered.
-    fn answer_those_after(&mut self, ms: u64) -> usize {
+    /// Answers the requests that have run for at least `ms`.
+    fn answer_runs_of(&mut self, ms: u64) -> usize {
         let now = self.now;
         let (done, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
             .into_iter()
@@ -357,36 +358,36 @@
 }
 
 #[test]
-fn nothing_is_held_back_for_back_ends_that_end_by_chance() {
-    let mut ends_seen = 0;
+fn nothing_is_held_back_for_crashes_by_chance() {
+    let mut crashes_seen = 0;
     for seed in 0..200 {
-        let mut storm = Storm::new(seed);
+        let mut storm = CrashStorm::new(seed);
         for step in 0..300 {
             storm.now += 100;
             storm.fill();
-            storm.answer_those_after(4_000);
+            storm.answer_runs_of(4_000);
             if step % 20 == 19 {
-                storm.end_some(POPULATION * 3 / 10);
+                storm.crash_some(POPULATION * 3 / 10);
             }
-            ends_seen += storm.table.len();
+            crashes_seen += storm.table.len();
             assert_eq!(storm.table.held_back(), 0, "seed {seed}, step {step}");
         }
     }
-    assert!(ends_seen > 0);
+    assert!(crashes_seen > 0);
 }
 
-/// The limits promise that one in 10,000 series of ends by chance is taken for a cause. At the first ends of
-/// a storm its rate is not known, and it is more: 9 of 20,218 requests at ends here. Each is allowed a run
-/// 30 s later, which clears it.
+/// By design one in 10,000 series of crashes by chance is taken for a cause. At the first crashes
+/// of a storm the baseline rate is not known yet, and the share is higher: 9 of 20,218 requests
+/// present at crashes here. Each is granted a run 30 s later, which clears it.
 #[test]
-fn hardly_anything_is_held_back_where_one_back_end_after_the_other_ends_by_chance() {
-    let (mut at_ends, mut held_back) = (0, 0);
+fn hardly_anything_is_held_back_for_a_series_of_crashes_by_chance() {
+    let (mut at_crashes, mut held_back) = (0, 0);
     for seed in 0..200 {
-        let mut storm = Storm::new(seed);
+        let mut storm = CrashStorm::new(seed);
         for step in 0..300 {
             storm.now += 100;
             storm.fill();
-            // Online requests preempt items, which go on elsewhere, after whatever time.
+            // Online requests preempt items, which continue elsewhere after an arbitrary time.
             for _ in 0..3 {
                 let position = storm.generator.random_range(0..storm.running.len());
                 let (_, started, body) = storm.running.swap_remove(position);
@@ -394,23 +395,23 @@
                 storm.table.record_inconclusive_run(at(storm.now), &digest(&body), worked);
                 storm.start(body);
             }
-            storm.answer_those_after(4_000);
+            storm.answer_runs_of(4_000);
             if step % 4 == 3 {
                 let before = storm.table.held_back();
-                storm.end_some(1);
+                storm.crash_some(1);
                 held_back += storm.table.held_back().saturating_sub(before);
             }
         }
-        at_ends += storm.table.len();
+        at_crashes += storm.table.len();
     }
-    println!("{held_back} of {at_ends} held back");
-    assert!(held_back * 2_000 <= at_ends, "{held_back} of {at_ends}");
+    println!("{held_back} of {at_crashes} held back");
+    assert!(held_back * 2_000 <= at_crashes, "{held_back} of {at_crashes}");
 }
 
 #[test]
-fn what_ends_back_ends_is_held_back_in_a_storm_as_well() {
+fn a_crashing_request_is_held_back_despite_crashes_by_chance() {
     for seed in 0..200 {
-        let mut storm = Storm::new(seed);
+        let mut storm = CrashStorm::new(seed);
         for _ in 0..40 {
             storm.start(format!("item-{}", storm.running.len()));
         }
@@ -418,9 +419,9 @@
         for step in 0..60 {
             storm.now += 100;
             if step % 20 == 19 {
-                storm.end_some(POPULATION * 3 / 10);
+                storm.crash_some(POPULATION * 3 / 10);
             }
-            // The culprit comes every half second and ends its back end 100 ms later.
+            // The crashing request arrives every half second and crashes its back end 100 ms later.
             let held = matches!(
                 storm.table.status(at(storm.now), &digest("fatal")),
                 SuspectStatus::HeldBack { .. }
@@ -432,12 +433,12 @@
                 storm.table.record_crash(at(storm.now), digest("fatal"), backend, at(sent));
             }
         }
-        assert!((3..=5).contains(&ended), "seed {seed}: {ended} back ends ended");
+        assert!((3..=5).contains(&ended), "seed {seed}: {ended} crashes");
     }
 }
 
 #[test]
-fn four_requests_that_end_back_ends_at_once_are_held_back_after_few() {
+fn four_concurrent_crashing_requests_are_held_back_after_few_crashes() {
     let mut table = Table::default();
     let mut ended = [0; 4];
     for step in 0..40u64 {
@@ -454,30 +455,30 @@
     assert!(ended.iter().all(|ended| *ended <= 5), "{ended:?}");
 }
 
-/// Some requests that end back ends, each of which comes again and again; one run in five waits in a queue.
-struct Culprits {
+/// Some requests that crash back ends, each of which is repeated; one run in five waits in a queue.
+struct CrashingRequests {
     table: Table,
     generator: StdRng,
-    /// Until when each back end is away.
-    away_until: Vec<u64>,
-    /// Runs by the moment of their end: request, back end, moment of sending.
+    /// Time until which each back end is down.
+    down_until: Vec<u64>,
+    /// Runs in order of their crash: time of the crash, request, back end, time of sending.
     runs: BinaryHeap<Reverse<(u64, usize, usize, u64)>>,
-    /// Moments at which a back end ended, and at which a run began, by request.
-    ends: Vec<Vec<u64>>,
+    /// Times of crashes and of starts of runs, by request.
+    crashes: Vec<Vec<u64>>,
     starts: Vec<Vec<u64>>,
 }
 
-/// What a back end needs until it is back, in milliseconds.
-const BACK_AFTER_MS: u64 = 2_500;
+/// Time that a back end needs to restart, in milliseconds.
+const RESTART_MS: u64 = 2_500;
 
-impl Culprits {
+impl CrashingRequests {
     fn new(seed: u64, count: usize) -> Self {
         Self {
             table: Table::default(),
             generator: StdRng::seed_from_u64(seed),
-            away_until: vec![0; POPULATION],
+            down_until: vec![0; POPULATION],
             runs: BinaryHeap::new(),
-            ends: vec![Vec::new(); count],
+            crashes: vec![Vec::new(); count],
             starts: vec![Vec::new(); count],
         }
     }
@@ -487,7 +488,7 @@
     }
 
     /// A client sends a request again.
-    fn come(&mut self, now: u64, request: usize) {
+    fn send(&mut self, now: u64, request: usize) {
         let name = format!("any-{now}");
         if self.table.status(at(now), &Self::body(request)) != SuspectStatus::Free
             && self.table.grant(at(now), &Self::body(request), &name, RequestSource::Client)
@@ -495,78 +496,78 @@
         {
             return;
         }
-        let here: Vec<usize> =
-            (0..POPULATION).filter(|number| self.away_until[*number] <= now).collect();
-        let Some(number) = here.choose(&mut self.generator) else { return };
+        let available: Vec<usize> =
+            (0..POPULATION).filter(|number| self.down_until[*number] <= now).collect();
+        let Some(number) = available.choose(&mut self.generator) else { return };
         let waits = self.generator.random_range(0..5) == 0;
         let queued = if waits { self.generator.random_range(1_000..3_000) } else { 0 };
-        let ends_at = now + queued + self.generator.random_range(50..150);
+        let crashes_at = now + queued + self.generator.random_range(50..150);
         self.starts[request].push(now);
-        self.runs.push(Reverse((ends_at, request, *number, now)));
+        self.runs.push(Reverse((crashes_at, request, *number, now)));
     }
 
-    /// Ends what is due.
-    fn pass(&mut self, now: u64) {
-        while let Some(Reverse((ends_at, request, number, sent))) = self.runs.peek().copied() {
-            if ends_at > now {
+    /// Crashes the back ends whose runs are due.
+    fn finish_due(&mut self, now: u64) {
+        while let Some(Reverse((crashes_at, request, number, sent))) = self.runs.peek().copied() {
+            if crashes_at > now {
                 return;
             }
             self.runs.pop();
-            if self.away_until[number] > ends_at {
-                // It ended under another request, and took this one with it.
+            if self.down_until[number] > crashes_at {
+                // It crashed under another request, and this run was lost with it.
                 continue;
             }
-            self.away_until[number] = ends_at + BACK_AFTER_MS;
-            self.ends[request].push(ends_at);
-            let name = format!("s-{number}-{ends_at}");
+            self.down_until[number] = crashes_at + RESTART_MS;
+            self.crashes[request].push(crashes_at);
+            let name = format!("s-{number}-{crashes_at}");
             let backend = (&incarnation(&name), POPULATION);
-            self.table.record_crash(at(ends_at), Self::body(request), backend, at(sent));
+            self.table.record_crash(at(crashes_at), Self::body(request), backend, at(sent));
         }
     }
 
-    /// Runs that began 3 s after the third end and later.
-    fn late(&self, request: usize) -> usize {
-        let Some(third) = self.ends[request].get(2) else { return 0 };
+    /// Number of runs that started more than 3 s after the third crash.
+    fn late_runs(&self, request: usize) -> usize {
+        let Some(third) = self.crashes[request].get(2) else { return 0 };
         self.starts[request].iter().filter(|start| **start > third + 3_000).count()
     }
 }
 
 #[test]
-fn up_to_four_requests_that_end_back_ends_reach_few_whatever_waits_they_meet() {
+fn up_to_four_crashing_requests_reach_few_back_ends_whatever_their_queueing() {
     for count in [1, 2, 4] {
         let (mut ended, mut most) = (0, 0);
         for seed in 0..100 {
-            let mut fleet = Culprits::new(seed, count);
+            let mut fleet = CrashingRequests::new(seed, count);
             let mut next: Vec<u64> = (0..count as u64).map(|n| 10_000 + n * 77).collect();
             for now in (10_000..40_000).step_by(10) {
-                fleet.pass(now);
+                fleet.finish_due(now);
                 for (request, next) in next.iter_mut().enumerate() {
                     if *next <= now {
-                        fleet.come(now, request);
+                        fleet.send(now, request);
                         *next = now + fleet.generator.random_range(250..600);
                     }
                 }
             }
             for request in 0..count {
-                let late = fleet.late(request);
+                let late = fleet.late_runs(request);
                 assert!(late <= 3, "{count} requests, seed {seed}: {late} late runs");
-                ended += fleet.ends[request].len();
-                most = most.max(fleet.ends[request].len());
+                ended += fleet.crashes[request].len();
+                most = most.max(fleet.crashes[request].len());
             }
         }
         let mean = f64::from(ended as u32) / (count as f64 * 100.0);
-        println!("{count} at once: {mean:.1} back ends ended by each, {most} at most");
+        println!("{count} at once: {mean:.1} crashes by each, {most} at most");
         assert!(mean <= 5.0, "{mean} by each of {count}");
     }
 }
 
 quickcheck! {
-    /// Observations reach tables in any order and any number of times; all come to the same.
-    fn tables_merge_to_the_same(steps: Vec<(u8, u8, u8)>, order: Vec<u8>) -> TestResult {
+    /// Updates arrive in any order and any number of times; all tables converge.
+    fn tables_converge(steps: Vec<(u8, u8, u8)>, order: Vec<u8>) -> TestResult {
         if steps.is_empty() {
             return TestResult::discard();
         }
-        // Each step is an observation of one of three processes, in the order of time.
+        // Each step is an observation of one of three processes, in order of time.
         let mut tables = [Table::default(), Table::default(), Table::default()];
         let mut now = 1_000;
         for (number, (process, request, pause)) in steps.iter().enumerate() {
@@ -579,9 +580,9 @@
                 table.record_crash(at(now), request, (&incarnation(&format!("s-{number}")), 12), at(now - 9));
             }
         }
-        // Some news goes round by chance, then all of it, twice.
-        let everybody = (0..3u8).flat_map(|from| (0..3u8).map(move |to| from * 3 + to));
-        let all: Vec<u8> = everybody.collect();
+        // Some updates are exchanged at random, then all of them, twice.
+        let all_pairs = (0..3u8).flat_map(|from| (0..3u8).map(move |to| from * 3 + to));
+        let all: Vec<u8> = all_pairs.collect();
         for pair in order.iter().chain(&all).chain(&all) {
             let (from, to) = (usize::from(pair / 3 % 3), usize::from(pair % 3));
             for update in tables[from].updates(at(now)) {
@@ -599,10 +600,11 @@
     }
 }
 
-/// Symptom: a request that ended a back end three times, each within a second of its return under the same id,
-/// had one end to its name. Cause: ends of one id at about one moment were taken for one.
+/// Guards against merging distinct crashes. A request that crashed a back end three times, each
+/// within a second of its restart under the same id, counted one crash, since crashes of one id at
+/// about the same time were taken for one.
 #[test]
-fn ends_of_two_lives_under_one_id_are_two_ends() {
+fn crashes_of_two_incarnations_under_one_id_are_distinct() {
     let mut table = Table::default();
     for started_ms in 1..=3 {
         let backend = BackendIncarnation { id: "s-1".into(), started_ms };
@@ -612,11 +614,11 @@
     assert_eq!(table.crash_count(&digest("a")), 3);
 }
 
-/// Symptom: a request that ends back ends is held back late. Sequence: a back end ends under it, is back at its
-/// address within two seconds, and gets it again from a process that has not heard of the new life. Cause: the
-/// second end was taken for the first one, found out once more.
+/// Guards against holding back a crashing request too late. A back end crashes under it, restarts
+/// at its address within two seconds, and gets it again from a process that has not learned of the
+/// new incarnation. The second crash was taken for a late detection of the first.
 #[test]
-fn a_run_that_began_after_the_end_of_its_life_ran_at_a_later_one() {
+fn a_run_that_began_after_a_crash_counts_for_a_later_incarnation() {
     let mut table = Table::default();
     let backend = BackendIncarnation { id: "s-1".into(), started_ms: 7 };
     table.record_crash(at(2_000), digest("a"), (&backend, POPULATION), at(1_900));
@@ -624,9 +626,10 @@
     assert_eq!(table.crash_count(&digest("a")), 2);
 }
 
-/// A process that finds an end out late (it stood still, or a link was silent) adds none to the series.
+/// A process that detects a crash late (it was frozen, or a connection was silent) adds none to the
+/// series.
 #[test]
-fn an_end_that_is_found_out_late_counts_once() {
+fn a_crash_that_is_detected_late_counts_once() {
     let mut table = Table::default();
     let backend = BackendIncarnation { id: "s-1".into(), started_ms: 7 };
     table.record_crash(at(2_000), digest("a"), (&backend, POPULATION), at(1_900));
