--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -76,7 +76,7 @@
             let sent: usize = (0..surging).map(sent).sum();
             let share = sent as f64 / outcome.within_limit_of_surging as f64;
             println!(
-                "{surging} hot x{factor}, {gateways} gateways: others rejected {:.5}, surging sent {share:.3} of \
+                "{surging} surging x{factor}, {gateways} gateways: others rejected {:.5}, surging sent {share:.3} of \
                  their limit, {} token requests for {} requests",
                 outcome.rejected_fraction(),
                 outcome.token_requests,
