--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -28,9 +28,8 @@
         let members = self.members();
         let is_pair = members.voters.len() == 2 && members.voters.contains(&self.me);
         // Newer entries may change the learners; a membership that was never committed is no pair.
-        let committed_members_index =
-            self.members_at(self.committed_members_index).epoch == members.epoch;
-        (is_pair && committed_members_index).then_some(Pair { epoch: members.epoch })
+        let is_committed = self.members_at(self.committed_members_index).epoch == members.epoch;
+        (is_pair && is_committed).then_some(Pair { epoch: members.epoch })
     }
 
     /// Continues as the sole voter after the loss of the other member of a pair. The caller must
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -258,7 +258,7 @@
     }
 
     fn collect_committed(&mut self) {
-        let committed_members_index = self.committed_members_index;
+        let previous = self.committed_members_index;
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied + 1) else { break };
             if matches!(entry.payload, Payload::Members(_)) {
@@ -267,7 +267,7 @@
             self.effects.committed.push(entry.clone());
             self.applied += 1;
         }
-        if self.committed_members_index > committed_members_index {
+        if self.committed_members_index > previous {
             self.save_state();
         }
     }
--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -58,8 +58,8 @@
     step.unwrap_or(Step::Idle)
 }
 
-/// Whether a change of a pair's voters, other than the replacement of a lost disk, needs the claim
-/// on the pair: the other member may have continued alone, or may try to.
+/// Whether a change of members needs the claim on a pair: it changes the voters of the pair other
+/// than by replacing a lost disk, and the other member may have continued alone, or may try to.
 pub fn needs_claim(node: &Consensus, members: &Members) -> bool {
     let voter_change = node.voter_change(members);
     node.members().voters.len() == 2 && voter_change == VoterChange::One
@@ -88,21 +88,21 @@
 /// Replaces a voter by the caught-up learner of the same name. Its response proves that the other
 /// disk is gone: a machine runs one process, and that one opened an empty disk.
 fn replace_lost_disk(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
-    let succeeds = |learner: &&MemberId| {
+    let replaces_voter = |learner: &&MemberId| {
         members.voters.iter().any(|voter| voter.name == learner.name)
             && node.matched(learner) > 0
             && is_caught_up(node, now, learner)
     };
-    let learner = members.learners.iter().find(succeeds)?;
+    let learner = members.learners.iter().find(replaces_voter)?;
     let mut members = members.clone();
-    members.learners.retain(|held| held != learner);
+    members.learners.retain(|other| other != learner);
     members.voters.retain(|voter| voter.name != learner.name);
     members.voters.push(learner.clone());
     Some(Step::Change(members))
 }
 
 fn without(members: &Members, member: &MemberId) -> Members {
-    let keep = |list: &[MemberId]| list.iter().filter(|held| *held != member).cloned().collect();
+    let keep = |list: &[MemberId]| list.iter().filter(|other| *other != member).cloned().collect();
     Members {
         voters: keep(&members.voters),
         learners: keep(&members.learners),
@@ -130,7 +130,7 @@
     };
     let staying = members.all().filter(stays).count();
     let wanted = |member: &&MemberId| {
-        let known = members.all().any(|held| held.name == member.name);
+        let known = members.all().any(|other| other.name == member.name);
         may_join(members, desired, member) && (known || staying < desired.voters)
     };
     let joining =
@@ -169,7 +169,7 @@
         return None;
     }
     let mut members = members.clone();
-    members.learners.retain(|held| held != learner);
+    members.learners.retain(|other| other != learner);
     members.voters.push(learner.clone());
     Some(Step::Change(members))
 }
@@ -199,19 +199,20 @@
     let may_vote = |learner: &&MemberId| {
         is_caught_up(node, now, learner) && !desired.leaving.contains(&learner.name)
     };
-    let moves = |member: &&MemberId| voter_to_replace(member).is_some();
+    let improves_balance = |member: &&MemberId| voter_to_replace(member).is_some();
     let mut changed = members.clone();
-    if let Some(learner) = members.learners.iter().filter(may_vote).find(moves) {
-        changed.learners.retain(|held| held != learner);
+    if let Some(learner) = members.learners.iter().filter(may_vote).find(improves_balance) {
+        changed.learners.retain(|other| other != learner);
         changed.voters.push(learner.clone());
         return Some(Step::Change(changed));
     }
     if !members.learners.is_empty() {
         return None;
     }
-    let may_learn = |member: &&MemberId| may_join(members, desired, member) && moves(member);
-    let asking = desired.joining.iter().filter(may_learn);
-    changed.learners.push(desired.zones.from_smallest_zone(members, asking)?.clone());
+    let may_learn =
+        |member: &&MemberId| may_join(members, desired, member) && improves_balance(member);
+    let candidates = desired.joining.iter().filter(may_learn);
+    changed.learners.push(desired.zones.from_smallest_zone(members, candidates)?.clone());
     Some(Step::Change(changed))
 }
 
@@ -251,8 +252,8 @@
         // The removal commits only once a quorum of them has every entry before it.
         .filter(|voter| is_caught_up(node, now, voter))
         .collect();
-    let can_fill = |member: &&MemberId| !desired.leaving.contains(&member.name);
-    let learners = members.learners.iter().filter(can_fill);
+    let can_replace = |member: &&MemberId| !desired.leaving.contains(&member.name);
+    let learners = members.learners.iter().filter(can_replace);
     let successor =
         learners.into_iter().any(|learner| node.silent_ms(now, learner) < VOTER_TIMEOUT_MS)
             || desired.joining.iter().any(|member| may_join(members, desired, member));
@@ -266,8 +267,8 @@
     }
     if leaving == node.id() {
         // Leadership can only be transferred to a member that has every entry.
-        let nearest = others.iter().max_by_key(|other| node.matched(other));
-        return nearest.map(|other| Step::TransferLeadership((*other).clone()));
+        let most_advanced = others.iter().max_by_key(|other| node.matched(other));
+        return most_advanced.map(|other| Step::TransferLeadership((*other).clone()));
     }
     Some(Step::Change(without(members, leaving)))
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -17,7 +17,7 @@
 /// Time after which an unacknowledged probe counts as lost, in milliseconds.
 const PROBE_TIMEOUT_MS: Millis = 2_000;
 /// Maximum time since the last message of a member for it to be sent a snapshot, in milliseconds.
-const SNAPSHOT_CONTACT_MS: Millis = 1_000;
+const MAX_SILENCE_FOR_SNAPSHOT_MS: Millis = 1_000;
 /// Time after which an unacknowledged snapshot counts as lost, in milliseconds.
 const SNAPSHOT_TIMEOUT_MS: Millis = 3_000;
 
@@ -220,8 +220,8 @@
         if now < self.heartbeat_at {
             return;
         }
-        let quorum_heard = self.quorum_value(|progress| Some(progress.last_contact), now);
-        if quorum_heard.is_none_or(|heard| now > heard + 4 * ELECTION_TIMEOUT_MIN_MS) {
+        let quorum_contact = self.quorum_value(|progress| Some(progress.last_contact), now);
+        if quorum_contact.is_none_or(|contact| now > contact + 4 * ELECTION_TIMEOUT_MIN_MS) {
             self.become_follower(now, self.term);
             return;
         }
@@ -263,8 +263,11 @@
             if progress.next <= self.log.snapshot().index {
                 // Snapshots are large and are sent one at a time. A member that does not respond
                 // must not block the others.
-                let is_heard = now < progress.last_contact + SNAPSHOT_CONTACT_MS;
-                if is_heard && self.effects.snapshot_targets.is_empty() && !self.is_installing() {
+                let is_responsive = now < progress.last_contact + MAX_SILENCE_FOR_SNAPSHOT_MS;
+                if is_responsive
+                    && self.effects.snapshot_targets.is_empty()
+                    && !self.is_installing()
+                {
                     self.effects.snapshot_targets.push(member.clone());
                 }
                 break;
@@ -368,11 +371,11 @@
     /// then, a voter that is left alone could not tell whether it ever was.
     pub fn members_durably_committed(&self) -> bool {
         let (position, members) = self.log.members();
-        let committed_members_index = |voter: &MemberId| match self.progress.get(voter) {
+        let has_recorded = |voter: &MemberId| match self.progress.get(voter) {
             Some(progress) => progress.committed_members_index >= position,
             None => *voter == self.me && self.durable_members_index >= position,
         };
-        self.role == Role::Leader && members.voters.iter().all(committed_members_index)
+        self.role == Role::Leader && members.voters.iter().all(has_recorded)
     }
 
     /// Whether no other leader can exist now.
--- a/crates/consensus/src/zones.rs
+++ b/crates/consensus/src/zones.rs
@@ -8,17 +8,17 @@
 /// Zones of machines by name, as far as they are known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Zones {
-    of: HashMap<String, String>,
+    by_name: HashMap<String, String>,
 }
 
 impl Zones {
     /// Creates the map from machine names to zones.
-    pub fn new(of: impl IntoIterator<Item = (String, String)>) -> Self {
-        Self { of: of.into_iter().collect() }
+    pub fn new(by_name: impl IntoIterator<Item = (String, String)>) -> Self {
+        Self { by_name: by_name.into_iter().collect() }
     }
 
-    fn of(&self, member: &MemberId) -> Option<&str> {
-        self.of.get(&member.name).map(String::as_str)
+    fn zone_of(&self, member: &MemberId) -> Option<&str> {
+        self.by_name.get(&member.name).map(String::as_str)
     }
 
     /// Number of `members` in the zone of a member; zero if its zone is unknown.
@@ -27,8 +27,8 @@
         member: &MemberId,
         members: impl IntoIterator<Item = &'a MemberId>,
     ) -> usize {
-        let Some(zone) = self.of(member) else { return 0 };
-        members.into_iter().filter(|held| self.of(held) == Some(zone)).count()
+        let Some(zone) = self.zone_of(member) else { return 0 };
+        members.into_iter().filter(|other| self.zone_of(other) == Some(zone)).count()
     }
 
     /// The candidate to admit: one from the zone with the fewest members. Learners count as well,
@@ -36,9 +36,9 @@
     pub(crate) fn from_smallest_zone<'a>(
         &self,
         members: &Members,
-        asking: impl Iterator<Item = &'a MemberId>,
+        candidates: impl Iterator<Item = &'a MemberId>,
     ) -> Option<&'a MemberId> {
-        asking.min_by_key(|member| (self.count_in_zone_of(member, members.all()), &member.name))
+        candidates.min_by_key(|member| (self.count_in_zone_of(member, members.all()), &member.name))
     }
 
     /// A voter to be replaced by a member of another zone: its zone must have at least two voters
@@ -50,18 +50,18 @@
         by: &MemberId,
         leader: &MemberId,
     ) -> Option<&'a MemberId> {
-        self.of(by)?;
-        if voters.iter().any(|voter| self.of(voter).is_none()) {
+        self.zone_of(by)?;
+        if voters.iter().any(|voter| self.zone_of(voter).is_none()) {
             return None;
         }
-        let count_beside_candidate =
+        let count_in_new_zone =
             self.count_in_zone_of(by, voters.iter().filter(|voter| *voter != by));
-        let crowded = |voter: &&MemberId| {
+        let is_in_larger_zone = |voter: &&MemberId| {
             *voter != leader
                 && *voter != by
-                && self.count_in_zone_of(voter, voters) >= count_beside_candidate + 2
+                && self.count_in_zone_of(voter, voters) >= count_in_new_zone + 2
         };
         let most = |voter: &&MemberId| (self.count_in_zone_of(voter, voters), voter.name.clone());
-        voters.iter().filter(crowded).max_by_key(most)
+        voters.iter().filter(is_in_larger_zone).max_by_key(most)
     }
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -143,7 +143,7 @@
     mutation: Mutation,
     leaving: Vec<String>,
     /// Machines that never return.
-    gone: Vec<String>,
+    removed: Vec<String>,
     /// Claims on pairs, as recorded by the platform's store.
     claims: BTreeMap<Pair, String>,
     /// Whether the platform's store is available.
@@ -175,7 +175,7 @@
             pending: BTreeMap::new(),
             mutation,
             leaving: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
             claims: BTreeMap::new(),
             claims_available: true,
             wipe_allowed_at: 0,
@@ -474,8 +474,9 @@
             let mut joining = Vec::new();
             for (other, node) in self.nodes.iter().enumerate() {
                 let Some(id) = node.core.as_ref().map(|core| core.id().clone()) else { continue };
-                let heard = reachable(node) && !self.cuts.contains(&(other, at));
-                if heard && !core.members().contains(&id) && !self.leaving.contains(&id.name) {
+                let is_received = reachable(node) && !self.cuts.contains(&(other, at));
+                if is_received && !core.members().contains(&id) && !self.leaving.contains(&id.name)
+                {
                     joining.push(id);
                 }
             }
@@ -552,21 +553,21 @@
     fn any(&mut self) -> usize {
         loop {
             let at = self.random.random_range(0..self.nodes.len());
-            if !self.is_gone(&self.nodes[at]) {
+            if !self.is_removed(&self.nodes[at]) {
                 return at;
             }
         }
     }
 
-    fn is_gone(&self, node: &Node) -> bool {
-        self.gone.contains(&node.name) || self.retired > 0 && self.leaving.contains(&node.name)
+    fn is_removed(&self, node: &Node) -> bool {
+        self.removed.contains(&node.name) || self.retired > 0 && self.leaving.contains(&node.name)
     }
 
     /// Whether another disk may be lost: all machines are up and the time for catching up has
     /// passed.
     fn may_wipe(&self) -> bool {
         let calm = |node: &Node| {
-            self.is_gone(node) || node.core.is_some() && node.frozen_until <= self.now
+            self.is_removed(node) || node.core.is_some() && node.frozen_until <= self.now
         };
         self.now >= self.wipe_allowed_at
             && self.cuts.is_empty()
@@ -661,7 +662,7 @@
     fn cut_off_then_wipe(&mut self, length: Millis) -> Result<(), Violation> {
         let cut_off = self.any();
         let mut wiped = (cut_off + 1) % self.nodes.len();
-        while self.is_gone(&self.nodes[wiped]) || wiped == cut_off {
+        while self.is_removed(&self.nodes[wiped]) || wiped == cut_off {
             wiped = (wiped + 1) % self.nodes.len();
         }
         self.note(format!("{cut_off} is partitioned, then {wiped} wiped, the others down"));
@@ -680,7 +681,7 @@
         self.start(wiped);
         self.run(length)?;
         for at in (0..self.nodes.len()).filter(|at| *at != cut_off && *at != wiped) {
-            if !self.is_gone(&self.nodes[at]) {
+            if !self.is_removed(&self.nodes[at]) {
                 self.start(at);
             }
         }
@@ -722,7 +723,7 @@
         }
         self.run(length)?;
         for at in 0..self.nodes.len() {
-            if !self.is_gone(&self.nodes[at]) {
+            if !self.is_removed(&self.nodes[at]) {
                 self.start(at);
             }
         }
@@ -794,7 +795,7 @@
             self.start(at);
         } else {
             self.note(format!("{at} is lost, a new machine joins"));
-            self.gone.push(self.nodes[at].name.clone());
+            self.removed.push(self.nodes[at].name.clone());
             self.add_node(false);
         }
         self.run(2_000)?;
@@ -819,8 +820,8 @@
     pub fn settle(&mut self) -> Result<(), Violation> {
         self.note("settle".into());
         for at in 0..self.nodes.len() {
-            let gone = self.is_gone(&self.nodes[at]);
-            if self.nodes[at].core.is_none() && !gone {
+            let removed = self.is_removed(&self.nodes[at]);
+            if self.nodes[at].core.is_none() && !removed {
                 self.start(at);
             }
         }
@@ -976,7 +977,7 @@
 
     fn start_all(&mut self) {
         for at in 0..self.nodes.len() {
-            if self.nodes[at].core.is_none() && !self.is_gone(&self.nodes[at]) {
+            if self.nodes[at].core.is_none() && !self.is_removed(&self.nodes[at]) {
                 self.start(at);
             }
         }
@@ -986,7 +987,7 @@
         let at = self.any_voter();
         self.note(format!("{at} is lost, a new machine joins"));
         self.stop(at, true);
-        self.gone.push(self.nodes[at].name.clone());
+        self.removed.push(self.nodes[at].name.clone());
         self.run(1_000)?;
         self.add_node(false);
         Ok(())
@@ -1012,7 +1013,7 @@
             });
             if out {
                 self.stop(at, true);
-                self.gone.push(name);
+                self.removed.push(name);
                 let lost = [self.any_voter(), self.any_voter()];
                 lost.into_iter().for_each(|lost| self.wipe(lost));
                 self.run(800)?;
@@ -1020,7 +1021,7 @@
                 return Ok(());
             }
         }
-        let told = |&leader: &usize| {
+        let describe = |&leader: &usize| {
             let core = self.nodes[leader].core.as_ref()?;
             let durably_committed = core.members_durably_committed();
             Some(format!(
@@ -1029,7 +1030,7 @@
                 core.can_change_members()
             ))
         };
-        let leaders: Vec<String> = self.leaders().iter().filter_map(told).collect();
+        let leaders: Vec<String> = self.leaders().iter().filter_map(describe).collect();
         Err(format!("{name} is never removed; {leaders:?}"))
     }
 }
--- a/crates/suspects/src/background.rs
+++ b/crates/suspects/src/background.rs
@@ -21,7 +21,7 @@
 /// Minimum run time that is assumed, in seconds: the resolution of timestamps.
 const MIN_RUN_SECONDS: f64 = 0.001;
 /// Converts crashes per second to crashes per million seconds.
-const MILLIONTHS: f64 = 1e6;
+const PER_MILLION: f64 = 1e6;
 /// A rate that makes any crash certain, so that it proves nothing.
 pub const CERTAIN: u32 = u32::MAX;
 
@@ -58,7 +58,7 @@
         return 0.0;
     }
     let run = (run_ms as f64 / 1_000.0).max(MIN_RUN_SECONDS);
-    let by_chance = -(-f64::from(rate) / MILLIONTHS * run).exp_m1();
+    let by_chance = -(-f64::from(rate) / PER_MILLION * run).exp_m1();
     -by_chance.ln()
 }
 
@@ -81,14 +81,14 @@
         true
     }
 
-    /// Number of back ends that crashed at about the same time, excluding those that `own` accepts.
-    pub fn simultaneous(
+    /// Number of back ends that crashed at about the same time, excluding those that `is_own` accepts.
+    pub fn count_simultaneous(
         &self,
-        moment: Timestamp,
-        own: impl Fn(&BackendIncarnation) -> bool,
+        at: Timestamp,
+        is_own: impl Fn(&BackendIncarnation) -> bool,
     ) -> usize {
-        let others = self.crashes.iter().filter(|(backend, _)| !own(backend));
-        others.filter(|(_, at)| are_simultaneous(*at, moment)).count()
+        let others = self.crashes.iter().filter(|(backend, _)| !is_own(backend));
+        others.filter(|(_, crashed_at)| are_simultaneous(*crashed_at, at)).count()
     }
 
     /// Baseline crash rate of one back end, per million seconds: how often other back ends of the
@@ -96,7 +96,7 @@
     pub fn rate(&self, now: Timestamp, backend: &BackendIncarnation, population: usize) -> u32 {
         let others = self.recent(now).filter(|(other, _)| other != backend).count();
         let back_end_seconds = population.max(1) as f64 * WINDOW_MS as f64 / 1_000.0;
-        ((others as f64 / back_end_seconds).max(MIN_RATE_PER_SECOND) * MILLIONTHS) as u32
+        ((others as f64 / back_end_seconds).max(MIN_RATE_PER_SECOND) * PER_MILLION) as u32
     }
 
     fn recent(&self, now: Timestamp) -> impl Iterator<Item = &(BackendIncarnation, Timestamp)> {
--- a/crates/suspects/src/entry.rs
+++ b/crates/suspects/src/entry.rs
@@ -163,8 +163,8 @@
     }
 
     /// When it may run isolated, after crashes that chance may explain.
-    pub(crate) fn isolation_due(&self, series: Series, sender: RequestSource) -> Timestamp {
-        let longest = match sender {
+    pub(crate) fn isolation_due(&self, series: Series, source: RequestSource) -> Timestamp {
+        let longest = match source {
             RequestSource::Client => MAX_ISOLATION_BACKOFF_MS,
             RequestSource::Job => MAX_ITEM_ISOLATION_BACKOFF_MS,
         };
@@ -182,14 +182,14 @@
         last.plus_millis(wait.min(MAX_PROBE_BACKOFF_MS))
     }
 
-    pub(crate) fn status(&self, now: Timestamp, sender: RequestSource) -> SuspectStatus {
+    pub(crate) fn status(&self, now: Timestamp, source: RequestSource) -> SuspectStatus {
         let series = self.series();
         if !series.needs_isolation() {
             return SuspectStatus::Free;
         }
         let due = match series.is_held_back() {
             true => self.probe_due(),
-            false => self.isolation_due(series, sender),
+            false => self.isolation_due(series, source),
         };
         match due.millis_since(now) {
             0 => SuspectStatus::Isolated,
@@ -236,7 +236,7 @@
         let is_own = |backend: &BackendIncarnation| own.contains(backend);
         let is_near = |crash: &&mut Crash| are_simultaneous(crash.crashed_at, at);
         for crash in self.crashes.iter_mut().filter(is_near) {
-            if background.simultaneous(crash.crashed_at, is_own) >= SIMULTANEOUS_CRASHES {
+            if background.count_simultaneous(crash.crashed_at, is_own) >= SIMULTANEOUS_CRASHES {
                 crash.rate = CERTAIN;
             }
         }
--- a/crates/suspects/src/notices.rs
+++ b/crates/suspects/src/notices.rs
@@ -21,7 +21,7 @@
 /// are sent later.
 const SEND_INTERVAL_PER_PROCESS: Duration = Duration::from_millis(2);
 
-/// Broadcasts what this process learns until the process ends. `outgoing` carries encoded notices.
+/// Broadcasts what this process learns until the process exits. `outgoing` carries encoded notices.
 pub async fn publish(registry: Rc<Registry>, fleet: FleetCell, outgoing: UnboundedSender<Vec<u8>>) {
     loop {
         if registry.unpublished.borrow().is_empty() {
@@ -48,7 +48,7 @@
     unpublished.drain(..count).filter_map(|digest| registry.update_for(&digest)).collect()
 }
 
-/// Applies the notices of other processes until the process ends.
+/// Applies the notices of other processes until this process exits.
 pub async fn receive(registry: Rc<Registry>, mut incoming: UnboundedReceiver<Vec<u8>>) {
     while let Some(notice) = incoming.recv().await {
         match borsh::from_slice::<SuspectReport>(&notice) {
--- a/crates/suspects/src/registry.rs
+++ b/crates/suspects/src/registry.rs
@@ -213,11 +213,11 @@
     }
 
     /// Whether a request may run at a back end now; only the leader of the job stores decides this.
-    pub fn grant(&self, digest: &RequestDigest, backend: &str, sender: RequestSource) -> Grant {
+    pub fn grant(&self, digest: &RequestDigest, backend: &str, source: RequestSource) -> Grant {
         if self.status(digest) == SuspectStatus::Free {
             return Grant::Granted;
         }
-        let grant = self.table.borrow_mut().grant(self.now(), digest, backend, sender);
+        let grant = self.table.borrow_mut().grant(self.now(), digest, backend, source);
         if grant == Grant::Granted {
             LogLine::new(EventName::SuspectTried)
                 .id(digest)
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -97,13 +97,13 @@
         sent_at: Timestamp,
     ) {
         let rate = self.background.rate(now, backend, population);
-        let end = Crash { backend: backend.clone(), sent_at, crashed_at: now, rate };
-        self.change(now, digest, |entry| entry.add(end));
+        let crash = Crash { backend: backend.clone(), sent_at, crashed_at: now, rate };
+        self.change(now, digest, |entry| entry.add(crash));
         self.record_background_crash(backend, now);
         if let Some(entry) = self.entries.get_mut(&digest) {
             entry.discount_simultaneous(&self.background, now);
         }
-        self.shrink(now);
+        self.evict_surplus(now);
     }
 
     /// Records that a run finished without an answer and without a crash after the back end had
@@ -142,10 +142,10 @@
         now: Timestamp,
         digest: &RequestDigest,
         backend: &str,
-        sender: RequestSource,
+        source: RequestSource,
     ) -> Grant {
         let Some(entry) = self.entries.get(digest) else { return Grant::Granted };
-        match entry.status(now, sender) {
+        match entry.status(now, source) {
             SuspectStatus::Free => return Grant::Granted,
             SuspectStatus::HeldBack { wait_ms } => return Grant::Wait { ms: wait_ms },
             SuspectStatus::Isolated if entry.is_running_isolated(now) => {
@@ -203,7 +203,7 @@
                 entry.discount_simultaneous(&self.background, at(*crashed_age_ms));
             }
         }
-        self.shrink(now);
+        self.evict_surplus(now);
         is_new
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Evicts expired entries and, if there are too many, those with the least evidence.
-    fn shrink(&mut self, now: Timestamp) {
+    fn evict_surplus(&mut self, now: Timestamp) {
         if self.entries.len() <= MAX_ENTRIES {
             return;
         }
