--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -40,11 +40,11 @@
 }
 
 fn suspended_by_clocks() -> Duration {
-    // The clocks are read one after the other, so the difference is too small by at most the time
-    // between the readings. A kernel without one of the clocks reports no suspension.
-    let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).map(Duration::from).unwrap_or_default();
-    let counting = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or(steady);
-    counting.saturating_sub(steady)
+    // The clocks are read one after the other, so the difference is off by at most the time between
+    // the readings. A kernel without one of the clocks reports no suspension.
+    let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).map(Duration::from).unwrap_or_default();
+    let boottime = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or(monotonic);
+    boottime.saturating_sub(monotonic)
 }
 
 /// Time since this clock was created, including suspension.
--- a/crates/clock/tests/elapsed.rs
+++ b/crates/clock/tests/elapsed.rs
@@ -26,9 +26,9 @@
 async fn it_includes_a_suspension_that_the_monotonic_clock_misses() {
     let (suspended, clock) = simulated_clock();
     tokio::time::sleep(Duration::from_millis(250)).await;
-    let steady = Instant::now();
+    let monotonic = Instant::now();
     suspended.fetch_add(5_000, Ordering::Relaxed);
-    assert_eq!(steady.elapsed(), Duration::ZERO);
+    assert_eq!(monotonic.elapsed(), Duration::ZERO);
     assert_eq!(clock.now(), Timestamp(5_250));
     // A second suspension adds to the first.
     suspended.fetch_add(1_000, Ordering::Relaxed);
@@ -61,11 +61,11 @@
 async fn the_clocks_of_a_running_machine_show_no_suspension() {
     let clock = ElapsedClock::new(SuspensionSource::Machine);
     let before = clock.now();
-    let steady = Instant::now();
+    let monotonic = Instant::now();
     tokio::time::sleep(Duration::from_millis(20)).await;
     let elapsed = clock.now().millis_since(before);
     assert!(elapsed >= 19, "{elapsed}");
     // Equal to the monotonic clock, except for the time between the readings.
-    let steady = steady.elapsed().as_millis() as u64;
-    assert!(elapsed <= steady + 1, "{elapsed} of {steady}");
+    let monotonic = monotonic.elapsed().as_millis() as u64;
+    assert!(elapsed <= monotonic + 1, "{elapsed} of {monotonic}");
 }
