--- a/crates/quota/src/bounds.rs
+++ b/crates/quota/src/bounds.rs
@@ -10,7 +10,7 @@
 /// of different rates and requests in transit.
 const TOKEN_LIFETIME_FRACTION: f64 = 0.8;
 /// Fraction of the fixed tolerance by which buckets exceed the burst. The rest covers issuers that
-/// start anew, which grant one initial token each, and gateways that stall between checking a token
+/// restart, which grant one initial token each, and gateways that stall between checking a token
 /// and sending the request.
 const EXTRA_TOKENS_FRACTION: f64 = 0.6;
 /// Minimum lifetime of a token: a round trip between zones plus a scheduling stall.
--- a/crates/suspects/tests/registry.rs
+++ b/crates/suspects/tests/registry.rs
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn a_back_end_that_accepts_connections_has_not_crashed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let running = backend("lives", listener.local_addr().expect("an address"));
+    let running = backend("running", listener.local_addr().expect("an address"));
     let registry = registry(catalog_of(std::slice::from_ref(&running)));
     let conclusion = registry.record_disconnect(&running, Instant::now(), digest).await;
     assert_eq!(conclusion, DisconnectCause::Unknown);
