--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -134,7 +134,7 @@
         may_join(members, desired, member) && (known || staying < desired.voters)
     };
     let joining =
-        desired.zones.from_smallest_zone(members, desired.joining.iter().filter(wanted))?;
+        desired.zones.candidate_of_smallest_zone(members, desired.joining.iter().filter(wanted))?;
     let mut members = members.clone();
     members.learners.retain(|learner| learner.name != joining.name);
     members.learners.push(joining.clone());
@@ -212,7 +212,7 @@
     let may_learn =
         |member: &&MemberId| may_join(members, desired, member) && improves_balance(member);
     let candidates = desired.joining.iter().filter(may_learn);
-    changed.learners.push(desired.zones.from_smallest_zone(members, candidates)?.clone());
+    changed.learners.push(desired.zones.candidate_of_smallest_zone(members, candidates)?.clone());
     Some(Step::Change(changed))
 }
 
--- a/crates/consensus/src/zones.rs
+++ b/crates/consensus/src/zones.rs
@@ -33,7 +33,7 @@
 
     /// The candidate to admit: one from the zone with the fewest members. Learners count as well,
     /// or several candidates would be admitted for the same place.
-    pub(crate) fn from_smallest_zone<'a>(
+    pub(crate) fn candidate_of_smallest_zone<'a>(
         &self,
         members: &Members,
         candidates: impl Iterator<Item = &'a MemberId>,
