--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -114,8 +114,8 @@
     /// disk, which is not among them, elects no leader.
     fn count_votes(&mut self, now: Millis) {
         let members = self.members();
-        let given = members.voters.iter().filter(|voter| self.votes.contains(voter)).count();
-        if given < members.quorum() {
+        let granted = members.voters.iter().filter(|voter| self.votes.contains(voter)).count();
+        if granted < members.quorum() {
             return;
         }
         match self.role {
@@ -153,8 +153,8 @@
     ) {
         let Candidacy { pre_vote, leadership_transfer, last_index, last_term } = candidacy;
         let up_to_date = (last_term, last_index) >= (self.log.last_term(), self.log.last_index());
-        let leads = self.role == Role::Leader && self.has_lease(now);
-        if (self.withholds_votes(now) || leads) && !leadership_transfer {
+        let holds_lease = self.role == Role::Leader && self.has_lease(now);
+        if (self.withholds_votes(now) || holds_lease) && !leadership_transfer {
             // The candidate gets no response and tries again; its term is not adopted.
             return;
         }
@@ -167,8 +167,9 @@
         if term > self.term {
             self.become_follower(now, term);
         }
-        let free = self.voted_for.as_ref().is_none_or(|voted| *voted == from);
-        let granted = term == self.term && up_to_date && free && self.role == Role::Follower;
+        let may_vote_for = self.voted_for.as_ref().is_none_or(|voted| *voted == from);
+        let granted =
+            term == self.term && up_to_date && may_vote_for && self.role == Role::Follower;
         if granted && self.voted_for.is_none() {
             self.voted_for = Some(from.clone());
             self.save_state();
@@ -194,8 +195,8 @@
             }
             return;
         }
-        let asked = if pre_vote { Role::Trial } else { Role::Candidate };
-        if term == expected && self.role == asked {
+        let expected_role = if pre_vote { Role::Trial } else { Role::Candidate };
+        if term == expected && self.role == expected_role {
             self.votes.insert(from);
             self.count_votes(now);
         }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -105,8 +105,8 @@
 
     /// Size of the entries up to an index, in bytes.
     pub fn bytes_up_to(&self, index: Index) -> usize {
-        let applied = self.entries.iter().take_while(|entry| entry.index <= index);
-        applied.map(Entry::bytes).sum()
+        let included = self.entries.iter().take_while(|entry| entry.index <= index);
+        included.map(Entry::bytes).sum()
     }
 
     /// Last index.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -408,8 +408,8 @@
                 }
             }
             Body::TransferLeadership => {
-                let votes = self.members().voters.contains(&self.me);
-                if term == self.term && votes && self.role == Role::Follower {
+                let is_voter = self.members().voters.contains(&self.me);
+                if term == self.term && is_voter && self.role == Role::Follower {
                     self.campaign(now, Role::Candidate, true);
                 }
             }
--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -115,10 +115,10 @@
     !members.contains(member) && !desired.leaving.contains(&member.name)
 }
 
-/// Admits a member that asks to join as a learner if the group has too few voters or is about to.
-/// Other candidates stay outside without any data, since each member costs the leader a copy of the
-/// log. A member whose name is in the group already has replaced a lost disk, and is always
-/// admitted.
+/// Admits a member that asks to join as a learner if the group has, or is about to have, too few
+/// voters. Other candidates stay outside without any data, since each member costs the leader a
+/// copy of the log. A member whose name is in the group already has replaced a lost disk, and is
+/// always admitted.
 fn admit(
     node: &Consensus,
     now: Millis,
@@ -254,15 +254,15 @@
         .collect();
     let can_replace = |member: &&MemberId| !desired.leaving.contains(&member.name);
     let learners = members.learners.iter().filter(can_replace);
-    let successor =
+    let has_replacement =
         learners.into_iter().any(|learner| node.silent_ms(now, learner) < VOTER_TIMEOUT_MS)
             || desired.joining.iter().any(|member| may_join(members, desired, member));
     let is_voter = members.voters.contains(leaving);
-    let enough = match successor && is_voter {
+    let required = match has_replacement && is_voter {
         true => desired.voters,
         false => desired.voters.min(2),
     };
-    if others.len() < enough {
+    if others.len() < required {
         return None;
     }
     if leaving == node.id() {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -48,6 +48,7 @@
     in_flight: VecDeque<Index>,
     /// Whether a snapshot is in flight.
     installing: bool,
+    /// When the newest entries or the newest snapshot was sent.
     sent_at: Millis,
     /// Time on the leader's clock when it sent the newest acknowledged message.
     acknowledged_at: Option<Millis>,
@@ -95,8 +96,8 @@
     /// Gives up on a message that has been unacknowledged for so long that it must be lost.
     fn expire_lost(&mut self, now: Millis) {
         let timeout = if self.installing { SNAPSHOT_TIMEOUT_MS } else { PROBE_TIMEOUT_MS };
-        let waits = self.probing || self.installing;
-        if waits && !self.in_flight.is_empty() && now >= self.sent_at + timeout {
+        let awaits_reply = self.probing || self.installing;
+        if awaits_reply && !self.in_flight.is_empty() && now >= self.sent_at + timeout {
             self.probing = true;
             self.in_flight.clear();
             self.installing = false;
@@ -151,8 +152,8 @@
     /// than n / 2 members, share a member.
     pub fn change_members(&mut self, now: Millis, mut members: Members) -> bool {
         let voter_change = self.voter_change(&members);
-        let grows = voter_change != VoterChange::None;
-        members.epoch = self.members().epoch + u64::from(grows);
+        let changes_voters = voter_change != VoterChange::None;
+        members.epoch = self.members().epoch + u64::from(changes_voters);
         let allowed = match voter_change {
             VoterChange::None | VoterChange::One | VoterChange::Successor => true,
             VoterChange::Many => false,
@@ -370,10 +371,10 @@
     /// Whether every voter has recorded on disk that the current membership is committed. Until
     /// then, a voter that is left alone could not tell whether it ever was.
     pub fn members_durably_committed(&self) -> bool {
-        let (position, members) = self.log.members();
+        let (members_index, members) = self.log.members();
         let has_recorded = |voter: &MemberId| match self.progress.get(voter) {
-            Some(progress) => progress.committed_members_index >= position,
-            None => *voter == self.me && self.durable_members_index >= position,
+            Some(progress) => progress.committed_members_index >= members_index,
+            None => *voter == self.me && self.durable_members_index >= members_index,
         };
         self.role == Role::Leader && members.voters.iter().all(has_recorded)
     }
@@ -395,8 +396,8 @@
 
     /// Asks a voter to take over leadership. The lease ends immediately.
     pub fn transfer_leadership(&mut self, now: Millis, to: &MemberId) -> bool {
-        let votes = self.members().voters.contains(to) && *to != self.me;
-        if self.role != Role::Leader || !votes || self.matched(to) < self.log.last_index() {
+        let is_voter = self.members().voters.contains(to) && *to != self.me;
+        if self.role != Role::Leader || !is_voter || self.matched(to) < self.log.last_index() {
             return false;
         }
         self.transferring_leadership = true;
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -86,18 +86,18 @@
 }
 
 /// Members with disks that sync immediately and links with a latency of one millisecond, except for
-/// snapshots; `dead` members receive nothing.
+/// snapshots; `lost` members receive nothing.
 struct Group {
     now: Millis,
     members: Vec<Consensus>,
-    dead: Vec<&'static str>,
+    lost: Vec<&'static str>,
     applied: BTreeMap<String, u64>,
-    states: VecDeque<(Millis, Message)>,
-    states_sent: usize,
+    snapshots_in_flight: VecDeque<(Millis, Message)>,
+    snapshots_sent: usize,
 }
 
 /// Latency of a snapshot, in milliseconds.
-const STATE_LATENCY_MS: Millis = 700;
+const SNAPSHOT_LATENCY_MS: Millis = 700;
 
 impl Group {
     fn of(names: &[&str]) -> Self {
@@ -105,10 +105,10 @@
         Self {
             now: 0,
             members,
-            dead: Vec::new(),
+            lost: Vec::new(),
             applied: BTreeMap::new(),
-            states: VecDeque::new(),
-            states_sent: 0,
+            snapshots_in_flight: VecDeque::new(),
+            snapshots_sent: 0,
         }
     }
 
@@ -145,18 +145,18 @@
                     }
                 }
             }
-            while self.states.front().is_some_and(|(at, _)| *at <= now) {
-                messages.extend(self.states.pop_front().map(|(_, message)| message));
+            while self.snapshots_in_flight.front().is_some_and(|(at, _)| *at <= now) {
+                messages.extend(self.snapshots_in_flight.pop_front().map(|(_, message)| message));
             }
             for message in messages {
-                if matches!(message.body, Body::Install { sent_at, .. } if now < sent_at + STATE_LATENCY_MS)
+                if matches!(message.body, Body::Install { sent_at, .. } if now < sent_at + SNAPSHOT_LATENCY_MS)
                 {
-                    self.states_sent += 1;
-                    self.states.push_back((now + STATE_LATENCY_MS, message));
+                    self.snapshots_sent += 1;
+                    self.snapshots_in_flight.push_back((now + SNAPSHOT_LATENCY_MS, message));
                     continue;
                 }
-                let silent = |name: &str| self.dead.contains(&name);
-                if !silent(&message.to.name) && !silent(&message.from.name) {
+                let is_lost = |name: &str| self.lost.contains(&name);
+                if !is_lost(&message.to.name) && !is_lost(&message.from.name) {
                     let to = message.to.name.clone();
                     self.at(&to).receive(now, message);
                 }
@@ -181,7 +181,7 @@
         assert!(group.at("a").change_members(now, members));
         group.run(300);
     }
-    group.dead.push("c");
+    group.lost.push("c");
     for _ in 0..50 {
         let now = group.now;
         group.at("a").propose(now, vec![0; 100]).expect("the leader");
@@ -202,5 +202,5 @@
     assert!(group.at("b").change_members(now, members));
     group.run(8_000);
     assert_eq!(group.applied.get("d"), Some(&1), "the learner got no snapshot");
-    assert_eq!(group.states_sent, 1, "the snapshot was sent again while it was in flight");
+    assert_eq!(group.snapshots_sent, 1, "the snapshot was sent again while it was in flight");
 }
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use support::{play, play_pair, play_standby, Mutation, ALL_FAULTS};
+use support::{run_history, run_pair_history, run_standby_history, Mutation, ALL_FAULTS};
 
 /// Number of histories in CI.
 const HISTORIES: u64 = 400;
@@ -17,21 +17,21 @@
 fn acknowledged_commands_survive_any_fault() {
     let threads = 4;
     let total = histories();
-    let play_part = move |part: u64| {
+    let run_part = move |part: u64| {
         for seed in (part..total).step_by(threads) {
-            play(seed, ALL_FAULTS, Mutation::None)?;
+            run_history(seed, ALL_FAULTS, Mutation::None)?;
         }
         Ok::<(), String>(())
     };
     let parts: Vec<_> =
-        (0..threads as u64).map(|part| std::thread::spawn(move || play_part(part))).collect();
+        (0..threads as u64).map(|part| std::thread::spawn(move || run_part(part))).collect();
     for part in parts {
         part.join().expect("a part").unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
 fn is_detected(mutation: Mutation) -> bool {
-    (0..histories()).any(|seed| play(seed, ALL_FAULTS, mutation).is_err())
+    (0..histories()).any(|seed| run_history(seed, ALL_FAULTS, mutation).is_err())
 }
 
 #[test]
@@ -55,7 +55,7 @@
 #[test]
 fn a_group_with_standby_machines_is_filled_from_them() {
     for seed in 0..STANDBY_HISTORIES {
-        play_standby(seed).unwrap_or_else(|violation| panic!("{violation}"));
+        run_standby_history(seed).unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
@@ -65,12 +65,12 @@
 #[test]
 fn a_partitioned_pair_continues_as_one_group() {
     for seed in 0..PAIR_HISTORIES {
-        play_pair(seed, Mutation::None).unwrap_or_else(|violation| panic!("{violation}"));
+        run_pair_history(seed, Mutation::None).unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
 #[test]
 fn becoming_sole_voter_without_a_claim_is_detected() {
-    let found = |seed| play_pair(seed, Mutation::SoleVoterWithoutClaim).is_err();
+    let found = |seed| run_pair_history(seed, Mutation::SoleVoterWithoutClaim).is_err();
     assert!((0..PAIR_HISTORIES).any(found));
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -56,7 +56,7 @@
     /// Number of writes on the disk once this batch is synced.
     until: usize,
     has_writes: bool,
-    held: Vec<Message>,
+    after_sync: Vec<Message>,
     ready_at: Millis,
 }
 
@@ -91,7 +91,7 @@
     /// Processes are frozen.
     pub freezes: bool,
     /// Members are partitioned, in one direction or both.
-    pub cuts: bool,
+    pub partitions: bool,
     /// Disks stall for a while.
     pub stalls: bool,
     /// Machines are added, replaced and drained.
@@ -104,7 +104,7 @@
     power: true,
     wipes: true,
     freezes: true,
-    cuts: true,
+    partitions: true,
     stalls: true,
     changes: true,
 };
@@ -132,7 +132,7 @@
     in_flight: BTreeMap<u64, Message>,
     queue: BinaryHeap<Reverse<Delivery>>,
     next_number: u64,
-    cuts: BTreeSet<(usize, usize)>,
+    partitions: BTreeSet<(usize, usize)>,
     loss: f64,
     next_command: u64,
     /// Commands by index, as first applied on any member.
@@ -152,7 +152,7 @@
     /// Desired number of voters.
     voters: usize,
     /// Number of machines that were drained and removed.
-    retired: usize,
+    drained_count: usize,
     /// Events, printed with a violation.
     pub events: Vec<String>,
 }
@@ -167,7 +167,7 @@
             in_flight: BTreeMap::new(),
             queue: BinaryHeap::new(),
             next_number: 0,
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             loss: 0.01,
             next_command: 1,
             history: BTreeMap::new(),
@@ -180,7 +180,7 @@
             claims_available: true,
             wipe_allowed_at: 0,
             voters: 3,
-            retired: 0,
+            drained_count: 0,
             events: Vec::new(),
         };
         for index in 0..members {
@@ -204,7 +204,7 @@
         self.start(self.nodes.len() - 1);
     }
 
-    fn note(&mut self, text: String) {
+    fn record_event(&mut self, text: String) {
         self.events.push(format!("{:>6} {text}", self.now));
     }
 
@@ -274,10 +274,15 @@
             for message in messages_after_sync {
                 self.post(at, message);
             }
-            self.nodes[at].batches.push(Batch { until, has_writes, held: Vec::new(), ready_at });
+            self.nodes[at].batches.push(Batch {
+                until,
+                has_writes,
+                after_sync: Vec::new(),
+                ready_at,
+            });
             return Ok(());
         }
-        node.batches.push(Batch { until, has_writes, held: messages_after_sync, ready_at });
+        node.batches.push(Batch { until, has_writes, after_sync: messages_after_sync, ready_at });
         Ok(())
     }
 
@@ -332,7 +337,7 @@
 
     fn post(&mut self, from: usize, message: Message) {
         let Some(to) = self.position_of(&message.to) else { return };
-        if self.cuts.contains(&(from, to)) || self.random.random_bool(self.loss) {
+        if self.partitions.contains(&(from, to)) || self.random.random_bool(self.loss) {
             return;
         }
         let copies = if self.random.random_bool(0.01) { 2 } else { 1 };
@@ -382,7 +387,7 @@
             let batch = self.nodes[at].batches.remove(0);
             let node = &mut self.nodes[at];
             node.disk.synced = node.disk.synced.max(batch.until);
-            for message in batch.held {
+            for message in batch.after_sync {
                 self.post(at, message);
             }
             if let Some(core) = self.nodes[at].core.as_mut().filter(|_| batch.has_writes) {
@@ -452,10 +457,10 @@
     fn read(&mut self) -> Result<(), Violation> {
         for at in self.leaders() {
             let Some(core) = self.nodes[at].core.as_ref() else { continue };
-            let enough = core.committed_voters() > self.voters / 2;
-            let may =
-                core.can_read(self.now) && enough || self.mutation == Mutation::ReadWithoutLease;
-            if !may {
+            let has_enough_voters = core.committed_voters() > self.voters / 2;
+            let may_serve = core.can_read(self.now) && has_enough_voters
+                || self.mutation == Mutation::ReadWithoutLease;
+            if !may_serve {
                 continue;
             }
             let has: BTreeSet<u64> = self.nodes[at].applied.values().copied().collect();
@@ -474,7 +479,7 @@
             let mut joining = Vec::new();
             for (other, node) in self.nodes.iter().enumerate() {
                 let Some(id) = node.core.as_ref().map(|core| core.id().clone()) else { continue };
-                let is_received = reachable(node) && !self.cuts.contains(&(other, at));
+                let is_received = reachable(node) && !self.partitions.contains(&(other, at));
                 if is_received && !core.members().contains(&id) && !self.leaving.contains(&id.name)
                 {
                     joining.push(id);
@@ -533,8 +538,9 @@
                 continue;
             }
             let Some(core) = self.nodes[at].core.as_ref() else { continue };
-            let alone = core.pair().filter(|_| should_become_sole_voter(core, self.now, &joining));
-            let Some(pair) = alone else {
+            let remaining_pair =
+                core.pair().filter(|_| should_become_sole_voter(core, self.now, &joining));
+            let Some(pair) = remaining_pair else {
                 continue;
             };
             if !self.claim(at, Some(pair)) {
@@ -543,14 +549,14 @@
             if let Some(core) = self.nodes[at].core.as_mut() {
                 core.become_sole_voter(self.now, pair);
             }
-            self.note(format!("{at} becomes the sole voter"));
+            self.record_event(format!("{at} becomes the sole voter"));
             self.carry_out(at)?;
         }
         Ok(())
     }
 
     /// A random machine that is not removed.
-    fn any(&mut self) -> usize {
+    fn random_machine(&mut self) -> usize {
         loop {
             let at = self.random.random_range(0..self.nodes.len());
             if !self.is_removed(&self.nodes[at]) {
@@ -560,18 +566,19 @@
     }
 
     fn is_removed(&self, node: &Node) -> bool {
-        self.removed.contains(&node.name) || self.retired > 0 && self.leaving.contains(&node.name)
+        self.removed.contains(&node.name)
+            || self.drained_count > 0 && self.leaving.contains(&node.name)
     }
 
     /// Whether another disk may be lost: all machines are up and the time for catching up has
     /// passed.
     fn may_wipe(&self) -> bool {
-        let calm = |node: &Node| {
+        let is_undisturbed = |node: &Node| {
             self.is_removed(node) || node.core.is_some() && node.frozen_until <= self.now
         };
         self.now >= self.wipe_allowed_at
-            && self.cuts.is_empty()
-            && self.nodes.iter().all(calm)
+            && self.partitions.is_empty()
+            && self.nodes.iter().all(is_undisturbed)
             && self.is_fully_replicated()
     }
 
@@ -584,7 +591,7 @@
             let present = self.nodes.iter().filter_map(|node| node.core.as_ref());
             core.can_read(self.now)
                 && core.members_durably_committed()
-                && members.voters.len() >= self.nodes.len().min(3) - self.retired
+                && members.voters.len() >= self.nodes.len().min(3) - self.drained_count
                 && members.voters.len() >= 2
                 && members.voters.iter().all(|voter| {
                     present.clone().any(|other| other.id() == voter)
@@ -598,37 +605,37 @@
         let length = self.random.random_range(100..3_000);
         match self.random.random_range(0..12) {
             0 if faults.kills => {
-                let at = self.any();
-                self.note(format!("kill {at} for {length}"));
+                let at = self.random_machine();
+                self.record_event(format!("kill {at} for {length}"));
                 self.stop(at, false);
                 self.run(length)?;
                 self.start(at);
             }
             1 if faults.power => {
-                let at = self.any();
-                self.note(format!("power off {at} for {length}"));
+                let at = self.random_machine();
+                self.record_event(format!("power off {at} for {length}"));
                 self.stop(at, true);
                 self.run(length)?;
                 self.start(at);
             }
             2 if faults.power => self.power_off_all(length, faults.wipes)?,
             3 if faults.wipes && self.may_wipe() => {
-                let at = self.any();
+                let at = self.random_machine();
                 self.wipe(at);
                 self.run(length.min(1_000))?;
                 self.start(at);
                 self.wipe_allowed_at = self.now + 4_700;
             }
             4 if faults.freezes => {
-                let at = self.any();
-                self.note(format!("freeze {at} for {length}"));
+                let at = self.random_machine();
+                self.record_event(format!("freeze {at} for {length}"));
                 self.nodes[at].frozen_until = self.now + length;
                 self.run(length + 100)?;
             }
-            5 if faults.cuts => self.cut(length)?,
+            5 if faults.partitions => self.partition(length)?,
             6 if faults.stalls => {
-                let at = self.any();
-                self.note(format!("stall disk {at} for {length}"));
+                let at = self.random_machine();
+                self.record_event(format!("stall disk {at} for {length}"));
                 let until = self.now + length;
                 self.nodes[at].disk_stalled_until = until;
                 for batch in &mut self.nodes[at].batches {
@@ -637,15 +644,19 @@
                 self.run(length)?;
             }
             7 if faults.changes && self.may_wipe() && self.nodes.len() < 6 => {
-                self.note("add a machine".into());
+                self.record_event("add a machine".into());
                 self.add_node(false);
                 self.run(length)?;
             }
-            8 if faults.changes && self.may_wipe() && self.leaving.is_empty() => self.retire()?,
+            8 if faults.changes && self.may_wipe() && self.leaving.is_empty() => self.drain()?,
             // A pair does not tolerate a long partition of one member followed by the loss of the
             // other's disk.
-            9 if faults.cuts && faults.wipes && self.retired == 0 && self.may_wipe() => {
-                self.cut_off_then_wipe(length)?;
+            9 if faults.partitions
+                && faults.wipes
+                && self.drained_count == 0
+                && self.may_wipe() =>
+            {
+                self.partition_then_wipe(length)?;
             }
             10 if faults.stalls && faults.power => {
                 self.stall_all_but_one();
@@ -659,28 +670,30 @@
 
     /// One member misses changes; then another one loses its disk, the rest are down, and the
     /// partition heals: those two must not elect a leader with an outdated log.
-    fn cut_off_then_wipe(&mut self, length: Millis) -> Result<(), Violation> {
-        let cut_off = self.any();
-        let mut wiped = (cut_off + 1) % self.nodes.len();
-        while self.is_removed(&self.nodes[wiped]) || wiped == cut_off {
+    fn partition_then_wipe(&mut self, length: Millis) -> Result<(), Violation> {
+        let partitioned = self.random_machine();
+        let mut wiped = (partitioned + 1) % self.nodes.len();
+        while self.is_removed(&self.nodes[wiped]) || wiped == partitioned {
             wiped = (wiped + 1) % self.nodes.len();
         }
-        self.note(format!("{cut_off} is partitioned, then {wiped} wiped, the others down"));
-        for other in (0..self.nodes.len()).filter(|other| *other != cut_off) {
-            self.cuts.insert((cut_off, other));
-            self.cuts.insert((other, cut_off));
+        self.record_event(format!(
+            "{partitioned} is partitioned, then {wiped} wiped, the others down"
+        ));
+        for other in (0..self.nodes.len()).filter(|other| *other != partitioned) {
+            self.partitions.insert((partitioned, other));
+            self.partitions.insert((other, partitioned));
         }
         self.run(length)?;
-        for at in (0..self.nodes.len()).filter(|at| *at != cut_off && *at != wiped) {
+        for at in (0..self.nodes.len()).filter(|at| *at != partitioned && *at != wiped) {
             self.stop(at, true);
         }
         self.wipe(wiped);
         self.wipe_allowed_at = self.now + length + 4_700;
-        self.cuts.clear();
+        self.partitions.clear();
         self.run(100)?;
         self.start(wiped);
         self.run(length)?;
-        for at in (0..self.nodes.len()).filter(|at| *at != cut_off && *at != wiped) {
+        for at in (0..self.nodes.len()).filter(|at| *at != partitioned && *at != wiped) {
             if !self.is_removed(&self.nodes[at]) {
                 self.start(at);
             }
@@ -690,8 +703,8 @@
 
     /// Stalls every disk but one for longer than the fault that follows.
     fn stall_all_but_one(&mut self) {
-        let spared = self.any();
-        self.note(format!("stall every disk but {spared}"));
+        let spared = self.random_machine();
+        self.record_event(format!("stall every disk but {spared}"));
         let until = self.now + 1_000;
         for at in (0..self.nodes.len()).filter(|at| *at != spared) {
             self.nodes[at].disk_stalled_until = until;
@@ -702,7 +715,7 @@
     }
 
     fn wipe(&mut self, at: usize) {
-        self.note(format!("wipe {at}"));
+        self.record_event(format!("wipe {at}"));
         self.stop(at, true);
         let incarnation = self.nodes[at].disk.incarnation;
         self.nodes[at].disk = Disk::default();
@@ -712,8 +725,9 @@
     }
 
     fn power_off_all(&mut self, length: Millis, wipes: bool) -> Result<(), Violation> {
-        let wiped = (wipes && self.may_wipe() && self.random.random_bool(0.5)).then(|| self.any());
-        self.note(format!("power off all, wiped {wiped:?}"));
+        let wiped = (wipes && self.may_wipe() && self.random.random_bool(0.5))
+            .then(|| self.random_machine());
+        self.record_event(format!("power off all, wiped {wiped:?}"));
         for at in 0..self.nodes.len() {
             self.stop(at, true);
         }
@@ -730,28 +744,28 @@
         Ok(())
     }
 
-    fn cut(&mut self, length: Millis) -> Result<(), Violation> {
+    fn partition(&mut self, length: Millis) -> Result<(), Violation> {
         let one_way = self.random.random_bool(0.3);
         let split = self.random.random_range(1..self.nodes.len());
-        self.note(format!("partition at {split} one way {one_way} for {length}"));
+        self.record_event(format!("partition at {split} one way {one_way} for {length}"));
         for left in 0..split {
             for right in split..self.nodes.len() {
-                self.cuts.insert((left, right));
+                self.partitions.insert((left, right));
                 if !one_way {
-                    self.cuts.insert((right, left));
+                    self.partitions.insert((right, left));
                 }
             }
         }
         self.run(length)?;
-        self.cuts.clear();
+        self.partitions.clear();
         Ok(())
     }
 
     /// Drains a machine; once it is out of the group its disk is erased.
-    fn retire(&mut self) -> Result<(), Violation> {
-        let at = self.any();
+    fn drain(&mut self) -> Result<(), Violation> {
+        let at = self.random_machine();
         let name = self.nodes[at].name.clone();
-        self.note(format!("drain {at}"));
+        self.record_event(format!("drain {at}"));
         self.leaving.push(name.clone());
         for _ in 0..2_000 {
             self.run(5)?;
@@ -766,8 +780,8 @@
             if out {
                 self.stop(at, true);
                 self.nodes[at].disk = Disk::default();
-                self.note(format!("drained {at}"));
-                self.retired = 1;
+                self.record_event(format!("drained {at}"));
+                self.drained_count = 1;
                 return self.lose_another();
             }
         }
@@ -780,12 +794,12 @@
     fn lose_another(&mut self) -> Result<(), Violation> {
         let pause = self.random.random_range(1..400).max(200) - 199;
         self.run(pause)?;
-        let at = self.any();
+        let at = self.random_machine();
         if self.nodes[at].core.is_none() || !self.may_wipe() {
             return Ok(());
         }
         if self.random.random_bool(0.3) {
-            return self.cut_long(at);
+            return self.partition_for_long(at);
         }
         self.wipe(at);
         self.wipe_allowed_at = self.now + 4_700;
@@ -794,7 +808,7 @@
         if self.random.random_bool(0.5) {
             self.start(at);
         } else {
-            self.note(format!("{at} is lost, a new machine joins"));
+            self.record_event(format!("{at} is lost, a new machine joins"));
             self.removed.push(self.nodes[at].name.clone());
             self.add_node(false);
         }
@@ -804,21 +818,21 @@
     }
 
     /// Partitions one member for so long that the members of a pair give up on each other.
-    fn cut_long(&mut self, at: usize) -> Result<(), Violation> {
-        self.note(format!("{at} is partitioned for long"));
+    fn partition_for_long(&mut self, at: usize) -> Result<(), Violation> {
+        self.record_event(format!("{at} is partitioned for long"));
         for other in (0..self.nodes.len()).filter(|other| *other != at) {
-            self.cuts.insert((at, other));
-            self.cuts.insert((other, at));
+            self.partitions.insert((at, other));
+            self.partitions.insert((other, at));
         }
         self.run(8_000)?;
-        self.cuts.clear();
+        self.partitions.clear();
         self.run(3_000)
     }
 
     /// Ends all faults and checks that the group makes progress and has everything that was
     /// acknowledged.
     pub fn settle(&mut self) -> Result<(), Violation> {
-        self.note("settle".into());
+        self.record_event("settle".into());
         for at in 0..self.nodes.len() {
             let removed = self.is_removed(&self.nodes[at]);
             if self.nodes[at].core.is_none() && !removed {
@@ -848,7 +862,7 @@
     }
 
     /// Records the state of each member, to be printed with a violation.
-    fn note_nodes(&mut self) {
+    fn record_nodes(&mut self) {
         let describe = |node: &Node| match &node.core {
             None => format!("{}: down", node.name),
             Some(core) => format!(
@@ -864,7 +878,7 @@
             ),
         };
         let described: Vec<String> = self.nodes.iter().map(describe).collect();
-        described.into_iter().for_each(|text| self.note(text));
+        described.into_iter().for_each(|text| self.record_event(text));
     }
 
     /// Number of commands acknowledged so far.
@@ -885,23 +899,23 @@
 }
 
 /// Runs a history in which two machines remain and are partitioned, or one loses its disk.
-pub fn play_pair(seed: u64, mutation: Mutation) -> Result<usize, Violation> {
+pub fn run_pair_history(seed: u64, mutation: Mutation) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, 3, mutation);
-    let outcome = play_pair_steps(&mut simulation);
+    let outcome = run_pair_steps(&mut simulation);
     if outcome.is_err() {
-        simulation.note_nodes();
+        simulation.record_nodes();
     }
     let events = simulation.events.join("\n");
     outcome.map_err(|violation| format!("seed {seed}: {violation}\n{events}"))?;
     Ok(simulation.acknowledged())
 }
 
-fn play_pair_steps(simulation: &mut Simulation) -> Result<(), Violation> {
+fn run_pair_steps(simulation: &mut Simulation) -> Result<(), Violation> {
     simulation.run(4_000)?;
-    simulation.retire()?;
+    simulation.drain()?;
     simulation.run(6_000)?;
-    let at = simulation.any();
-    simulation.cut_long(at)?;
+    let at = simulation.random_machine();
+    simulation.partition_for_long(at)?;
     simulation.settle()
 }
 
@@ -910,26 +924,26 @@
 const STANDBY_VOTERS: usize = 5;
 
 /// Runs a history of a group with standby machines.
-pub fn play_standby(seed: u64) -> Result<usize, Violation> {
+pub fn run_standby_history(seed: u64) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, STANDBY_MACHINES, Mutation::None);
     simulation.voters = STANDBY_VOTERS;
-    let outcome = play_standby_steps(&mut simulation);
+    let outcome = run_standby_steps(&mut simulation);
     if outcome.is_err() {
-        simulation.note_nodes();
+        simulation.record_nodes();
     }
     let events = simulation.events.join("\n");
     outcome.map_err(|violation| format!("seed {seed}: {violation}\n{events}"))?;
     Ok(simulation.acknowledged())
 }
 
-fn play_standby_steps(simulation: &mut Simulation) -> Result<(), Violation> {
+fn run_standby_steps(simulation: &mut Simulation) -> Result<(), Violation> {
     simulation.run(6_000)?;
     simulation.check_voters()?;
     for _ in 0..3 {
         match simulation.random.random_range(0..3) {
             0 => simulation.lose_two_disks_and_all_power()?,
             1 => simulation.lose_one_for_good()?,
-            _ => simulation.retire_and_wipe_two()?,
+            _ => simulation.drain_and_wipe_two()?,
         }
         simulation.run(7_000)?;
         simulation.check_voters()?;
@@ -951,9 +965,9 @@
     }
 
     /// A random machine that votes, according to any member.
-    fn any_voter(&mut self) -> usize {
+    fn random_voter(&mut self) -> usize {
         loop {
-            let at = self.any();
+            let at = self.random_machine();
             let name = self.nodes[at].name.clone();
             let votes = |node: &Node| {
                 let core = node.core.as_ref();
@@ -966,8 +980,8 @@
     }
 
     fn lose_two_disks_and_all_power(&mut self) -> Result<(), Violation> {
-        let lost = [self.any_voter(), self.any_voter()];
-        self.note(format!("power off all, wiped {lost:?}"));
+        let lost = [self.random_voter(), self.random_voter()];
+        self.record_event(format!("power off all, wiped {lost:?}"));
         (0..self.nodes.len()).for_each(|at| self.stop(at, true));
         lost.into_iter().for_each(|at| self.wipe(at));
         self.run(500)?;
@@ -984,8 +998,8 @@
     }
 
     fn lose_one_for_good(&mut self) -> Result<(), Violation> {
-        let at = self.any_voter();
-        self.note(format!("{at} is lost, a new machine joins"));
+        let at = self.random_voter();
+        self.record_event(format!("{at} is lost, a new machine joins"));
         self.stop(at, true);
         self.removed.push(self.nodes[at].name.clone());
         self.run(1_000)?;
@@ -994,10 +1008,10 @@
     }
 
     /// Drains a voter; once that could be reported, two others lose their disks.
-    fn retire_and_wipe_two(&mut self) -> Result<(), Violation> {
-        let at = self.any_voter();
+    fn drain_and_wipe_two(&mut self) -> Result<(), Violation> {
+        let at = self.random_voter();
         let name = self.nodes[at].name.clone();
-        self.note(format!("drain {at}"));
+        self.record_event(format!("drain {at}"));
         self.leaving.push(name.clone());
         for _ in 0..2_000 {
             self.run(5)?;
@@ -1014,7 +1028,7 @@
             if out {
                 self.stop(at, true);
                 self.removed.push(name);
-                let lost = [self.any_voter(), self.any_voter()];
+                let lost = [self.random_voter(), self.random_voter()];
                 lost.into_iter().for_each(|lost| self.wipe(lost));
                 self.run(800)?;
                 self.start_all();
@@ -1036,18 +1050,18 @@
 }
 
 /// Runs one history; the error holds the seed and the events.
-pub fn play(seed: u64, faults: Faults, mutation: Mutation) -> Result<usize, Violation> {
+pub fn run_history(seed: u64, faults: Faults, mutation: Mutation) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, 3, mutation);
-    let outcome = play_steps(&mut simulation, faults);
+    let outcome = run_history_steps(&mut simulation, faults);
     if outcome.is_err() {
-        simulation.note_nodes();
+        simulation.record_nodes();
     }
     let events = simulation.events.join("\n");
     outcome.map_err(|violation| format!("seed {seed}: {violation}\n{events}"))?;
     Ok(simulation.acknowledged())
 }
 
-fn play_steps(simulation: &mut Simulation, faults: Faults) -> Result<(), Violation> {
+fn run_history_steps(simulation: &mut Simulation, faults: Faults) -> Result<(), Violation> {
     simulation.run(4_000)?;
     for _ in 0..8 {
         simulation.fault(faults)?;
--- a/crates/consensus/tests/zones.rs
+++ b/crates/consensus/tests/zones.rs
@@ -39,7 +39,7 @@
     fn run(&mut self, milliseconds: Millis) {
         for _ in 0..milliseconds {
             self.now += 1;
-            let messages = self.act();
+            let messages = self.tick_all();
             for message in messages {
                 let (from, to) = (&message.from.name, message.to.name.clone());
                 if !self.lost.contains(from) && !self.lost.contains(&to) {
@@ -52,7 +52,7 @@
         }
     }
 
-    fn act(&mut self) -> Vec<Message> {
+    fn tick_all(&mut self) -> Vec<Message> {
         let mut messages = Vec::new();
         for core in self.cores.values_mut() {
             if self.now >= core.next_deadline() {
@@ -81,9 +81,10 @@
     fn change_members(&mut self) {
         let Some(leader) = self.leader() else { return };
         let running = self.cores.iter().filter(|(name, _)| !self.lost.contains(*name));
-        let asks = running.map(|(_, core)| core.id()).filter(|id| !leader.members().contains(id));
+        let outside =
+            running.map(|(_, core)| core.id()).filter(|id| !leader.members().contains(id));
         let zones = Zones::new(self.cores.keys().map(|name| (name.clone(), zone_of(name))));
-        let joining = asks.cloned().collect();
+        let joining = outside.cloned().collect();
         let desired = DesiredMembership { joining, leaving: Vec::new(), voters: VOTERS, zones };
         let Step::Change(members) = next_step(leader, self.now, &desired) else { return };
         let name = leader.id().name.clone();
@@ -107,7 +108,7 @@
 }
 
 /// In order of name, in which they are admitted: the first zone alone would fill the group.
-const SIXTEEN: [&str; 16] = [
+const MACHINE_NAMES: [&str; 16] = [
     "a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6", "c1", "c2", "c3", "c4",
 ];
 
@@ -119,14 +120,14 @@
 
 #[test]
 fn voters_are_chosen_from_all_zones() {
-    let mut machines = Machines::new(&SIXTEEN);
+    let mut machines = Machines::new(&MACHINE_NAMES);
     machines.run(10_000);
     assert_spread(&machines);
 }
 
 #[test]
 fn each_zone_can_be_lost_in_turn() {
-    let mut machines = Machines::new(&SIXTEEN);
+    let mut machines = Machines::new(&MACHINE_NAMES);
     machines.run(10_000);
     for zone in ["b", "a", "c", "b"] {
         machines.lose(zone);
@@ -141,8 +142,8 @@
 /// The first zone starts before the others, so that all voters are in it at first.
 #[test]
 fn voters_move_to_zones_that_start_later() {
-    let mut machines = Machines::new(&SIXTEEN);
-    let others = SIXTEEN.iter().filter(|name| !name.starts_with('a'));
+    let mut machines = Machines::new(&MACHINE_NAMES);
+    let others = MACHINE_NAMES.iter().filter(|name| !name.starts_with('a'));
     machines.lost = others.map(|name| (*name).to_owned()).collect();
     machines.run(5_000);
     machines.lost.clear();
--- a/crates/quota/src/bounds.rs
+++ b/crates/quota/src/bounds.rs
@@ -36,8 +36,8 @@
 }
 
 impl QuotaBounds {
-    /// Time within which a token must be spent. The sends of one window use the grants of a window
-    /// that is longer by this time, which the overage accounts for.
+    /// Time within which a token must be spent. Requests sent in a window may use tokens granted up
+    /// to this long before it, which the overage covers.
     pub fn token_lifetime(&self) -> Duration {
         let tolerated = self.window_seconds * self.overage * TOKEN_LIFETIME_FRACTION;
         Duration::from_secs_f64(tolerated).max(MIN_TOKEN_LIFETIME)
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -7,9 +7,9 @@
 //! (`issuer_selector`).
 //!
 //! Invariant: in any window the number of requests sent stays within the limit plus the tolerance
-//! that `QuotaBounds` states. It follows from three others: a part has one issuer at a time; an
-//! issuer grants from a token bucket that starts empty with its lease; and a token must be spent
-//! within its lifetime, which is counted from before it was granted.
+//! that `QuotaBounds` states. It follows from three further invariants: a part has one issuer at a
+//! time; an issuer grants from a token bucket that starts empty with its lease; and a token must be
+//! spent within its lifetime, which is counted from before it was granted.
 
 pub mod assignment;
 pub mod bounds;
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -103,7 +103,7 @@
         ("a job store is lost", vec![Fault::KillStore { at_ms: 5_000, store: 4, for_ms: 60_000 }]),
         (
             "a job store is partitioned",
-            vec![Fault::CutStore { at_ms: 5_000, store: 5, for_ms: 5_500 }],
+            vec![Fault::PartitionStore { at_ms: 5_000, store: 5, for_ms: 5_500 }],
         ),
         (
             "a job store is frozen",
@@ -151,10 +151,10 @@
         let gateway = number(random, 50) as usize;
         match number(random, 7) {
             0 => Fault::KillStore { at_ms, store, for_ms },
-            1 => Fault::CutStore { at_ms, store, for_ms },
+            1 => Fault::PartitionStore { at_ms, store, for_ms },
             2 => Fault::FreezeStore { at_ms, store, for_ms },
             3 => Fault::LoseLeader { at_ms, gap_ms: 300 + for_ms / 3 },
-            4 => Fault::CutGateway { at_ms, gateway, for_ms },
+            4 => Fault::PartitionGateway { at_ms, gateway, for_ms },
             5 => Fault::StallBackEnds { at_ms, for_ms: for_ms / 3 },
             _ => Fault::FreezeGateway { at_ms, gateway, for_ms },
         }
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -164,18 +164,18 @@
     let rest = candidates(&["a", "c", "d", "e"]);
     let lost = assignment.leases_of("b").len();
     assert!(lost > 0);
-    let ends = ASSIGNED_AT.plus_millis(LEASE_MS);
+    let lease_end = ASSIGNED_AT.plus_millis(LEASE_MS);
     for name in ["c", "d", "e"] {
-        lease_manager.renew(ends, &assignment, name);
+        lease_manager.renew(lease_end, &assignment, name);
     }
-    assert!(lease_manager.plan(ends, &assignment, &rest, "a").is_empty());
-    let over_limit = ends.plus_millis(500);
-    let changes = lease_manager.plan(over_limit, &assignment, &rest, "a");
+    assert!(lease_manager.plan(lease_end, &assignment, &rest, "a").is_empty());
+    let after_expiry = lease_end.plus_millis(500);
+    let changes = lease_manager.plan(after_expiry, &assignment, &rest, "a");
     assert_eq!(changes.len(), lost);
     // While the change is being replicated, the previous issuer gets no further lease.
-    assert!(lease_manager.renew(over_limit, &assignment, "b").is_empty());
+    assert!(lease_manager.renew(after_expiry, &assignment, "b").is_empty());
     assert!(
-        lease_manager.plan(over_limit, &assignment, &rest, "a").is_empty(),
+        lease_manager.plan(after_expiry, &assignment, &rest, "a").is_empty(),
         "it is planned twice"
     );
 }
@@ -218,7 +218,7 @@
     }
     let over_limit = NextStep::OverLimit { wait_ms: 100 };
     assert_eq!(selector.next_step(START, &tenant(), &refused), over_limit);
-    // Until then no issuer is expected a token request.
+    // Until then no issuer is asked again.
     assert_eq!(selector.next_step(START, &tenant(), &[]), over_limit);
     let later = START.plus_millis(100);
     let NextStep::Ask { part, token_issuer } = selector.next_step(later, &tenant(), &[]) else {
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -50,13 +50,13 @@
     KillStore { at_ms: u64, store: usize, for_ms: u64 },
     /// A job store is partitioned from the others and from gateways; messages in transit arrive
     /// afterwards.
-    CutStore { at_ms: u64, store: usize, for_ms: u64 },
+    PartitionStore { at_ms: u64, store: usize, for_ms: u64 },
     /// A job store is frozen; its clock continues.
     FreezeStore { at_ms: u64, store: usize, for_ms: u64 },
     /// The leader is lost; another job store takes over after the gap.
     LoseLeader { at_ms: u64, gap_ms: u64 },
     /// A gateway reaches no job store.
-    CutGateway { at_ms: u64, gateway: usize, for_ms: u64 },
+    PartitionGateway { at_ms: u64, gateway: usize, for_ms: u64 },
     /// A gateway is frozen while it holds tokens.
     FreezeGateway { at_ms: u64, gateway: usize, for_ms: u64 },
     /// Back ends have no free slots; requests with tokens wait, and are all sent when there are.
@@ -190,7 +190,7 @@
         gateway: usize,
         percent: u64,
     },
-    Begin(Fault),
+    InjectFault(Fault),
     StartStore {
         store: usize,
     },
@@ -204,7 +204,7 @@
     token_issuer: TokenIssuer,
     incarnation: u64,
     up: bool,
-    cut_until: u64,
+    partitioned_until: u64,
     frozen_until: u64,
     offset: u64,
     token_requests: u64,
@@ -212,7 +212,7 @@
 
 struct Gateway {
     selector: IssuerSelector,
-    cut_until: u64,
+    partitioned_until: u64,
     frozen_until: u64,
     offset: u64,
     limit_percent: u64,
@@ -259,7 +259,7 @@
             token_issuer: TokenIssuer::new(bounds),
             incarnation: 0,
             up: true,
-            cut_until: 0,
+            partitioned_until: 0,
             frozen_until: 0,
             offset: random.random_range(0..1_000_000),
             token_requests: 0,
@@ -267,7 +267,7 @@
         let stores = stores.collect();
         let gateways = (0..plan.gateways).map(|gateway| Gateway {
             selector: IssuerSelector::new(format!("edge-{gateway}")),
-            cut_until: 0,
+            partitioned_until: 0,
             frozen_until: 0,
             offset: random.random_range(0..1_000_000),
             limit_percent: 100,
@@ -317,7 +317,7 @@
             self.at(WARM_UP_MS, Event::Arrive { sender });
         }
         for fault in self.plan.faults.clone() {
-            self.at(WARM_UP_MS + start_of(fault), Event::Begin(fault));
+            self.at(WARM_UP_MS + start_of(fault), Event::InjectFault(fault));
         }
         let end = WARM_UP_MS + self.plan.length_ms;
         while let Some(Reverse((at, number))) = self.events.pop() {
@@ -388,7 +388,7 @@
                 self.gateways[gateway].limit_percent = percent;
                 self.gateways[gateway].version = self.version;
             }
-            Event::Begin(fault) => self.begin(fault),
+            Event::InjectFault(fault) => self.inject(fault),
             Event::StartStore { store } => {
                 let incarnation = self.stores[store].incarnation;
                 self.stores[store].up = true;
@@ -498,10 +498,11 @@
         }
         let incarnation = self.stores[store].incarnation;
         let mut delay = self.delay();
-        let cut = self.gateways[gateway].cut_until.max(self.stores[store].cut_until);
-        if cut > self.now {
+        let partitioned_until =
+            self.gateways[gateway].partitioned_until.max(self.stores[store].partitioned_until);
+        if partitioned_until > self.now {
             // Messages in transit through a partition arrive when it heals.
-            delay += cut - self.now;
+            delay += partitioned_until - self.now;
         }
         self.after(
             delay,
@@ -537,8 +538,8 @@
         self.stores[store].token_requests += 1;
         let grant = self.stores[store].token_issuer.take(now, &token_request);
         let mut delay = self.delay();
-        if self.stores[store].cut_until > self.now {
-            delay += self.stores[store].cut_until - self.now;
+        if self.stores[store].partitioned_until > self.now {
+            delay += self.stores[store].partitioned_until - self.now;
         }
         self.after(delay, Event::Answer { request, number, token_issuer: store, grant });
     }
@@ -572,11 +573,11 @@
                 if let Some(part) = part {
                     self.gateways[gateway].selector.mark_exhausted(now, &tenant, part, wait_ms);
                 }
-                self.refused(request, part, Some(wait_ms));
+                self.token_refused(request, part, Some(wait_ms));
             }
             TokenGrant::NotHeld => {
                 self.fetch_assignment(gateway);
-                self.refused(request, part, None);
+                self.token_refused(request, part, None);
             }
         }
     }
@@ -591,10 +592,10 @@
         self.fetch_assignment(gateway);
         let tenant = self.plan.senders[sender].name.clone();
         let part = part_of(&self.assignment, &tenant, token_issuer);
-        self.refused(request, part, None);
+        self.token_refused(request, part, None);
     }
 
-    fn refused(&mut self, request: u64, part: Option<Part>, wait_ms: Option<u64>) {
+    fn token_refused(&mut self, request: u64, part: Option<Part>, wait_ms: Option<u64>) {
         let Some(held) = self.requests.get_mut(&request) else { return };
         held.open_token_request = None;
         let Some(part) = part else {
@@ -636,8 +637,8 @@
     }
 
     fn fetch_assignment(&mut self, gateway: usize) {
-        let is_cut = self.gateways[gateway].cut_until > self.now;
-        if self.leader.is_none() || is_cut {
+        let is_partitioned = self.gateways[gateway].partitioned_until > self.now;
+        if self.leader.is_none() || is_partitioned {
             return;
         }
         let assignment = self.assignment.clone();
@@ -650,12 +651,12 @@
         if self.gateways[gateway].selector.assignment().version == 0 {
             self.fetch_assignment(gateway);
         }
-        if self.gateways[gateway].cut_until > self.now {
+        if self.gateways[gateway].partitioned_until > self.now {
             return;
         }
         for name in self.gateways[gateway].selector.unreachable() {
             let is_up = |store: &Store| {
-                store.up && store.cut_until <= self.now && store.frozen_until <= self.now
+                store.up && store.partitioned_until <= self.now && store.frozen_until <= self.now
             };
             let mut named = (0..self.plan.stores).filter(|store| store_name(*store) == name);
             if named.any(|store| is_up(&self.stores[store])) {
@@ -675,8 +676,8 @@
         }
         self.after(RENEW_INTERVAL_MS, Event::Renew { store, incarnation });
         let mut delay = self.delay();
-        if self.stores[store].cut_until > self.now {
-            delay += self.stores[store].cut_until - self.now;
+        if self.stores[store].partitioned_until > self.now {
+            delay += self.stores[store].partitioned_until - self.now;
         }
         let requested_at = self.now;
         self.after(delay, Event::RenewArrives { store, incarnation, requested_at });
@@ -689,8 +690,8 @@
         let Some((_, _, lease_manager)) = &mut self.leader else { return };
         let leases = lease_manager.renew(now, &self.assignment, &store_name(store));
         let mut delay = self.delay();
-        if self.stores[store].cut_until > self.now {
-            delay += self.stores[store].cut_until - self.now;
+        if self.stores[store].partitioned_until > self.now {
+            delay += self.stores[store].partitioned_until - self.now;
         }
         self.after(delay, Event::Renewed { store, incarnation, requested_at, leases });
     }
@@ -721,7 +722,7 @@
         let (leader, term) = (*leader, *term);
         let is_up = |store: &usize| {
             let held = &self.stores[*store];
-            held.up && held.cut_until <= self.now && held.frozen_until <= self.now
+            held.up && held.partitioned_until <= self.now && held.frozen_until <= self.now
         };
         let candidates: Vec<Candidate> = (0..self.plan.stores)
             .filter(is_up)
@@ -735,7 +736,7 @@
         }
     }
 
-    fn begin(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::KillStore { store, for_ms, .. } => {
                 let held = &mut self.stores[store];
@@ -747,8 +748,8 @@
                     self.lose_leader(2_000);
                 }
             }
-            Fault::CutStore { store, for_ms, .. } => {
-                self.stores[store].cut_until = self.now + for_ms;
+            Fault::PartitionStore { store, for_ms, .. } => {
+                self.stores[store].partitioned_until = self.now + for_ms;
                 if self.leader.as_ref().is_some_and(|(leader, _, _)| *leader == store) {
                     self.lose_leader(2_000);
                 }
@@ -760,8 +761,8 @@
                 }
             }
             Fault::LoseLeader { gap_ms, .. } => self.lose_leader(gap_ms),
-            Fault::CutGateway { gateway, for_ms, .. } => {
-                self.gateways[gateway].cut_until = self.now + for_ms;
+            Fault::PartitionGateway { gateway, for_ms, .. } => {
+                self.gateways[gateway].partitioned_until = self.now + for_ms;
             }
             Fault::FreezeGateway { gateway, for_ms, .. } => {
                 self.gateways[gateway].frozen_until = self.now + for_ms;
@@ -781,13 +782,13 @@
     fn lose_leader(&mut self, gap_ms: u64) {
         let Some((old, _, _)) = self.leader.take() else { return };
         self.term += 1;
-        let fit: HashSet<usize> = (0..self.plan.stores)
+        let eligible: HashSet<usize> = (0..self.plan.stores)
             .filter(|store| *store != old && self.stores[*store].up)
-            .filter(|store| self.stores[*store].cut_until <= self.now)
+            .filter(|store| self.stores[*store].partitioned_until <= self.now)
             .filter(|store| self.stores[*store].frozen_until <= self.now)
             .collect();
         let next = (old + 1..old + self.plan.stores).map(|store| store % self.plan.stores);
-        let next = next.into_iter().find(|store| fit.contains(store)).unwrap_or(old);
+        let next = next.into_iter().find(|store| eligible.contains(store)).unwrap_or(old);
         self.after(gap_ms, Event::BecomeLeader { store: next, term: self.term });
     }
 }
@@ -802,10 +803,10 @@
 fn start_of(fault: Fault) -> u64 {
     match fault {
         Fault::KillStore { at_ms, .. }
-        | Fault::CutStore { at_ms, .. }
+        | Fault::PartitionStore { at_ms, .. }
         | Fault::FreezeStore { at_ms, .. }
         | Fault::LoseLeader { at_ms, .. }
-        | Fault::CutGateway { at_ms, .. }
+        | Fault::PartitionGateway { at_ms, .. }
         | Fault::FreezeGateway { at_ms, .. }
         | Fault::StallBackEnds { at_ms, .. }
         | Fault::SetLimits { at_ms, .. } => at_ms,
--- a/crates/settings/src/example.rs
+++ b/crates/settings/src/example.rs
@@ -64,7 +64,7 @@
         text.push_str(&format!("# {}\n", doc.text));
         match value_of(&table, doc) {
             Some(value) => text.push_str(&format!("{} = {value}\n", doc.key)),
-            None => text.push_str(&format!("# {} = {}\n", doc.key, sample(doc.key))),
+            None => text.push_str(&format!("# {} = {}\n", doc.key, sample_value(doc.key))),
         }
     }
     text
@@ -112,6 +112,6 @@
     table.get(doc.section)?.get(doc.key).cloned()
 }
 
-fn sample(key: &str) -> &'static str {
+fn sample_value(key: &str) -> &'static str {
     OPTIONAL.iter().find(|(name, _)| *name == key).map_or("\"\"", |(_, value)| value)
 }
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -90,7 +90,7 @@
     /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
--- a/crates/settings/src/serving.rs
+++ b/crates/settings/src/serving.rs
@@ -188,7 +188,7 @@
             file: file.to_owned(),
             cause: error.to_string().trim_end().to_owned(),
         })?;
-        settings.check().map_err(|(key, value, wanted)| SettingsError::Value {
+        settings.validate().map_err(|(key, value, wanted)| SettingsError::Value {
             file: file.to_owned(),
             key: key.to_owned(),
             value,
@@ -198,7 +198,7 @@
     }
 
     /// Checks all values; an error holds the key, the value and the accepted values.
-    fn check(&self) -> Result<(), (&'static str, String, &'static str)> {
+    fn validate(&self) -> Result<(), (&'static str, String, &'static str)> {
         if self.node.name.is_empty() {
             return Err(("node.name", String::new(), "give a name, unique in the fleet"));
         }
@@ -233,12 +233,12 @@
         self.placement.validate()?;
         self.quota.validate()?;
         match self.role {
-            ServingRole::Gateway => self.check_gateway(),
-            ServingRole::JobStore => self.check_job_store(),
+            ServingRole::Gateway => self.validate_gateway(),
+            ServingRole::JobStore => self.validate_job_store(),
         }
     }
 
-    fn check_gateway(&self) -> Result<(), (&'static str, String, &'static str)> {
+    fn validate_gateway(&self) -> Result<(), (&'static str, String, &'static str)> {
         let ports = [
             ("listen.ingress", self.listen.ingress),
             ("listen.readiness", self.listen.readiness),
@@ -259,7 +259,7 @@
         Ok(())
     }
 
-    fn check_job_store(&self) -> Result<(), (&'static str, String, &'static str)> {
+    fn validate_job_store(&self) -> Result<(), (&'static str, String, &'static str)> {
         let Some(data) = &self.data else {
             return Err((
                 "data",
@@ -271,7 +271,7 @@
             let value = data.retention_seconds.to_string();
             return Err(("data.retention_seconds", value, "give 0 to 10000000"));
         }
-        if data.disk_mb.is_some_and(|room| !(8.0..=1e9).contains(&room)) {
+        if data.disk_mb.is_some_and(|disk_mb| !(8.0..=1e9).contains(&disk_mb)) {
             let value = format!("{:?}", data.disk_mb);
             return Err(("data.disk_mb", value, "give 8 to 1000000000"));
         }
--- a/crates/suspects/src/background.rs
+++ b/crates/suspects/src/background.rs
@@ -105,11 +105,11 @@
 
     /// Recent crashes to report to other processes, newest first.
     pub fn recent_crashes(&self, now: Timestamp) -> Vec<CrashedBackend> {
-        let to_info = |(backend, at): &(BackendIncarnation, Timestamp)| CrashedBackend {
+        let to_report = |(backend, at): &(BackendIncarnation, Timestamp)| CrashedBackend {
             backend: backend.clone(),
             crashed_age_ms: now.millis_since(*at),
         };
-        let mut recent: Vec<CrashedBackend> = self.recent(now).map(to_info).collect();
+        let mut recent: Vec<CrashedBackend> = self.recent(now).map(to_report).collect();
         recent.sort_by_key(|crash| crash.crashed_age_ms);
         recent.truncate(MAX_REPORTED);
         recent
--- a/crates/suspects/src/entry.rs
+++ b/crates/suspects/src/entry.rs
@@ -46,9 +46,9 @@
 const SIMULTANEOUS_CRASHES: usize = 2;
 /// Maximum number of crashes recorded per request.
 const MAX_CRASHES: usize = 8;
-/// Time after the last change for which a request is kept, in milliseconds: with a single crash,
-/// and with more, which is longer than the longest wait for a probe.
+/// Time after its last change for which a request with a single crash is kept, in milliseconds.
 const SINGLE_CRASH_RETENTION_MS: u64 = 600_000;
+/// The same for a request with more crashes: longer than the longest wait for a probe.
 const RETENTION_MS: u64 = 2 * MAX_PROBE_BACKOFF_MS;
 
 /// A crash of a back end while it ran a request.
--- a/crates/suspects/src/registry.rs
+++ b/crates/suspects/src/registry.rs
@@ -109,10 +109,10 @@
     }
 
     /// Records that a connection broke off while a back end had a request, which was sent there at
-    /// `sent`, after determining whether the back end crashed. The end of a back end that was about
-    /// to leave is no evidence. Neither is that of an earlier incarnation of one that is back: it
-    /// may have drained, and whoever accepts or refuses connections at its address now is another
-    /// process.
+    /// `sent`, after determining whether the back end crashed. The exit of a back end that is
+    /// leaving is no evidence. Neither is that of an earlier incarnation under the same id: it may
+    /// have drained, and the process that accepts or refuses connections at its address now is
+    /// another one.
     pub async fn record_disconnect(
         &self,
         backend: &Backend,
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -157,7 +157,7 @@
         self.granted.retain(|digest, _| {
             entries.get(digest).is_some_and(|e| !e.crashes.is_empty() && e.is_running_isolated(now))
         });
-        if self.granted.values().any(|(taken, _)| taken == backend) {
+        if self.granted.values().any(|(granted_to, _)| granted_to == backend) {
             return Grant::BackendBusy;
         }
         self.granted.insert(*digest, (backend.to_owned(), now));
--- a/crates/suspects/tests/registry.rs
+++ b/crates/suspects/tests/registry.rs
@@ -52,8 +52,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let running = backend("running", listener.local_addr().expect("an address"));
     let registry = registry(catalog_of(std::slice::from_ref(&running)));
-    let conclusion = registry.record_disconnect(&running, Instant::now(), digest).await;
-    assert_eq!(conclusion, DisconnectCause::Unknown);
+    let cause = registry.record_disconnect(&running, Instant::now(), digest).await;
+    assert_eq!(cause, DisconnectCause::Unknown);
     assert!(registry.is_empty());
     // It crashes later, and is checked again.
     drop(listener);
--- a/crates/suspects/tests/table.rs
+++ b/crates/suspects/tests/table.rs
@@ -37,7 +37,7 @@
     Timestamp(ms)
 }
 
-/// Crashes one after the other under a body, each 100 ms after the body was sent.
+/// Records consecutive crashes under the request with this body, each 100 ms after it was sent.
 fn crash_in_turn(table: &mut Table, body: &str, first_ms: u64, count: u64) {
     for number in 0..count {
         let sent = first_ms + number * 500;
@@ -98,9 +98,9 @@
     let mut table = Table::default();
     // A popular request runs on all back ends of a rack that loses power.
     for number in 0..20 {
-        let (sent, ended) = (900 + number, 1_000 + number);
+        let (sent, crashed) = (900 + number, 1_000 + number);
         table.record_crash(
-            at(ended),
+            at(crashed),
             digest("popular"),
             (&incarnation(&format!("s-{number}")), 40),
             at(sent),
@@ -319,10 +319,10 @@
             let number = name.split('-').nth(1).and_then(|number| number.parse::<usize>().ok());
             number.is_some_and(|number| victims.contains(&number))
         };
-        let (ended, kept): (Vec<_>, Vec<_>) =
+        let (failed, kept): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.running).into_iter().partition(|(name, ..)| hit(name));
         self.running = kept;
-        for (name, started, body) in ended {
+        for (name, started, body) in failed {
             let (digest, backend) = (digest(&body), (&incarnation(&name), POPULATION));
             self.table.record_crash(at(self.now), digest, backend, at(started));
             self.start(body);
@@ -415,7 +415,7 @@
         for _ in 0..40 {
             storm.start(format!("item-{}", storm.running.len()));
         }
-        let mut ended = 0;
+        let mut crashes = 0;
         for step in 0..60 {
             storm.now += 100;
             if step % 20 == 19 {
@@ -427,20 +427,20 @@
                 SuspectStatus::HeldBack { .. }
             );
             if step >= 30 && step % 5 == 0 && !held {
-                ended += 1;
+                crashes += 1;
                 let (backend, sent) = (format!("f-{step}"), storm.now - 100);
                 let backend = (&incarnation(&backend), POPULATION);
                 storm.table.record_crash(at(storm.now), digest("fatal"), backend, at(sent));
             }
         }
-        assert!((3..=5).contains(&ended), "seed {seed}: {ended} crashes");
+        assert!((3..=5).contains(&crashes), "seed {seed}: {crashes} crashes");
     }
 }
 
 #[test]
 fn four_concurrent_crashing_requests_are_held_back_after_few_crashes() {
     let mut table = Table::default();
-    let mut ended = [0; 4];
+    let mut crashes = [0; 4];
     for step in 0..40u64 {
         let body = (step % 4) as usize;
         let now = 10_000 + step * 120;
@@ -448,11 +448,11 @@
         if matches!(table.status(at(now), &request), SuspectStatus::HeldBack { .. }) {
             continue;
         }
-        ended[body] += 1;
+        crashes[body] += 1;
         let backend = format!("s-{step}");
         table.record_crash(at(now + 100), request, (&incarnation(&backend), POPULATION), at(now));
     }
-    assert!(ended.iter().all(|ended| *ended <= 5), "{ended:?}");
+    assert!(crashes.iter().all(|crashes| *crashes <= 5), "{crashes:?}");
 }
 
 /// Some requests that crash back ends, each of which is repeated; one run in five waits in a queue.
@@ -535,7 +535,7 @@
 #[test]
 fn up_to_four_crashing_requests_reach_few_back_ends_whatever_their_queueing() {
     for count in [1, 2, 4] {
-        let (mut ended, mut most) = (0, 0);
+        let (mut crashes, mut most) = (0, 0);
         for seed in 0..100 {
             let mut fleet = CrashingRequests::new(seed, count);
             let mut next: Vec<u64> = (0..count as u64).map(|n| 10_000 + n * 77).collect();
@@ -551,11 +551,11 @@
             for request in 0..count {
                 let late = fleet.late_runs(request);
                 assert!(late <= 3, "{count} requests, seed {seed}: {late} late runs");
-                ended += fleet.crashes[request].len();
+                crashes += fleet.crashes[request].len();
                 most = most.max(fleet.crashes[request].len());
             }
         }
-        let mean = f64::from(ended as u32) / (count as f64 * 100.0);
+        let mean = f64::from(crashes as u32) / (count as f64 * 100.0);
         println!("{count} at once: {mean:.1} crashes by each, {most} at most");
         assert!(mean <= 5.0, "{mean} by each of {count}");
     }
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -13,7 +13,7 @@
 pub enum Format {
     /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
--- a/crates/types/src/key.rs
+++ b/crates/types/src/key.rs
@@ -108,7 +108,7 @@
 }
 
 impl KeyRing {
-    /// Parses a key file: one `PARTNER ROLE SHA256-HEX` a line; `#` starts a comment.
+    /// Parses a key file: one `PARTNER ROLE SHA256-HEX` per line; `#` starts a comment.
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut ring = Self::default();
         let lines = text.lines().enumerate();
