--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,39 +1,40 @@
-//! Elections: trials and votes, and going on alone after the other of a pair.
+//! Elections: pre-votes, votes, and continuing as the sole voter after the loss of the other member
+//! of a pair.
 
 use crate::log::{Entry, Index, Payload, Term};
 use crate::message::{Body, MemberId, Members};
-use crate::node::{Consensus, Millis, Pair, Role, ELECTION_MIN_MS};
+use crate::node::{Consensus, Millis, Pair, Role, ELECTION_TIMEOUT_MIN_MS};
 
-/// What a candidate says of its log and its reasons.
+/// The parameters of a vote request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidacy {
-    /// Whether nothing is to be recorded yet.
-    pub trial: bool,
-    /// Whether the leader itself asked for the election.
-    pub handed_over: bool,
-    /// Last entry.
+    /// Whether this is a pre-vote, for which nothing is recorded.
+    pub pre_vote: bool,
+    /// Whether the leader requested the election.
+    pub leadership_transfer: bool,
+    /// Index of the candidate's last entry.
     pub last_index: Index,
     /// Its term.
     pub last_term: Term,
 }
 
 impl Consensus {
-    /// The pair that this member belongs to, where the group has just two voters.
+    /// The pair that this member belongs to if the group has exactly two voters.
     ///
-    /// Neither of a pair can go on without the other: there is no quorum. Each holds everything
-    /// that was committed, though, so either may go on alone as long as the other never does. A
-    /// claim on the pair, recorded once outside the group, decides which: see `become_sole_voter`.
+    /// Neither member of a pair has a quorum without the other. Both hold everything that was
+    /// committed, so either may continue alone as long as the other never does. A claim on the
+    /// pair, recorded once outside of the group, decides which one: see `become_sole_voter`.
     pub fn pair(&self) -> Option<Pair> {
         let members = self.members();
         let is_pair = members.voters.len() == 2 && members.voters.contains(&self.me);
-        // Newer entries may tell of other learners; members that were never committed are no pair.
-        let committed_members_index =
-            self.members_at(self.committed_members_index).epoch == members.epoch;
-        (is_pair && committed_members_index).then_some(Pair { epoch: members.epoch })
+        // Newer entries may change the learners; a membership that was never committed is no pair.
+        let is_committed = self.members_at(self.committed_members_index).epoch == members.epoch;
+        (is_pair && is_committed).then_some(Pair { epoch: members.epoch })
     }
 
-    /// Goes on alone after the other of a pair. The caller must hold the claim on the pair, and the
-    /// members must not be changed from a pair by anyone without it.
+    /// Continues as the sole voter after the loss of the other member of a pair. The caller must
+    /// hold the claim on the pair, and the membership of a pair must not be changed without that
+    /// claim.
     pub fn become_sole_voter(&mut self, now: Millis, pair: Pair) -> bool {
         if self.pair() != Some(pair) {
             return false;
@@ -42,11 +43,11 @@
         self.role = Role::Candidate;
         self.voted_for = Some(self.me.clone());
         self.save_state();
-        self.alone = Some(pair);
+        self.pending_takeover = Some(pair);
         true
     }
 
-    fn lead_alone(&mut self, now: Millis, pair: Pair) {
+    fn lead_as_sole_voter(&mut self, now: Millis, pair: Pair) {
         if self.pair() != Some(pair) {
             return;
         }
@@ -64,11 +65,11 @@
         self.heartbeat(now);
     }
 
-    /// This member's own vote counts once it is on the disk. One that led before could, after a loss
-    /// of power, lead in the same term again, with other entries.
+    /// Counts this member's own vote, which is valid once it is on disk: after a power loss a
+    /// leader whose vote was not stored could lead in the same term again, with other entries.
     pub(crate) fn vote_is_durable(&mut self, now: Millis) {
-        match self.alone.take() {
-            Some(pair) => self.lead_alone(now, pair),
+        match self.pending_takeover.take() {
+            Some(pair) => self.lead_as_sole_voter(now, pair),
             None => {
                 self.votes.insert(self.me.clone());
                 self.count_votes(now);
@@ -76,15 +77,16 @@
         }
     }
 
-    /// Asks for votes; as a trial first, so that a member that was cut off does not raise terms.
-    pub(crate) fn campaign(&mut self, now: Millis, role: Role, handed_over: bool) {
+    /// Starts an election; with a pre-vote first, so that a member that was partitioned does not
+    /// increase terms.
+    pub(crate) fn campaign(&mut self, now: Millis, role: Role, leadership_transfer: bool) {
         self.schedule_election(now);
         self.role = role;
         self.leader = None;
-        self.alone = None;
+        self.pending_takeover = None;
         self.votes.clear();
-        let trial = role == Role::Trial;
-        if trial {
+        let pre_vote = role == Role::Trial;
+        if pre_vote {
             self.votes.insert(self.me.clone());
         } else {
             self.term += 1;
@@ -92,12 +94,12 @@
             self.save_state();
         }
         let body = Body::Vote {
-            trial,
-            handed_over,
+            pre_vote,
+            leadership_transfer,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
-        let term = if trial { self.term + 1 } else { self.term };
+        let term = if pre_vote { self.term + 1 } else { self.term };
         for to in self.other_voters() {
             self.send_after_sync(to, term, body.clone());
         }
@@ -108,12 +110,12 @@
         self.members().voters.iter().filter(|voter| **voter != self.me).cloned().collect()
     }
 
-    /// Only the votes of voters count, by the newest members that this log tells: a disk that is
-    /// not among them, such as an empty one, elects nobody.
+    /// Counts only votes of voters in the newest membership of this log: a member with an empty
+    /// disk, which is not among them, elects no leader.
     fn count_votes(&mut self, now: Millis) {
         let members = self.members();
-        let given = members.voters.iter().filter(|voter| self.votes.contains(voter)).count();
-        if given < members.quorum() {
+        let granted = members.voters.iter().filter(|voter| self.votes.contains(voter)).count();
+        if granted < members.quorum() {
             return;
         }
         match self.role {
@@ -126,7 +128,7 @@
     pub(crate) fn become_leader(&mut self, now: Millis) {
         self.role = Role::Leader;
         self.leader = Some(self.me.clone());
-        self.handing_over = false;
+        self.transferring_leadership = false;
         self.progress.clear();
         self.term_start = self.log.last_index() + 1;
         let entry = Entry { index: self.term_start, term: self.term, payload: Payload::Empty };
@@ -135,37 +137,39 @@
         self.heartbeat(now);
     }
 
-    /// Within this time of a leader's sign of life, or of the member's start, no vote is given: a
-    /// leader's lease rests on it. A member that started does not know whom it heard before.
-    pub(crate) fn is_loyal(&self, now: Millis) -> bool {
-        now < self.heard_at + ELECTION_MIN_MS
+    /// Whether this member must not vote. For the minimum election timeout after a message of a
+    /// leader, or after its own start, it grants no vote, since the leader's lease relies on that.
+    /// A restarted member does not know when it last heard of a leader.
+    pub(crate) fn withholds_votes(&self, now: Millis) -> bool {
+        now < self.last_contact + ELECTION_TIMEOUT_MIN_MS
     }
 
-    pub(crate) fn answer_vote(
+    pub(crate) fn handle_vote_request(
         &mut self,
         now: Millis,
         from: MemberId,
         term: Term,
         candidacy: Candidacy,
     ) {
-        let Candidacy { trial, handed_over, last_index, last_term } = candidacy;
+        let Candidacy { pre_vote, leadership_transfer, last_index, last_term } = candidacy;
         let up_to_date = (last_term, last_index) >= (self.log.last_term(), self.log.last_index());
-        let leads = self.role == Role::Leader && self.has_lease(now);
-        if (self.is_loyal(now) || leads) && !handed_over {
-            // Without an answer the candidate tries again; its term is not taken over.
+        let holds_lease = self.role == Role::Leader && self.has_lease(now);
+        if (self.withholds_votes(now) || holds_lease) && !leadership_transfer {
+            // The candidate gets no response and tries again; its term is not adopted.
             return;
         }
-        if trial {
+        if pre_vote {
             let granted = term > self.term && up_to_date;
-            let told = if granted { term } else { self.term };
-            self.send_after_sync(from, told, Body::VoteReply { trial, granted });
+            let reply_term = if granted { term } else { self.term };
+            self.send_after_sync(from, reply_term, Body::VoteReply { pre_vote, granted });
             return;
         }
         if term > self.term {
             self.become_follower(now, term);
         }
-        let free = self.voted_for.as_ref().is_none_or(|voted| *voted == from);
-        let granted = term == self.term && up_to_date && free && self.role == Role::Follower;
+        let may_vote_for = self.voted_for.as_ref().is_none_or(|voted| *voted == from);
+        let granted =
+            term == self.term && up_to_date && may_vote_for && self.role == Role::Follower;
         if granted && self.voted_for.is_none() {
             self.voted_for = Some(from.clone());
             self.save_state();
@@ -173,26 +177,26 @@
         if granted {
             self.schedule_election(now);
         }
-        self.send_after_sync(from, self.term, Body::VoteReply { trial, granted });
+        self.send_after_sync(from, self.term, Body::VoteReply { pre_vote, granted });
     }
 
-    pub(crate) fn take_vote(
+    pub(crate) fn handle_vote_reply(
         &mut self,
         now: Millis,
         from: MemberId,
         term: Term,
-        trial: bool,
+        pre_vote: bool,
         granted: bool,
     ) {
-        let expected = if trial { self.term + 1 } else { self.term };
+        let expected = if pre_vote { self.term + 1 } else { self.term };
         if !granted {
             if term > self.term {
                 self.become_follower(now, term);
             }
             return;
         }
-        let asked = if trial { Role::Trial } else { Role::Candidate };
-        if term == expected && self.role == asked {
+        let expected_role = if pre_vote { Role::Trial } else { Role::Candidate };
+        if term == expected && self.role == expected_role {
             self.votes.insert(from);
             self.count_votes(now);
         }
--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -1,69 +1,72 @@
-//! Which members the group should have: decided by the leader from who asks to join, who answers
-//! and who is to be emptied.
+//! Membership policy of the leader: decides on changes from which members ask to join, which
+//! respond and which are being drained.
 
 use crate::message::{MemberId, Members};
 use crate::node::{Consensus, Millis, Role};
-use crate::replication::Difference;
-use crate::spread::Zones;
+use crate::replication::VoterChange;
+use crate::zones::Zones;
 
-/// Time without an answer after which a voter gives way to a member that waits, in milliseconds.
-const SILENCE_MS: Millis = 2_500;
-/// Time without the other of a pair after which one goes on alone, in milliseconds.
-const PAIR_SILENCE_MS: Millis = 6_000;
-/// The same where the other one's disk is known to be lost.
-const LOST_SILENCE_MS: Millis = 1_200;
-/// Time without an answer after which a learner is dropped, in milliseconds; it may ask again.
-const LEARNER_SILENCE_MS: Millis = 5_000;
-/// Entries that a learner may lack when it becomes a voter.
-const CAUGHT_UP_ENTRIES: u64 = 64;
+/// Time without a response after which a voter may be replaced by a waiting member, in
+/// milliseconds.
+const VOTER_TIMEOUT_MS: Millis = 2_500;
+/// Time without the other member of a pair after which one continues alone, in milliseconds.
+const PAIR_TIMEOUT_MS: Millis = 6_000;
+/// The same if the disk of the other member is known to be lost, in milliseconds.
+const LOST_DISK_TIMEOUT_MS: Millis = 1_200;
+/// Time without a response after which a learner is removed, in milliseconds; it may ask to join
+/// again.
+const LEARNER_TIMEOUT_MS: Millis = 5_000;
+/// Maximum number of entries that a learner may lack when it becomes a voter.
+const MAX_LEARNER_LAG_ENTRIES: u64 = 64;
 
-/// What the leader hears from outside the log.
+/// Inputs of the policy from outside of the log.
 #[derive(Clone, Debug, Default)]
 pub struct DesiredMembership {
     /// Members that ask to join.
     pub joining: Vec<MemberId>,
-    /// Names of members that are to be emptied.
+    /// Names of members that are being drained.
     pub leaving: Vec<String>,
-    /// Voters wanted.
+    /// Desired number of voters.
     pub voters: usize,
     /// Zones of machines.
     pub zones: Zones,
 }
 
-/// What the leader should do next.
+/// The next action of the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing.
     Idle,
-    /// Propose these members.
+    /// Propose this membership.
     Change(Members),
-    /// Ask another voter to lead.
+    /// Ask another voter to take over leadership.
     TransferLeadership(MemberId),
 }
 
-/// The next step. One voter changes at a time, and a place is filled before another one is given
-/// up, so that the group is a pair only where there are no more than two machines for it.
-pub fn next_step(node: &Consensus, now: Millis, wishes: &DesiredMembership) -> Step {
+/// Computes the next step. One voter changes at a time, and a replacement becomes a voter before
+/// the old voter is removed, so that the group is a pair only if there are no more than two
+/// machines for it.
+pub fn next_step(node: &Consensus, now: Millis, desired: &DesiredMembership) -> Step {
     let members = node.members();
-    let step = admit(node, now, members, wishes)
-        .or_else(|| replace_lost(node, now, members))
-        .or_else(|| promote(node, now, members, wishes))
-        .or_else(|| release(node, now, members, wishes))
-        .or_else(|| drop_silent(node, now, members, wishes))
-        .or_else(|| drop_silent_learner(node, now, members))
-        .or_else(|| spread(node, now, members, wishes));
+    let step = admit(node, now, members, desired)
+        .or_else(|| replace_lost_disk(node, now, members))
+        .or_else(|| promote(node, now, members, desired))
+        .or_else(|| remove_leaving(node, now, members, desired))
+        .or_else(|| drop_unresponsive_voter(node, now, members, desired))
+        .or_else(|| drop_unresponsive_learner(node, now, members))
+        .or_else(|| rebalance_zones(node, now, members, desired));
     step.unwrap_or(Step::Idle)
 }
 
-/// Whether a step changes who votes in a pair, other than by a successor of a lost disk. Such a step
-/// needs the claim on the pair: the other one may have gone on alone, or may try to.
+/// Whether a change of members needs the claim on a pair: it changes the voters of the pair other
+/// than by replacing a lost disk, and the other member may have continued alone, or may try to.
 pub fn needs_claim(node: &Consensus, members: &Members) -> bool {
-    let difference = node.difference(members);
-    node.members().voters.len() == 2 && difference == Difference::One
+    let voter_change = node.voter_change(members);
+    node.members().voters.len() == 2 && voter_change == VoterChange::One
 }
 
-/// Whether a member of a pair should try to go on alone: soon where the other one asks to join with
-/// an empty disk, and after a time longer than cuts usually last where it is silent.
+/// Whether a member of a pair should try to continue alone: soon if the other one asks to join with
+/// an empty disk, and after a time that exceeds most network partitions if it does not respond.
 pub fn should_become_sole_voter(node: &Consensus, now: Millis, joining: &[MemberId]) -> bool {
     if node.role() == Role::Leader || node.pair().is_none() {
         return false;
@@ -71,34 +74,35 @@
     let is_lost = |voter: &MemberId| {
         joining.iter().any(|member| member.name == voter.name && member != voter)
     };
-    let lost = node.members().voters.iter().any(|voter| voter != node.id() && is_lost(voter));
-    let patience = if lost { LOST_SILENCE_MS } else { PAIR_SILENCE_MS };
-    node.leaderless_ms(now) >= patience
+    let other_disk_lost =
+        node.members().voters.iter().any(|voter| voter != node.id() && is_lost(voter));
+    let timeout = if other_disk_lost { LOST_DISK_TIMEOUT_MS } else { PAIR_TIMEOUT_MS };
+    node.leaderless_ms(now) >= timeout
 }
 
 fn is_caught_up(node: &Consensus, now: Millis, member: &MemberId) -> bool {
-    node.matched(member) + CAUGHT_UP_ENTRIES >= node.log().last_index()
-        && node.silent_ms(now, member) < SILENCE_MS
+    node.matched(member) + MAX_LEARNER_LAG_ENTRIES >= node.log().last_index()
+        && node.silent_ms(now, member) < VOTER_TIMEOUT_MS
 }
 
-/// Puts a learner that has caught up in the place of the voter of the same name. That it answers
-/// proves that the other disk is gone: a machine runs one process, which opened an empty disk.
-fn replace_lost(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
-    let succeeds = |learner: &&MemberId| {
+/// Replaces a voter by the caught-up learner of the same name. Its response proves that the other
+/// disk is gone: a machine runs one process, and that one opened an empty disk.
+fn replace_lost_disk(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
+    let replaces_voter = |learner: &&MemberId| {
         members.voters.iter().any(|voter| voter.name == learner.name)
             && node.matched(learner) > 0
             && is_caught_up(node, now, learner)
     };
-    let learner = members.learners.iter().find(succeeds)?;
+    let learner = members.learners.iter().find(replaces_voter)?;
     let mut members = members.clone();
-    members.learners.retain(|held| held != learner);
+    members.learners.retain(|other| other != learner);
     members.voters.retain(|voter| voter.name != learner.name);
     members.voters.push(learner.clone());
     Some(Step::Change(members))
 }
 
 fn without(members: &Members, member: &MemberId) -> Members {
-    let keep = |list: &[MemberId]| list.iter().filter(|held| *held != member).cloned().collect();
+    let keep = |list: &[MemberId]| list.iter().filter(|other| *other != member).cloned().collect();
     Members {
         voters: keep(&members.voters),
         learners: keep(&members.learners),
@@ -106,158 +110,165 @@
     }
 }
 
-/// Whether a member that asks may belong to the group at all.
-fn may_join(members: &Members, wishes: &DesiredMembership, member: &MemberId) -> bool {
-    !members.contains(member) && !wishes.leaving.contains(&member.name)
+/// Whether a member that asks to join may belong to the group at all.
+fn may_join(members: &Members, desired: &DesiredMembership, member: &MemberId) -> bool {
+    !members.contains(member) && !desired.leaving.contains(&member.name)
 }
 
-/// Lets a member that asks begin to learn, where the group has or is about to have too few voters.
-/// The others stand by with nothing: each member costs the leader the whole log. One whose name the
-/// group knows has a new disk in the place of a lost one, and is always admitted.
+/// Admits a member that asks to join as a learner if the group has, or is about to have, too few
+/// voters. Other candidates stay outside without any data, since each member costs the leader a
+/// copy of the log. A member whose name is in the group already has replaced a lost disk, and is
+/// always admitted.
 fn admit(
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
     let stays = |member: &&MemberId| {
-        node.silent_ms(now, member) < SILENCE_MS && !wishes.leaving.contains(&member.name)
+        node.silent_ms(now, member) < VOTER_TIMEOUT_MS && !desired.leaving.contains(&member.name)
     };
     let staying = members.all().filter(stays).count();
     let wanted = |member: &&MemberId| {
-        let known = members.all().any(|held| held.name == member.name);
-        may_join(members, wishes, member) && (known || staying < wishes.voters)
+        let known = members.all().any(|other| other.name == member.name);
+        may_join(members, desired, member) && (known || staying < desired.voters)
     };
-    let joining = wishes.zones.least_crowded(members, wishes.joining.iter().filter(wanted))?;
+    let joining =
+        desired.zones.candidate_of_smallest_zone(members, desired.joining.iter().filter(wanted))?;
     let mut members = members.clone();
     members.learners.retain(|learner| learner.name != joining.name);
     members.learners.push(joining.clone());
     Some(Step::Change(members))
 }
 
-/// Makes a learner that has caught up a voter, where a place is free, or is about to be: one that a
-/// silent or leaving voter still holds. Everyone else must answer, or the change could not commit.
+/// Makes a caught-up learner a voter if a place is free or about to become free: one of a voter
+/// that does not respond or is being drained. All others must respond, or the change could not
+/// commit.
 fn promote(
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
     let learner = members.learners.iter().find(|learner| {
         is_caught_up(node, now, learner)
-            && !wishes.leaving.contains(&learner.name)
+            && !desired.leaving.contains(&learner.name)
             && !members.voters.iter().any(|voter| voter.name == learner.name)
     })?;
-    let answers = |voter: &&MemberId| node.silent_ms(now, voter) < SILENCE_MS;
-    let answering = members.voters.iter().filter(answers).count();
+    let responds = |voter: &&MemberId| node.silent_ms(now, voter) < VOTER_TIMEOUT_MS;
+    let responding = members.voters.iter().filter(responds).count();
     let staying = members
         .voters
         .iter()
-        .filter(answers)
-        .filter(|voter| !wishes.leaving.contains(&voter.name))
+        .filter(responds)
+        .filter(|voter| !desired.leaving.contains(&voter.name))
         .count();
     let voters_after = members.voters.len() + 1;
     let quorum_after = voters_after / 2 + 1;
-    if staying >= wishes.voters || answering + 1 < quorum_after {
+    if staying >= desired.voters || responding + 1 < quorum_after {
         return None;
     }
     let mut members = members.clone();
-    members.learners.retain(|held| held != learner);
+    members.learners.retain(|other| other != learner);
     members.voters.push(learner.clone());
     Some(Step::Change(members))
 }
 
-/// Moves a voter from a crowded zone to one with fewer, in three steps, each only while all voters answer: a
-/// machine of that zone learns, then votes, then the one in the crowded zone goes.
-fn spread(
+/// Moves a voter from a zone with many voters to one with fewer. There are three steps, each taken
+/// only while all voters respond: a machine of the smaller zone becomes a learner, then a voter,
+/// then the voter of the larger zone is removed.
+fn rebalance_zones(
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
-    let answers = |member: &MemberId| node.silent_ms(now, member) < SILENCE_MS;
-    if !members.voters.iter().all(answers) || !node.members_durably_committed() {
+    let responds = |member: &MemberId| node.silent_ms(now, member) < VOTER_TIMEOUT_MS;
+    if !members.voters.iter().all(responds) || !node.members_durably_committed() {
         return None;
     }
-    let crowded_out = |by: &MemberId| wishes.zones.crowded_out(&members.voters, by, node.id());
-    if members.voters.len() > wishes.voters {
-        let gone = members.voters.iter().find_map(crowded_out)?;
-        return Some(Step::Change(without(members, gone)));
+    let voter_to_replace =
+        |by: &MemberId| desired.zones.voter_to_replace(&members.voters, by, node.id());
+    if members.voters.len() > desired.voters {
+        let removed = members.voters.iter().find_map(voter_to_replace)?;
+        return Some(Step::Change(without(members, removed)));
     }
-    if members.voters.len() < wishes.voters {
+    if members.voters.len() < desired.voters {
         return None;
     }
     let may_vote = |learner: &&MemberId| {
-        is_caught_up(node, now, learner) && !wishes.leaving.contains(&learner.name)
+        is_caught_up(node, now, learner) && !desired.leaving.contains(&learner.name)
     };
-    let moves = |member: &&MemberId| crowded_out(member).is_some();
+    let improves_balance = |member: &&MemberId| voter_to_replace(member).is_some();
     let mut changed = members.clone();
-    if let Some(learner) = members.learners.iter().filter(may_vote).find(moves) {
-        changed.learners.retain(|held| held != learner);
+    if let Some(learner) = members.learners.iter().filter(may_vote).find(improves_balance) {
+        changed.learners.retain(|other| other != learner);
         changed.voters.push(learner.clone());
         return Some(Step::Change(changed));
     }
     if !members.learners.is_empty() {
         return None;
     }
-    let may_learn = |member: &&MemberId| may_join(members, wishes, member) && moves(member);
-    let asking = wishes.joining.iter().filter(may_learn);
-    changed.learners.push(wishes.zones.least_crowded(members, asking)?.clone());
+    let may_learn =
+        |member: &&MemberId| may_join(members, desired, member) && improves_balance(member);
+    let candidates = desired.joining.iter().filter(may_learn);
+    changed.learners.push(desired.zones.candidate_of_smallest_zone(members, candidates)?.clone());
     Some(Step::Change(changed))
 }
 
-/// Removes a silent voter where others have taken its place.
-fn drop_silent(
+/// Removes a voter that does not respond if others have taken its place.
+fn drop_unresponsive_voter(
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
-    let silent = |voter: &&MemberId| node.silent_ms(now, voter) >= SILENCE_MS;
-    let gone = members.voters.iter().find(silent)?;
-    (members.voters.len() > wishes.voters).then(|| Step::Change(without(members, gone)))
+    let is_unresponsive = |voter: &&MemberId| node.silent_ms(now, voter) >= VOTER_TIMEOUT_MS;
+    let removed = members.voters.iter().find(is_unresponsive)?;
+    (members.voters.len() > desired.voters).then(|| Step::Change(without(members, removed)))
 }
 
-/// Removes a learner that has been silent for long: each look at it costs the whole state.
-fn drop_silent_learner(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
-    let silent = |learner: &&MemberId| node.silent_ms(now, learner) >= LEARNER_SILENCE_MS;
-    let gone = members.learners.iter().find(silent)?;
-    Some(Step::Change(without(members, gone)))
+/// Removes a learner that has not responded for long: each attempt to reach it may cost a copy of
+/// the whole state.
+fn drop_unresponsive_learner(node: &Consensus, now: Millis, members: &Members) -> Option<Step> {
+    let is_unresponsive = |learner: &&MemberId| node.silent_ms(now, learner) >= LEARNER_TIMEOUT_MS;
+    let removed = members.learners.iter().find(is_unresponsive)?;
+    Some(Step::Change(without(members, removed)))
 }
 
-/// Removes a member that is to be emptied, once enough others vote and have everything: as many as
-/// are wanted, where other machines could still fill its place, since the loss of several may follow
-/// at once.
-fn release(
+/// Removes a member that is being drained, once enough caught-up voters remain: as many as desired
+/// if other machines can still take its place, since the loss of several may follow immediately.
+fn remove_leaving(
     node: &Consensus,
     now: Millis,
     members: &Members,
-    wishes: &DesiredMembership,
+    desired: &DesiredMembership,
 ) -> Option<Step> {
-    let leaving = members.all().find(|member| wishes.leaving.contains(&member.name))?;
+    let leaving = members.all().find(|member| desired.leaving.contains(&member.name))?;
     let others: Vec<&MemberId> = members
         .voters
         .iter()
-        .filter(|voter| *voter != leaving && !wishes.leaving.contains(&voter.name))
+        .filter(|voter| *voter != leaving && !desired.leaving.contains(&voter.name))
         // The removal commits only once a quorum of them has every entry before it.
         .filter(|voter| is_caught_up(node, now, voter))
         .collect();
-    let can_fill = |member: &&MemberId| !wishes.leaving.contains(&member.name);
-    let learners = members.learners.iter().filter(can_fill);
-    let successor = learners.into_iter().any(|learner| node.silent_ms(now, learner) < SILENCE_MS)
-        || wishes.joining.iter().any(|member| may_join(members, wishes, member));
+    let can_replace = |member: &&MemberId| !desired.leaving.contains(&member.name);
+    let learners = members.learners.iter().filter(can_replace);
+    let has_replacement =
+        learners.into_iter().any(|learner| node.silent_ms(now, learner) < VOTER_TIMEOUT_MS)
+            || desired.joining.iter().any(|member| may_join(members, desired, member));
     let is_voter = members.voters.contains(leaving);
-    let enough = match successor && is_voter {
-        true => wishes.voters,
-        false => wishes.voters.min(2),
+    let required = match has_replacement && is_voter {
+        true => desired.voters,
+        false => desired.voters.min(2),
     };
-    if others.len() < enough {
+    if others.len() < required {
         return None;
     }
     if leaving == node.id() {
-        // The lead can go only to one that has everything.
-        let nearest = others.iter().max_by_key(|other| node.matched(other));
-        return nearest.map(|other| Step::TransferLeadership((*other).clone()));
+        // Leadership can only be transferred to a member that has every entry.
+        let most_advanced = others.iter().max_by_key(|other| node.matched(other));
+        return most_advanced.map(|other| Step::TransferLeadership((*other).clone()));
     }
     Some(Step::Change(without(members, leaving)))
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! What a leader does: sends entries, counts who has them, holds its lease, changes members.
+//! The leader: replication, commitment, lease, and membership changes.
 
 use std::collections::VecDeque;
 
@@ -6,59 +6,63 @@
 
 use crate::log::{Entry, Index, Payload, Snapshot};
 use crate::message::{Body, MemberId, Members};
-use crate::node::{Consensus, Millis, Role, ELECTION_MIN_MS, HEARTBEAT_MS, LEASE_MS};
-
-/// Most bytes of entries in one message.
-const APPEND_BYTES: usize = 128 * 1024;
-/// Most messages with entries under way to one member.
-const WINDOW: usize = 8;
-/// Time after which an unanswered probe counts as lost, in milliseconds.
-const LOST_MS: Millis = 2_000;
-/// Time within which a member must have been heard to be sent a state, in milliseconds.
-const INSTALL_HEARD_MS: Millis = 1_000;
-/// Time after which an unanswered state counts as lost, in milliseconds.
-const INSTALL_LOST_MS: Millis = 3_000;
-
-/// How two sets of voters differ.
+use crate::node::{
+    Consensus, Millis, Role, ELECTION_TIMEOUT_MIN_MS, HEARTBEAT_INTERVAL_MS, LEASE_MS,
+};
+
+/// Maximum size of the entries in one message, in bytes.
+const MAX_APPEND_BYTES: usize = 128 * 1024;
+/// Maximum number of unacknowledged messages with entries per member.
+const MAX_IN_FLIGHT_APPENDS: usize = 8;
+/// Time after which an unacknowledged probe counts as lost, in milliseconds.
+const PROBE_TIMEOUT_MS: Millis = 2_000;
+/// Maximum time since the last message of a member for it to be sent a snapshot, in milliseconds.
+const MAX_SILENCE_FOR_SNAPSHOT_MS: Millis = 1_000;
+/// Time after which an unacknowledged snapshot counts as lost, in milliseconds.
+const SNAPSHOT_TIMEOUT_MS: Millis = 3_000;
+
+/// Difference between two sets of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Difference {
-    /// Not at all.
+pub enum VoterChange {
+    /// The same voters.
     None,
-    /// One voter more or less.
+    /// One voter added or removed.
     One,
-    /// A voter gives way to another disk under its name.
+    /// A voter is replaced by a member of the same name with another disk.
     Successor,
-    /// In any other way.
+    /// Any other difference.
     Many,
 }
 
-/// What a leader knows of another member.
+/// Replication state of another member.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Last entry that is on its disk.
+    /// Index of the last entry that is on its disk.
     pub matched: Index,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     next: Index,
-    /// Whether it is not known yet which entry matches: one message is under way at a time.
+    /// Whether the last matching entry is unknown, in which case one message is in flight at a
+    /// time.
     probing: bool,
-    /// Last entry of each message with entries that is not answered, and when the newest was sent.
-    under_way: VecDeque<Index>,
-    /// Whether the state itself is under way.
+    /// Index of the last entry of each unacknowledged message.
+    in_flight: VecDeque<Index>,
+    /// Whether a snapshot is in flight.
     installing: bool,
+    /// When the newest entries or the newest snapshot was sent.
     sent_at: Millis,
-    /// Leader's clock when it sent the newest message that was answered.
+    /// Time on the leader's clock when it sent the newest acknowledged message.
     acknowledged_at: Option<Millis>,
-    /// When anything was last heard of it.
-    heard_at: Millis,
-    /// Position of the newest members that its disk knows to be committed.
+    /// Time of the last message from it.
+    last_contact: Millis,
+    /// Index of the newest membership entry that it has recorded on disk as committed.
     committed_members_index: Index,
 }
 
 impl Progress {
     fn accept(&mut self, matched: Index) {
         self.matched = self.matched.max(matched);
-        while self.under_way.front().is_some_and(|last| *last <= self.matched) {
-            self.under_way.pop_front();
+        while self.in_flight.front().is_some_and(|last| *last <= self.matched) {
+            self.in_flight.pop_front();
         }
         if self.probing && self.matched + 1 >= self.next {
             self.installing = false;
@@ -67,53 +71,56 @@
         self.next = self.next.max(self.matched + 1);
     }
 
-    /// Goes back to where the member says that it can match. Invariant: a refusal counts once, and
-    /// only for the message that it answers. Each of the others under way is refused as well; if
-    /// they counted, each would have the whole window sent again.
-    fn refuse(&mut self, refused: Index, hint: Index) {
+    /// Goes back to the index that the member proposes. Invariant: a rejection counts once, and
+    /// only for the message that it responds to. The other messages in flight are rejected as well;
+    /// if those rejections counted, each would cause the whole window to be sent again.
+    fn reject(&mut self, rejected_index: Index, hint: Index) {
         if self.installing {
-            // The answer to a heartbeat: the state that it asks for is under way.
+            // Response to a heartbeat; the snapshot that the member needs is already in flight.
             return;
         }
-        let stale = if self.probing { refused + 1 > self.next } else { refused <= self.matched };
+        let stale = if self.probing {
+            rejected_index + 1 > self.next
+        } else {
+            rejected_index <= self.matched
+        };
         if stale {
             return;
         }
         self.probing = true;
         self.installing = false;
-        self.under_way.clear();
+        self.in_flight.clear();
         self.next = (hint + 1).max(self.matched + 1);
     }
 
-    /// Forgets a message that was not answered for so long that it must be lost.
-    fn give_up_lost(&mut self, now: Millis) {
-        let patience = if self.installing { INSTALL_LOST_MS } else { LOST_MS };
-        let waits = self.probing || self.installing;
-        if waits && !self.under_way.is_empty() && now >= self.sent_at + patience {
+    /// Gives up on a message that has been unacknowledged for so long that it must be lost.
+    fn expire_lost(&mut self, now: Millis) {
+        let timeout = if self.installing { SNAPSHOT_TIMEOUT_MS } else { PROBE_TIMEOUT_MS };
+        let awaits_reply = self.probing || self.installing;
+        if awaits_reply && !self.in_flight.is_empty() && now >= self.sent_at + timeout {
             self.probing = true;
-            self.under_way.clear();
+            self.in_flight.clear();
             self.installing = false;
             self.next = self.matched + 1;
         }
     }
 }
 
-/// What a member answers to an append or a snapshot.
+/// Response of a member to an append or a snapshot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reply {
     pub accepted: bool,
     pub matched: Index,
-    pub refused: Index,
+    pub rejected_index: Index,
     pub committed_members_index: Index,
     pub sent_at: Millis,
 }
 
 impl Consensus {
-    /// Proposes a command. Returns its position, or `None` where this member does not lead. A
-    /// position is no promise: the command is in force when its entry, of the same term, is
-    /// committed.
+    /// Proposes a command. Returns its index, or `None` if this member is not the leader. The
+    /// command takes effect only when the entry with this index and term is committed.
     pub fn propose(&mut self, now: Millis, command: Vec<u8>) -> Option<Index> {
-        if self.role != Role::Leader || self.handing_over {
+        if self.role != Role::Leader || self.transferring_leadership {
             return None;
         }
         Some(self.append_as_leader(now, Payload::Command(command.into())))
@@ -126,28 +133,30 @@
         index
     }
 
-    /// Whether members may be changed now: one change at a time, and none before an entry of the
-    /// leader's own term is committed. Two majorities without a common member could exist else.
+    /// Whether the membership may be changed now: one change at a time, and none before an entry of
+    /// the leader's own term is committed. Otherwise two majorities without a common member could
+    /// exist.
     pub fn can_change_members(&self) -> bool {
         let (index, _) = self.log.members();
         self.role == Role::Leader
-            && !self.handing_over
+            && !self.transferring_leadership
             && index <= self.commit
             && self.commit >= self.term_start
     }
 
-    /// Proposes new members that differ from the present ones in one voter at most, or in a voter
-    /// whose disk is lost and the member that has its name now.
+    /// Proposes a membership that differs from the current one in at most one voter, or that
+    /// replaces a voter with a lost disk by the member that now has its name.
     ///
-    /// The second is as safe as the first: the lost disk is in no quorum any more, and with n voters
-    /// a quorum of the others before and one after, of more than n / 2 each, share a member.
+    /// The latter is as safe as the former: the lost disk can no longer be part of a quorum, and
+    /// with n voters, a quorum of the remaining old voters and one of the new voters, each of more
+    /// than n / 2 members, share a member.
     pub fn change_members(&mut self, now: Millis, mut members: Members) -> bool {
-        let difference = self.difference(&members);
-        let grows = difference != Difference::None;
-        members.epoch = self.members().epoch + u64::from(grows);
-        let allowed = match difference {
-            Difference::None | Difference::One | Difference::Successor => true,
-            Difference::Many => false,
+        let voter_change = self.voter_change(&members);
+        let changes_voters = voter_change != VoterChange::None;
+        members.epoch = self.members().epoch + u64::from(changes_voters);
+        let allowed = match voter_change {
+            VoterChange::None | VoterChange::One | VoterChange::Successor => true,
+            VoterChange::Many => false,
         };
         if !self.can_change_members() || !allowed || members.voters.is_empty() {
             return false;
@@ -159,22 +168,22 @@
         true
     }
 
-    /// How the voters of new members differ from the present ones.
-    pub fn difference(&self, members: &Members) -> Difference {
+    /// Compares the voters of a new membership with the current ones.
+    pub fn voter_change(&self, members: &Members) -> VoterChange {
         let present = &self.members().voters;
         let added: Vec<&MemberId> =
             members.voters.iter().filter(|voter| !present.contains(voter)).collect();
         let removed: Vec<&MemberId> =
             present.iter().filter(|voter| !members.voters.contains(voter)).collect();
         match (added.as_slice(), removed.as_slice()) {
-            ([], []) => Difference::None,
-            ([_], []) | ([], [_]) => Difference::One,
-            ([new], [old]) if new.name == old.name => Difference::Successor,
-            _ => Difference::Many,
+            ([], []) => VoterChange::None,
+            ([_], []) | ([], [_]) => VoterChange::One,
+            ([new], [old]) if new.name == old.name => VoterChange::Successor,
+            _ => VoterChange::Many,
         }
     }
 
-    /// Keeps one record of progress for each other member.
+    /// Keeps one `Progress` for each other member.
     pub(crate) fn follow_members(&mut self, now: Millis) {
         let members = self.members().clone();
         let next = self.log.last_index() + 1;
@@ -184,49 +193,49 @@
                 matched: 0,
                 next,
                 probing: true,
-                under_way: VecDeque::new(),
+                in_flight: VecDeque::new(),
                 installing: false,
                 sent_at: now,
                 acknowledged_at: None,
-                heard_at: now,
+                last_contact: now,
                 committed_members_index: 0,
             });
         }
     }
 
-    /// What the leader knows of a member.
+    /// Index of the last entry that a member is known to have on disk.
     pub fn matched(&self, member: &MemberId) -> Index {
         if *member == self.me {
-            return self.durable;
+            return self.durable_index;
         }
         self.progress.get(member).map_or(0, |progress| progress.matched)
     }
 
-    /// Time since a member was heard; zero for the leader itself.
+    /// Time since the last message of a member; zero for the leader itself.
     pub fn silent_ms(&self, now: Millis, member: &MemberId) -> Millis {
-        self.progress.get(member).map_or(0, |progress| now.saturating_sub(progress.heard_at))
+        self.progress.get(member).map_or(0, |progress| now.saturating_sub(progress.last_contact))
     }
 
-    /// Leader's deadlines: heartbeats, and giving up where no quorum answers.
-    pub(crate) fn lead(&mut self, now: Millis) {
+    /// Handles the leader's deadline: sends heartbeats, or steps down if no quorum responds.
+    pub(crate) fn tick_leader(&mut self, now: Millis) {
         if now < self.heartbeat_at {
             return;
         }
-        let quorum_heard = self.quorum_value(|progress| Some(progress.heard_at), now);
-        if quorum_heard.is_none_or(|heard| now > heard + 4 * ELECTION_MIN_MS) {
+        let quorum_contact = self.quorum_value(|progress| Some(progress.last_contact), now);
+        if quorum_contact.is_none_or(|contact| now > contact + 4 * ELECTION_TIMEOUT_MIN_MS) {
             self.become_follower(now, self.term);
             return;
         }
         self.heartbeat(now);
     }
 
-    /// Sends an append to every member, with entries or without.
+    /// Sends an append to every member, with or without entries.
     pub(crate) fn heartbeat(&mut self, now: Millis) {
-        self.heartbeat_at = now + HEARTBEAT_MS;
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         let members: Vec<MemberId> = self.progress.keys().cloned().collect();
         for member in members {
             if let Some(progress) = self.progress.get_mut(&member) {
-                progress.give_up_lost(now);
+                progress.expire_lost(now);
             }
             if !self.send_entries(now, &member) {
                 self.send_append(now, &member, Vec::new());
@@ -243,48 +252,52 @@
         self.advance_commit(now);
     }
 
-    /// Sends what a member lacks, as far as the window allows. Returns whether anything was sent.
+    /// Sends the entries that a member lacks, as far as the window allows. Returns whether anything
+    /// was sent.
     fn send_entries(&mut self, now: Millis, member: &MemberId) -> bool {
         let mut sent = false;
         while let Some(progress) = self.progress.get_mut(member) {
-            let window = if progress.probing { 1 } else { WINDOW };
-            if progress.under_way.len() >= window || progress.next > self.log.last_index() {
+            let window = if progress.probing { 1 } else { MAX_IN_FLIGHT_APPENDS };
+            if progress.in_flight.len() >= window || progress.next > self.log.last_index() {
                 break;
             }
             if progress.next <= self.log.snapshot().index {
-                // One at a time: the state is large, and each is a copy of it under way. One that is
-                // not heard would keep it from the others.
-                let is_heard = now < progress.heard_at + INSTALL_HEARD_MS;
-                if is_heard && self.effects.snapshot_targets.is_empty() && !self.is_installing() {
+                // Snapshots are large and are sent one at a time. A member that does not respond
+                // must not block the others.
+                let is_responsive = now < progress.last_contact + MAX_SILENCE_FOR_SNAPSHOT_MS;
+                if is_responsive
+                    && self.effects.snapshot_targets.is_empty()
+                    && !self.is_installing()
+                {
                     self.effects.snapshot_targets.push(member.clone());
                 }
                 break;
             }
             progress.sent_at = now;
-            let entries = self.log.from(progress.next, APPEND_BYTES);
-            progress.under_way.extend(entries.last().map(|entry| entry.index));
+            let entries = self.log.from(progress.next, MAX_APPEND_BYTES);
+            progress.in_flight.extend(entries.last().map(|entry| entry.index));
             self.send_append(now, member, entries);
             sent = true;
         }
         sent
     }
 
-    /// Whether a state is under way to a member that may still take it.
+    /// Whether a snapshot is in flight to a member that may still acknowledge it.
     fn is_installing(&self) -> bool {
-        self.progress.values().any(|progress| progress.installing && !progress.under_way.is_empty())
+        self.progress.values().any(|progress| progress.installing && !progress.in_flight.is_empty())
     }
 
-    /// Sends a member the state after the last applied entry, which `state` must be: the log no
-    /// longer has what the member lacks.
+    /// Sends a member the state after the last applied entry, which `state` must be: the entries
+    /// that the member lacks are no longer in the log.
     pub fn install(&mut self, now: Millis, member: &MemberId, state: Bytes) {
         let index = self.applied;
         let Some(term) = self.log.term_at(index) else { return };
         let Some(progress) = self.progress.get_mut(member) else { return };
         progress.sent_at = now;
         progress.next = index + 1;
-        progress.under_way.push_back(index);
+        progress.in_flight.push_back(index);
         progress.installing = true;
-        let (members_index, members) = self.members_told_at(index);
+        let (members_index, members) = self.members_with_index_at(index);
         let snapshot = Snapshot { index, term, members, members_index, state };
         self.send(member.clone(), self.term, Body::Install { snapshot, sent_at: now });
     }
@@ -302,24 +315,24 @@
         self.send(member.clone(), self.term, body);
     }
 
-    /// A member answered.
-    pub(crate) fn take_reply(&mut self, now: Millis, from: &MemberId, reply: Reply) {
-        let Reply { accepted, matched, refused, committed_members_index, sent_at } = reply;
+    /// Handles the response of a member.
+    pub(crate) fn handle_append_reply(&mut self, now: Millis, from: &MemberId, reply: Reply) {
+        let Reply { accepted, matched, rejected_index, committed_members_index, sent_at } = reply;
         let Some(progress) = self.progress.get_mut(from) else { return };
-        progress.heard_at = now;
+        progress.last_contact = now;
         progress.committed_members_index =
             progress.committed_members_index.max(committed_members_index);
         progress.acknowledged_at = progress.acknowledged_at.max(Some(sent_at));
         if accepted {
             progress.accept(matched);
         } else {
-            progress.refuse(refused, matched);
+            progress.reject(rejected_index, matched);
         }
         self.advance_commit(now);
         self.send_entries(now, from);
     }
 
-    /// The highest value that a quorum of voters reaches; the leader's own is `own`.
+    /// The highest value that a quorum of voters reaches; `own` is the value of the leader.
     fn quorum_value(&self, value: impl Fn(&Progress) -> Option<u64>, own: u64) -> Option<u64> {
         let members = self.members();
         let mut values: Vec<u64> = Vec::with_capacity(members.voters.len());
@@ -334,10 +347,10 @@
         values.get(members.quorum() - 1).copied()
     }
 
-    /// Invariant: only an entry of the leader's own term is committed by counting; those before it
-    /// follow. An older one that a quorum has could still be replaced.
+    /// Invariant: only entries of the leader's own term are committed by counting; earlier ones are
+    /// committed along with them. An older entry that a quorum has could still be replaced.
     pub(crate) fn advance_commit(&mut self, now: Millis) {
-        let quorum = self.quorum_value(|progress| Some(progress.matched), self.durable);
+        let quorum = self.quorum_value(|progress| Some(progress.matched), self.durable_index);
         let Some(index) = quorum else { return };
         if index <= self.commit || self.log.term_at(index) != Some(self.term) {
             return;
@@ -350,45 +363,45 @@
         if !members.voters.contains(&self.me) {
             self.become_follower(now, self.term);
         } else if !self.members_durably_committed() {
-            // Others hear at once that the members are in force.
+            // The other members learn immediately that the membership is committed.
             self.heartbeat_at = now;
         }
     }
 
-    /// Whether the disk of every voter knows that the present members are committed. Until then one
-    /// that is left alone could not tell whether they ever were.
+    /// Whether every voter has recorded on disk that the current membership is committed. Until
+    /// then, a voter that is left alone could not tell whether it ever was.
     pub fn members_durably_committed(&self) -> bool {
-        let (position, members) = self.log.members();
-        let committed_members_index = |voter: &MemberId| match self.progress.get(voter) {
-            Some(progress) => progress.committed_members_index >= position,
-            None => *voter == self.me && self.durable_settled >= position,
+        let (members_index, members) = self.log.members();
+        let has_recorded = |voter: &MemberId| match self.progress.get(voter) {
+            Some(progress) => progress.committed_members_index >= members_index,
+            None => *voter == self.me && self.durable_members_index >= members_index,
         };
-        self.role == Role::Leader && members.voters.iter().all(committed_members_index)
+        self.role == Role::Leader && members.voters.iter().all(has_recorded)
     }
 
     /// Whether no other leader can exist now.
     pub fn has_lease(&self, now: Millis) -> bool {
-        if self.role != Role::Leader || self.handing_over {
+        if self.role != Role::Leader || self.transferring_leadership {
             return false;
         }
         let acknowledged = self.quorum_value(|progress| progress.acknowledged_at, now);
         acknowledged.is_some_and(|at| now < at + LEASE_MS)
     }
 
-    /// Whether the applied state may answer a read: everything that any leader acknowledged before
-    /// is applied here, and no other leader can exist.
+    /// Whether reads may be served from the applied state: it includes everything that any earlier
+    /// leader acknowledged, and no other leader can exist.
     pub fn can_read(&self, now: Millis) -> bool {
         self.has_lease(now) && self.commit >= self.term_start
     }
 
-    /// Asks a voter to take over. The lease ends with the asking.
+    /// Asks a voter to take over leadership. The lease ends immediately.
     pub fn transfer_leadership(&mut self, now: Millis, to: &MemberId) -> bool {
-        let votes = self.members().voters.contains(to) && *to != self.me;
-        if self.role != Role::Leader || !votes || self.matched(to) < self.log.last_index() {
+        let is_voter = self.members().voters.contains(to) && *to != self.me;
+        if self.role != Role::Leader || !is_voter || self.matched(to) < self.log.last_index() {
             return false;
         }
-        self.handing_over = true;
-        self.heartbeat_at = now + HEARTBEAT_MS;
+        self.transferring_leadership = true;
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         self.send(to.clone(), self.term, Body::TransferLeadership);
         true
     }
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -1,12 +1,12 @@
-//! A member that has nothing is brought up to date without sending anything much more than once.
+//! Bringing an empty member up to date without sending much more than one copy of the log.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use yokefall_consensus::{Body, Consensus, MemberId, Members, Message, Millis, Recovered};
 
-/// Time from one member to the other, in milliseconds: a link with a full queue.
+/// One-way latency between the members, in milliseconds: a link with a full queue.
 const LATENCY_MS: Millis = 30;
-/// Entries before the learner comes, and their size in bytes.
+/// Number of entries before the learner joins, and their size in bytes.
 const ENTRIES: u64 = 2_000;
 const ENTRY_BYTES: usize = 2_000;
 
@@ -18,7 +18,7 @@
     Consensus::new(member(name), Recovered::default(), 0, 1)
 }
 
-/// Carries out effects with a disk that syncs at once; gives the messages.
+/// Carries out effects with a disk that syncs immediately; returns the messages.
 fn drain(core: &mut Consensus, now: Millis) -> Vec<Message> {
     let mut messages = Vec::new();
     loop {
@@ -44,8 +44,8 @@
     }
 }
 
-/// Found by a day of the users' bench: refusals of messages that were under way had the whole window
-/// sent again, each of them, and links filled with entries that were there already.
+/// Guards against resending the whole window for each rejection of a message in flight, which
+/// filled links with entries that the learner already had.
 #[test]
 fn a_learner_is_sent_each_entry_about_once() {
     let mut leader = core("a");
@@ -85,19 +85,19 @@
     assert!(sent < entries * 3 / 2, "{sent} entries were sent for {entries}");
 }
 
-/// Members with a disk that syncs at once and links that take a millisecond, and long for a state;
-/// `dead` ones hear nothing.
+/// Members with disks that sync immediately and links with a latency of one millisecond, except for
+/// snapshots; `lost` members receive nothing.
 struct Group {
     now: Millis,
     members: Vec<Consensus>,
-    dead: Vec<&'static str>,
+    lost: Vec<&'static str>,
     applied: BTreeMap<String, u64>,
-    states: VecDeque<(Millis, Message)>,
-    states_sent: usize,
+    snapshots_in_flight: VecDeque<(Millis, Message)>,
+    snapshots_sent: usize,
 }
 
-/// Time that a state takes, in milliseconds.
-const STATE_LATENCY_MS: Millis = 700;
+/// Latency of a snapshot, in milliseconds.
+const SNAPSHOT_LATENCY_MS: Millis = 700;
 
 impl Group {
     fn of(names: &[&str]) -> Self {
@@ -105,10 +105,10 @@
         Self {
             now: 0,
             members,
-            dead: Vec::new(),
+            lost: Vec::new(),
             applied: BTreeMap::new(),
-            states: VecDeque::new(),
-            states_sent: 0,
+            snapshots_in_flight: VecDeque::new(),
+            snapshots_sent: 0,
         }
     }
 
@@ -145,18 +145,18 @@
                     }
                 }
             }
-            while self.states.front().is_some_and(|(at, _)| *at <= now) {
-                messages.extend(self.states.pop_front().map(|(_, message)| message));
+            while self.snapshots_in_flight.front().is_some_and(|(at, _)| *at <= now) {
+                messages.extend(self.snapshots_in_flight.pop_front().map(|(_, message)| message));
             }
             for message in messages {
-                if matches!(message.body, Body::Install { sent_at, .. } if now < sent_at + STATE_LATENCY_MS)
+                if matches!(message.body, Body::Install { sent_at, .. } if now < sent_at + SNAPSHOT_LATENCY_MS)
                 {
-                    self.states_sent += 1;
-                    self.states.push_back((now + STATE_LATENCY_MS, message));
+                    self.snapshots_sent += 1;
+                    self.snapshots_in_flight.push_back((now + SNAPSHOT_LATENCY_MS, message));
                     continue;
                 }
-                let silent = |name: &str| self.dead.contains(&name);
-                if !silent(&message.to.name) && !silent(&message.from.name) {
+                let is_lost = |name: &str| self.lost.contains(&name);
+                if !is_lost(&message.to.name) && !is_lost(&message.from.name) {
                     let to = message.to.name.clone();
                     self.at(&to).receive(now, message);
                 }
@@ -167,10 +167,10 @@
 
 const STATE: &[u8] = b"the state";
 
-/// Found by a day of the users' bench: states go out one at a time, and a voter that is gone for good
-/// got one after the other, so that the member which was to take its place never had any.
+/// Guards against starving a learner. Snapshots are sent one at a time, and a voter that was lost
+/// for good got one after the other, so that the member that was to replace it never received any.
 #[test]
-fn a_member_that_is_gone_does_not_keep_the_state_from_another() {
+fn a_lost_member_does_not_block_the_snapshot_of_another() {
     let mut group = Group::of(&["a", "b", "c", "d"]);
     group.at("a").bootstrap(0);
     group.run(10);
@@ -181,7 +181,7 @@
         assert!(group.at("a").change_members(now, members));
         group.run(300);
     }
-    group.dead.push("c");
+    group.lost.push("c");
     for _ in 0..50 {
         let now = group.now;
         group.at("a").propose(now, vec![0; 100]).expect("the leader");
@@ -201,6 +201,6 @@
     let now = group.now;
     assert!(group.at("b").change_members(now, members));
     group.run(8_000);
-    assert_eq!(group.applied.get("d"), Some(&1), "the learner has no state");
-    assert_eq!(group.states_sent, 1, "the state was sent again while it was under way");
+    assert_eq!(group.applied.get("d"), Some(&1), "the learner got no snapshot");
+    assert_eq!(group.snapshots_sent, 1, "the snapshot was sent again while it was in flight");
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A group under virtual time, with disks that lose what was not synced, a network that drops,
-//! delays, repeats and cuts, and an oracle of what was acknowledged.
+//! A group in virtual time, with disks that lose what was not synced, a network that drops, delays,
+//! duplicates and partitions, and an oracle of acknowledged commands.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -14,10 +14,10 @@
     Consensus, Effects, Entry, Index, MemberId, Message, Millis, Pair, Payload, Recovered, Write,
 };
 
-/// What went wrong, for the assertion's message.
+/// Description of a violation, for the assertion message.
 pub type Violation = String;
 
-/// What a disk holds: everything written, and how much of it is synced.
+/// Contents of a disk: all writes, and how many of them are synced.
 #[derive(Clone, Debug, Default)]
 struct Disk {
     incarnation: u64,
@@ -40,8 +40,8 @@
                     recovered.entries.retain(|entry: &Entry| entry.index < first);
                     recovered.entries.extend(entries.iter().cloned());
                 }
-                Write::Snapshot { snapshot, keep_rest } => {
-                    let keep = |entry: &Entry| *keep_rest && entry.index > snapshot.index;
+                Write::Snapshot { snapshot, keep_later_entries } => {
+                    let keep = |entry: &Entry| *keep_later_entries && entry.index > snapshot.index;
                     recovered.entries.retain(keep);
                     recovered.snapshot = snapshot.clone();
                 }
@@ -53,10 +53,10 @@
 
 #[derive(Debug)]
 struct Batch {
-    /// Writes on the disk once this batch is synced.
+    /// Number of writes on the disk once this batch is synced.
     until: usize,
     has_writes: bool,
-    held: Vec<Message>,
+    after_sync: Vec<Message>,
     ready_at: Millis,
 }
 
@@ -66,7 +66,7 @@
     disk: Disk,
     core: Option<Consensus>,
     batches: Vec<Batch>,
-    /// Commands applied by this life, by position.
+    /// Commands applied by this incarnation, by index.
     applied: BTreeMap<Index, u64>,
     frozen_until: Millis,
     disk_stalled_until: Millis,
@@ -79,52 +79,52 @@
     number: u64,
 }
 
-/// Faults that a history may hold.
+/// Kinds of faults in a history.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Processes are killed, disks keep all.
+    /// Processes are killed; disks keep everything.
     pub kills: bool,
-    /// Power is lost, alone or everywhere at once.
+    /// Power is lost, on one machine or on all at once.
     pub power: bool,
     /// Disks are lost, one at a time.
     pub wipes: bool,
-    /// Processes stand still.
+    /// Processes are frozen.
     pub freezes: bool,
-    /// Members cannot reach each other, in one direction or both.
-    pub cuts: bool,
-    /// Disks answer nothing for a while.
+    /// Members are partitioned, in one direction or both.
+    pub partitions: bool,
+    /// Disks stall for a while.
     pub stalls: bool,
-    /// Machines are added, replaced and emptied.
+    /// Machines are added, replaced and drained.
     pub changes: bool,
 }
 
-/// Every fault.
+/// All kinds of faults.
 pub const ALL_FAULTS: Faults = Faults {
     kills: true,
     power: true,
     wipes: true,
     freezes: true,
-    cuts: true,
+    partitions: true,
     stalls: true,
     changes: true,
 };
 
-/// A mutation of the environment, to show that the oracle sees it.
+/// A defect in the environment, to show that the oracle detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// None.
+    /// No defect.
     None,
-    /// Answers leave before the disk has synced.
-    AnswerBeforeSync,
+    /// Responses are sent before the disk has synced.
+    RespondBeforeSync,
     /// A lost disk returns with its former identity.
-    WipedVotes,
-    /// Reads are answered by any member that thinks it leads, without a lease.
+    WipedDiskVotes,
+    /// Reads are served by any member that considers itself the leader, without a lease.
     ReadWithoutLease,
-    /// A member of a pair goes on alone without having claimed it.
-    AloneWithoutClaim,
+    /// A member of a pair continues alone without a claim.
+    SoleVoterWithoutClaim,
 }
 
-/// The group.
+/// The simulated group.
 pub struct Simulation {
     now: Millis,
     random: SmallRng,
@@ -132,33 +132,33 @@
     in_flight: BTreeMap<u64, Message>,
     queue: BinaryHeap<Reverse<Delivery>>,
     next_number: u64,
-    cuts: BTreeSet<(usize, usize)>,
+    partitions: BTreeSet<(usize, usize)>,
     loss: f64,
     next_command: u64,
-    /// Position to command, as first applied anywhere.
+    /// Commands by index, as first applied on any member.
     history: BTreeMap<Index, u64>,
-    /// Commands acknowledged to a client.
+    /// Commands that were acknowledged to a client.
     acknowledged: BTreeSet<u64>,
     pending: BTreeMap<usize, Vec<(Index, u64, u64)>>,
     mutation: Mutation,
     leaving: Vec<String>,
     /// Machines that never return.
-    gone: Vec<String>,
-    /// Claims on pairs, as the platform's store records them.
+    removed: Vec<String>,
+    /// Claims on pairs, as recorded by the platform's store.
     claims: BTreeMap<Pair, String>,
-    /// Whether the platform's store answers.
-    claims_answer: bool,
+    /// Whether the platform's store is available.
+    claims_available: bool,
     wipe_allowed_at: Millis,
-    /// Voters wanted.
+    /// Desired number of voters.
     voters: usize,
-    /// Machines that were emptied and are gone.
-    retired: usize,
-    /// What happened, to print with a violation.
+    /// Number of machines that were drained and removed.
+    drained_count: usize,
+    /// Events, printed with a violation.
     pub events: Vec<String>,
 }
 
 impl Simulation {
-    /// A group of `members` on empty disks.
+    /// Creates a group of `members` machines with empty disks.
     pub fn new(seed: u64, members: usize, mutation: Mutation) -> Self {
         let mut simulation = Self {
             now: 0,
@@ -167,7 +167,7 @@
             in_flight: BTreeMap::new(),
             queue: BinaryHeap::new(),
             next_number: 0,
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             loss: 0.01,
             next_command: 1,
             history: BTreeMap::new(),
@@ -175,12 +175,12 @@
             pending: BTreeMap::new(),
             mutation,
             leaving: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
             claims: BTreeMap::new(),
-            claims_answer: true,
+            claims_available: true,
             wipe_allowed_at: 0,
             voters: 3,
-            retired: 0,
+            drained_count: 0,
             events: Vec::new(),
         };
         for index in 0..members {
@@ -204,7 +204,7 @@
         self.start(self.nodes.len() - 1);
     }
 
-    fn note(&mut self, text: String) {
+    fn record_event(&mut self, text: String) {
         self.events.push(format!("{:>6} {text}", self.now));
     }
 
@@ -270,18 +270,23 @@
         let until = node.disk.writes.len();
         let before = node.batches.last().map_or(0, |batch| batch.ready_at);
         let ready_at = (self.now + delay).max(before).max(node.disk_stalled_until);
-        if self.mutation == Mutation::AnswerBeforeSync {
+        if self.mutation == Mutation::RespondBeforeSync {
             for message in messages_after_sync {
                 self.post(at, message);
             }
-            self.nodes[at].batches.push(Batch { until, has_writes, held: Vec::new(), ready_at });
+            self.nodes[at].batches.push(Batch {
+                until,
+                has_writes,
+                after_sync: Vec::new(),
+                ready_at,
+            });
             return Ok(());
         }
-        node.batches.push(Batch { until, has_writes, held: messages_after_sync, ready_at });
+        node.batches.push(Batch { until, has_writes, after_sync: messages_after_sync, ready_at });
         Ok(())
     }
 
-    /// Sends the applied state to members that need it whole.
+    /// Sends snapshots of the applied state to members that need one.
     fn install(&mut self, at: usize, members: &[MemberId]) {
         let state = encode(&self.nodes[at].applied);
         let Some(core) = self.nodes[at].core.as_mut() else { return };
@@ -294,7 +299,7 @@
         let command = match &entry.payload {
             Payload::Command(bytes) => u64::from_le_bytes(bytes[..8].try_into().expect("8 bytes")),
             Payload::Empty | Payload::Members(_) => {
-                // Not a command, but no less bound to its position.
+                // Not a command, but bound to its index as well.
                 let bytes = borsh::to_vec(&entry).expect("an entry");
                 bytes.iter().fold(1 << 63, |hash: u64, byte| {
                     hash.rotate_left(5).wrapping_add(u64::from(*byte)) | 1 << 63
@@ -303,7 +308,7 @@
         };
         let held = *self.history.entry(entry.index).or_insert(command);
         if held != command {
-            return Err(format!("position {} held {held}, now {command}", entry.index));
+            return Err(format!("index {} held {held}, now {command}", entry.index));
         }
         self.nodes[at].applied.insert(entry.index, command);
         let done =
@@ -320,7 +325,7 @@
     fn check_applied(&self, at: usize) -> Result<(), Violation> {
         for (index, command) in &self.nodes[at].applied {
             if self.history.get(index).is_some_and(|held| held != command) {
-                return Err(format!("snapshot differs at position {index}"));
+                return Err(format!("snapshot differs at index {index}"));
             }
         }
         Ok(())
@@ -332,7 +337,7 @@
 
     fn post(&mut self, from: usize, message: Message) {
         let Some(to) = self.position_of(&message.to) else { return };
-        if self.cuts.contains(&(from, to)) || self.random.random_bool(self.loss) {
+        if self.partitions.contains(&(from, to)) || self.random.random_bool(self.loss) {
             return;
         }
         let copies = if self.random.random_bool(0.01) { 2 } else { 1 };
@@ -350,7 +355,7 @@
         }
     }
 
-    /// One millisecond of every node.
+    /// Runs one millisecond on every node.
     fn step(&mut self) -> Result<(), Violation> {
         self.now += 1;
         while self.queue.peek().is_some_and(|Reverse(next)| next.at <= self.now) {
@@ -382,7 +387,7 @@
             let batch = self.nodes[at].batches.remove(0);
             let node = &mut self.nodes[at];
             node.disk.synced = node.disk.synced.max(batch.until);
-            for message in batch.held {
+            for message in batch.after_sync {
                 self.post(at, message);
             }
             if let Some(core) = self.nodes[at].core.as_mut().filter(|_| batch.has_writes) {
@@ -400,7 +405,7 @@
         Ok(())
     }
 
-    /// Runs for a while, with a client that proposes now and then.
+    /// Runs for a while, with a client that proposes at intervals.
     pub fn run(&mut self, milliseconds: Millis) -> Result<(), Violation> {
         let end = self.now + milliseconds;
         while self.now < end {
@@ -429,7 +434,7 @@
             let command = self.next_command;
             self.next_command += 1;
             let Some(core) = self.nodes[at].core.as_mut() else { continue };
-            // As the product does: nothing is taken before two disks can hold it.
+            // As in the job store: no command is accepted before two disks can hold it.
             if core.committed_voters() < self.voters / 2 + 1 {
                 continue;
             }
@@ -448,19 +453,19 @@
         Ok(())
     }
 
-    /// A member that may answer reads has applied everything that was acknowledged.
+    /// A member that may serve reads has applied everything that was acknowledged.
     fn read(&mut self) -> Result<(), Violation> {
         for at in self.leaders() {
             let Some(core) = self.nodes[at].core.as_ref() else { continue };
-            let enough = core.committed_voters() > self.voters / 2;
-            let may =
-                core.can_read(self.now) && enough || self.mutation == Mutation::ReadWithoutLease;
-            if !may {
+            let has_enough_voters = core.committed_voters() > self.voters / 2;
+            let may_serve = core.can_read(self.now) && has_enough_voters
+                || self.mutation == Mutation::ReadWithoutLease;
+            if !may_serve {
                 continue;
             }
             let has: BTreeSet<u64> = self.nodes[at].applied.values().copied().collect();
             if let Some(lacking) = self.acknowledged.iter().find(|command| !has.contains(command)) {
-                return Err(format!("{} reads without {lacking}", self.nodes[at].name));
+                return Err(format!("{} serves reads without {lacking}", self.nodes[at].name));
             }
         }
         Ok(())
@@ -474,8 +479,9 @@
             let mut joining = Vec::new();
             for (other, node) in self.nodes.iter().enumerate() {
                 let Some(id) = node.core.as_ref().map(|core| core.id().clone()) else { continue };
-                let heard = reachable(node) && !self.cuts.contains(&(other, at));
-                if heard && !core.members().contains(&id) && !self.leaving.contains(&id.name) {
+                let is_received = reachable(node) && !self.partitions.contains(&(other, at));
+                if is_received && !core.members().contains(&id) && !self.leaving.contains(&id.name)
+                {
                     joining.push(id);
                 }
             }
@@ -483,8 +489,8 @@
                 self.nodes.iter().enumerate().map(|(n, node)| (node.name.clone(), zone(n))),
             );
             let leaving = self.leaving.clone();
-            let wishes = DesiredMembership { joining, leaving, voters: self.voters, zones };
-            let step = next_step(core, self.now, &wishes);
+            let desired = DesiredMembership { joining, leaving, voters: self.voters, zones };
+            let step = next_step(core, self.now, &desired);
             let pair = core.pair().filter(|_| match &step {
                 Step::Change(members) => needs_claim(core, members),
                 Step::Idle | Step::TransferLeadership(_) => false,
@@ -507,16 +513,16 @@
         self.become_sole_voter()
     }
 
-    /// Whether a member has the claim on a pair; nothing needs one where there is no pair.
+    /// Whether a member has the claim on a pair; without a pair no claim is needed.
     fn claim(&mut self, at: usize, pair: Option<Pair>) -> bool {
         let Some(pair) = pair else { return true };
-        if self.mutation == Mutation::AloneWithoutClaim {
+        if self.mutation == Mutation::SoleVoterWithoutClaim {
             return true;
         }
         let Some(me) = self.nodes[at].core.as_ref().map(|core| core.id().to_string()) else {
             return false;
         };
-        self.claims_answer && *self.claims.entry(pair).or_insert(me.clone()) == me
+        self.claims_available && *self.claims.entry(pair).or_insert(me.clone()) == me
     }
 
     fn become_sole_voter(&mut self) -> Result<(), Violation> {
@@ -532,8 +538,9 @@
                 continue;
             }
             let Some(core) = self.nodes[at].core.as_ref() else { continue };
-            let alone = core.pair().filter(|_| should_become_sole_voter(core, self.now, &joining));
-            let Some(pair) = alone else {
+            let remaining_pair =
+                core.pair().filter(|_| should_become_sole_voter(core, self.now, &joining));
+            let Some(pair) = remaining_pair else {
                 continue;
             };
             if !self.claim(at, Some(pair)) {
@@ -542,46 +549,49 @@
             if let Some(core) = self.nodes[at].core.as_mut() {
                 core.become_sole_voter(self.now, pair);
             }
-            self.note(format!("{at} goes on alone"));
+            self.record_event(format!("{at} becomes the sole voter"));
             self.carry_out(at)?;
         }
         Ok(())
     }
 
-    /// A machine that is not gone.
-    fn any(&mut self) -> usize {
+    /// A random machine that is not removed.
+    fn random_machine(&mut self) -> usize {
         loop {
             let at = self.random.random_range(0..self.nodes.len());
-            if !self.is_gone(&self.nodes[at]) {
+            if !self.is_removed(&self.nodes[at]) {
                 return at;
             }
         }
     }
 
-    fn is_gone(&self, node: &Node) -> bool {
-        self.gone.contains(&node.name) || self.retired > 0 && self.leaving.contains(&node.name)
+    fn is_removed(&self, node: &Node) -> bool {
+        self.removed.contains(&node.name)
+            || self.drained_count > 0 && self.leaving.contains(&node.name)
     }
 
-    /// Everything that counts is back for the catch-up time: another disk may be lost.
+    /// Whether another disk may be lost: all machines are up and the time for catching up has
+    /// passed.
     fn may_wipe(&self) -> bool {
-        let calm = |node: &Node| {
-            self.is_gone(node) || node.core.is_some() && node.frozen_until <= self.now
+        let is_undisturbed = |node: &Node| {
+            self.is_removed(node) || node.core.is_some() && node.frozen_until <= self.now
         };
         self.now >= self.wipe_allowed_at
-            && self.cuts.is_empty()
-            && self.nodes.iter().all(calm)
-            && self.whole()
+            && self.partitions.is_empty()
+            && self.nodes.iter().all(is_undisturbed)
+            && self.is_fully_replicated()
     }
 
-    /// Whether a leader's group is whole: every place taken, by members that have everything.
-    fn whole(&self) -> bool {
+    /// Whether a leader's group is complete: every place is taken, by members that have every
+    /// entry.
+    fn is_fully_replicated(&self) -> bool {
         self.leaders().iter().any(|&at| {
             let Some(core) = self.nodes[at].core.as_ref() else { return false };
             let members = core.members();
             let present = self.nodes.iter().filter_map(|node| node.core.as_ref());
             core.can_read(self.now)
                 && core.members_durably_committed()
-                && members.voters.len() >= self.nodes.len().min(3) - self.retired
+                && members.voters.len() >= self.nodes.len().min(3) - self.drained_count
                 && members.voters.len() >= 2
                 && members.voters.iter().all(|voter| {
                     present.clone().any(|other| other.id() == voter)
@@ -590,42 +600,42 @@
         })
     }
 
-    /// One fault, and what follows it.
+    /// Injects one fault and lets it take effect.
     pub fn fault(&mut self, faults: Faults) -> Result<(), Violation> {
         let length = self.random.random_range(100..3_000);
         match self.random.random_range(0..12) {
             0 if faults.kills => {
-                let at = self.any();
-                self.note(format!("kill {at} for {length}"));
+                let at = self.random_machine();
+                self.record_event(format!("kill {at} for {length}"));
                 self.stop(at, false);
                 self.run(length)?;
                 self.start(at);
             }
             1 if faults.power => {
-                let at = self.any();
-                self.note(format!("power off {at} for {length}"));
+                let at = self.random_machine();
+                self.record_event(format!("power off {at} for {length}"));
                 self.stop(at, true);
                 self.run(length)?;
                 self.start(at);
             }
             2 if faults.power => self.power_off_all(length, faults.wipes)?,
             3 if faults.wipes && self.may_wipe() => {
-                let at = self.any();
+                let at = self.random_machine();
                 self.wipe(at);
                 self.run(length.min(1_000))?;
                 self.start(at);
                 self.wipe_allowed_at = self.now + 4_700;
             }
             4 if faults.freezes => {
-                let at = self.any();
-                self.note(format!("freeze {at} for {length}"));
+                let at = self.random_machine();
+                self.record_event(format!("freeze {at} for {length}"));
                 self.nodes[at].frozen_until = self.now + length;
                 self.run(length + 100)?;
             }
-            5 if faults.cuts => self.cut(length)?,
+            5 if faults.partitions => self.partition(length)?,
             6 if faults.stalls => {
-                let at = self.any();
-                self.note(format!("stall disk {at} for {length}"));
+                let at = self.random_machine();
+                self.record_event(format!("stall disk {at} for {length}"));
                 let until = self.now + length;
                 self.nodes[at].disk_stalled_until = until;
                 for batch in &mut self.nodes[at].batches {
@@ -634,14 +644,19 @@
                 self.run(length)?;
             }
             7 if faults.changes && self.may_wipe() && self.nodes.len() < 6 => {
-                self.note("add a machine".into());
+                self.record_event("add a machine".into());
                 self.add_node(false);
                 self.run(length)?;
             }
-            8 if faults.changes && self.may_wipe() && self.leaving.is_empty() => self.retire()?,
-            // Of a pair, one cut off for long and then the other's disk lost is more than it bears.
-            9 if faults.cuts && faults.wipes && self.retired == 0 && self.may_wipe() => {
-                self.behind(length)?;
+            8 if faults.changes && self.may_wipe() && self.leaving.is_empty() => self.drain()?,
+            // A pair does not tolerate a long partition of one member followed by the loss of the
+            // other's disk.
+            9 if faults.partitions
+                && faults.wipes
+                && self.drained_count == 0
+                && self.may_wipe() =>
+            {
+                self.partition_then_wipe(length)?;
             }
             10 if faults.stalls && faults.power => {
                 self.stall_all_but_one();
@@ -653,41 +668,43 @@
         Ok(())
     }
 
-    /// One member misses changes; then another one's disk is lost, the rest are dark, and the cut
-    /// heals: those two must not elect the past.
-    fn behind(&mut self, length: Millis) -> Result<(), Violation> {
-        let cut_off = self.any();
-        let mut wiped = (cut_off + 1) % self.nodes.len();
-        while self.is_gone(&self.nodes[wiped]) || wiped == cut_off {
+    /// One member misses changes; then another one loses its disk, the rest are down, and the
+    /// partition heals: those two must not elect a leader with an outdated log.
+    fn partition_then_wipe(&mut self, length: Millis) -> Result<(), Violation> {
+        let partitioned = self.random_machine();
+        let mut wiped = (partitioned + 1) % self.nodes.len();
+        while self.is_removed(&self.nodes[wiped]) || wiped == partitioned {
             wiped = (wiped + 1) % self.nodes.len();
         }
-        self.note(format!("{cut_off} is cut off, then {wiped} wiped, the others dark"));
-        for other in (0..self.nodes.len()).filter(|other| *other != cut_off) {
-            self.cuts.insert((cut_off, other));
-            self.cuts.insert((other, cut_off));
+        self.record_event(format!(
+            "{partitioned} is partitioned, then {wiped} wiped, the others down"
+        ));
+        for other in (0..self.nodes.len()).filter(|other| *other != partitioned) {
+            self.partitions.insert((partitioned, other));
+            self.partitions.insert((other, partitioned));
         }
         self.run(length)?;
-        for at in (0..self.nodes.len()).filter(|at| *at != cut_off && *at != wiped) {
+        for at in (0..self.nodes.len()).filter(|at| *at != partitioned && *at != wiped) {
             self.stop(at, true);
         }
         self.wipe(wiped);
         self.wipe_allowed_at = self.now + length + 4_700;
-        self.cuts.clear();
+        self.partitions.clear();
         self.run(100)?;
         self.start(wiped);
         self.run(length)?;
-        for at in (0..self.nodes.len()).filter(|at| *at != cut_off && *at != wiped) {
-            if !self.is_gone(&self.nodes[at]) {
+        for at in (0..self.nodes.len()).filter(|at| *at != partitioned && *at != wiped) {
+            if !self.is_removed(&self.nodes[at]) {
                 self.start(at);
             }
         }
         Ok(())
     }
 
-    /// Every disk but one answers nothing for longer than the fault that follows.
+    /// Stalls every disk but one for longer than the fault that follows.
     fn stall_all_but_one(&mut self) {
-        let spared = self.any();
-        self.note(format!("stall every disk but {spared}"));
+        let spared = self.random_machine();
+        self.record_event(format!("stall every disk but {spared}"));
         let until = self.now + 1_000;
         for at in (0..self.nodes.len()).filter(|at| *at != spared) {
             self.nodes[at].disk_stalled_until = until;
@@ -698,18 +715,19 @@
     }
 
     fn wipe(&mut self, at: usize) {
-        self.note(format!("wipe {at}"));
+        self.record_event(format!("wipe {at}"));
         self.stop(at, true);
         let incarnation = self.nodes[at].disk.incarnation;
         self.nodes[at].disk = Disk::default();
-        if self.mutation == Mutation::WipedVotes {
+        if self.mutation == Mutation::WipedDiskVotes {
             self.nodes[at].disk.incarnation = incarnation;
         }
     }
 
     fn power_off_all(&mut self, length: Millis, wipes: bool) -> Result<(), Violation> {
-        let wiped = (wipes && self.may_wipe() && self.random.random_bool(0.5)).then(|| self.any());
-        self.note(format!("power off all, wiped {wiped:?}"));
+        let wiped = (wipes && self.may_wipe() && self.random.random_bool(0.5))
+            .then(|| self.random_machine());
+        self.record_event(format!("power off all, wiped {wiped:?}"));
         for at in 0..self.nodes.len() {
             self.stop(at, true);
         }
@@ -719,35 +737,35 @@
         }
         self.run(length)?;
         for at in 0..self.nodes.len() {
-            if !self.is_gone(&self.nodes[at]) {
+            if !self.is_removed(&self.nodes[at]) {
                 self.start(at);
             }
         }
         Ok(())
     }
 
-    fn cut(&mut self, length: Millis) -> Result<(), Violation> {
+    fn partition(&mut self, length: Millis) -> Result<(), Violation> {
         let one_way = self.random.random_bool(0.3);
         let split = self.random.random_range(1..self.nodes.len());
-        self.note(format!("cut at {split} one way {one_way} for {length}"));
+        self.record_event(format!("partition at {split} one way {one_way} for {length}"));
         for left in 0..split {
             for right in split..self.nodes.len() {
-                self.cuts.insert((left, right));
+                self.partitions.insert((left, right));
                 if !one_way {
-                    self.cuts.insert((right, left));
+                    self.partitions.insert((right, left));
                 }
             }
         }
         self.run(length)?;
-        self.cuts.clear();
+        self.partitions.clear();
         Ok(())
     }
 
-    /// Empties a machine; once it is out of the group its disk is gone.
-    fn retire(&mut self) -> Result<(), Violation> {
-        let at = self.any();
+    /// Drains a machine; once it is out of the group its disk is erased.
+    fn drain(&mut self) -> Result<(), Violation> {
+        let at = self.random_machine();
         let name = self.nodes[at].name.clone();
-        self.note(format!("retire {at}"));
+        self.record_event(format!("drain {at}"));
         self.leaving.push(name.clone());
         for _ in 0..2_000 {
             self.run(5)?;
@@ -762,8 +780,8 @@
             if out {
                 self.stop(at, true);
                 self.nodes[at].disk = Disk::default();
-                self.note(format!("retired {at}"));
-                self.retired = 1;
+                self.record_event(format!("drained {at}"));
+                self.drained_count = 1;
                 return self.lose_another();
             }
         }
@@ -771,51 +789,53 @@
         Ok(())
     }
 
-    /// Right after, another machine loses its disk, or is replaced by one with another name.
+    /// Immediately afterwards another machine loses its disk, or is replaced by one with another
+    /// name.
     fn lose_another(&mut self) -> Result<(), Violation> {
         let pause = self.random.random_range(1..400).max(200) - 199;
         self.run(pause)?;
-        let at = self.any();
+        let at = self.random_machine();
         if self.nodes[at].core.is_none() || !self.may_wipe() {
             return Ok(());
         }
         if self.random.random_bool(0.3) {
-            return self.cut_long(at);
+            return self.partition_for_long(at);
         }
         self.wipe(at);
         self.wipe_allowed_at = self.now + 4_700;
-        self.claims_answer = self.random.random_bool(0.7);
+        self.claims_available = self.random.random_bool(0.7);
         self.run(1_500)?;
         if self.random.random_bool(0.5) {
             self.start(at);
         } else {
-            self.note(format!("{at} is gone, a new machine comes"));
-            self.gone.push(self.nodes[at].name.clone());
+            self.record_event(format!("{at} is lost, a new machine joins"));
+            self.removed.push(self.nodes[at].name.clone());
             self.add_node(false);
         }
         self.run(2_000)?;
-        self.claims_answer = true;
+        self.claims_available = true;
         self.run(6_000)
     }
 
-    /// Cuts one member off for so long that members of a pair give each other up.
-    fn cut_long(&mut self, at: usize) -> Result<(), Violation> {
-        self.note(format!("{at} is cut off for long"));
+    /// Partitions one member for so long that the members of a pair give up on each other.
+    fn partition_for_long(&mut self, at: usize) -> Result<(), Violation> {
+        self.record_event(format!("{at} is partitioned for long"));
         for other in (0..self.nodes.len()).filter(|other| *other != at) {
-            self.cuts.insert((at, other));
-            self.cuts.insert((other, at));
+            self.partitions.insert((at, other));
+            self.partitions.insert((other, at));
         }
         self.run(8_000)?;
-        self.cuts.clear();
+        self.partitions.clear();
         self.run(3_000)
     }
 
-    /// Ends all faults and checks that the group serves and has everything acknowledged.
+    /// Ends all faults and checks that the group makes progress and has everything that was
+    /// acknowledged.
     pub fn settle(&mut self) -> Result<(), Violation> {
-        self.note("settle".into());
+        self.record_event("settle".into());
         for at in 0..self.nodes.len() {
-            let gone = self.is_gone(&self.nodes[at]);
-            if self.nodes[at].core.is_none() && !gone {
+            let removed = self.is_removed(&self.nodes[at]);
+            if self.nodes[at].core.is_none() && !removed {
                 self.start(at);
             }
         }
@@ -823,7 +843,7 @@
         self.run(6_000)?;
         if self.acknowledged.len() <= before + 50 {
             return Err(format!(
-                "stands still: {before} acknowledged, {}",
+                "no progress: {before} acknowledged, now {}",
                 self.acknowledged.len()
             ));
         }
@@ -832,21 +852,21 @@
             .iter()
             .find(|&&at| self.nodes[at].core.as_ref().is_some_and(|core| core.can_read(self.now)))
         else {
-            return Err("nobody leads".into());
+            return Err("no leader".into());
         };
         let has: BTreeSet<u64> = self.nodes[leader].applied.values().copied().collect();
         match self.acknowledged.iter().find(|command| !has.contains(command)) {
-            Some(lost) => Err(format!("{lost} was acknowledged and is lost")),
+            Some(lost) => Err(format!("acknowledged command {lost} is lost")),
             None => Ok(()),
         }
     }
 
-    /// Notes what each member holds, to be read beside a violation.
-    fn note_nodes(&mut self) {
+    /// Records the state of each member, to be printed with a violation.
+    fn record_nodes(&mut self) {
         let describe = |node: &Node| match &node.core {
             None => format!("{}: down", node.name),
             Some(core) => format!(
-                "{}: {:?} term {} last {}/{} commit {} settled {} members {:?}",
+                "{}: {:?} term {} last {}/{} commit {} committed members {} members {:?}",
                 core.id(),
                 core.role(),
                 core.term(),
@@ -858,10 +878,10 @@
             ),
         };
         let described: Vec<String> = self.nodes.iter().map(describe).collect();
-        described.into_iter().for_each(|text| self.note(text));
+        described.into_iter().for_each(|text| self.record_event(text));
     }
 
-    /// Commands acknowledged so far.
+    /// Number of commands acknowledged so far.
     pub fn acknowledged(&self) -> usize {
         self.acknowledged.len()
     }
@@ -878,52 +898,52 @@
     borsh::from_slice(state).expect("a map")
 }
 
-/// Plays a history in which two machines remain and lose sight of each other, or one its disk.
-pub fn play_pair(seed: u64, mutation: Mutation) -> Result<usize, Violation> {
+/// Runs a history in which two machines remain and are partitioned, or one loses its disk.
+pub fn run_pair_history(seed: u64, mutation: Mutation) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, 3, mutation);
-    let outcome = play_pair_steps(&mut simulation);
+    let outcome = run_pair_steps(&mut simulation);
     if outcome.is_err() {
-        simulation.note_nodes();
+        simulation.record_nodes();
     }
     let events = simulation.events.join("\n");
     outcome.map_err(|violation| format!("seed {seed}: {violation}\n{events}"))?;
     Ok(simulation.acknowledged())
 }
 
-fn play_pair_steps(simulation: &mut Simulation) -> Result<(), Violation> {
+fn run_pair_steps(simulation: &mut Simulation) -> Result<(), Violation> {
     simulation.run(4_000)?;
-    simulation.retire()?;
+    simulation.drain()?;
     simulation.run(6_000)?;
-    let at = simulation.any();
-    simulation.cut_long(at)?;
+    let at = simulation.random_machine();
+    simulation.partition_for_long(at)?;
     simulation.settle()
 }
 
-/// Machines of which five vote and the others stand by; two disks may be lost at once.
+/// Number of machines, of which five vote and the others stand by; two disks may be lost at once.
 const STANDBY_MACHINES: usize = 9;
 const STANDBY_VOTERS: usize = 5;
 
-/// Plays a history of a group with machines that stand by.
-pub fn play_standby(seed: u64) -> Result<usize, Violation> {
+/// Runs a history of a group with standby machines.
+pub fn run_standby_history(seed: u64) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, STANDBY_MACHINES, Mutation::None);
     simulation.voters = STANDBY_VOTERS;
-    let outcome = play_standby_steps(&mut simulation);
+    let outcome = run_standby_steps(&mut simulation);
     if outcome.is_err() {
-        simulation.note_nodes();
+        simulation.record_nodes();
     }
     let events = simulation.events.join("\n");
     outcome.map_err(|violation| format!("seed {seed}: {violation}\n{events}"))?;
     Ok(simulation.acknowledged())
 }
 
-fn play_standby_steps(simulation: &mut Simulation) -> Result<(), Violation> {
+fn run_standby_steps(simulation: &mut Simulation) -> Result<(), Violation> {
     simulation.run(6_000)?;
     simulation.check_voters()?;
     for _ in 0..3 {
         match simulation.random.random_range(0..3) {
             0 => simulation.lose_two_disks_and_all_power()?,
             1 => simulation.lose_one_for_good()?,
-            _ => simulation.retire_and_wipe_two()?,
+            _ => simulation.drain_and_wipe_two()?,
         }
         simulation.run(7_000)?;
         simulation.check_voters()?;
@@ -932,9 +952,10 @@
 }
 
 impl Simulation {
-    /// Exactly as many vote as are wanted, and nobody learns: those that stand by hold nothing.
+    /// Checks that there are exactly as many voters as desired and no learners: standby machines
+    /// hold nothing.
     fn check_voters(&self) -> Result<(), Violation> {
-        let Some(&leader) = self.leaders().first() else { return Err("nobody leads".into()) };
+        let Some(&leader) = self.leaders().first() else { return Err("no leader".into()) };
         let Some(core) = self.nodes[leader].core.as_ref() else { return Ok(()) };
         let members = core.members();
         if members.voters.len() == self.voters && members.learners.is_empty() {
@@ -943,10 +964,10 @@
         Err(format!("{} voters and {} learners", members.voters.len(), members.learners.len()))
     }
 
-    /// A machine that votes, by the leader's word.
-    fn any_voter(&mut self) -> usize {
+    /// A random machine that votes, according to any member.
+    fn random_voter(&mut self) -> usize {
         loop {
-            let at = self.any();
+            let at = self.random_machine();
             let name = self.nodes[at].name.clone();
             let votes = |node: &Node| {
                 let core = node.core.as_ref();
@@ -959,8 +980,8 @@
     }
 
     fn lose_two_disks_and_all_power(&mut self) -> Result<(), Violation> {
-        let lost = [self.any_voter(), self.any_voter()];
-        self.note(format!("power off all, wiped {lost:?}"));
+        let lost = [self.random_voter(), self.random_voter()];
+        self.record_event(format!("power off all, wiped {lost:?}"));
         (0..self.nodes.len()).for_each(|at| self.stop(at, true));
         lost.into_iter().for_each(|at| self.wipe(at));
         self.run(500)?;
@@ -970,31 +991,32 @@
 
     fn start_all(&mut self) {
         for at in 0..self.nodes.len() {
-            if self.nodes[at].core.is_none() && !self.is_gone(&self.nodes[at]) {
+            if self.nodes[at].core.is_none() && !self.is_removed(&self.nodes[at]) {
                 self.start(at);
             }
         }
     }
 
     fn lose_one_for_good(&mut self) -> Result<(), Violation> {
-        let at = self.any_voter();
-        self.note(format!("{at} is gone, a new machine comes"));
+        let at = self.random_voter();
+        self.record_event(format!("{at} is lost, a new machine joins"));
         self.stop(at, true);
-        self.gone.push(self.nodes[at].name.clone());
+        self.removed.push(self.nodes[at].name.clone());
         self.run(1_000)?;
         self.add_node(false);
         Ok(())
     }
 
-    /// Empties a voter; once that could be reported, two others lose their disks.
-    fn retire_and_wipe_two(&mut self) -> Result<(), Violation> {
-        let at = self.any_voter();
+    /// Drains a voter; once that could be reported, two others lose their disks.
+    fn drain_and_wipe_two(&mut self) -> Result<(), Violation> {
+        let at = self.random_voter();
         let name = self.nodes[at].name.clone();
-        self.note(format!("retire {at}"));
+        self.record_event(format!("drain {at}"));
         self.leaving.push(name.clone());
         for _ in 0..2_000 {
             self.run(5)?;
-            // Also between two proposals: a leader that was just given one cannot hand over.
+            // Also between two proposals: a leader that was just given a command cannot transfer
+            // leadership.
             self.change_members()?;
             let out = self.leaders().iter().any(|&leader| {
                 self.nodes[leader].core.as_ref().is_some_and(|core| {
@@ -1005,41 +1027,41 @@
             });
             if out {
                 self.stop(at, true);
-                self.gone.push(name);
-                let lost = [self.any_voter(), self.any_voter()];
+                self.removed.push(name);
+                let lost = [self.random_voter(), self.random_voter()];
                 lost.into_iter().for_each(|lost| self.wipe(lost));
                 self.run(800)?;
                 self.start_all();
                 return Ok(());
             }
         }
-        let told = |&leader: &usize| {
+        let describe = |&leader: &usize| {
             let core = self.nodes[leader].core.as_ref()?;
-            let committed_members_index = core.members_durably_committed();
+            let durably_committed = core.members_durably_committed();
             Some(format!(
-                "{}: may change {}, settled {committed_members_index}",
+                "{}: may change {}, committed durably {durably_committed}",
                 core.id(),
                 core.can_change_members()
             ))
         };
-        let leaders: Vec<String> = self.leaders().iter().filter_map(told).collect();
-        Err(format!("{name} is never let go; {leaders:?}"))
+        let leaders: Vec<String> = self.leaders().iter().filter_map(describe).collect();
+        Err(format!("{name} is never removed; {leaders:?}"))
     }
 }
 
-/// Plays one history; the error holds the seed and what happened.
-pub fn play(seed: u64, faults: Faults, mutation: Mutation) -> Result<usize, Violation> {
+/// Runs one history; the error holds the seed and the events.
+pub fn run_history(seed: u64, faults: Faults, mutation: Mutation) -> Result<usize, Violation> {
     let mut simulation = Simulation::new(seed, 3, mutation);
-    let outcome = play_steps(&mut simulation, faults);
+    let outcome = run_history_steps(&mut simulation, faults);
     if outcome.is_err() {
-        simulation.note_nodes();
+        simulation.record_nodes();
     }
     let events = simulation.events.join("\n");
     outcome.map_err(|violation| format!("seed {seed}: {violation}\n{events}"))?;
     Ok(simulation.acknowledged())
 }
 
-fn play_steps(simulation: &mut Simulation, faults: Faults) -> Result<(), Violation> {
+fn run_history_steps(simulation: &mut Simulation, faults: Faults) -> Result<(), Violation> {
     simulation.run(4_000)?;
     for _ in 0..8 {
         simulation.fault(faults)?;
@@ -1047,7 +1069,7 @@
     simulation.settle()
 }
 
-/// Machines stand in three zones, one after the other.
+/// Distributes machines over three zones.
 fn zone(number: usize) -> String {
     format!("zone-{}", number % 3)
 }
--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -1,6 +1,6 @@
-//! Which job store is the accountant of which slot. The assignment is part of the replicated log; the
-//! leader renews the leases of those who are named in it, and names another one only when the lease of
-//! the one before has certainly ended.
+//! Assignment of slots to job stores. It is part of the replicated log; the leader renews the
+//! leases of the assigned job stores, and assigns a slot to another one only when the previous
+//! lease has certainly expired.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,40 +12,41 @@
 use crate::slot::SlotId;
 use crate::token_issuer::LEASE_MS;
 
-/// Time beyond the length of a lease after which it has ended, whatever the rates of two clocks.
+/// Time added to the duration of a lease before it counts as expired, which covers clocks of
+/// different rates.
 const LEASE_MARGIN_MS: u64 = 250;
-/// Time after which a new leader assigns slots that nobody has had: job stores that start together
-/// know each other by then.
-const SETTLE_MS: u64 = 2_500;
+/// Time for which a new leader assigns no slots: job stores that start together have discovered
+/// each other by then.
+const STARTUP_GRACE_MS: u64 = 2_500;
 
-/// The accountant of a slot.
+/// The token issuer of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Holder {
     /// Name of the job store.
     pub name: String,
-    /// Number of the assignment that gave it the slot.
+    /// Version of the assignment that gave it the slot.
     pub generation: u64,
 }
 
-/// The accountants of all slots, as the log has them.
+/// The token issuers of all slots, as recorded in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Assignment {
-    /// Rises with each change.
+    /// Grows with each change.
     pub version: u64,
     holders: BTreeMap<SlotId, Holder>,
 }
 
-/// A job store that may be an accountant.
+/// A job store that slots may be assigned to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// Its name.
     pub name: String,
-    /// Zone in which it stands.
+    /// Zone of the job store.
     pub zone: String,
 }
 
 impl Assignment {
-    /// Puts accountants in the place of those before.
+    /// Assigns slots to new issuers.
     pub fn assign(&mut self, changes: Vec<(SlotId, String)>) {
         self.version += 1;
         for (slot, name) in changes {
@@ -53,17 +54,17 @@
         }
     }
 
-    /// The accountant of a slot.
+    /// The token issuer of a slot.
     pub fn holder(&self, slot: SlotId) -> Option<&Holder> {
         self.holders.get(&slot)
     }
 
-    /// Whether a job store is the accountant of a slot.
+    /// Whether a job store is the token issuer of a slot.
     pub fn is_holder(&self, slot: SlotId, name: &str) -> bool {
         self.holder(slot).is_some_and(|holder| holder.name == name)
     }
 
-    /// Slots of one job store.
+    /// Leases of one job store.
     pub fn leases_of(&self, name: &str) -> Vec<SlotLease> {
         let held = self.holders.iter().filter(|(_, holder)| holder.name == name);
         held.map(|(slot, holder)| SlotLease { slot: *slot, generation: holder.generation })
@@ -71,57 +72,57 @@
     }
 }
 
-/// The leader's view of leases. It lives as long as the lead: what leaders before leased has ended
-/// `LEASE_MS` after their lead did, and so after this one began.
+/// The leader's view of leases, kept for one term only: leases of earlier leaders expire `LEASE_MS`
+/// after the end of their term, which was before this term began.
 #[derive(Debug)]
 pub struct LeaseManager {
-    leads_since: Timestamp,
-    /// Last renewal of each job store; none for one that gave its slots back.
-    renewed: HashMap<String, Option<Timestamp>>,
-    /// Changes that are on their way into the log.
+    leader_since: Timestamp,
+    /// Last renewal of each job store; `None` for one that released its slots.
+    last_renewals: HashMap<String, Option<Timestamp>>,
+    /// Changes that are proposed but not yet applied.
     pending: BTreeMap<SlotId, String>,
 }
 
 impl LeaseManager {
-    /// The overseer of a lead that begins now.
+    /// Creates the lease manager of a leader whose term begins now.
     pub fn new(now: Timestamp) -> Self {
-        Self { leads_since: now, renewed: HashMap::new(), pending: BTreeMap::new() }
+        Self { leader_since: now, last_renewals: HashMap::new(), pending: BTreeMap::new() }
     }
 
-    /// Renews the leases of a job store. Invariant: a slot that is on its way to another accountant is
-    /// not leased to the one before any more.
+    /// Renews the leases of a job store. Invariant: a slot with a pending move to another issuer is
+    /// no longer leased to the previous one.
     pub fn renew(&mut self, now: Timestamp, assignment: &Assignment, name: &str) -> Vec<SlotLease> {
-        self.renewed.insert(name.to_owned(), Some(now));
+        self.last_renewals.insert(name.to_owned(), Some(now));
         let mut leases = assignment.leases_of(name);
         leases.retain(|lease| self.pending.get(&lease.slot).is_none_or(|next| next == name));
         leases
     }
 
-    /// A job store has given its slots back.
+    /// Records that a job store released its slots.
     pub fn mark_released(&mut self, name: &str) {
-        self.renewed.insert(name.to_owned(), None);
+        self.last_renewals.insert(name.to_owned(), None);
     }
 
-    /// Whether leases of a job store may still hold.
-    fn may_hold(&self, now: Timestamp, name: &str) -> bool {
-        let last = match self.renewed.get(name) {
+    /// Whether a job store may still have valid leases.
+    fn may_hold_lease(&self, now: Timestamp, name: &str) -> bool {
+        let last = match self.last_renewals.get(name) {
             Some(None) => return false,
             Some(Some(at)) => *at,
-            None => self.leads_since,
+            None => self.leader_since,
         };
         now < last.plus_millis(LEASE_MS + LEASE_MARGIN_MS)
     }
 
-    /// Changes that are due. `candidates` are the job stores that answer, `me` is the leader, which
-    /// takes slots only where there are too few others: it has work enough.
+    /// Changes that are due. `candidates` are the reachable job stores; `leader` is this process,
+    /// which gets slots only if there are too few others, since it has the load of leading.
     pub fn plan(
         &mut self,
         now: Timestamp,
         assignment: &Assignment,
         candidates: &[Candidate],
-        me: &str,
+        leader: &str,
     ) -> Vec<(SlotId, String)> {
-        if candidates.is_empty() || now < self.leads_since.plus_millis(SETTLE_MS) {
+        if candidates.is_empty() || now < self.leader_since.plus_millis(STARTUP_GRACE_MS) {
             return Vec::new();
         }
         self.pending.retain(|slot, next| {
@@ -131,11 +132,11 @@
         let mut changes = Vec::new();
         for slot in SlotId::all() {
             let held_by = assignment.holder(slot).map(|holder| holder.name.as_str());
-            let is_held = held_by.is_some_and(|name| self.may_hold(now, name));
+            let is_held = held_by.is_some_and(|name| self.may_hold_lease(now, name));
             if is_held || self.pending.contains_key(&slot) {
                 continue;
             }
-            let Some(chosen) = self.choose(slot, &planned, candidates, me) else { continue };
+            let Some(chosen) = self.choose(slot, &planned, candidates, leader) else { continue };
             if held_by == Some(chosen) {
                 continue;
             }
@@ -147,14 +148,14 @@
         changes
     }
 
-    /// The best candidate for a slot: not the accountant of another part of the same limits, in a zone
-    /// of its own, not the leader, and then by rendezvous hash.
+    /// The best candidate for a slot: one that holds no other part of the same limits, in a zone
+    /// that holds none either, not the leader, and then by rendezvous hash.
     fn choose<'a>(
         &self,
         slot: SlotId,
         planned: &Assignment,
         candidates: &'a [Candidate],
-        me: &str,
+        leader: &str,
     ) -> Option<&'a str> {
         let others = SlotId::all().filter(|other| other.shard == slot.shard && *other != slot);
         let others: Vec<&str> =
@@ -165,12 +166,12 @@
         };
         let zones: Vec<&str> = others.iter().filter_map(|name| zone_of(name)).collect();
         let score = rendezvous_score(&slot.key());
-        let released = |name: &str| matches!(self.renewed.get(name), Some(None));
+        let has_released = |name: &str| matches!(self.last_renewals.get(name), Some(None));
         let rank = |candidate: &&Candidate| {
             let name = candidate.name.as_str();
-            let is_apart = !others.contains(&name);
-            let has_zone = !zones.contains(&candidate.zone.as_str());
-            (!released(name), is_apart, name != me, has_zone, score(name))
+            let holds_no_sibling = !others.contains(&name);
+            let zone_is_unused = !zones.contains(&candidate.zone.as_str());
+            (!has_released(name), holds_no_sibling, name != leader, zone_is_unused, score(name))
         };
         candidates.iter().max_by_key(rank).map(|candidate| candidate.name.as_str())
     }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,52 +1,60 @@
-//! The token bucket of one part of a tenant's limit. All numbers are whole, so that no rounding adds
-//! up: a token of the whole limit is `TOKEN` units, and a part, which is filled at the rate of the
-//! whole limit, pays `PARTS` times as much for each.
+//! Token bucket of one part of a tenant's limit. It uses integers only, so that no rounding errors
+//! accumulate: a token of the whole limit is `UNITS_PER_TOKEN` units, and a part, which is filled
+//! at the rate of the whole limit, pays `PARTS_PER_LIMIT` times as many for each token.
 
 use yokefall_core::Timestamp;
 use yokefall_types::RateLimit;
 
-use crate::slot::PARTS;
+use crate::slot::PARTS_PER_LIMIT;
 
-/// Units of a token: requests in 1,000 seconds times milliseconds.
-const TOKEN: u64 = 1_000_000;
-/// What a part pays for a token.
-const PART_TOKEN: u64 = TOKEN * PARTS as u64;
+/// Units per token of a whole limit: requests per 1,000 seconds times milliseconds.
+const UNITS_PER_TOKEN: u64 = 1_000_000;
+/// Units that a part pays per token.
+const UNITS_PER_PART_TOKEN: u64 = UNITS_PER_TOKEN * PARTS_PER_LIMIT as u64;
 
-/// Time without asks after which a full bucket is forgotten: far beyond the time in which a
-/// configuration is in force everywhere.
-const FORGET_AFTER_MS: u64 = 60_000;
+/// Time without token requests after which a full bucket is evicted. It is far longer than a
+/// configuration takes to reach all gateways.
+const IDLE_EVICTION_MS: u64 = 60_000;
 
-/// Part of a limit with what is left of it.
+/// One part of a limit and its remaining tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     units: u64,
-    at: Timestamp,
-    used_at: Timestamp,
+    updated_at: Timestamp,
+    requested_at: Timestamp,
     limit: RateLimit,
-    /// Version of the configuration that gave the limit.
+    /// Version of the configuration that the limit was read from.
     version: u64,
     extra_tokens: u64,
 }
 
 impl Bucket {
-    /// A bucket that has been filling since `since`, from one token on.
+    /// Creates a bucket that has been filling since `since`, starting from one token.
     pub fn new(since: Timestamp, limit: RateLimit, version: u64, extra_tokens: u64) -> Self {
-        Self { units: PART_TOKEN, at: since, used_at: since, limit, version, extra_tokens }
+        Self {
+            units: UNITS_PER_PART_TOKEN,
+            updated_at: since,
+            requested_at: since,
+            limit,
+            version,
+            extra_tokens,
+        }
     }
 
     fn capacity(&self) -> u64 {
-        let units = self.limit.burst.saturating_mul(TOKEN) + self.extra_tokens * PART_TOKEN;
-        units.max(PART_TOKEN)
+        let units = self.limit.burst.saturating_mul(UNITS_PER_TOKEN)
+            + self.extra_tokens * UNITS_PER_PART_TOKEN;
+        units.max(UNITS_PER_PART_TOKEN)
     }
 
     fn refill(&mut self, now: Timestamp) {
-        let gained = self.limit.per_1000_seconds.saturating_mul(now.millis_since(self.at));
+        let gained = self.limit.per_1000_seconds.saturating_mul(now.millis_since(self.updated_at));
         self.units = self.units.saturating_add(gained).min(self.capacity());
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Puts the limit of a newer configuration in force. Invariant: versions only rise, so that a
-    /// gateway that is behind cannot bring back a limit that was lowered.
+    /// Applies the limit of a newer configuration. Invariant: versions only grow, so that a gateway
+    /// with an older configuration cannot restore a limit that was lowered.
     pub fn set_limit(&mut self, now: Timestamp, limit: RateLimit, version: u64) {
         if version <= self.version {
             return;
@@ -57,25 +65,25 @@
         self.units = self.units.min(self.capacity());
     }
 
-    /// Takes as many tokens as there are, `wanted` at most.
+    /// Takes the available tokens, at most `wanted`.
     pub fn take(&mut self, now: Timestamp, wanted: u32) -> u32 {
         self.refill(now);
-        self.used_at = self.used_at.max(now);
-        let tokens = (self.units / PART_TOKEN).min(u64::from(wanted));
-        self.units -= tokens * PART_TOKEN;
+        self.requested_at = self.requested_at.max(now);
+        let tokens = (self.units / UNITS_PER_PART_TOKEN).min(u64::from(wanted));
+        self.units -= tokens * UNITS_PER_PART_TOKEN;
         tokens as u32
     }
 
-    /// Milliseconds until there is a token, as of the last take.
+    /// Time until a token is available, in milliseconds, as of the last `take`.
     pub fn wait_ms(&self) -> u64 {
-        let lacking = PART_TOKEN.saturating_sub(self.units);
-        lacking.div_ceil(self.limit.per_1000_seconds.max(1))
+        let missing = UNITS_PER_PART_TOKEN.saturating_sub(self.units);
+        missing.div_ceil(self.limit.per_1000_seconds.max(1))
     }
 
-    /// Whether it would be as full if it was made anew, and was not asked for in a time within which
-    /// every gateway knows the limit that it has.
-    pub fn is_needless(&mut self, now: Timestamp) -> bool {
+    /// Whether a new bucket would be as full, and no request arrived for long enough that every
+    /// gateway has the limit that this bucket has.
+    pub fn is_evictable(&mut self, now: Timestamp) -> bool {
         self.refill(now);
-        self.units == self.capacity() && now.millis_since(self.used_at) >= FORGET_AFTER_MS
+        self.units == self.capacity() && now.millis_since(self.requested_at) >= IDLE_EVICTION_MS
     }
 }
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: gateways, job stores, the lead among them, and what goes wrong. The replicated
-//! log is taken for granted: one assignment, at most one leader, and a gap between two leads.
+//! A fleet in virtual time: gateways, job stores with their leader, and faults. The replicated log
+//! is not simulated: there is one assignment, at most one leader, and a gap between two leaders.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -14,58 +14,58 @@
 };
 use yokefall_types::{RateLimit, TenantName};
 
-/// Time for an accountant to answer, as in the gateway.
-const ASK_TIMEOUT_MS: u64 = 120;
+/// Timeout of a token request, as in the gateway.
+const TOKEN_REQUEST_TIMEOUT_MS: u64 = 120;
 /// Interval between probes, as in the gateway.
 const PROBE_INTERVAL_MS: u64 = 700;
-/// Interval between two looks of the leader.
-const OVERSEE_INTERVAL_MS: u64 = 500;
-/// Time before the first request: the lead is settled and buckets are full.
-pub const LEAD_IN_MS: u64 = 14_000;
+/// Interval at which the leader checks the assignment.
+const ASSIGN_INTERVAL_MS: u64 = 500;
+/// Time before the first request: the leader is established and the buckets are full.
+pub const WARM_UP_MS: u64 = 14_000;
 
-/// A tenant and how much it sends.
+/// A tenant and the load that it sends.
 #[derive(Clone, Debug)]
 pub struct Sender {
-    /// Name.
     pub name: TenantName,
-    /// Limit in force at the start.
+    /// Limit at the start.
     pub limit: RateLimit,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Times its rate from a moment on, for a while.
+    /// Period of higher load.
     pub surge: Option<Surge>,
 }
 
-/// A tenant sends more for a while.
+/// A period in which a tenant sends `factor` times its rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Surge {
     pub from_ms: u64,
     pub until_ms: u64,
-    pub times: f64,
+    pub factor: f64,
 }
 
-/// Something that goes wrong; times are from the first request on.
+/// A fault; times are relative to the first request.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A job store is killed and begins a new life later.
+    /// A job store is killed and restarts later.
     KillStore { at_ms: u64, store: usize, for_ms: u64 },
-    /// Job stores are cut off from the others and from gateways; what is on its way comes afterwards.
-    CutStore { at_ms: u64, store: usize, for_ms: u64 },
-    /// A job store stands still; its clock goes on.
+    /// A job store is partitioned from the others and from gateways; messages in transit arrive
+    /// afterwards.
+    PartitionStore { at_ms: u64, store: usize, for_ms: u64 },
+    /// A job store is frozen; its clock continues.
     FreezeStore { at_ms: u64, store: usize, for_ms: u64 },
-    /// The leader is lost; another job store leads after the gap.
+    /// The leader is lost; another job store takes over after the gap.
     LoseLeader { at_ms: u64, gap_ms: u64 },
     /// A gateway reaches no job store.
-    CutGateway { at_ms: u64, gateway: usize, for_ms: u64 },
-    /// A gateway stands still, with tokens in hand.
+    PartitionGateway { at_ms: u64, gateway: usize, for_ms: u64 },
+    /// A gateway is frozen while it holds tokens.
     FreezeGateway { at_ms: u64, gateway: usize, for_ms: u64 },
-    /// Back ends have no room; what has a token is held, and all of it is sent when they have.
+    /// Back ends have no free slots; requests with tokens wait, and are all sent when there are.
     StallBackEnds { at_ms: u64, for_ms: u64 },
-    /// All limits are this part of what they were; gateways learn of it within the time.
+    /// All limits change to this percentage; gateways learn of it within the given time.
     SetLimits { at_ms: u64, percent: u64, within_ms: u64 },
 }
 
-/// What a run is made of.
+/// Parameters of a run.
 pub struct Plan {
     pub seed: u64,
     pub gateways: usize,
@@ -73,37 +73,37 @@
     pub senders: Vec<Sender>,
     pub faults: Vec<Fault>,
     pub length_ms: u64,
-    /// Gateways that clients use; all where none is given.
-    pub used_gateways: Option<usize>,
+    /// Number of gateways that clients use; all if `None`.
+    pub client_gateways: Option<usize>,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Moments of sends, by tenant.
+    /// Times of sends, by tenant.
     pub sends: BTreeMap<TenantName, Vec<u64>>,
-    /// Requests that were within the limit by a bucket that sees them all, of tenants that send their
-    /// usual.
+    /// Number of requests within the limit, by a reference bucket that sees all of them, of tenants
+    /// that send their usual rate.
     pub within_limit: u64,
-    /// Of them, those that were refused.
-    pub refused_within: u64,
-    /// The same of tenants that send more than they may. Which of their requests are the ones within the
-    /// limit is anybody's choice: what counts is how many are sent.
-    pub within_limit_of_hot: u64,
-    /// Asks that accountants answered.
-    pub asks: u64,
-    /// Most asks that one job store answered.
-    pub most_asks: u64,
+    /// Number of those that were rejected.
+    pub rejected_within_limit: u64,
+    /// The same for tenants that exceed their limit. Which of their requests are within the limit
+    /// is arbitrary, so only the number of sends counts.
+    pub within_limit_of_surging: u64,
+    /// Token requests that issuers answered.
+    pub token_requests: u64,
+    /// Maximum number of token requests that one job store answered.
+    pub max_token_requests: u64,
 }
 
 impl Outcome {
-    /// Refused part of the requests that were within the limit.
-    pub fn refused_share(&self) -> f64 {
-        self.refused_within as f64 / self.within_limit.max(1) as f64
+    /// Rejected fraction of the requests within the limit.
+    pub fn rejected_fraction(&self) -> f64 {
+        self.rejected_within_limit as f64 / self.within_limit.max(1) as f64
     }
 
-    /// The largest number of sends of a tenant in a window that begins at `from_ms` or later.
-    pub fn most_in_window(&self, tenant: &TenantName, window_ms: u64, from_ms: u64) -> usize {
+    /// The maximum number of sends of a tenant in a window that starts at `from_ms` or later.
+    pub fn max_sends_in_window(&self, tenant: &TenantName, window_ms: u64, from_ms: u64) -> usize {
         let Some(sends) = self.sends.get(tenant) else { return 0 };
         let mut sends: Vec<u64> = sends.iter().copied().filter(|at| *at >= from_ms).collect();
         sends.sort_unstable();
@@ -123,70 +123,121 @@
     gateway: usize,
     sender: usize,
     refused: Vec<PartRefusal>,
-    asked_at: u64,
-    /// The ask that is open.
-    open_ask: Option<u64>,
+    requested_at: u64,
+    /// The token request in flight.
+    open_token_request: Option<u64>,
     is_within: bool,
     hold_ms: u64,
 }
 
 enum Event {
-    Arrive { sender: usize },
-    Step { request: u64 },
-    AskArrives { store: usize, life: u64, request: u64, number: u64, ask: TokenRequest },
-    Answer { request: u64, number: u64, token_issuer: usize, grant: TokenGrant },
-    Timeout { request: u64, number: u64, token_issuer: usize },
-    Send { request: u64, expires_at: u64 },
-    Renew { store: usize, life: u64 },
-    RenewArrives { store: usize, life: u64, asked_at: u64 },
-    Renewed { store: usize, life: u64, asked_at: u64, leases: Vec<SlotLease> },
-    Oversee,
-    Commit { lead: u64, changes: Vec<(SlotId, String)> },
-    Probe { gateway: usize },
-    Learn { gateway: usize, assignment: Assignment },
-    LearnLimits { gateway: usize, percent: u64 },
-    Begin(Fault),
-    StartStore { store: usize },
-    Lead { store: usize, lead: u64 },
+    Arrive {
+        sender: usize,
+    },
+    Step {
+        request: u64,
+    },
+    TokenRequestArrives {
+        store: usize,
+        incarnation: u64,
+        request: u64,
+        number: u64,
+        token_request: TokenRequest,
+    },
+    Answer {
+        request: u64,
+        number: u64,
+        token_issuer: usize,
+        grant: TokenGrant,
+    },
+    Timeout {
+        request: u64,
+        number: u64,
+        token_issuer: usize,
+    },
+    Send {
+        request: u64,
+        expires_at: u64,
+    },
+    Renew {
+        store: usize,
+        incarnation: u64,
+    },
+    RenewArrives {
+        store: usize,
+        incarnation: u64,
+        requested_at: u64,
+    },
+    Renewed {
+        store: usize,
+        incarnation: u64,
+        requested_at: u64,
+        leases: Vec<SlotLease>,
+    },
+    AssignSlots,
+    Commit {
+        term: u64,
+        changes: Vec<(SlotId, String)>,
+    },
+    Probe {
+        gateway: usize,
+    },
+    AssignmentArrives {
+        gateway: usize,
+        assignment: Assignment,
+    },
+    LimitsArrive {
+        gateway: usize,
+        percent: u64,
+    },
+    InjectFault(Fault),
+    StartStore {
+        store: usize,
+    },
+    BecomeLeader {
+        store: usize,
+        term: u64,
+    },
 }
 
 struct Store {
     token_issuer: TokenIssuer,
-    life: u64,
+    incarnation: u64,
     up: bool,
-    cut_until: u64,
+    partitioned_until: u64,
     frozen_until: u64,
     offset: u64,
-    asks: u64,
+    token_requests: u64,
 }
 
 struct Gateway {
-    meter: IssuerSelector,
-    cut_until: u64,
+    selector: IssuerSelector,
+    partitioned_until: u64,
     frozen_until: u64,
     offset: u64,
     limit_percent: u64,
     version: u64,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Fleet {
     plan: Plan,
     random: StdRng,
     now: u64,
     sequence: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    held: HashMap<u64, Event>,
+    pending_events: HashMap<u64, Event>,
     stores: Vec<Store>,
     gateways: Vec<Gateway>,
     assignment: Assignment,
-    /// The leader with the number of its lead.
+    /// The leader with its term.
     leader: Option<(usize, u64, LeaseManager)>,
-    lead: u64,
+    term: u64,
     requests: HashMap<u64, Request>,
     next_request: u64,
-    next_ask: u64,
-    /// Buckets of whole limits, which see every request at once: units of a thousandth of a request.
+    next_token_request: u64,
+    /// Reference buckets of whole limits, which see every request: units of a thousandth of a
+    /// request.
     reference: Vec<(u64, u64)>,
     limit_percent: u64,
     version: u64,
@@ -200,23 +251,23 @@
 }
 
 impl Fleet {
-    /// A fleet that has not begun.
+    /// Creates a fleet at time zero.
     pub fn new(plan: Plan) -> Self {
         let mut random = StdRng::seed_from_u64(plan.seed);
         let bounds = QuotaBounds::default();
         let stores = (0..plan.stores).map(|_| Store {
             token_issuer: TokenIssuer::new(bounds),
-            life: 0,
+            incarnation: 0,
             up: true,
-            cut_until: 0,
+            partitioned_until: 0,
             frozen_until: 0,
             offset: random.random_range(0..1_000_000),
-            asks: 0,
+            token_requests: 0,
         });
         let stores = stores.collect();
         let gateways = (0..plan.gateways).map(|gateway| Gateway {
-            meter: IssuerSelector::new(format!("edge-{gateway}")),
-            cut_until: 0,
+            selector: IssuerSelector::new(format!("edge-{gateway}")),
+            partitioned_until: 0,
             frozen_until: 0,
             offset: random.random_range(0..1_000_000),
             limit_percent: 100,
@@ -224,22 +275,22 @@
         });
         let gateways = gateways.collect();
         let reference =
-            plan.senders.iter().map(|sender| (sender.limit.burst * 1_000, LEAD_IN_MS)).collect();
+            plan.senders.iter().map(|sender| (sender.limit.burst * 1_000, WARM_UP_MS)).collect();
         Self {
             plan,
             random,
             now: 0,
             sequence: 0,
             events: BinaryHeap::new(),
-            held: HashMap::new(),
+            pending_events: HashMap::new(),
             stores,
             gateways,
             assignment: Assignment::default(),
             leader: None,
-            lead: 0,
+            term: 0,
             requests: HashMap::new(),
             next_request: 0,
-            next_ask: 0,
+            next_token_request: 0,
             reference,
             limit_percent: 100,
             version: 1,
@@ -249,51 +300,52 @@
         }
     }
 
-    /// Plays it to the end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> Outcome {
         for store in 0..self.plan.stores {
             let at = self.random.random_range(0..RENEW_INTERVAL_MS);
-            self.at(at, Event::Renew { store, life: 0 });
+            self.at(at, Event::Renew { store, incarnation: 0 });
         }
-        self.at(300, Event::Lead { store: 0, lead: 1 });
-        self.lead = 1;
-        self.at(400, Event::Oversee);
+        self.at(300, Event::BecomeLeader { store: 0, term: 1 });
+        self.term = 1;
+        self.at(400, Event::AssignSlots);
         for gateway in 0..self.plan.gateways {
             let at = self.random.random_range(0..PROBE_INTERVAL_MS);
             self.at(at, Event::Probe { gateway });
         }
         for sender in 0..self.plan.senders.len() {
-            self.at(LEAD_IN_MS, Event::Arrive { sender });
+            self.at(WARM_UP_MS, Event::Arrive { sender });
         }
         for fault in self.plan.faults.clone() {
-            self.at(LEAD_IN_MS + begin_of(fault), Event::Begin(fault));
+            self.at(WARM_UP_MS + start_of(fault), Event::InjectFault(fault));
         }
-        let end = LEAD_IN_MS + self.plan.length_ms;
+        let end = WARM_UP_MS + self.plan.length_ms;
         while let Some(Reverse((at, number))) = self.events.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            if let Some(event) = self.held.remove(&number) {
+            if let Some(event) = self.pending_events.remove(&number) {
                 self.handle(event);
             }
         }
-        self.outcome.most_asks = self.stores.iter().map(|store| store.asks).max().unwrap_or(0);
-        self.outcome.asks = self.stores.iter().map(|store| store.asks).sum();
+        self.outcome.max_token_requests =
+            self.stores.iter().map(|store| store.token_requests).max().unwrap_or(0);
+        self.outcome.token_requests = self.stores.iter().map(|store| store.token_requests).sum();
         self.outcome
     }
 
     fn at(&mut self, at: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence)));
-        self.held.insert(self.sequence, event);
+        self.pending_events.insert(self.sequence, event);
     }
 
     fn after(&mut self, ms: u64, event: Event) {
         self.at(self.now + ms, event);
     }
 
-    /// Time on the way, longer now and then.
+    /// Network delay, occasionally long.
     fn delay(&mut self) -> u64 {
         match self.random.random_range(0..100) {
             0 => self.random.random_range(5..60),
@@ -305,8 +357,8 @@
         match event {
             Event::Arrive { sender } => self.arrive(sender),
             Event::Step { request } => self.step(request),
-            Event::AskArrives { store, life, request, number, ask } => {
-                self.ask_arrives(store, life, request, number, ask);
+            Event::TokenRequestArrives { store, incarnation, request, number, token_request } => {
+                self.token_request_arrives(store, incarnation, request, number, token_request);
             }
             Event::Answer { request, number, token_issuer, grant } => {
                 self.answer(request, number, token_issuer, grant);
@@ -315,36 +367,36 @@
                 self.timeout(request, number, token_issuer);
             }
             Event::Send { request, expires_at } => self.send(request, expires_at),
-            Event::Renew { store, life } => self.renew(store, life),
-            Event::RenewArrives { store, life, asked_at } => {
-                self.renew_arrives(store, life, asked_at);
+            Event::Renew { store, incarnation } => self.renew(store, incarnation),
+            Event::RenewArrives { store, incarnation, requested_at } => {
+                self.renew_arrives(store, incarnation, requested_at);
             }
-            Event::Renewed { store, life, asked_at, leases } => {
-                self.apply_leases(store, life, asked_at, leases);
+            Event::Renewed { store, incarnation, requested_at, leases } => {
+                self.apply_leases(store, incarnation, requested_at, leases);
             }
-            Event::Oversee => self.oversee(),
-            Event::Commit { lead, changes } => {
-                if self.leader.as_ref().is_some_and(|(_, held, _)| *held == lead) {
+            Event::AssignSlots => self.assign_slots(),
+            Event::Commit { term, changes } => {
+                if self.leader.as_ref().is_some_and(|(_, current, _)| *current == term) {
                     self.assignment.assign(changes);
                 }
             }
             Event::Probe { gateway } => self.probe(gateway),
-            Event::Learn { gateway, assignment } => {
-                self.gateways[gateway].meter.set_assignment(assignment);
+            Event::AssignmentArrives { gateway, assignment } => {
+                self.gateways[gateway].selector.set_assignment(assignment);
             }
-            Event::LearnLimits { gateway, percent } => {
+            Event::LimitsArrive { gateway, percent } => {
                 self.gateways[gateway].limit_percent = percent;
                 self.gateways[gateway].version = self.version;
             }
-            Event::Begin(fault) => self.begin(fault),
+            Event::InjectFault(fault) => self.inject(fault),
             Event::StartStore { store } => {
-                let life = self.stores[store].life;
+                let incarnation = self.stores[store].incarnation;
                 self.stores[store].up = true;
-                self.after(1, Event::Renew { store, life });
+                self.after(1, Event::Renew { store, incarnation });
             }
-            Event::Lead { store, lead } => {
+            Event::BecomeLeader { store, term } => {
                 let now = self.store_time(store);
-                self.leader = Some((store, lead, LeaseManager::new(now)));
+                self.leader = Some((store, term, LeaseManager::new(now)));
             }
         }
     }
@@ -367,24 +419,24 @@
 
     fn arrive(&mut self, sender: usize) {
         let mut rate = self.plan.senders[sender].rate;
-        let since = self.now - LEAD_IN_MS;
+        let since = self.now - WARM_UP_MS;
         if let Some(surge) = self.plan.senders[sender].surge {
             if (surge.from_ms..surge.until_ms).contains(&since) {
-                rate *= surge.times;
+                rate *= surge.factor;
             }
         }
         let gap = -(self.random.random_range(f64::EPSILON..1.0f64)).ln() / rate * 1_000.0;
         self.after((gap as u64).max(1), Event::Arrive { sender });
         let is_within = self.is_within(sender);
-        let is_hot = self.plan.senders[sender].surge.is_some();
-        match (is_within, is_hot) {
+        let is_surging = self.plan.senders[sender].surge.is_some();
+        match (is_within, is_surging) {
             (true, false) => self.outcome.within_limit += 1,
-            (true, true) => self.outcome.within_limit_of_hot += 1,
+            (true, true) => self.outcome.within_limit_of_surging += 1,
             (false, _) => {}
         }
-        let used = self.plan.used_gateways.unwrap_or(self.plan.gateways);
+        let used = self.plan.client_gateways.unwrap_or(self.plan.gateways);
         let gateway = self.random.random_range(0..used);
-        // A few are held for want of free slots.
+        // A few requests wait for free slots.
         let is_held = self.random.random_range(0..20) == 0;
         let hold_ms = if is_held { self.random.random_range(0..1_000) } else { 0 };
         let request = self.next_request;
@@ -393,8 +445,8 @@
             gateway,
             sender,
             refused: Vec::new(),
-            asked_at: self.now,
-            open_ask: None,
+            requested_at: self.now,
+            open_token_request: None,
             is_within,
             hold_ms,
         };
@@ -402,7 +454,7 @@
         self.step(request);
     }
 
-    /// Whether a bucket that sees all requests of the tenant has a token.
+    /// Whether the reference bucket of the tenant has a token.
     fn is_within(&mut self, sender: usize) -> bool {
         let limit = self.limit_of(sender, self.limit_percent);
         let (units, at) = self.reference[sender];
@@ -424,11 +476,11 @@
         let now = self.gateway_time(gateway);
         let tenant = self.plan.senders[sender].name.clone();
         let refused = self.requests[&request].refused.clone();
-        let step = self.gateways[gateway].meter.next_step(now, &tenant, &refused);
+        let step = self.gateways[gateway].selector.next_step(now, &tenant, &refused);
         let (part, token_issuer) = match step {
             NextStep::Ask { part, token_issuer } => (part, token_issuer),
             NextStep::OverLimit { .. } | NextStep::Unknown => {
-                self.refuse(request);
+                self.reject(request);
                 return;
             }
         };
@@ -437,71 +489,81 @@
         let percent = self.gateways[gateway].limit_percent;
         let limit = self.limit_of(sender, percent);
         let version = self.gateways[gateway].version;
-        let ask = TokenRequest { tenant, part, limit, version, tokens: 1 };
-        let number = self.next_ask;
-        self.next_ask += 1;
+        let token_request = TokenRequest { tenant, part, limit, version, tokens: 1 };
+        let number = self.next_token_request;
+        self.next_token_request += 1;
         if let Some(held) = self.requests.get_mut(&request) {
-            held.open_ask = Some(number);
-            held.asked_at = self.now;
+            held.open_token_request = Some(number);
+            held.requested_at = self.now;
         }
-        let life = self.stores[store].life;
+        let incarnation = self.stores[store].incarnation;
         let mut delay = self.delay();
-        let cut = self.gateways[gateway].cut_until.max(self.stores[store].cut_until);
-        if cut > self.now {
-            // What is on its way through a cut comes when it heals.
-            delay += cut - self.now;
-        }
-        self.after(delay, Event::AskArrives { store, life, request, number, ask });
-        self.after(ASK_TIMEOUT_MS, Event::Timeout { request, number, token_issuer: store });
+        let partitioned_until =
+            self.gateways[gateway].partitioned_until.max(self.stores[store].partitioned_until);
+        if partitioned_until > self.now {
+            // Messages in transit through a partition arrive when it heals.
+            delay += partitioned_until - self.now;
+        }
+        self.after(
+            delay,
+            Event::TokenRequestArrives { store, incarnation, request, number, token_request },
+        );
+        self.after(
+            TOKEN_REQUEST_TIMEOUT_MS,
+            Event::Timeout { request, number, token_issuer: store },
+        );
     }
 
-    fn ask_arrives(
+    fn token_request_arrives(
         &mut self,
         store: usize,
-        life: u64,
+        incarnation: u64,
         request: u64,
         number: u64,
-        ask: TokenRequest,
+        token_request: TokenRequest,
     ) {
         let held = &self.stores[store];
-        if !held.up || held.life != life {
+        if !held.up || held.incarnation != incarnation {
             return;
         }
         if held.frozen_until > self.now {
             let wake = held.frozen_until;
-            self.at(wake, Event::AskArrives { store, life, request, number, ask });
+            self.at(
+                wake,
+                Event::TokenRequestArrives { store, incarnation, request, number, token_request },
+            );
             return;
         }
         let now = self.store_time(store);
-        self.stores[store].asks += 1;
-        let grant = self.stores[store].token_issuer.take(now, &ask);
+        self.stores[store].token_requests += 1;
+        let grant = self.stores[store].token_issuer.take(now, &token_request);
         let mut delay = self.delay();
-        if self.stores[store].cut_until > self.now {
-            delay += self.stores[store].cut_until - self.now;
+        if self.stores[store].partitioned_until > self.now {
+            delay += self.stores[store].partitioned_until - self.now;
         }
         self.after(delay, Event::Answer { request, number, token_issuer: store, grant });
     }
 
     fn answer(&mut self, request: u64, number: u64, token_issuer: usize, grant: TokenGrant) {
         let Some(held) = self.requests.get(&request) else { return };
-        if held.open_ask != Some(number) {
+        if held.open_token_request != Some(number) {
             return;
         }
-        let (gateway, sender, asked_at) = (held.gateway, held.sender, held.asked_at);
+        let (gateway, sender, requested_at) = (held.gateway, held.sender, held.requested_at);
         if self.gateways[gateway].frozen_until > self.now {
             let wake = self.gateways[gateway].frozen_until;
             self.at(wake, Event::Answer { request, number, token_issuer, grant });
             return;
         }
-        self.gateways[gateway].meter.mark_reachable(&store_name(token_issuer));
+        self.gateways[gateway].selector.mark_reachable(&store_name(token_issuer));
         let tenant = self.plan.senders[sender].name.clone();
         let part = part_of(&self.assignment, &tenant, token_issuer);
         match grant {
             TokenGrant::Granted { tokens, .. } if tokens > 0 => {
-                let expires_at = asked_at + self.bounds.token_lifetime().as_millis() as u64;
+                let expires_at = requested_at + self.bounds.token_lifetime().as_millis() as u64;
                 let hold_ms = held.hold_ms;
                 if let Some(held) = self.requests.get_mut(&request) {
-                    held.open_ask = None;
+                    held.open_token_request = None;
                     held.hold_ms = 0;
                 }
                 self.after(hold_ms, Event::Send { request, expires_at });
@@ -509,45 +571,45 @@
             TokenGrant::Granted { wait_ms, .. } => {
                 let now = self.gateway_time(gateway);
                 if let Some(part) = part {
-                    self.gateways[gateway].meter.mark_exhausted(now, &tenant, part, wait_ms);
+                    self.gateways[gateway].selector.mark_exhausted(now, &tenant, part, wait_ms);
                 }
-                self.refused(request, part, Some(wait_ms));
+                self.token_refused(request, part, Some(wait_ms));
             }
             TokenGrant::NotHeld => {
-                self.learn(gateway);
-                self.refused(request, part, None);
+                self.fetch_assignment(gateway);
+                self.token_refused(request, part, None);
             }
         }
     }
 
     fn timeout(&mut self, request: u64, number: u64, token_issuer: usize) {
         let Some(held) = self.requests.get(&request) else { return };
-        if held.open_ask != Some(number) {
+        if held.open_token_request != Some(number) {
             return;
         }
         let (gateway, sender) = (held.gateway, held.sender);
-        self.gateways[gateway].meter.mark_unreachable(&store_name(token_issuer));
-        self.learn(gateway);
+        self.gateways[gateway].selector.mark_unreachable(&store_name(token_issuer));
+        self.fetch_assignment(gateway);
         let tenant = self.plan.senders[sender].name.clone();
         let part = part_of(&self.assignment, &tenant, token_issuer);
-        self.refused(request, part, None);
+        self.token_refused(request, part, None);
     }
 
-    fn refused(&mut self, request: u64, part: Option<Part>, wait_ms: Option<u64>) {
+    fn token_refused(&mut self, request: u64, part: Option<Part>, wait_ms: Option<u64>) {
         let Some(held) = self.requests.get_mut(&request) else { return };
-        held.open_ask = None;
+        held.open_token_request = None;
         let Some(part) = part else {
-            self.refuse(request);
+            self.reject(request);
             return;
         };
         held.refused.push(PartRefusal { part, wait_ms });
         self.step(request);
     }
 
-    fn refuse(&mut self, request: u64) {
+    fn reject(&mut self, request: u64) {
         let Some(held) = self.requests.remove(&request) else { return };
         if held.is_within && self.plan.senders[held.sender].surge.is_none() {
-            self.outcome.refused_within += 1;
+            self.outcome.rejected_within_limit += 1;
         }
     }
 
@@ -574,87 +636,93 @@
         self.outcome.sends.entry(tenant).or_default().push(self.now);
     }
 
-    fn learn(&mut self, gateway: usize) {
-        let is_cut = self.gateways[gateway].cut_until > self.now;
-        if self.leader.is_none() || is_cut {
+    fn fetch_assignment(&mut self, gateway: usize) {
+        let is_partitioned = self.gateways[gateway].partitioned_until > self.now;
+        if self.leader.is_none() || is_partitioned {
             return;
         }
         let assignment = self.assignment.clone();
         let delay = self.delay() + self.delay();
-        self.after(delay, Event::Learn { gateway, assignment });
+        self.after(delay, Event::AssignmentArrives { gateway, assignment });
     }
 
     fn probe(&mut self, gateway: usize) {
         self.after(PROBE_INTERVAL_MS, Event::Probe { gateway });
-        if self.gateways[gateway].meter.assignment().version == 0 {
-            self.learn(gateway);
+        if self.gateways[gateway].selector.assignment().version == 0 {
+            self.fetch_assignment(gateway);
         }
-        if self.gateways[gateway].cut_until > self.now {
+        if self.gateways[gateway].partitioned_until > self.now {
             return;
         }
-        for name in self.gateways[gateway].meter.unreachable() {
+        for name in self.gateways[gateway].selector.unreachable() {
             let is_up = |store: &Store| {
-                store.up && store.cut_until <= self.now && store.frozen_until <= self.now
+                store.up && store.partitioned_until <= self.now && store.frozen_until <= self.now
             };
             let mut named = (0..self.plan.stores).filter(|store| store_name(*store) == name);
             if named.any(|store| is_up(&self.stores[store])) {
-                self.gateways[gateway].meter.mark_reachable(&name);
+                self.gateways[gateway].selector.mark_reachable(&name);
             }
         }
     }
 
-    fn renew(&mut self, store: usize, life: u64) {
-        if self.stores[store].life != life || !self.stores[store].up {
+    fn renew(&mut self, store: usize, incarnation: u64) {
+        if self.stores[store].incarnation != incarnation || !self.stores[store].up {
             return;
         }
         if self.stores[store].frozen_until > self.now {
             let wake = self.stores[store].frozen_until;
-            self.at(wake, Event::Renew { store, life });
+            self.at(wake, Event::Renew { store, incarnation });
             return;
         }
-        self.after(RENEW_INTERVAL_MS, Event::Renew { store, life });
+        self.after(RENEW_INTERVAL_MS, Event::Renew { store, incarnation });
         let mut delay = self.delay();
-        if self.stores[store].cut_until > self.now {
-            delay += self.stores[store].cut_until - self.now;
+        if self.stores[store].partitioned_until > self.now {
+            delay += self.stores[store].partitioned_until - self.now;
         }
-        let asked_at = self.now;
-        self.after(delay, Event::RenewArrives { store, life, asked_at });
+        let requested_at = self.now;
+        self.after(delay, Event::RenewArrives { store, incarnation, requested_at });
     }
 
-    fn renew_arrives(&mut self, store: usize, life: u64, asked_at: u64) {
+    fn renew_arrives(&mut self, store: usize, incarnation: u64, requested_at: u64) {
         let Some((leader, _, _)) = &self.leader else { return };
         let leader = *leader;
         let now = self.store_time(leader);
         let Some((_, _, lease_manager)) = &mut self.leader else { return };
         let leases = lease_manager.renew(now, &self.assignment, &store_name(store));
         let mut delay = self.delay();
-        if self.stores[store].cut_until > self.now {
-            delay += self.stores[store].cut_until - self.now;
+        if self.stores[store].partitioned_until > self.now {
+            delay += self.stores[store].partitioned_until - self.now;
         }
-        self.after(delay, Event::Renewed { store, life, asked_at, leases });
+        self.after(delay, Event::Renewed { store, incarnation, requested_at, leases });
     }
 
-    fn apply_leases(&mut self, store: usize, life: u64, asked_at: u64, leases: Vec<SlotLease>) {
-        if self.stores[store].life != life {
+    fn apply_leases(
+        &mut self,
+        store: usize,
+        incarnation: u64,
+        requested_at: u64,
+        leases: Vec<SlotLease>,
+    ) {
+        if self.stores[store].incarnation != incarnation {
             return;
         }
         if self.stores[store].frozen_until > self.now {
             let wake = self.stores[store].frozen_until;
-            self.at(wake, Event::Renewed { store, life, asked_at, leases });
+            self.at(wake, Event::Renewed { store, incarnation, requested_at, leases });
             return;
         }
         let now = self.store_time(store);
-        let asked_at = Timestamp(asked_at + self.stores[store].offset);
-        self.stores[store].token_issuer.apply_leases(now, asked_at, &leases);
+        let requested_at = Timestamp(requested_at + self.stores[store].offset);
+        self.stores[store].token_issuer.apply_leases(now, requested_at, &leases);
     }
 
-    fn oversee(&mut self) {
-        self.after(OVERSEE_INTERVAL_MS, Event::Oversee);
-        let Some((leader, lead, _)) = &self.leader else { return };
-        let (leader, lead) = (*leader, *lead);
+    fn assign_slots(&mut self) {
+        self.after(ASSIGN_INTERVAL_MS, Event::AssignSlots);
+        let Some((leader, term, _)) = &self.leader else { return };
+        let (leader, term) = (*leader, *term);
         let is_up = |store: &usize| {
             let held = &self.stores[*store];
-            held.up && held.cut_until <= self.now && held.frozen_until <= self.now
+            held.up && held.partitioned_until <= self.now && held.frozen_until <= self.now
         };
         let candidates: Vec<Candidate> = (0..self.plan.stores)
             .filter(is_up)
@@ -664,24 +732,24 @@
         let Some((_, _, lease_manager)) = &mut self.leader else { return };
         let changes = lease_manager.plan(now, &self.assignment, &candidates, &store_name(leader));
         if !changes.is_empty() {
-            self.after(5, Event::Commit { lead, changes });
+            self.after(5, Event::Commit { term, changes });
         }
     }
 
-    fn begin(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::KillStore { store, for_ms, .. } => {
                 let held = &mut self.stores[store];
                 held.up = false;
-                held.life += 1;
+                held.incarnation += 1;
                 held.token_issuer = TokenIssuer::new(self.bounds);
                 self.after(for_ms, Event::StartStore { store });
                 if self.leader.as_ref().is_some_and(|(leader, _, _)| *leader == store) {
                     self.lose_leader(2_000);
                 }
             }
-            Fault::CutStore { store, for_ms, .. } => {
-                self.stores[store].cut_until = self.now + for_ms;
+            Fault::PartitionStore { store, for_ms, .. } => {
+                self.stores[store].partitioned_until = self.now + for_ms;
                 if self.leader.as_ref().is_some_and(|(leader, _, _)| *leader == store) {
                     self.lose_leader(2_000);
                 }
@@ -693,8 +761,8 @@
                 }
             }
             Fault::LoseLeader { gap_ms, .. } => self.lose_leader(gap_ms),
-            Fault::CutGateway { gateway, for_ms, .. } => {
-                self.gateways[gateway].cut_until = self.now + for_ms;
+            Fault::PartitionGateway { gateway, for_ms, .. } => {
+                self.gateways[gateway].partitioned_until = self.now + for_ms;
             }
             Fault::FreezeGateway { gateway, for_ms, .. } => {
                 self.gateways[gateway].frozen_until = self.now + for_ms;
@@ -705,7 +773,7 @@
                 self.limit_percent = percent;
                 for gateway in 0..self.plan.gateways {
                     let delay = self.random.random_range(1..within_ms);
-                    self.after(delay, Event::LearnLimits { gateway, percent });
+                    self.after(delay, Event::LimitsArrive { gateway, percent });
                 }
             }
         }
@@ -713,32 +781,32 @@
 
     fn lose_leader(&mut self, gap_ms: u64) {
         let Some((old, _, _)) = self.leader.take() else { return };
-        self.lead += 1;
-        let fit: HashSet<usize> = (0..self.plan.stores)
+        self.term += 1;
+        let eligible: HashSet<usize> = (0..self.plan.stores)
             .filter(|store| *store != old && self.stores[*store].up)
-            .filter(|store| self.stores[*store].cut_until <= self.now)
+            .filter(|store| self.stores[*store].partitioned_until <= self.now)
             .filter(|store| self.stores[*store].frozen_until <= self.now)
             .collect();
         let next = (old + 1..old + self.plan.stores).map(|store| store % self.plan.stores);
-        let next = next.into_iter().find(|store| fit.contains(store)).unwrap_or(old);
-        self.after(gap_ms, Event::Lead { store: next, lead: self.lead });
+        let next = next.into_iter().find(|store| eligible.contains(store)).unwrap_or(old);
+        self.after(gap_ms, Event::BecomeLeader { store: next, term: self.term });
     }
 }
 
-/// The part of a tenant's limit that a job store holds now, as the log has it.
+/// The part of a tenant's limit that a job store currently holds according to the log.
 fn part_of(assignment: &Assignment, tenant: &TenantName, store: usize) -> Option<Part> {
     let name = store_name(store);
-    let mut parts = (0..yokefall_quota::PARTS).map(Part);
+    let mut parts = (0..yokefall_quota::PARTS_PER_LIMIT).map(Part);
     parts.find(|part| assignment.is_holder(SlotId::of(tenant, *part), &name))
 }
 
-fn begin_of(fault: Fault) -> u64 {
+fn start_of(fault: Fault) -> u64 {
     match fault {
         Fault::KillStore { at_ms, .. }
-        | Fault::CutStore { at_ms, .. }
+        | Fault::PartitionStore { at_ms, .. }
         | Fault::FreezeStore { at_ms, .. }
         | Fault::LoseLeader { at_ms, .. }
-        | Fault::CutGateway { at_ms, .. }
+        | Fault::PartitionGateway { at_ms, .. }
         | Fault::FreezeGateway { at_ms, .. }
         | Fault::StallBackEnds { at_ms, .. }
         | Fault::SetLimits { at_ms, .. } => at_ms,
--- a/crates/suspects/src/registry.rs
+++ b/crates/suspects/src/registry.rs
@@ -1,5 +1,5 @@
-//! The table of one process, with its time, and what it tells people by lines and metrics. What it tells
-//! other processes is `notices`'.
+//! The table of one process with its clock, log lines and metrics. `notices` sends updates to other
+//! processes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,31 +12,32 @@
 use yokefall_serving::{Backend, BackendIncarnation, CatalogCell};
 use yokefall_telemetry::{EventName, LogLine};
 
-use crate::background::is_same_end;
+use crate::background::is_same_crash;
 use crate::digest::RequestDigest;
-use crate::ended::EndChecks;
 use crate::entry::{RequestSource, SuspectStatus};
+use crate::exit_check::ExitChecks;
 use crate::message::{Grant, SuspectReport, SuspectUpdate};
 use crate::table::Table;
 
-/// Time of this process's table before its start, in milliseconds: a day, which is longer than anything is kept.
-const TIME_BEFORE_START_MS: u64 = 86_400_000;
-/// Ends that are remembered so that each is told once.
-const TOLD_ENDS: usize = 64;
-/// Ends from which an answer is told to all at once: until then nothing was held back.
-const ENDS_WORTH_TELLING: usize = 2;
+/// Value of this process's clock at its start, in milliseconds: a day, which is longer than
+/// anything is kept.
+const INITIAL_TIME_MS: u64 = 86_400_000;
+/// Number of crashes remembered so that each is logged once.
+const MAX_LOGGED_CRASHES: usize = 64;
+/// Number of crashes from which an answer is broadcast: below it nothing was held back.
+const MIN_CRASHES_TO_PUBLISH: usize = 2;
 
-/// What a connection that broke off came to.
+/// Why a connection to a back end broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conclusion {
-    /// The back end lives, or it is not known whether it does, or it was about to leave.
-    Unproven,
-    /// The back end has ended under the request.
-    Ended,
+pub enum DisconnectCause {
+    /// The back end is running, its state is unknown, or it was about to leave.
+    Unknown,
+    /// The back end crashed while it ran the request.
+    BackendCrashed,
 }
 
-/// A suspect that runs alone, as long as this lives. A run that ends without an answer and without the end
-/// of its back end (its client left, it was preempted) must not bar the next one.
+/// An isolated run of a suspect, which ends when this is dropped. A run that ends without an answer
+/// and without a crash (its client disconnected, or it was preempted) must not block the next one.
 #[derive(Debug)]
 pub struct IsolatedRun {
     registry: Rc<Registry>,
@@ -45,53 +46,54 @@
 
 impl Drop for IsolatedRun {
     fn drop(&mut self) {
-        // Whether its back end had begun with it is not known here.
+        // It is not known here whether the back end had started it.
         self.registry.record_inconclusive_run(&self.digest, Duration::ZERO);
     }
 }
 
-/// What a process knows of suspects. One thread has it.
+/// What a process knows about suspects; owned by one thread.
 #[derive(Debug)]
 pub struct Registry {
     table: RefCell<Table>,
     catalog: CatalogCell,
-    checks: EndChecks,
+    checks: ExitChecks,
     clock: ElapsedClock,
-    /// Lives whose end has been told, and when.
-    told: RefCell<Vec<(BackendIncarnation, Timestamp)>>,
-    /// Requests of which this process learnt something by itself that others are to be told.
-    pub(crate) untold: RefCell<Vec<RequestDigest>>,
-    /// Woken when there is something to tell others.
-    pub(crate) has_untold: Notify,
-    /// Woken when this process learnt something by itself.
+    /// Incarnations whose crash has been logged, and when.
+    logged_crashes: RefCell<Vec<(BackendIncarnation, Timestamp)>>,
+    /// Requests about which this process learned something that is not sent to other processes yet.
+    pub(crate) unpublished: RefCell<Vec<RequestDigest>>,
+    /// Notified when there is something to send.
+    pub(crate) has_unpublished: Notify,
+    /// Notified when this process learned something by itself.
     pub observed: Notify,
-    /// Woken when what is known changed, by itself or by others.
+    /// Notified when anything changed, learned here or received.
     pub changed: Notify,
 }
 
 impl Registry {
-    /// Nothing is known yet. Back ends that leave are told from those that end by `catalog`.
+    /// Creates an empty registry. `catalog` tells back ends that leave from those that crash.
     pub fn new(catalog: CatalogCell, clock: ElapsedClock) -> Rc<Self> {
         Rc::new(Self {
             table: RefCell::default(),
             catalog,
-            checks: EndChecks::default(),
+            checks: ExitChecks::default(),
             clock,
-            told: RefCell::default(),
-            untold: RefCell::default(),
-            has_untold: Notify::new(),
+            logged_crashes: RefCell::default(),
+            unpublished: RefCell::default(),
+            has_unpublished: Notify::new(),
             observed: Notify::new(),
             changed: Notify::new(),
         })
     }
 
-    /// The present moment. What others tell is older than this process may be: its time begins far enough
-    /// before its start that no moment falls together with another.
+    /// The current time. Received reports may be older than this process; the initial value of its
+    /// clock is large enough that their times do not saturate at zero, where distinct times would
+    /// coincide.
     fn now(&self) -> Timestamp {
-        self.clock.now().plus_millis(TIME_BEFORE_START_MS)
+        self.clock.now().plus_millis(INITIAL_TIME_MS)
     }
 
-    /// Whether nothing is held against any request: none needs a digest then.
+    /// Whether no request has any crashes, so that no digest needs to be computed.
     pub fn is_empty(&self) -> bool {
         self.table.borrow().is_empty()
     }
@@ -101,58 +103,59 @@
         self.table.borrow().status(self.now(), digest)
     }
 
-    /// Ends, one after the other, under a request since it was last answered.
-    pub(crate) fn repeats(&self, digest: &RequestDigest) -> usize {
-        self.table.borrow().repeats(digest)
+    /// Number of consecutive crashes under a request since it was last answered.
+    pub(crate) fn crash_count(&self, digest: &RequestDigest) -> usize {
+        self.table.borrow().crash_count(digest)
     }
 
-    /// A connection broke off while a back end had a request, which was sent there at `sent`. Finds out
-    /// whether the back end has ended, and notes that. The end of one that was about to leave is no
-    /// evidence, nor is that of an earlier life of one that is back: it may have drained, and whoever takes or
-    /// refuses connections at its address now is another process.
+    /// Records that a connection broke off while a back end had a request, which was sent there at
+    /// `sent`, after determining whether the back end crashed. The exit of a back end that is
+    /// leaving is no evidence. Neither is that of an earlier incarnation under the same id: it may
+    /// have drained, and the process that accepts or refuses connections at its address now is
+    /// another one.
     pub async fn record_disconnect(
         &self,
         backend: &Backend,
         sent: Instant,
         digest: impl FnOnce() -> RequestDigest,
-    ) -> Conclusion {
+    ) -> DisconnectCause {
         let incarnation = backend.incarnation();
         let is_leaving = !self.catalog.load().is_ready_incarnation(&incarnation);
-        if is_leaving || !self.checks.has_ended(&incarnation, backend.address).await {
-            return Conclusion::Unproven;
+        if is_leaving || !self.checks.has_exited(&incarnation, backend.address).await {
+            return DisconnectCause::Unknown;
         }
         let digest = digest();
         let before = self.is_held_back(&digest);
         let population =
             self.catalog.load().ready_table(&backend.service).map_or(0, |table| table.len());
-        let ended = (&incarnation, population);
-        let sent_at = self.clock.at(sent).plus_millis(TIME_BEFORE_START_MS);
-        self.table.borrow_mut().note_end(self.now(), digest, ended, sent_at);
-        let repeats = self.repeats(&digest);
-        self.tell_end(backend);
+        let crashed = (&incarnation, population);
+        let sent_at = self.clock.at(sent).plus_millis(INITIAL_TIME_MS);
+        self.table.borrow_mut().record_crash(self.now(), digest, crashed, sent_at);
+        let crash_count = self.crash_count(&digest);
+        self.log_crash(backend);
         LogLine::new(EventName::BackendEndedUnder)
             .id(digest)
             .text("backend", &backend.id)
             .field("started_ms", backend.started_ms)
             .field("ran_ms", sent.elapsed().as_millis() as u64)
-            .field("ends", repeats)
+            .field("ends", crash_count)
             .write();
-        self.tell_held_back(&digest, before);
-        self.observe(digest);
-        Conclusion::Ended
+        self.log_held_back(&digest, before);
+        self.publish_soon(digest);
+        DisconnectCause::BackendCrashed
     }
 
-    /// A line for the first request that found a back end ended.
-    fn tell_end(&self, backend: &Backend) {
-        let (mut told, now, incarnation) =
-            (self.told.borrow_mut(), self.now(), backend.incarnation());
-        if told.iter().any(|(known, at)| is_same_end((known, *at), (&incarnation, now))) {
+    /// Logs the crash of a back end once, for the first request that detects it.
+    fn log_crash(&self, backend: &Backend) {
+        let (mut logged, now, incarnation) =
+            (self.logged_crashes.borrow_mut(), self.now(), backend.incarnation());
+        if logged.iter().any(|(known, at)| is_same_crash((known, *at), (&incarnation, now))) {
             return;
         }
-        if told.len() >= TOLD_ENDS {
-            told.remove(0);
+        if logged.len() >= MAX_LOGGED_CRASHES {
+            logged.remove(0);
         }
-        told.push((incarnation, now));
+        logged.push((incarnation, now));
         metrics::counter!("backends_ended_total", "service" => backend.service.clone())
             .increment(1);
         LogLine::new(EventName::BackendEnded)
@@ -163,12 +166,12 @@
             .write();
     }
 
-    /// A line where a request is held back from now on.
-    fn tell_held_back(&self, digest: &RequestDigest, was_before: bool) {
-        if was_before || !self.is_held_back(digest) {
+    /// Logs that a request is held back from now on.
+    fn log_held_back(&self, digest: &RequestDigest, was_held_back: bool) {
+        if was_held_back || !self.is_held_back(digest) {
             return;
         }
-        self.tell_gauge();
+        self.update_gauge();
         metrics::counter!("suspects_held_back_total").increment(1);
         let wait_ms = match self.status(digest) {
             SuspectStatus::HeldBack { wait_ms } => wait_ms,
@@ -176,7 +179,7 @@
         };
         LogLine::new(EventName::SuspectHeldBack)
             .id(digest)
-            .field("ends", self.repeats(digest))
+            .field("ends", self.crash_count(digest))
             .field("wait_ms", wait_ms)
             .write();
     }
@@ -185,118 +188,121 @@
         self.table.borrow().is_held_back(digest)
     }
 
-    fn tell_gauge(&self) {
+    fn update_gauge(&self) {
         metrics::gauge!("suspects_held_back").set(self.table.borrow().held_back() as f64);
     }
 
-    /// A back end answered a request whole.
+    /// Records that a back end answered a request completely.
     pub fn record_answer(&self, digest: &RequestDigest) {
         let was_held_back = self.is_held_back(digest);
         let cleared = self.table.borrow_mut().record_answer(self.now(), digest);
-        if cleared < ENDS_WORTH_TELLING {
+        if cleared < MIN_CRASHES_TO_PUBLISH {
             return;
         }
         if was_held_back {
-            // The back ends that ended under it had another cause.
+            // The crashes had another cause.
             metrics::counter!("suspects_wrongly_held_back_total").increment(1);
         }
-        self.tell_gauge();
+        self.update_gauge();
         LogLine::new(EventName::SuspectCleared)
             .id(digest)
             .field("ends", cleared)
             .field("was_held_back", was_held_back)
             .write();
-        self.observe(*digest);
+        self.publish_soon(*digest);
     }
 
-    /// Whether a request may run at a back end now; to be asked at the leader of the job stores.
-    pub fn grant(&self, digest: &RequestDigest, backend: &str, sender: RequestSource) -> Grant {
+    /// Whether a request may run at a back end now; only the leader of the job stores decides this.
+    pub fn grant(&self, digest: &RequestDigest, backend: &str, source: RequestSource) -> Grant {
         if self.status(digest) == SuspectStatus::Free {
             return Grant::Granted;
         }
-        let grant = self.table.borrow_mut().grant(self.now(), digest, backend, sender);
+        let grant = self.table.borrow_mut().grant(self.now(), digest, backend, source);
         if grant == Grant::Granted {
             LogLine::new(EventName::SuspectTried)
                 .id(digest)
                 .text("backend", backend)
-                .field("ends", self.repeats(digest))
+                .field("ends", self.crash_count(digest))
                 .write();
-            self.observe(*digest);
+            self.publish_soon(*digest);
         }
         grant
     }
 
-    /// A request runs alone, as the leader granted, until the guard is dropped.
+    /// Starts an isolated run, which the leader granted, until the guard is dropped.
     pub fn run_isolated(self: &Rc<Self>, digest: RequestDigest) -> IsolatedRun {
         IsolatedRun { registry: self.clone(), digest }
     }
 
-    /// A run is over without an answer and without the end of its back end, which had `worked` on it for some
-    /// time. Where it ran alone, the next may follow.
+    /// Records that a run finished without an answer and without a crash after the back end had
+    /// worked on it for `worked`. If it was isolated, the next run may follow.
     pub fn record_inconclusive_run(&self, digest: &RequestDigest, worked: Duration) {
-        let outlived_ms = worked.as_millis() as u64;
-        if self.table.borrow_mut().record_inconclusive_run(self.now(), digest, outlived_ms) {
-            self.observe(*digest);
+        let survived_ms = worked.as_millis() as u64;
+        if self.table.borrow_mut().record_inconclusive_run(self.now(), digest, survived_ms) {
+            self.publish_soon(*digest);
         }
     }
 
-    /// What is known of one request.
+    /// The update for one request.
     pub fn update_for(&self, digest: &RequestDigest) -> Option<SuspectUpdate> {
         self.table.borrow().update_for(self.now(), digest)
     }
 
-    /// What is known, as far as one message holds it.
+    /// All updates, up to the size of one message.
     pub fn report(&self) -> SuspectReport {
-        self.report_of(self.table.borrow().news(self.now()))
+        self.report_of(self.table.borrow().updates(self.now()))
     }
 
     pub(crate) fn report_of(&self, suspects: Vec<SuspectUpdate>) -> SuspectReport {
-        SuspectReport { suspects, crashed_backends: self.table.borrow().ended(self.now()) }
+        SuspectReport {
+            suspects,
+            crashed_backends: self.table.borrow().crashed_backends(self.now()),
+        }
     }
 
-    /// What must outlive the loss of all processes: requests that do not run freely.
+    /// The report to persist in case all processes are lost: requests that are not `Free`.
     pub fn persistent_report(&self) -> SuspectReport {
         let mut report = self.report();
-        report.suspects.retain(|news| self.status(&news.digest) != SuspectStatus::Free);
+        report.suspects.retain(|update| self.status(&update.digest) != SuspectStatus::Free);
         report
     }
 
-    /// A number that differs where two processes would tell different news.
+    /// A fingerprint that differs if two processes would send different updates.
     pub fn fingerprint(&self) -> u64 {
         self.table.borrow().fingerprint()
     }
 
-    /// Takes what another process knows.
+    /// Applies the report of another process.
     pub fn take(&self, report: SuspectReport) {
         let now = self.now();
         let mut is_new = false;
-        self.table.borrow_mut().take_ended(now, &report.crashed_backends);
-        for news in report.suspects {
-            let digest = news.digest;
+        self.table.borrow_mut().merge_crashed_backends(now, &report.crashed_backends);
+        for update in report.suspects {
+            let digest = update.digest;
             let before = self.is_held_back(&digest);
-            is_new |= self.table.borrow_mut().take(now, news);
-            self.tell_held_back(&digest, before);
+            is_new |= self.table.borrow_mut().merge(now, update);
+            self.log_held_back(&digest, before);
         }
         if is_new {
-            self.tell_gauge();
+            self.update_gauge();
             self.changed.notify_one();
         }
     }
 
-    /// This process learnt something by itself: others are to hear of it at once.
-    fn observe(&self, digest: RequestDigest) {
-        let mut untold = self.untold.borrow_mut();
-        if !untold.contains(&digest) {
-            untold.push(digest);
+    /// Schedules an update that this process learned by itself for immediate sending.
+    fn publish_soon(&self, digest: RequestDigest) {
+        let mut unpublished = self.unpublished.borrow_mut();
+        if !unpublished.contains(&digest) {
+            unpublished.push(digest);
         }
-        self.has_untold.notify_one();
+        self.has_unpublished.notify_one();
         self.observed.notify_one();
         self.changed.notify_one();
     }
 
-    /// Drops what is over.
+    /// Drops expired entries.
     pub fn expire(&self) {
         self.table.borrow_mut().expire(self.now());
-        self.tell_gauge();
+        self.update_gauge();
     }
 }
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -1,18 +1,19 @@
-//! Which back ends ended under which request, and what may still be sent.
+//! Records which back ends crashed under which request, and decides what may still be sent.
 //!
-//! An end is evidence against every request under way at that back end. Three things tell the culprit from
-//! those that were merely there:
+//! A crash is evidence against every request in flight at that back end. Three rules tell the cause
+//! from requests that were merely present:
 //!
-//! - repetition: an end counts once more only if its run **began after the end before**, so that a rack that
-//!   fails at once counts once for what ran on all of it;
-//! - a whole answer clears a request of all ends before it: a request that is popular is at almost every
-//!   end, and is answered elsewhere meanwhile;
-//! - chance: what each end proves is weighed by how improbable it was (`background`).
+//! - repetition: a further crash counts only if its run **began after the previous crash**, so that
+//!   a rack that fails at once counts once for a request that ran on all of it;
+//! - a complete answer clears a request of all earlier crashes: a popular request is present at
+//!   almost every crash, and is answered elsewhere in the meantime;
+//! - chance: each crash is weighed by how improbable it was (`background`).
 //!
-//! What is left runs alone, once at a time in the fleet, and is held back after the end that follows.
+//! A remaining suspect runs isolated, once at a time in the fleet, and is held back after the next
+//! crash.
 //!
-//! Tables of several processes merge in any order, any number of times, to the same content, but for
-//! moments, which shift by the time that news is under way.
+//! The tables of several processes converge to the same content when merged in any order and any
+//! number of times, except for times, which shift by the delay of the messages.
 
 use std::collections::HashMap;
 
@@ -21,40 +22,44 @@
 
 use crate::background::Background;
 use crate::digest::RequestDigest;
-use crate::entry::{End, Entry, RequestSource, SuspectStatus, ASK_AGAIN_MS, ENDS_TO_RUN_ALONE};
-use crate::message::{EndNews, EndedBackend, Grant, SuspectUpdate};
+use crate::entry::{
+    Crash, Entry, RequestSource, SuspectStatus, CRASHES_TO_ISOLATE, RETRY_AFTER_MS,
+};
+use crate::message::{CrashInfo, CrashedBackend, Grant, SuspectUpdate};
 
-/// Requests that are kept at most, about 250 bytes each. Those with the fewest ends go first.
-const CAPACITY: usize = 1_024;
-/// Requests in one message at most, about 5 KB; those with the most ends go first.
-pub const MOST_NEWS: usize = 64;
+/// Maximum number of requests, about 250 bytes each. Those with the fewest crashes are evicted
+/// first.
+const MAX_ENTRIES: usize = 1_024;
+/// Maximum number of requests in one message, about 5 KB; those with the most crashes go first.
+pub const MAX_UPDATES: usize = 64;
 
-/// What is known of suspects. Invariant: the ends of an entry all follow its last whole answer.
+/// What is known about suspects. Invariant: the crashes of an entry all follow its last complete
+/// answer.
 #[derive(Debug, Default)]
 pub struct Table {
     entries: HashMap<RequestDigest, Entry>,
     background: Background,
-    /// Runs that this process granted, as the leader: the back end and the moment.
+    /// Isolated runs that this process granted as the leader: the back end and the time.
     granted: HashMap<RequestDigest, (String, Timestamp)>,
 }
 
 impl Table {
-    /// Whether nothing is held against any request, so that none needs a digest.
+    /// Whether no request has any crashes, so that no digest needs to be computed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Requests that are known.
+    /// Number of known requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Requests that are held back.
+    /// Number of requests that are held back.
     pub fn held_back(&self) -> usize {
         self.entries.values().filter(|entry| entry.series().is_held_back()).count()
     }
 
-    /// Whether a request is held back, or runs alone once although it is.
+    /// Whether a request is held back, including one that runs isolated as a probe.
     pub fn is_held_back(&self, digest: &RequestDigest) -> bool {
         self.entries.get(digest).is_some_and(|entry| entry.series().is_held_back())
     }
@@ -66,15 +71,15 @@
             .map_or(SuspectStatus::Free, |entry| entry.status(now, RequestSource::Client))
     }
 
-    /// Ends, one after the other, under a request since it was last answered.
-    pub fn repeats(&self, digest: &RequestDigest) -> usize {
+    /// Number of consecutive crashes under a request since it was last answered.
+    pub fn crash_count(&self, digest: &RequestDigest) -> usize {
         self.entries.get(digest).map_or(0, |entry| entry.series().count)
     }
 
-    /// A back end ended. What ended with others at once proves nothing against requests that ran there and
-    /// not on the others: a rack failed, or a network did.
-    fn note_ended(&mut self, backend: &BackendIncarnation, at: Timestamp) {
-        if !self.background.note(backend, at) {
+    /// Records a crash of a back end. Simultaneous crashes prove nothing against a request that ran
+    /// on only some of the back ends: a rack or a network failed.
+    fn record_background_crash(&mut self, backend: &BackendIncarnation, at: Timestamp) {
+        if !self.background.record(backend, at) {
             return;
         }
         for entry in self.entries.values_mut() {
@@ -82,81 +87,82 @@
         }
     }
 
-    /// A back end, one of `population` of its service, ended while it ran a request that was sent there at
-    /// `started`.
-    pub fn note_end(
+    /// Records the crash of a back end, one of `population` of its service, while it ran a request
+    /// that was sent there at `sent_at`.
+    pub fn record_crash(
         &mut self,
         now: Timestamp,
         digest: RequestDigest,
         (backend, population): (&BackendIncarnation, usize),
-        started: Timestamp,
+        sent_at: Timestamp,
     ) {
         let rate = self.background.rate(now, backend, population);
-        let end = End { backend: backend.clone(), started, ended: now, rate };
-        self.change(now, digest, |entry| entry.add(end));
-        self.note_ended(backend, now);
+        let crash = Crash { backend: backend.clone(), sent_at, crashed_at: now, rate };
+        self.change(now, digest, |entry| entry.add(crash));
+        self.record_background_crash(backend, now);
         if let Some(entry) = self.entries.get_mut(&digest) {
             entry.discount_simultaneous(&self.background, now);
         }
-        self.shrink(now);
+        self.evict_surplus(now);
     }
 
-    /// A run was over without an answer and without an end, after the back end had worked on it for some
-    /// time. Where it ran alone, the next may follow. Returns whether others should know.
+    /// Records that a run finished without an answer and without a crash after the back end had
+    /// worked on it. If it was isolated, the next run may follow. Returns whether other processes
+    /// should know.
     pub fn record_inconclusive_run(
         &mut self,
         now: Timestamp,
         digest: &RequestDigest,
-        outlived_ms: u64,
+        survived_ms: u64,
     ) -> bool {
         let Some(entry) = self.entries.get_mut(digest) else { return false };
-        let was_running = entry.runs_alone(now);
-        let is_longer = outlived_ms > entry.outlived_ms && !entry.ends.is_empty();
-        entry.concluded = Some(now);
+        let was_running = entry.is_running_isolated(now);
+        let is_longer = survived_ms > entry.survived_ms && !entry.crashes.is_empty();
+        entry.inconclusive_at = Some(now);
         if is_longer {
-            entry.outlived_ms = outlived_ms;
+            entry.survived_ms = survived_ms;
         }
-        was_running || (is_longer && entry.series().count >= ENDS_TO_RUN_ALONE)
+        was_running || (is_longer && entry.series().count >= CRASHES_TO_ISOLATE)
     }
 
-    /// A back end answered a request whole. Returns the ends that it is cleared of.
+    /// Records a complete answer. Returns the number of crashes that it clears.
     pub fn record_answer(&mut self, now: Timestamp, digest: &RequestDigest) -> usize {
-        let repeats = self.repeats(digest);
+        let crash_count = self.crash_count(digest);
         if self.entries.contains_key(digest) {
             self.change(now, *digest, |entry| entry.clear(now));
         }
-        repeats.saturating_sub(self.repeats(digest))
+        crash_count.saturating_sub(self.crash_count(digest))
     }
 
-    /// Whether a suspect may run alone at a back end now; to be asked at the leader of the job stores.
-    /// Invariant: a request runs alone once at a time, and no two of them at one back end, so that the end
-    /// of that back end is evidence against one alone.
+    /// Whether a suspect may run isolated at a back end now; only the leader of the job stores
+    /// decides this. Invariant: a request has one isolated run at a time, and a back end runs one
+    /// suspect at a time, so that its crash is evidence against one request only.
     pub fn grant(
         &mut self,
         now: Timestamp,
         digest: &RequestDigest,
         backend: &str,
-        sender: RequestSource,
+        source: RequestSource,
     ) -> Grant {
         let Some(entry) = self.entries.get(digest) else { return Grant::Granted };
-        match entry.status(now, sender) {
+        match entry.status(now, source) {
             SuspectStatus::Free => return Grant::Granted,
             SuspectStatus::HeldBack { wait_ms } => return Grant::Wait { ms: wait_ms },
-            SuspectStatus::Isolated if entry.runs_alone(now) => {
-                return Grant::Wait { ms: ASK_AGAIN_MS }
+            SuspectStatus::Isolated if entry.is_running_isolated(now) => {
+                return Grant::Wait { ms: RETRY_AFTER_MS }
             }
             SuspectStatus::Isolated => {}
         }
         let entries = &self.entries;
         self.granted.retain(|digest, _| {
-            entries.get(digest).is_some_and(|e| !e.ends.is_empty() && e.runs_alone(now))
+            entries.get(digest).is_some_and(|e| !e.crashes.is_empty() && e.is_running_isolated(now))
         });
-        if self.granted.values().any(|(taken, _)| taken == backend) {
+        if self.granted.values().any(|(granted_to, _)| granted_to == backend) {
             return Grant::BackendBusy;
         }
         self.granted.insert(*digest, (backend.to_owned(), now));
         self.change(now, *digest, |entry| {
-            entry.tried = Some(now);
+            entry.isolated_at = Some(now);
             if entry.series().is_held_back() {
                 entry.probes += 1;
             }
@@ -165,54 +171,55 @@
         Grant::Granted
     }
 
-    /// Takes what another process knows. Returns whether anything of it was new.
-    pub fn take(&mut self, now: Timestamp, news: SuspectUpdate) -> bool {
+    /// Merges the update of another process. Returns whether anything was new.
+    pub fn merge(&mut self, now: Timestamp, update: SuspectUpdate) -> bool {
         let at = |age_ms: u64| Timestamp(now.0.saturating_sub(age_ms));
-        let SuspectUpdate { digest, ends, answered_ago_ms, outlived_ms, probes, .. } = news;
-        let (tried_ago_ms, concluded_ago_ms) = (news.tried_ago_ms, news.concluded_ago_ms);
-        let ended: Vec<EndedBackend> = ends.iter().map(EndNews::ended).collect();
-        if ends.is_empty() && !self.entries.contains_key(&digest) {
+        let SuspectUpdate { digest, crashes, answered_age_ms, survived_ms, probes, .. } = update;
+        let (isolated_age_ms, inconclusive_age_ms) =
+            (update.isolated_age_ms, update.inconclusive_age_ms);
+        let crashed: Vec<CrashedBackend> = crashes.iter().map(CrashInfo::backend_crash).collect();
+        if crashes.is_empty() && !self.entries.contains_key(&digest) {
             return false;
         }
         let is_new = self.change(now, digest, |entry| {
-            let mut is_new = answered_ago_ms.is_some_and(|age| entry.clear(at(age)));
-            for EndNews { backend, started_ago_ms, ended_ago_ms, rate } in ends {
-                let (started, ended) = (at(started_ago_ms), at(ended_ago_ms));
-                is_new |= entry.add(End { backend, started, ended, rate });
+            let mut is_new = answered_age_ms.is_some_and(|age| entry.clear(at(age)));
+            for CrashInfo { backend, sent_age_ms, crashed_age_ms, rate } in crashes {
+                let (sent_at, crashed_at) = (at(sent_age_ms), at(crashed_age_ms));
+                is_new |= entry.add(Crash { backend, sent_at, crashed_at, rate });
             }
-            if !entry.ends.is_empty() {
-                entry.tried = entry.tried.max(tried_ago_ms.map(at));
-                entry.concluded = entry.concluded.max(concluded_ago_ms.map(at));
-                is_new |= probes > entry.probes || outlived_ms > entry.outlived_ms;
-                entry.outlived_ms = entry.outlived_ms.max(outlived_ms);
+            if !entry.crashes.is_empty() {
+                entry.isolated_at = entry.isolated_at.max(isolated_age_ms.map(at));
+                entry.inconclusive_at = entry.inconclusive_at.max(inconclusive_age_ms.map(at));
+                is_new |= probes > entry.probes || survived_ms > entry.survived_ms;
+                entry.survived_ms = entry.survived_ms.max(survived_ms);
                 entry.probes = entry.probes.max(probes);
             }
             is_new
         });
-        // After they are known as this request's own.
-        self.take_ended(now, &ended);
+        // This follows the merge, so that the crashes are known as this request's own.
+        self.merge_crashed_backends(now, &crashed);
         if let Some(entry) = self.entries.get_mut(&digest) {
-            for EndedBackend { ended_ago_ms, .. } in &ended {
-                entry.discount_simultaneous(&self.background, at(*ended_ago_ms));
+            for CrashedBackend { crashed_age_ms, .. } in &crashed {
+                entry.discount_simultaneous(&self.background, at(*crashed_age_ms));
             }
         }
-        self.shrink(now);
+        self.evict_surplus(now);
         is_new
     }
 
-    /// Another process tells which back ends ended lately.
-    pub fn take_ended(&mut self, now: Timestamp, ended: &[EndedBackend]) {
-        for EndedBackend { backend, ended_ago_ms } in ended {
-            self.note_ended(backend, Timestamp(now.0.saturating_sub(*ended_ago_ms)));
+    /// Merges the recent crashes that another process reported.
+    pub fn merge_crashed_backends(&mut self, now: Timestamp, crashed: &[CrashedBackend]) {
+        for CrashedBackend { backend, crashed_age_ms } in crashed {
+            self.record_background_crash(backend, Timestamp(now.0.saturating_sub(*crashed_age_ms)));
         }
     }
 
-    /// Back ends that ended lately, as others should know.
-    pub fn ended(&self, now: Timestamp) -> Vec<EndedBackend> {
-        self.background.told(now)
+    /// Recent crashes to report to other processes.
+    pub fn crashed_backends(&self, now: Timestamp) -> Vec<CrashedBackend> {
+        self.background.recent_crashes(now)
     }
 
-    /// Changes an entry; it counts as changed where `change` says so.
+    /// Changes an entry and updates its time of change if `change` returns true.
     fn change(
         &mut self,
         now: Timestamp,
@@ -222,55 +229,55 @@
         let entry = self.entries.entry(digest).or_default();
         let is_new = change(entry);
         if is_new {
-            entry.changed = now;
+            entry.changed_at = now;
         }
         is_new
     }
 
-    /// Drops what is over, and what is least known where there is too much.
-    fn shrink(&mut self, now: Timestamp) {
-        if self.entries.len() <= CAPACITY {
+    /// Evicts expired entries and, if there are too many, those with the least evidence.
+    fn evict_surplus(&mut self, now: Timestamp) {
+        if self.entries.len() <= MAX_ENTRIES {
             return;
         }
         self.expire(now);
         let mut ranked: Vec<(RequestDigest, (bool, usize, Timestamp))> =
             self.entries.iter().map(|(digest, entry)| (*digest, entry.rank())).collect();
         ranked.sort_unstable_by_key(|(_, rank)| *rank);
-        // Some more than must go, so that a flood is not ranked anew with each of its requests.
-        let surplus = self.entries.len().saturating_sub(CAPACITY - CAPACITY / 8);
+        // Evicts more than necessary, so that a flood does not cause a ranking per request.
+        let surplus = self.entries.len().saturating_sub(MAX_ENTRIES - MAX_ENTRIES / 8);
         for (digest, _) in ranked.into_iter().take(surplus) {
             self.entries.remove(&digest);
         }
     }
 
-    /// Drops what is over. Those that were cleared are kept for as long as one with a single end: news of
-    /// an end before may still come.
+    /// Drops expired entries. Cleared ones are kept as long as those with a single crash, since
+    /// updates about earlier crashes may still arrive.
     pub fn expire(&mut self, now: Timestamp) {
-        self.entries.retain(|_, entry| !entry.is_over(now));
+        self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
-    /// What is known of one request.
+    /// The update for one request.
     pub fn update_for(&self, now: Timestamp, digest: &RequestDigest) -> Option<SuspectUpdate> {
-        self.entries.get(digest).map(|entry| entry.news(now, *digest))
+        self.entries.get(digest).map(|entry| entry.update(now, *digest))
     }
 
-    /// What is known, of the requests with the most ends first and `MOST_NEWS` at most.
-    pub fn news(&self, now: Timestamp) -> Vec<SuspectUpdate> {
+    /// Updates for the requests with the most crashes, at most `MAX_UPDATES`.
+    pub fn updates(&self, now: Timestamp) -> Vec<SuspectUpdate> {
         let ranked = self.ranked().into_iter();
-        ranked.map(|(digest, entry)| entry.news(now, *digest)).collect()
+        ranked.map(|(digest, entry)| entry.update(now, *digest)).collect()
     }
 
-    /// A number that differs where two tables would tell different news.
+    /// A fingerprint that differs if two tables would send different updates.
     pub fn fingerprint(&self) -> u64 {
-        let ranked = self.ranked().into_iter().filter(|(_, entry)| !entry.ends.is_empty());
+        let ranked = self.ranked().into_iter().filter(|(_, entry)| !entry.crashes.is_empty());
         ranked.map(|(digest, entry)| entry.fingerprint(digest)).fold(0, u64::wrapping_add)
     }
 
     fn ranked(&self) -> Vec<(&RequestDigest, &Entry)> {
         let mut ranked: Vec<(&RequestDigest, &Entry)> = self.entries.iter().collect();
-        if ranked.len() > MOST_NEWS {
+        if ranked.len() > MAX_UPDATES {
             ranked.sort_unstable_by_key(|(_, entry)| std::cmp::Reverse(entry.rank()));
-            ranked.truncate(MOST_NEWS);
+            ranked.truncate(MAX_UPDATES);
         }
         ranked
     }
