--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,6 +1,6 @@
-//! Holds requests for which back ends have no room, and sends them in the order of
-//! `yokefall_serving::admission`, those of each pool of back ends by themselves: one that waits for a region
-//! must not keep others waiting that may go elsewhere.
+//! Queues requests while back ends have no capacity and dispatches them in the order of
+//! `yokefall_serving::admission`. There is one queue per service and set of regions: a request that
+//! waits for one region must not delay those that may be served elsewhere.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -15,19 +15,20 @@
 use yokefall_telemetry::EventName;
 use yokefall_upstream::Place;
 
-use crate::order::Order;
+use crate::context::RequestContext;
 use crate::shared::Shared;
 
-/// Longest pause between two looks at what is held: back ends may come, and loads grow old.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Upper bound for the time between two checks of the queues: back ends may appear, and load
+/// reports age.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a held request was not sent.
+/// A queued request expired before a back end had capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GivenUp;
+pub struct QueueTimeout;
 
-/// Where a held request hears of its place, and what its choice needs.
+/// Receiver of a queued request's slot, and the inputs for selecting a back end.
 struct Waiter {
-    grant: oneshot::Sender<Result<Option<Place>, GivenUp>>,
+    grant: oneshot::Sender<Result<Option<Place>, QueueTimeout>>,
     affinity: Option<u64>,
     target: Duration,
     host: String,
@@ -35,15 +36,15 @@
     tenant: Option<TenantName>,
 }
 
-/// Back ends for which a request may wait: those of a service where it may be served.
+/// Identifies a queue: a service, and the regions in which its requests may be served.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Pool {
-    /// Those that may go anywhere come last: others have nowhere else to go.
+struct QueueKey {
+    /// Unrestricted requests sort last: the others can be served nowhere else.
     residency: Reverse<Residency>,
     service: String,
 }
 
-impl Pool {
+impl QueueKey {
     fn of(need: &Need) -> Self {
         Self { residency: Reverse(need.residency.clone()), service: need.service.to_owned() }
     }
@@ -54,115 +55,123 @@
 }
 
 #[derive(Default)]
-struct Holding {
+struct ServiceQueue {
     queue: HoldQueue,
     waiters: HashMap<u64, Waiter>,
 }
 
-/// Requests that this gateway holds, by pool.
+/// Queued requests of this gateway.
 #[derive(Default)]
 pub struct Admission {
-    pools: RefCell<BTreeMap<Pool, Holding>>,
+    queues: RefCell<BTreeMap<QueueKey, ServiceQueue>>,
     next_ticket: Cell<u64>,
-    /// Version of the configuration by whose regions requests are held.
+    /// Version of the configuration that the regions of queued requests are based on.
     version: Cell<u64>,
 }
 
-/// Takes a held request out when its caller leaves.
-struct Leave<'a> {
+/// Removes a queued request when its caller disconnects.
+struct RemoveOnDrop<'a> {
     shared: &'a Shared,
     ticket: u64,
 }
 
-impl Drop for Leave<'_> {
+impl Drop for RemoveOnDrop<'_> {
     fn drop(&mut self) {
-        let mut pools = self.shared.admission.pools.borrow_mut();
-        for holding in pools.values_mut() {
-            holding.queue.remove(self.ticket);
-            holding.waiters.remove(&self.ticket);
+        let mut queues = self.shared.admission.queues.borrow_mut();
+        for service_queue in queues.values_mut() {
+            service_queue.queue.remove(self.ticket);
+            service_queue.waiters.remove(&self.ticket);
         }
-        pools.retain(|_, holding| !holding.queue.is_empty());
+        queues.retain(|_, service_queue| !service_queue.queue.is_empty());
     }
 }
 
-/// Waits for a place at a back end; `None` where no back end takes work at all.
+/// Waits for a slot at a back end; `None` if no back end accepts requests at all.
 pub async fn admit(
     shared: &Shared,
-    order: &Order,
+    context: &RequestContext,
     affinity: Option<u64>,
-) -> Result<Option<Place>, GivenUp> {
+) -> Result<Option<Place>, QueueTimeout> {
     let admission = &shared.admission;
-    let target = Duration::from_millis(order.route.target_latency_ms);
-    let pool = Pool::of(&order.need());
-    let is_first = admission.is_empty(&pool);
+    let target = Duration::from_millis(context.route.target_latency_ms);
+    let key = QueueKey::of(&context.need());
+    let is_first = admission.is_empty(&key);
     if !shared.policy.hold_requests
         || target.is_zero()
-        || (is_first && has_room(shared, &order.need(), target))
+        || (is_first && has_capacity(shared, &context.need(), target))
     {
-        return Ok(choose(shared, &order.need(), &[], affinity));
+        return Ok(choose(shared, &context.need(), &[], affinity));
     }
     let ticket = admission.next_ticket.get();
     admission.next_ticket.set(ticket + 1);
-    let terms =
-        Terms { rank: order.rank, target, time: order.deadline.duration_since(order.arrived) };
+    let terms = Terms {
+        rank: context.rank,
+        target,
+        time: context.deadline.duration_since(context.arrived),
+    };
     let (grant, granted) = oneshot::channel();
-    let held = shared.places.with(|_, now| Held::new(ticket, now, terms));
-    let (host, path) = (order.route.host.clone(), order.parts.uri.path().to_owned());
-    let tenant = order.caller.tenant().map(|tenant| tenant.name.clone());
-    admission.hold(pool, held, Waiter { grant, affinity, target, host, path, tenant });
-    // Whoever waits for room must hear of the new one, which may have to be given up first.
-    shared.places.room.notify_one();
+    let queued = shared.places.with(|_, now| Held::new(ticket, now, terms));
+    let (host, path) = (context.route.host.clone(), context.parts.uri.path().to_owned());
+    let tenant = context.caller.tenant().map(|tenant| tenant.name.clone());
+    admission.enqueue(key, queued, Waiter { grant, affinity, target, host, path, tenant });
+    // Wakes the dispatcher for the new request, which may have to expire first.
+    shared.places.capacity_freed.notify_one();
     let began = Instant::now();
-    let leave = Leave { shared, ticket };
-    let outcome = granted.await.unwrap_or(Err(GivenUp));
-    drop(leave);
-    let held_for = began.elapsed();
-    metrics::histogram!("gateway_held_seconds").record(held_for.as_secs_f64());
-    order
-        .line(EventName::RequestHeld)
-        .field("held_ms", held_for.as_millis() as u64)
+    let remove_on_drop = RemoveOnDrop { shared, ticket };
+    let outcome = granted.await.unwrap_or(Err(QueueTimeout));
+    drop(remove_on_drop);
+    let queued_for = began.elapsed();
+    metrics::histogram!("gateway_held_seconds").record(queued_for.as_secs_f64());
+    context
+        .log_line(EventName::RequestHeld)
+        .field("held_ms", queued_for.as_millis() as u64)
         .field("sent", outcome.is_ok())
         .write();
     outcome
 }
 
 impl Admission {
-    fn is_empty(&self, pool: &Pool) -> bool {
-        self.pools.borrow().get(pool).is_none_or(|holding| holding.queue.is_empty())
+    fn is_empty(&self, key: &QueueKey) -> bool {
+        self.queues.borrow().get(key).is_none_or(|service_queue| service_queue.queue.is_empty())
     }
 
-    fn hold(&self, pool: Pool, held: Held, waiter: Waiter) {
-        let mut pools = self.pools.borrow_mut();
-        let holding = pools.entry(pool).or_default();
-        holding.queue.hold(held);
-        holding.waiters.insert(held.ticket, waiter);
+    fn enqueue(&self, key: QueueKey, queued: Held, waiter: Waiter) {
+        let mut queues = self.queues.borrow_mut();
+        let service_queue = queues.entry(key).or_default();
+        service_queue.queue.hold(queued);
+        service_queue.waiters.insert(queued.ticket, waiter);
     }
 
-    /// Moves what is held to the pools that a new configuration lets it use.
-    fn follow_regions(&self, catalog: &Catalog) {
+    /// Moves queued requests to the queues of the regions that a new configuration allows.
+    fn update_regions(&self, catalog: &Catalog) {
         if self.version.replace(catalog.version()) == catalog.version() {
             return;
         }
-        let before = self.pools.take();
-        for (pool, Holding { mut queue, waiters }) in before {
+        let before = self.queues.take();
+        for (key, ServiceQueue { mut queue, waiters }) in before {
             for (ticket, waiter) in waiters {
-                let Some(held) = queue.remove(ticket) else { continue };
+                let Some(queued) = queue.remove(ticket) else { continue };
                 let now = catalog.residency_at(&waiter.host, &waiter.path, waiter.tenant.as_ref());
-                let residency = Reverse(now.unwrap_or_else(|| pool.residency.0.clone()));
-                self.hold(Pool { residency, service: pool.service.clone() }, held, waiter);
+                let residency = Reverse(now.unwrap_or_else(|| key.residency.0.clone()));
+                self.enqueue(QueueKey { residency, service: key.service.clone() }, queued, waiter);
             }
         }
     }
 
-    /// When a request is given up next.
+    /// When the next queued request expires.
     fn next_expiry(&self) -> Option<yokefall_core::Timestamp> {
-        self.pools.borrow().values().filter_map(|holding| holding.queue.next_expiry()).min()
+        self.queues
+            .borrow()
+            .values()
+            .filter_map(|service_queue| service_queue.queue.next_expiry())
+            .min()
     }
 }
 
-/// Whether the emptiest back ends of a service are below the load up to which requests with a target
-/// are sent. Where none is known to live, requests are not held: the choice says what is wrong.
-fn has_room(shared: &Shared, need: &Need, target: Duration) -> bool {
+/// Whether the least loaded back ends of a service are below the load limit for requests with a
+/// latency target. Returns true if no back end is known, so that selection reports the cause
+/// instead of queueing.
+fn has_capacity(shared: &Shared, need: &Need, target: Duration) -> bool {
     let catalog = shared.catalog.load();
     shared.places.with(|balancer, now| {
         let Some(service_ms) = balancer.service_ms(need.service) else { return true };
@@ -175,7 +184,7 @@
     })
 }
 
-/// A place at a back end of a service that is not in `tried`; `None` where there is none.
+/// Selects a back end that is not in `tried` and acquires a slot there; `None` if there is none.
 pub fn choose(
     shared: &Shared,
     need: &Need,
@@ -187,7 +196,7 @@
         let drawn = shared.eligibility.draw(&catalog, need, affinity, balancer.generator());
         let chosen = drawn.and_then(|drawn| balancer.choose_drawn(now, &drawn, tried));
         chosen.or_else(|| {
-            // There are few of them, or all that were drawn are left out for failures.
+            // There are few back ends, or all sampled ones are excluded because of failures.
             let candidates = shared.eligibility.candidates(&catalog, need);
             balancer.choose(now, &candidates, tried, affinity)
         })
@@ -195,67 +204,68 @@
     Some(shared.places.take(backend))
 }
 
-/// Sends what is held, for ever: whenever there may be room, and when a request is given up.
+/// Dispatches queued requests forever, whenever there may be capacity or a request expires.
 pub async fn run(shared: Rc<Shared>) {
     loop {
         let wait = match shared.admission.next_expiry() {
             None => None,
             Some(at) => {
                 let wait = shared.places.with(|_, now| at.millis_since(now).max(1));
-                Some(Duration::from_millis(wait).min(LOOK_INTERVAL))
+                Some(Duration::from_millis(wait).min(POLL_INTERVAL))
             }
         };
-        let room = shared.places.room.notified();
+        let capacity_freed = shared.places.capacity_freed.notified();
         match wait {
-            None => room.await,
+            None => capacity_freed.await,
             Some(wait) => {
-                let _ = tokio::time::timeout(wait, room).await;
+                let _ = tokio::time::timeout(wait, capacity_freed).await;
             }
         }
-        send_held(&shared);
+        dispatch_queued(&shared);
     }
 }
 
-fn send_held(shared: &Shared) {
-    shared.admission.follow_regions(&shared.catalog.load());
-    let held: Vec<Pool> = shared.admission.pools.borrow().keys().cloned().collect();
-    for pool in held {
-        give_up(shared, &pool);
-        while send_next(shared, &pool) {}
+fn dispatch_queued(shared: &Shared) {
+    shared.admission.update_regions(&shared.catalog.load());
+    let queued: Vec<QueueKey> = shared.admission.queues.borrow().keys().cloned().collect();
+    for key in queued {
+        expire_queued(shared, &key);
+        while dispatch_next(shared, &key) {}
     }
 }
 
-fn give_up(shared: &Shared, pool: &Pool) {
-    let mut pools = shared.admission.pools.borrow_mut();
-    let Some(holding) = pools.get_mut(pool) else { return };
-    let expired = shared.places.with(|_, now| holding.queue.expire(now));
-    for held in expired {
-        if let Some(waiter) = holding.waiters.remove(&held.ticket) {
-            let _ = waiter.grant.send(Err(GivenUp));
+fn expire_queued(shared: &Shared, key: &QueueKey) {
+    let mut queues = shared.admission.queues.borrow_mut();
+    let Some(service_queue) = queues.get_mut(key) else { return };
+    let expired = shared.places.with(|_, now| service_queue.queue.expire(now));
+    for queued in expired {
+        if let Some(waiter) = service_queue.waiters.remove(&queued.ticket) {
+            let _ = waiter.grant.send(Err(QueueTimeout));
         }
     }
 }
 
-/// Sends the next held request of a pool. Returns whether there was room.
-fn send_next(shared: &Shared, pool: &Pool) -> bool {
+/// Dispatches the next request of a queue. Returns whether there was capacity.
+fn dispatch_next(shared: &Shared, key: &QueueKey) -> bool {
     let waiter = {
-        let mut pools = shared.admission.pools.borrow_mut();
-        let Some(holding) = pools.get_mut(pool) else { return false };
-        let next = shared.places.with(|_, now| holding.queue.next(now));
-        let Some(held) = next else { return false };
-        let target = holding.waiters.get(&held.ticket).map(|waiter| waiter.target);
-        if target.is_some_and(|target| !has_room(shared, &pool.need(), target)) {
+        let mut queues = shared.admission.queues.borrow_mut();
+        let Some(service_queue) = queues.get_mut(key) else { return false };
+        let next = shared.places.with(|_, now| service_queue.queue.next(now));
+        let Some(queued) = next else { return false };
+        let target = service_queue.waiters.get(&queued.ticket).map(|waiter| waiter.target);
+        if target.is_some_and(|target| !has_capacity(shared, &key.need(), target)) {
             return false;
         }
-        holding.queue.remove(held.ticket);
-        holding.waiters.remove(&held.ticket)
+        service_queue.queue.remove(queued.ticket);
+        service_queue.waiters.remove(&queued.ticket)
     };
-    // One whose caller has just left has no waiter any more.
+    // The caller has just disconnected.
     let Some(waiter) = waiter else { return true };
-    let place = match choose(shared, &pool.need(), &[], waiter.affinity) {
-        // No back end takes work in its regions any more: it is to be told that.
-        None if pool.residency.0 != Residency::Anywhere => Ok(None),
-        place => place.map(Some).ok_or(GivenUp),
+    let place = match choose(shared, &key.need(), &[], waiter.affinity) {
+        // No back end in the regions of the request accepts requests any more; `None` reports that
+        // to the caller.
+        None if key.residency.0 != Residency::Anywhere => Ok(None),
+        place => place.map(Some).ok_or(QueueTimeout),
     };
     let _ = waiter.grant.send(place);
     true
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests, read whole before anything is sent on: a back end then gets a whole request
-//! or none, and one that it did not run can go to another.
+//! Request bodies, read completely before anything is forwarded. A back end then receives a
+//! complete request or none, and a request that it did not execute can be sent to another one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::Instant;
 
-use crate::answer::{plain, refusal, Answer};
+use crate::response::{plain, rejection, ClientResponse};
 use crate::shared::Shared;
 
-/// When a client may come back that was refused for want of memory.
-const FULL_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay for clients that are rejected because the memory for request bodies is exhausted.
+const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A request's body, which counts against the memory for bodies while it is held.
-pub struct HeldBody {
+/// A request body, which counts against the memory limit for bodies until it is dropped.
+pub struct BufferedBody {
     /// The bytes.
     pub bytes: Bytes,
     shared: Rc<Shared>,
-    counted: usize,
+    reserved: usize,
 }
 
-impl Drop for HeldBody {
+impl Drop for BufferedBody {
     fn drop(&mut self) {
-        let held = self.shared.held_bytes.get();
-        self.shared.held_bytes.set(held.saturating_sub(self.counted));
+        let buffered = self.shared.buffered_body_bytes.get();
+        self.shared.buffered_body_bytes.set(buffered.saturating_sub(self.reserved));
     }
 }
 
-/// Reads a body of `limit` bytes at most, until `deadline`.
+/// Reads a body of at most `limit` bytes until `deadline`.
 pub async fn read(
     shared: &Rc<Shared>,
     mut body: Incoming,
     limit: usize,
     deadline: Instant,
-) -> Result<HeldBody, Answer> {
+) -> Result<BufferedBody, ClientResponse> {
     let announced = body.size_hint().exact();
     if announced.is_some_and(|length| length > limit as u64) {
         let text = format!("body: give at most {limit} bytes");
         return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, text));
     }
-    let mut held = HeldBody { bytes: Bytes::new(), shared: shared.clone(), counted: 0 };
+    let mut buffered = BufferedBody { bytes: Bytes::new(), shared: shared.clone(), reserved: 0 };
     let mut collected = BytesMut::new();
     let mut first: Option<Bytes> = None;
     loop {
@@ -60,30 +60,30 @@
             let text = format!("body: give at most {limit} bytes");
             return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, text));
         }
-        if !count(&mut held, data.len()) {
+        if !reserve(&mut buffered, data.len()) {
             let name = &shared.dialect.headers().retry_after;
-            return Err(refusal(name, FULL_RETRY, "no memory for the body now"));
+            return Err(rejection(name, MEMORY_RETRY_AFTER, "no memory for the body now"));
         }
-        // Most bodies come in one piece, which is passed on as it is.
+        // Most bodies arrive in one chunk, which is forwarded without copying.
         match first.take() {
             None if collected.is_empty() => first = Some(data),
             None => collected.extend_from_slice(&data),
-            Some(piece) => {
-                collected.extend_from_slice(&piece);
+            Some(chunk) => {
+                collected.extend_from_slice(&chunk);
                 collected.extend_from_slice(&data);
             }
         }
     }
-    held.bytes = first.unwrap_or_else(|| collected.freeze());
-    Ok(held)
+    buffered.bytes = first.unwrap_or_else(|| collected.freeze());
+    Ok(buffered)
 }
 
-fn count(held: &mut HeldBody, bytes: usize) -> bool {
-    let total = held.shared.held_bytes.get() + bytes;
-    if total > held.shared.most_held_bytes {
+fn reserve(buffered: &mut BufferedBody, bytes: usize) -> bool {
+    let total = buffered.shared.buffered_body_bytes.get() + bytes;
+    if total > buffered.shared.max_buffered_body_bytes {
         return false;
     }
-    held.shared.held_bytes.set(total);
-    held.counted += bytes;
+    buffered.shared.buffered_body_bytes.set(total);
+    buffered.reserved += bytes;
     true
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,5 +1,4 @@
-//! A client's connection with its time limits: how long it may rest, and how long the head of a
-//! request may take.
+//! A client connection with timeouts for idle time and for reading a request head.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -13,36 +12,36 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-/// What the connection waits for.
+/// What the connection is waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// The first byte of a request.
-    Resting,
-    /// The rest of a request's head.
+    Idle,
+    /// The rest of a request head.
     Head,
     /// Nothing: a request is being served.
     Serving,
 }
 
-/// Tells the connection when a request is served; shared with the service.
+/// Current phase of a connection, shared with the request handler.
 #[derive(Clone, Debug)]
 pub struct PhaseCell(Rc<Cell<(Phase, Instant)>>);
 
 impl PhaseCell {
-    /// The head of a request is complete.
-    pub fn serving(&self) {
+    /// Marks that a request head is complete.
+    pub fn set_serving(&self) {
         self.set(Phase::Serving);
     }
 
-    /// The answer is on its way; another request may come.
-    pub fn resting(&self) {
-        self.set(Phase::Resting);
+    /// Marks that the response has been sent and another request may follow.
+    pub fn set_idle(&self) {
+        self.set(Phase::Idle);
     }
 
-    /// How long the connection has rested; `None` where a request is under way.
-    pub fn rested(&self) -> Option<Duration> {
+    /// How long the connection has been idle; `None` while a request is in progress.
+    pub fn idle_for(&self) -> Option<Duration> {
         let (phase, since) = self.0.get();
-        (phase == Phase::Resting).then(|| since.elapsed())
+        (phase == Phase::Idle).then(|| since.elapsed())
     }
 
     fn phase(&self) -> Phase {
@@ -54,37 +53,37 @@
     }
 }
 
-/// Time limits of one connection.
+/// Timeouts of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeLimits {
-    /// Time for which it may rest.
+    /// Idle timeout.
     pub idle: Duration,
-    /// Time for the head of a request.
+    /// Timeout for reading a request head.
     pub head: Duration,
 }
 
-/// A stream that ends its reads when a limit has passed.
+/// A stream whose reads fail once a timeout has expired.
 pub struct LimitedStream {
     stream: TcpStream,
     limits: TimeLimits,
     phase: PhaseCell,
-    /// The limit in force and the phase that it belongs to.
+    /// The current timer and the phase it belongs to.
     timer: Option<(Phase, Pin<Box<Sleep>>)>,
 }
 
 impl LimitedStream {
-    /// Puts limits on a stream.
+    /// Wraps a stream with timeouts.
     pub fn new(stream: TcpStream, limits: TimeLimits) -> (Self, PhaseCell) {
-        let phase = PhaseCell(Rc::new(Cell::new((Phase::Resting, Instant::now()))));
+        let phase = PhaseCell(Rc::new(Cell::new((Phase::Idle, Instant::now()))));
         let limited = Self { stream, limits, phase: phase.clone(), timer: None };
         (limited, phase)
     }
 
-    /// Whether the limit of the present phase has passed. Registers a wake-up otherwise.
-    fn is_late(&mut self, context: &mut Context<'_>) -> bool {
+    /// Whether the timeout of the current phase has expired. Registers a wake-up otherwise.
+    fn has_timed_out(&mut self, context: &mut Context<'_>) -> bool {
         let phase = self.phase.phase();
         let limit = match phase {
-            Phase::Resting => self.limits.idle,
+            Phase::Idle => self.limits.idle,
             Phase::Head => self.limits.head,
             Phase::Serving => {
                 self.timer = None;
@@ -95,9 +94,9 @@
             Some((of, sleep)) if *of == phase => sleep.as_mut().poll(context).is_ready(),
             timer => {
                 let mut sleep = Box::pin(tokio::time::sleep_until(Instant::now() + limit));
-                let late = sleep.as_mut().poll(context).is_ready();
+                let elapsed = sleep.as_mut().poll(context).is_ready();
                 *timer = Some((phase, sleep));
-                late
+                elapsed
             }
         }
     }
@@ -113,12 +112,12 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut this.stream).poll_read(context, buffer);
         if polled.is_ready() {
-            if buffer.filled().len() > before && this.phase.phase() == Phase::Resting {
+            if buffer.filled().len() > before && this.phase.phase() == Phase::Idle {
                 this.phase.set(Phase::Head);
             }
             return polled;
         }
-        if this.is_late(context) {
+        if this.has_timed_out(context) {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         Poll::Pending
--- a/crates/gateway/src/order.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! A request that is to be forwarded, with what is known of its attempts.
+//! State of a request that is being forwarded, including its attempts.
 
 use std::cell::{Cell, OnceCell};
 use std::sync::Arc;
@@ -9,68 +9,70 @@
 use yokefall_suspects::{AloneRun, RequestDigest, RequestIdentity};
 use yokefall_telemetry::{EventName, Line};
 
-use crate::body::HeldBody;
+use crate::body::BufferedBody;
 use crate::quota::Token;
 
-/// A request that is to be forwarded.
-pub struct Order {
+/// A request that is being forwarded.
+pub struct RequestContext {
     /// Its route.
     pub route: Arc<Route>,
-    /// Who sent it.
+    /// The caller.
     pub caller: Caller,
-    /// Its rank, 0 the highest.
+    /// Its rank; 0 is the highest.
     pub rank: u32,
-    /// The right to send it, where its tenant has a limit.
+    /// Permission to send it, where its tenant has a rate limit.
     pub token: Option<Token>,
-    /// Service that gets it.
+    /// Service that receives it.
     pub service: String,
-    /// Where it may be served.
+    /// Regions in which it may be served.
     pub residency: Residency,
-    /// Method, path and headers as the client sent them.
+    /// Method, path and headers as sent by the client.
     pub parts: Parts,
-    /// Its body.
-    pub body: HeldBody,
-    /// Version of the configuration that gave its route.
+    /// The body.
+    pub body: BufferedBody,
+    /// Version of the configuration that contained the route.
     pub version: u64,
     /// When it arrived.
     pub arrived: Instant,
-    /// When the client's time, or the route's, ends.
+    /// Deadline of the client or of the route, whichever is earlier.
     pub deadline: Instant,
-    /// Back ends that were tried.
+    /// Ids of the back ends that were tried.
     pub tried: Vec<String>,
-    /// Back ends that may have run it.
+    /// Number of attempts that a back end may have executed.
     pub may_have_run: u32,
     /// Id of the request.
     pub id: String,
-    /// Whether a line has told its end.
-    pub told: Cell<bool>,
-    /// Its digest, worked out where something asks for it: on most requests nothing does.
+    /// Whether the end of the request has been logged.
+    pub end_logged: Cell<bool>,
+    /// Digest of the request, computed on first use: most requests never need it.
     pub digest: OnceCell<RequestDigest>,
-    /// Held while it runs alone, as the leader of the job stores granted.
+    /// Held while the request runs exclusively, as granted by the leader of the job stores.
     pub alone: Option<AloneRun>,
 }
 
-impl Order {
-    /// What it asks of a back end.
+impl RequestContext {
+    /// What the request requires of a back end.
     pub fn need(&self) -> Need<'_> {
         Need { service: &self.service, residency: &self.residency }
     }
 
-    /// Takes over where the newest configuration lets it be served: what was allowed when it came may be
-    /// forbidden by now. A route that is gone leaves it as it was.
-    pub fn follow_regions(&mut self, catalog: &Catalog) {
+    /// Applies the newest configuration to the regions in which the request may be served: what was
+    /// allowed on arrival may be forbidden by now. Keeps the current regions if the route no longer
+    /// exists.
+    pub fn update_regions(&mut self, catalog: &Catalog) {
         if let Some(residency) = self.residency_in(catalog) {
             self.residency = residency;
         }
     }
 
-    /// Where a configuration lets it be served; `None` where no route has its host and path.
+    /// Regions in which `catalog` allows the request to be served; `None` if no route matches its
+    /// host and path.
     pub fn residency_in(&self, catalog: &Catalog) -> Option<Residency> {
         let tenant = self.caller.tenant().map(|tenant| &tenant.name);
         catalog.residency_at(&self.route.host, self.parts.uri.path(), tenant)
     }
 
-    /// The digest that it has in common with other attempts of the same request.
+    /// Digest shared by all attempts of the same request.
     pub fn digest(&self) -> RequestDigest {
         let path = self.parts.uri.path_and_query().map_or("", |path| path.as_str());
         let identity = RequestIdentity {
@@ -83,8 +85,8 @@
         *self.digest.get_or_init(|| RequestDigest::of(&identity))
     }
 
-    /// A line about this request, with what decided about it.
-    pub fn line(&self, event: EventName) -> Line {
+    /// A log line with the fields common to all events of this request.
+    pub fn log_line(&self, event: EventName) -> Line {
         Line::new(event)
             .id(&self.id)
             .field("route", self.route.name.as_str())
@@ -97,37 +99,40 @@
             .field("left_ms", self.deadline.duration_since(Instant::now()).as_millis() as u64)
     }
 
-    /// A back end may have run it. The token is spent: each run counts.
-    pub(crate) fn note_may_have_run(&mut self) {
+    /// Records that a back end may have executed the request. The token is consumed: each execution
+    /// counts.
+    pub(crate) fn record_possible_run(&mut self) {
         self.may_have_run += 1;
         self.token = None;
     }
 
-    /// The line about the end of this request.
-    pub fn end_line(&self, event: EventName) -> Line {
-        self.told.set(true);
+    /// The log line of the end of this request.
+    pub fn final_log_line(&self, event: EventName) -> Line {
+        self.end_logged.set(true);
         let seconds = self.arrived.elapsed().as_secs_f64();
         metrics::histogram!("gateway_request_seconds", "route" => self.route.name.clone())
             .record(seconds);
-        self.line(event)
+        self.log_line(event)
     }
 }
 
-impl Drop for Order {
-    /// An order that is dropped without an end is one whose client left.
+impl Drop for RequestContext {
+    /// A context that is dropped before its end was logged is a request whose client disconnected.
     fn drop(&mut self) {
-        if !self.told.get() {
-            self.line(EventName::ClientLeft).write();
+        if !self.end_logged.get() {
+            self.log_line(EventName::ClientLeft).write();
         }
     }
 }
 
-/// Whether the request may be sent once more after a back end may have run it.
-pub fn may_repeat(order: &Order) -> bool {
-    let repeatable = match order.route.kind {
+/// Whether the request may be sent again after a back end may have executed it.
+pub fn may_retry(context: &RequestContext) -> bool {
+    let may_run_again = match context.route.kind {
         RouteKind::Repeatable => true,
-        RouteKind::Stream => order.route.resumable,
+        RouteKind::Stream => context.route.resumable,
         RouteKind::AtMostOnce | RouteKind::Batch => false,
     };
-    repeatable && order.may_have_run < order.route.max_attempts && Instant::now() < order.deadline
+    may_run_again
+        && context.may_have_run < context.route.max_attempts
+        && Instant::now() < context.deadline
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: members, configuration and back ends.
+//! The control thread: membership, configuration and back ends.
 
 use tokio::sync::watch;
 use yokefall_clock::ElapsedClock;
@@ -8,22 +8,22 @@
 
 use crate::daemon::GatewayOptions;
 
-/// What the control thread knows, as the traffic thread sees it.
-pub struct Views {
+/// State published by the control thread and read by the traffic thread.
+pub struct ControlOutputs {
     /// Routes and back ends.
     pub catalog: CatalogCell,
-    /// The system's processes.
+    /// The processes of the system.
     pub fleet: FleetCell,
-    /// How old what is known of the platform's objects is.
+    /// Age of the data from the platform.
     pub freshness: Freshness,
 }
 
-/// Runs control state until `stop` ends the process.
+/// Runs discovery until `stop` ends the process.
 pub async fn run<P: Platform>(
     options: GatewayOptions,
     platform: P,
     ports: PeerPorts,
-    views: Views,
+    outputs: ControlOutputs,
     notices: Notices,
     stop: watch::Receiver<bool>,
 ) {
@@ -43,8 +43,8 @@
         clock: ElapsedClock::new(options.suspension),
         zones: options.zones,
         placement: options.placement,
-        freshness: views.freshness,
+        freshness: outputs.freshness,
     };
-    discovery::start(&platform, discovery, ports, views.catalog, views.fleet, || {}, stop);
+    discovery::start(&platform, discovery, ports, outputs.catalog, outputs.fleet, || {}, stop);
     std::future::pending().await
 }
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -27,8 +27,8 @@
 use yokefall_upstream::{Places, Pool};
 
 use crate::admission::{self, Admission};
-use crate::control::{self, Views};
-use crate::crowding::Crowding;
+use crate::control::{self, ControlOutputs};
+use crate::idle_eviction::IdleEviction;
 use crate::ingress::{accept, Port};
 use crate::load;
 use crate::quota::{self, Quota};
@@ -36,71 +36,71 @@
 use crate::relay_port;
 use crate::shared::Shared;
 
-/// Part of the bytes for bodies of requests, as one in so many, that answers may take which clients leave unread: both
-/// are there at once, and requests come first.
-const READ_AHEAD_SHARE: usize = 2;
-/// Part of the time for a stop in which new requests are still served: clients keep addresses for a
-/// while. What comes later may not be done in time, and is refused.
-const SERVING_SHARE: f64 = 0.35;
-/// Part of the time for a stop that is left for the process to end.
+/// Divides the memory for request bodies to get the memory for responses that slow clients have not
+/// read. Both are used at the same time, and requests take precedence.
+const READ_AHEAD_DIVISOR: usize = 2;
+/// Fraction of the shutdown time in which new requests are still served, since clients cache
+/// gateway addresses. Later requests might not complete in time and are rejected.
+const STOP_SERVING_FRACTION: f64 = 0.35;
+/// Part of the shutdown time reserved for the process to exit.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
-/// Interval at which a stop looks whether everything is served.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which shutdown checks whether all requests have completed.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a gateway is told at its start.
+/// Options of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
     /// Name, unique in the fleet.
     pub name: String,
-    /// Zone in which it stands.
+    /// Zone of the gateway.
     pub zone: String,
     /// Region of the zone.
     pub region: String,
     /// Regions of all zones.
     pub zones: Arc<ZoneMap>,
-    /// What is promised of zones, and of back ends that are not warm yet.
+    /// Bounds for evacuated zones and for back ends that are not warm yet.
     pub placement: PlacementBounds,
     /// Address for clients.
     pub ingress: SocketAddr,
-    /// Address for checks of readiness.
+    /// Address for readiness checks.
     pub readiness: SocketAddr,
-    /// Address for queries for addresses.
+    /// Address for queries for gateway addresses.
     pub directory: SocketAddr,
     /// Address for other processes, UDP.
     pub peer: SocketAddr,
-    /// Address at which other processes ask for configuration and back ends.
+    /// Address at which other processes fetch configuration and back ends.
     pub news: SocketAddr,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
-    /// Peer addresses of some processes; they change when settings are read again.
+    /// Peer addresses of some processes; updated when the settings are reloaded.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// Most bytes of request bodies that are held.
+    /// Upper bound for the bytes of request bodies held in memory.
     pub held_body_bytes: usize,
-    /// Time from the request to stop until the process is ended.
+    /// Time between the stop request and the termination of the process.
     pub stop_time: Duration,
-    /// Decisions that are switched on.
+    /// Enabled policies.
     pub policy: Policy,
-    /// What is tolerated beyond tenants' limits.
+    /// Tolerances of tenants' rate limits.
     pub quota: QuotaBounds,
-    /// Where it is known from that the machine was suspended.
+    /// Source of the time for which the machine was suspended.
     pub suspension: SuspensionSource,
 }
 
-/// A gateway whose ports are open.
+/// A gateway whose sockets are bound.
 pub struct Gateway {
     options: GatewayOptions,
     ingress: TcpListener,
     readiness: TcpListener,
     directory: TcpListener,
-    /// For other gateways.
+    /// Listener for other gateways.
     relay: TcpListener,
     ports: PeerPorts,
 }
 
-/// Why a gateway did not start.
+/// Why a gateway failed to start.
 #[derive(Debug)]
 pub struct StartError {
-    /// The step.
+    /// The step that failed.
     pub step: &'static str,
     /// Address or name.
     pub peer: String,
@@ -124,7 +124,7 @@
     })
 }
 
-async fn open_datagrams(address: SocketAddr) -> Result<UdpSocket, StartError> {
+async fn bind_udp(address: SocketAddr) -> Result<UdpSocket, StartError> {
     UdpSocket::bind(address).await.map_err(|cause| StartError {
         step: "open datagram port",
         peer: address.to_string(),
@@ -133,15 +133,15 @@
 }
 
 impl Gateway {
-    /// Opens the ports. A port 0 is replaced by the one that the system chose.
+    /// Binds all sockets. A port of 0 is replaced by the one that the system assigns.
     pub async fn bind(mut options: GatewayOptions) -> Result<Self, StartError> {
         let ingress = listen("listen for clients", options.ingress).await?;
         let readiness = listen("listen for readiness", options.readiness).await?;
         let directory = listen("listen for queries", options.directory).await?;
-        // TCP first: a port that the system chose for it is free for datagrams as well.
+        // TCP first: a port that the system assigns for TCP is free for UDP as well.
         let relay = listen("listen for gateways", options.peer).await?;
         options.peer = relay.local_addr().unwrap_or(options.peer);
-        let datagrams = open_datagrams(options.peer).await?;
+        let datagrams = bind_udp(options.peer).await?;
         let news = listen("listen for news", options.news).await?;
         options.ingress = ingress.local_addr().unwrap_or(options.ingress);
         options.readiness = readiness.local_addr().unwrap_or(options.readiness);
@@ -151,13 +151,13 @@
         Ok(Self { options, ingress, readiness, directory, relay, ports })
     }
 
-    /// What it was told, with the ports that are open.
+    /// The options, with the bound ports.
     pub fn options(&self) -> &GatewayOptions {
         &self.options
     }
 
-    /// Runs until `stop` turns true and everything is served. To be called within a
-    /// `tokio::task::LocalSet`, on the traffic thread.
+    /// Runs until `stop` turns true and all requests have completed. Must be called within a
+    /// `tokio::task::LocalSet` on the traffic thread.
     pub async fn run<P: Platform>(
         self,
         platform: P,
@@ -184,11 +184,11 @@
             tokio::task::spawn_local(accepting);
         }
         tokio::task::spawn_local(admission::run(shared.clone()));
-        tokio::task::spawn_local(read_ahead::watch(shared.ahead.clone()));
+        tokio::task::spawn_local(read_ahead::watch(shared.read_ahead.clone()));
         tokio::task::spawn_local(cold_start::watch(shared.cold.clone()));
         tokio::task::spawn_local(relay_port::serve(relay, shared.clone()));
         tokio::task::spawn_local(quota::assignment::maintain(shared.clone()));
-        tokio::task::spawn_local(quota::assignment::try_failing(shared.clone()));
+        tokio::task::spawn_local(quota::assignment::probe_failing(shared.clone()));
         let target = || {
             ReportTarget::new(options.name.clone())
                 .standing_in(options.zone.clone(), options.zones.clone())
@@ -201,7 +201,7 @@
                 break;
             }
         }
-        finish(&shared, &options, &close).await;
+        shut_down(&shared, &options, &close).await;
         Ok(())
     }
 }
@@ -235,20 +235,20 @@
         policy: options.policy,
         splitter: RefCell::new(Splitter::default()),
         pool: Pool::default(),
-        crowding: Crowding::default(),
+        idle_eviction: IdleEviction::default(),
         jobs: Rc::new(JobClient::new(fleet)),
         ingress: options.ingress,
         peer: options.peer,
         stopping: Cell::new(false),
-        refusing: Cell::new(false),
+        rejecting: Cell::new(false),
         serving: Cell::new(0),
-        held_bytes: Cell::new(0),
-        most_held_bytes: options.held_body_bytes,
-        ahead: ReadAhead::new(options.held_body_bytes / READ_AHEAD_SHARE),
+        buffered_body_bytes: Cell::new(0),
+        max_buffered_body_bytes: options.held_body_bytes,
+        read_ahead: ReadAhead::new(options.held_body_bytes / READ_AHEAD_DIVISOR),
     }
 }
 
-/// Starts the thread of control state.
+/// Starts the control thread.
 fn start_control<P: Platform>(
     options: &GatewayOptions,
     platform: P,
@@ -266,12 +266,12 @@
     let datagrams = datagrams.into_std().map_err(failed)?;
     let news = news.into_std().map_err(failed)?;
     let (options, catalog, fleet) = (options.clone(), shared.catalog.clone(), shared.fleet.clone());
-    let views = Views { catalog, fleet, freshness: shared.freshness.clone() };
+    let outputs = ControlOutputs { catalog, fleet, freshness: shared.freshness.clone() };
     std::thread::Builder::new()
         .name("control".into())
         .spawn(move || {
             let sockets = (datagrams, news);
-            run_control(options, platform, sockets, views, notices, stop)
+            run_control(options, platform, sockets, outputs, notices, stop)
         })
         .map_err(failed)?;
     Ok(())
@@ -281,7 +281,7 @@
     options: GatewayOptions,
     platform: P,
     (datagrams, news): (std::net::UdpSocket, std::net::TcpListener),
-    views: Views,
+    outputs: ControlOutputs,
     notices: Notices,
     stop: watch::Receiver<bool>,
 ) {
@@ -294,22 +294,22 @@
             return;
         };
         let ports = PeerPorts { datagrams, news };
-        control::run(options, platform, ports, views, notices, stop).await;
+        control::run(options, platform, ports, outputs, notices, stop).await;
     });
 }
 
-/// A planned stop: serves on while clients still have the address, then refuses what is new and
-/// closes what rests, then waits for what is being served.
-async fn finish(shared: &Shared, options: &GatewayOptions, close: &watch::Sender<bool>) {
+/// Graceful shutdown: keeps serving while clients still have the address cached, then rejects new
+/// requests and closes idle connections, then waits for requests in progress.
+async fn shut_down(shared: &Shared, options: &GatewayOptions, close: &watch::Sender<bool>) {
     let begun = Instant::now();
     shared.stopping.set(true);
     Line::new(EventName::Stopping).field("serving", shared.serving.get()).write();
-    tokio::time::sleep(options.stop_time.mul_f64(SERVING_SHARE)).await;
-    shared.refusing.set(true);
+    tokio::time::sleep(options.stop_time.mul_f64(STOP_SERVING_FRACTION)).await;
+    shared.rejecting.set(true);
     close.send_replace(true);
     let end = begun + options.stop_time.saturating_sub(STOP_MARGIN);
     while shared.serving.get() > 0 && Instant::now() < end {
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     Line::new(EventName::Stopped).field("cut_off", shared.serving.get()).write();
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,8 +1,9 @@
 //! Sends a request to a back end, and to another one where that is allowed.
 //!
-//! Invariant: a request that may not be repeated is never sent again after a back end may have run
-//! it, and is never refused as "not run" then. Proof of "not run" is a connection that did not come
-//! up, a request of which nothing was written, or a back end's own statement; nothing else.
+//! Invariant: a request that is not repeatable is never sent again after a back end may have
+//! executed it, and is then never rejected as "not run". Only these prove that it was not executed:
+//! the connection could not be established, nothing of the request was written, or the back end
+//! said so.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,209 +15,221 @@
 use yokefall_telemetry::{EventName, Line};
 use yokefall_upstream::{exchange, ConnectFailure, Connection, Place, SendFailure};
 
-use crate::admission::{admit, choose, GivenUp};
-use crate::answer::{plain, refusal, Answer};
-use crate::order::{may_repeat, Order};
-use crate::quota::{self, NoToken, Wanted};
+use crate::admission::{admit, choose, QueueTimeout};
+use crate::context::{may_retry, RequestContext};
+use crate::quota::{self, TokenError, TokenRequest};
 use crate::regions;
 use crate::relay;
 use crate::request::{affinity, request_for};
+use crate::response::{plain, rejection, ClientResponse};
 use crate::shared::Shared;
 use crate::suspect::{self, Clearance};
 
-/// Longest time for a connection to a back end to come up.
+/// Timeout for connecting to a back end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Back ends that are asked at most before a request that none took is refused.
+/// Maximum number of back ends tried before a request that none accepted is rejected.
 const MAX_TRIES: usize = 5;
-/// When a refused client may come back.
+/// Retry delay for rejected clients.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
-/// When a client whose request was held in vain may come back at the earliest, and how many times as
-/// late at the latest: clients that were refused together should not come back together.
-const HELD_RETRY_AFTER: Duration = Duration::from_millis(300);
-const HELD_RETRY_SPREAD: f64 = 3.0;
-/// Time without a word of a back end after which it gets nothing new until it speaks.
-pub const SILENCE: Duration = Duration::from_millis(450);
-/// Time without an answer after which a request that may be repeated goes to another back end, in
-/// parts of the route's target for latency; and the least such time.
-const REPEAT_AFTER_TARGETS: u32 = 3;
-const LEAST_REPEAT_AFTER: Duration = Duration::from_millis(800);
-/// What the caller of a request is told under which back ends ended.
-const ENDED_BACK_ENDS: &str = "back ends ended while they ran this request";
-/// What the caller of a request is told for which all back ends are cold.
-const ALL_COLD: &str = "back ends are not warm yet and have had what they bear";
+/// Minimum retry delay for clients whose queued request expired, and the factor up to which it is
+/// randomized, so that clients rejected together do not return together.
+const QUEUED_RETRY_AFTER: Duration = Duration::from_millis(300);
+const QUEUED_RETRY_SPREAD: f64 = 3.0;
+/// How long a back end may send nothing before it gets no new requests until it sends again.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(450);
+/// Timeout of an attempt after which a repeatable request goes to another back end, as a multiple
+/// of the route's latency target; and its lower bound.
+const ATTEMPT_TIMEOUT_TARGETS: u32 = 3;
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Sent to the caller of a request during which back ends terminated.
+const BACKENDS_ENDED_TEXT: &str = "back ends ended while they ran this request";
+/// Sent to the caller of a request for which all back ends are cold.
+const ALL_COLD_TEXT: &str = "back ends are not warm yet and have had what they bear";
 /// Connections to one back end that are always allowed.
-const LEAST_CONNECTIONS: usize = 4;
+const MIN_CONNECTIONS: usize = 4;
 
-/// A back end's answer with the place and the connection that it uses.
-pub struct Taken {
-    /// The answer's head and the rest of its body.
-    pub answer: Response<Incoming>,
+/// Response of a back end, with the slot and the connection it uses.
+pub struct BackendResponse {
+    /// The response head and the unread body.
+    pub response: Response<Incoming>,
     /// The connection.
     pub connection: Connection,
-    /// The place.
+    /// The slot.
     pub place: Place,
 }
 
-/// Why no back end answered.
-pub enum NoAnswer {
-    /// It was held for as long as it may be, and was not run.
-    Held,
-    /// It was not run.
+/// Why no back end returned a usable response.
+pub enum ForwardError {
+    /// The request expired in the queue and was not executed.
+    QueueTimeout,
+    /// The request was not executed.
     NotRun(String),
-    /// It may have run.
+    /// The request may have been executed.
     MayHaveRun(String),
-    /// Its time ended; it may have run.
-    OutOfTime,
-    /// Its tenant's limit forbids to send it now, or again.
-    NoToken(NoToken),
-    /// Every back end is cold and has had what this process may send; it was not run.
+    /// The deadline passed; the request may have been executed.
+    DeadlineExceeded,
+    /// The tenant's rate limit does not allow sending the request now, or again.
+    TokenError(TokenError),
+    /// Every back end is cold and this process has used its share of requests to them; the request
+    /// was not executed.
     AllCold(Duration),
-    /// Back ends ended under it; it may be sent again after this time.
+    /// Back ends terminated during this request; it may be sent again after this time.
     HeldBack(Duration),
-    /// It was not run: where it may be served no back end takes work.
+    /// No back end accepts requests in the regions where the request may be served; it was not
+    /// executed.
     NoRegion(Residency),
 }
 
 /// Serves a request.
-pub async fn forward(shared: &Rc<Shared>, mut order: Order) -> Answer {
+pub async fn forward(shared: &Rc<Shared>, mut context: RequestContext) -> ClientResponse {
     loop {
-        match send(shared, &mut order, 0).await {
-            Ok(taken) => match relay::pass(shared, order, taken).await {
-                Ok(answer) => return answer,
+        match send(shared, &mut context, 0).await {
+            Ok(backend_response) => match relay::relay(shared, context, backend_response).await {
+                Ok(response) => return response,
                 Err((returned, cause)) => {
-                    order = *returned;
-                    if !may_repeat(&order) {
-                        let line = order.end_line(EventName::RequestFailed);
-                        line.field("cause", cause.as_str()).write();
-                        return broken(&cause);
+                    context = *returned;
+                    if !may_retry(&context) {
+                        let log_line = context.final_log_line(EventName::RequestFailed);
+                        log_line.field("cause", cause.as_str()).write();
+                        return bad_gateway(&cause);
                     }
                 }
             },
-            Err(cause) => return failed(shared, &order, cause),
+            Err(cause) => return error_response(shared, &context, cause),
         }
     }
 }
 
-/// Makes sure of a token that is valid at the moment of sending. Invariant: no request of a limited
-/// tenant is sent without one, and none is spent twice.
-async fn renew_token(shared: &Rc<Shared>, order: &mut Order) -> Result<(), NoToken> {
-    let Some(wanted) = Wanted::of(&order.caller, &order.route, order.version) else {
+/// Ensures that the request has a token that is valid at the time of sending. Invariant: no request
+/// of a rate-limited tenant is sent without a token, and no token is used twice.
+async fn ensure_token(shared: &Rc<Shared>, context: &mut RequestContext) -> Result<(), TokenError> {
+    let Some(token_request) = TokenRequest::of(&context.caller, &context.route, context.version)
+    else {
         return Ok(());
     };
-    if order.token.is_none_or(|token| !shared.quota.is_valid(token)) {
-        order.token = Some(quota::take(shared, wanted).await?);
+    if context.token.is_none_or(|token| !shared.quota.is_valid(token)) {
+        context.token = Some(quota::take(shared, token_request).await?);
     }
     Ok(())
 }
 
-/// The answer to a request that was not run for want of a token.
-pub fn no_token(retry_after: &HeaderName, cause: NoToken) -> Answer {
+/// The response to a request that was not executed because no token was available.
+pub fn token_rejection(retry_after: &HeaderName, cause: TokenError) -> ClientResponse {
     match cause {
-        NoToken::OverLimit { wait } => {
-            let mut answer = refusal(retry_after, wait, "the tenant has sent as much as it may");
-            *answer.status_mut() = StatusCode::TOO_MANY_REQUESTS;
-            answer
+        TokenError::OverLimit { wait } => {
+            let mut response =
+                rejection(retry_after, wait, "the tenant has sent as much as it may");
+            *response.status_mut() = StatusCode::TOO_MANY_REQUESTS;
+            response
         }
-        NoToken::Unknown { wait } => {
-            refusal(retry_after, wait, "the tenant's limit cannot be checked now")
+        TokenError::Unknown { wait } => {
+            rejection(retry_after, wait, "the tenant's limit cannot be checked now")
         }
     }
 }
 
-fn broken(cause: &str) -> Answer {
+fn bad_gateway(cause: &str) -> ClientResponse {
     plain(StatusCode::BAD_GATEWAY, format!("a back end broke off: {cause}"))
 }
 
-fn failed(shared: &Shared, order: &Order, cause: NoAnswer) -> Answer {
-    let may_run_yet = matches!(cause, NoAnswer::MayHaveRun(_) | NoAnswer::OutOfTime);
-    let refused = !may_run_yet && order.may_have_run == 0;
-    let is_for_regions = matches!(cause, NoAnswer::NoRegion(_));
-    let event = match refused {
+fn error_response(
+    shared: &Shared,
+    context: &RequestContext,
+    cause: ForwardError,
+) -> ClientResponse {
+    let may_still_run =
+        matches!(cause, ForwardError::MayHaveRun(_) | ForwardError::DeadlineExceeded);
+    let rejected = !may_still_run && context.may_have_run == 0;
+    let is_for_regions = matches!(cause, ForwardError::NoRegion(_));
+    let event = match rejected {
         true if is_for_regions => EventName::RegionRefused,
         true => EventName::RequestRefused,
         false => EventName::RequestFailed,
     };
     let text = match &cause {
-        NoAnswer::NotRun(text) | NoAnswer::MayHaveRun(text) => text.as_str(),
-        NoAnswer::Held => "back ends have had no room",
-        NoAnswer::AllCold(_) => ALL_COLD,
-        NoAnswer::OutOfTime => "its time ended",
-        NoAnswer::NoToken(_) => "the tenant's limit does not allow another run",
-        NoAnswer::HeldBack(_) => ENDED_BACK_ENDS,
-        NoAnswer::NoRegion(_) => "no back end takes work where it may be served",
+        ForwardError::NotRun(text) | ForwardError::MayHaveRun(text) => text.as_str(),
+        ForwardError::QueueTimeout => "back ends have had no room",
+        ForwardError::AllCold(_) => ALL_COLD_TEXT,
+        ForwardError::DeadlineExceeded => "its time ended",
+        ForwardError::TokenError(_) => "the tenant's limit does not allow another run",
+        ForwardError::HeldBack(_) => BACKENDS_ENDED_TEXT,
+        ForwardError::NoRegion(_) => "no back end takes work where it may be served",
     };
-    order.end_line(event).text("regions", &order.residency).field("cause", text).write();
+    context.final_log_line(event).text("regions", &context.residency).field("cause", text).write();
     match cause {
-        NoAnswer::Held => {
-            let pause = HELD_RETRY_AFTER.mul_f64(rand::random_range(1.0..HELD_RETRY_SPREAD));
-            refusal(&shared.dialect.headers().retry_after, pause, "back ends have no room now")
+        ForwardError::QueueTimeout => {
+            let pause = QUEUED_RETRY_AFTER.mul_f64(rand::random_range(1.0..QUEUED_RETRY_SPREAD));
+            rejection(&shared.dialect.headers().retry_after, pause, "back ends have no room now")
+        }
+        ForwardError::NotRun(text) if context.may_have_run == 0 => {
+            rejection(&shared.dialect.headers().retry_after, RETRY_AFTER, text)
         }
-        NoAnswer::NotRun(text) if order.may_have_run == 0 => {
-            refusal(&shared.dialect.headers().retry_after, RETRY_AFTER, text)
+        ForwardError::TokenError(cause) if context.may_have_run == 0 => {
+            token_rejection(&shared.dialect.headers().retry_after, cause)
         }
-        NoAnswer::NoToken(cause) if order.may_have_run == 0 => {
-            no_token(&shared.dialect.headers().retry_after, cause)
+        ForwardError::AllCold(wait) if context.may_have_run == 0 => {
+            rejection(&shared.dialect.headers().retry_after, wait, ALL_COLD_TEXT)
         }
-        NoAnswer::AllCold(wait) if order.may_have_run == 0 => {
-            refusal(&shared.dialect.headers().retry_after, wait, ALL_COLD)
+        ForwardError::AllCold(_) => bad_gateway(ALL_COLD_TEXT),
+        ForwardError::HeldBack(wait) if context.may_have_run == 0 => {
+            rejection(&shared.dialect.headers().retry_after, wait, BACKENDS_ENDED_TEXT)
         }
-        NoAnswer::AllCold(_) => broken(ALL_COLD),
-        NoAnswer::HeldBack(wait) if order.may_have_run == 0 => {
-            refusal(&shared.dialect.headers().retry_after, wait, ENDED_BACK_ENDS)
+        ForwardError::HeldBack(_) => bad_gateway(BACKENDS_ENDED_TEXT),
+        ForwardError::NoRegion(residency) if context.may_have_run == 0 => {
+            regions::reject(&shared.dialect.headers().retry_after, &residency)
         }
-        NoAnswer::HeldBack(_) => broken(ENDED_BACK_ENDS),
-        NoAnswer::NoRegion(residency) if order.may_have_run == 0 => {
-            regions::refuse(&shared.dialect.headers().retry_after, &residency)
+        ForwardError::NoRegion(_) => {
+            bad_gateway("no back end takes work where the rest may be served")
         }
-        NoAnswer::NoRegion(_) => broken("no back end takes work where the rest may be served"),
-        NoAnswer::NoToken(_) => broken("the tenant's limit does not allow another run"),
-        NoAnswer::NotRun(text) | NoAnswer::MayHaveRun(text) => broken(&text),
-        NoAnswer::OutOfTime => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+        ForwardError::TokenError(_) => bad_gateway("the tenant's limit does not allow another run"),
+        ForwardError::NotRun(text) | ForwardError::MayHaveRun(text) => bad_gateway(&text),
+        ForwardError::DeadlineExceeded => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
     }
 }
 
-/// Finds a back end that answers. `after_event` is the event after which a stream continues, 0 for
-/// what the client itself asks.
+/// Finds a back end that responds. `after_event` is the last event of a stream that has been
+/// received; 0 leaves the start to the client's own request.
 pub async fn send(
     shared: &Rc<Shared>,
-    order: &mut Order,
+    context: &mut RequestContext,
     after_event: u64,
-) -> Result<Taken, NoAnswer> {
-    let affinity = affinity(shared, &order.parts.headers);
+) -> Result<BackendResponse, ForwardError> {
+    let affinity = affinity(shared, &context.parts.headers);
     let mut last = "no back end takes work now".to_owned();
-    if let Some(wait) = suspect::held_back(shared, order) {
-        return Err(NoAnswer::HeldBack(wait));
+    if let Some(wait) = suspect::held_back(shared, context) {
+        return Err(ForwardError::HeldBack(wait));
     }
-    // What has been at a back end already is never held: it goes on at once.
-    let is_new = after_event == 0 && order.tried.is_empty();
+    // A request that has already been sent to a back end is never queued again.
+    let is_new = after_event == 0 && context.tried.is_empty();
     let mut admitted = match is_new {
         false => None,
-        true => match admit(shared, order, affinity).await {
+        true => match admit(shared, context, affinity).await {
             Ok(place) => place,
-            Err(GivenUp) => return Err(NoAnswer::Held),
+            Err(QueueTimeout) => return Err(ForwardError::QueueTimeout),
         },
     };
     let mut tries = 0;
     while tries < MAX_TRIES {
         tries += 1;
-        if Instant::now() >= order.deadline {
-            return Err(NoAnswer::OutOfTime);
+        if Instant::now() >= context.deadline {
+            return Err(ForwardError::DeadlineExceeded);
         }
         let catalog = shared.catalog.load_full();
-        order.follow_regions(&catalog);
+        context.update_regions(&catalog);
         let place =
-            admitted.take().or_else(|| choose(shared, &order.need(), &order.tried, affinity));
+            admitted.take().or_else(|| choose(shared, &context.need(), &context.tried, affinity));
         let Some(mut place) = place else {
-            if let Some(wait_ms) = shared.eligibility.cold_wait_ms(&catalog, &order.need()) {
-                return Err(all_cold(order, wait_ms));
+            if let Some(wait_ms) = shared.eligibility.cold_wait_ms(&catalog, &context.need()) {
+                return Err(all_cold(context, wait_ms));
             }
             break;
         };
         let backend = place.backend.clone();
-        order.tried.push(backend.id.clone());
-        let most = connections_allowed(shared, catalog.max_connections(&order.service));
-        let limit = CONNECT_TIMEOUT.min(order.deadline.duration_since(Instant::now()));
-        let mut connection = match shared.pool.connect(&backend, limit, most).await {
+        context.tried.push(backend.id.clone());
+        let max_connections =
+            connections_allowed(shared, catalog.max_connections(&context.service));
+        let limit = CONNECT_TIMEOUT.min(context.deadline.duration_since(Instant::now()));
+        let mut connection = match shared.pool.connect(&backend, limit, max_connections).await {
             Ok(connection) => connection,
             Err(error) => {
                 place.outcome = match error {
@@ -224,137 +237,142 @@
                     ConnectFailure::Exhausted => Outcome::Full,
                 };
                 last = error.to_string();
-                tell_attempt(order, &backend.id, &last);
+                log_failed_attempt(context, &backend.id, &last);
                 continue;
             }
         };
-        match suspect::clear(shared, order, &backend.id).await {
+        match suspect::clear(shared, context, &backend.id).await {
             Clearance::Clear => {}
             Clearance::OtherBackend => {
                 shared.pool.put_back(connection);
                 last = format!("{} runs another suspect alone", backend.id);
-                tell_attempt(order, &backend.id, &last);
+                log_failed_attempt(context, &backend.id, &last);
                 continue;
             }
             Clearance::HeldBack(wait) => {
                 shared.pool.put_back(connection);
-                return Err(NoAnswer::HeldBack(wait));
+                return Err(ForwardError::HeldBack(wait));
             }
         }
-        if let Err(cause) = renew_token(shared, order).await {
+        if let Err(cause) = ensure_token(shared, context).await {
             shared.pool.put_back(connection);
-            return Err(NoAnswer::NoToken(cause));
+            return Err(ForwardError::TokenError(cause));
         }
-        let Some(request) = request_for(shared, order, &backend.id, after_event) else {
-            return Err(NoAnswer::NotRun("the request cannot be passed on".into()));
+        let Some(request) = request_for(shared, context, &backend.id, after_event) else {
+            return Err(ForwardError::NotRun("the request cannot be passed on".into()));
         };
         let names = shared.dialect.headers();
         let id_header = shared.dialect.marks_answers().then_some(&names.request_id);
-        order.follow_regions(&shared.catalog.load());
-        let permit = match shared.eligibility.permit(&backend, &order.need()) {
+        context.update_regions(&shared.catalog.load());
+        let permit = match shared.eligibility.permit(&backend, &context.need()) {
             Ok(permit) => permit,
             Err(cause) => {
                 shared.pool.put_back(connection);
                 last = format!("{}: {cause}", backend.id);
-                tell_attempt(order, &backend.id, &last);
-                cause.tell_kept_from(&order.id, &backend);
+                log_failed_attempt(context, &backend.id, &last);
+                cause.tell_kept_from(&context.id, &backend);
                 if matches!(cause, Ineligible::Cold { .. }) {
-                    // Another request took the share meanwhile: it was no try, and is no candidate now.
-                    order.tried.pop();
+                    // Another request has used up the share meanwhile: nothing was tried, and this
+                    // back end is no longer a candidate.
+                    context.tried.pop();
                     tries -= 1;
                 }
                 continue;
             }
         };
         let sent = exchange(&mut connection, request, id_header, permit);
-        let limit = patience(order);
-        let answer = match wait_for(shared, &place, limit, sent).await {
-            Ok(Ok(answer)) => answer,
+        let limit = attempt_deadline(context);
+        let response = match await_response(shared, &place, limit, sent).await {
+            Ok(Ok(response)) => response,
             Ok(Err(SendFailure::NotSent { cause })) => {
-                // The back end closed a kept connection: it is no sign of its health.
-                order.tried.pop();
+                // The back end closed an idle connection, which says nothing about its health.
+                context.tried.pop();
                 last = cause;
-                tell_attempt(order, &backend.id, &last);
+                log_failed_attempt(context, &backend.id, &last);
                 continue;
             }
             Ok(Err(SendFailure::MayHaveRun { cause })) => {
                 place.outcome = Outcome::Failed;
                 place.broke();
-                order.note_may_have_run();
+                context.record_possible_run();
                 last = format!("{}: {cause}", backend.id);
-                tell_attempt(order, &backend.id, &last);
-                shared.suspects.note_break(&backend, place.taken(), || order.digest()).await;
-                if may_repeat(order) {
+                log_failed_attempt(context, &backend.id, &last);
+                shared.suspects.note_break(&backend, place.taken(), || context.digest()).await;
+                if may_retry(context) {
                     continue;
                 }
-                return Err(NoAnswer::MayHaveRun(last));
+                return Err(ForwardError::MayHaveRun(last));
             }
             Err(_) => {
-                let out_of_time = limit >= order.deadline;
+                let out_of_time = limit >= context.deadline;
                 place.outcome = if out_of_time { Outcome::Abandoned } else { Outcome::Failed };
-                order.note_may_have_run();
-                if !out_of_time && may_repeat(order) {
+                context.record_possible_run();
+                if !out_of_time && may_retry(context) {
                     last = format!("{} gave no answer", backend.id);
-                    tell_attempt(order, &backend.id, &last);
+                    log_failed_attempt(context, &backend.id, &last);
                     continue;
                 }
-                return Err(NoAnswer::OutOfTime);
+                return Err(ForwardError::DeadlineExceeded);
             }
         };
-        connection.note_keep_alive(answer.headers());
+        connection.note_keep_alive(response.headers());
         place.heard();
-        note_told(shared, &place, answer.headers());
-        let taken = Taken { answer, connection, place };
-        match judge(shared, order, taken) {
-            Verdict::Use(taken) => return Ok(*taken),
-            Verdict::NotRun(cause) => {
+        record_backend_headers(shared, &place, response.headers());
+        let backend_response = BackendResponse { response, connection, place };
+        match classify(shared, context, backend_response) {
+            Classification::Use(backend_response) => return Ok(*backend_response),
+            Classification::NotRun(cause) => {
                 last = cause;
-                tell_attempt(order, &backend.id, &last);
+                log_failed_attempt(context, &backend.id, &last);
             }
-            Verdict::Ran(cause) => {
+            Classification::Ran(cause) => {
                 last = cause;
-                tell_attempt(order, &backend.id, &last);
-                if !may_repeat(order) {
-                    return Err(NoAnswer::MayHaveRun(last));
+                log_failed_attempt(context, &backend.id, &last);
+                if !may_retry(context) {
+                    return Err(ForwardError::MayHaveRun(last));
                 }
             }
         }
     }
-    if order.may_have_run > 0 {
-        return Err(NoAnswer::MayHaveRun(last));
+    if context.may_have_run > 0 {
+        return Err(ForwardError::MayHaveRun(last));
     }
-    if regions::lack_back_ends(shared, &order.need()) {
-        return Err(NoAnswer::NoRegion(order.residency.clone()));
+    if regions::has_no_backends(shared, &context.need()) {
+        return Err(ForwardError::NoRegion(context.residency.clone()));
     }
-    Err(NoAnswer::NotRun(last))
+    Err(ForwardError::NotRun(last))
 }
 
-/// Refused at once rather than held: another gateway may have a share left.
-fn all_cold(order: &Order, wait_ms: u64) -> NoAnswer {
-    if order.may_have_run > 0 {
-        return NoAnswer::MayHaveRun(ALL_COLD.to_owned());
+/// Rejects instead of queueing: another gateway may have some of its share left.
+fn all_cold(context: &RequestContext, wait_ms: u64) -> ForwardError {
+    if context.may_have_run > 0 {
+        return ForwardError::MayHaveRun(ALL_COLD_TEXT.to_owned());
     }
-    NoAnswer::AllCold(Duration::from_millis(wait_ms))
+    ForwardError::AllCold(Duration::from_millis(wait_ms))
 }
 
-fn tell_attempt(order: &Order, backend: &str, cause: &str) {
-    order.line(EventName::AttemptFailed).field("backend", backend).field("cause", cause).write();
+fn log_failed_attempt(context: &RequestContext, backend: &str, cause: &str) {
+    context
+        .log_line(EventName::AttemptFailed)
+        .field("backend", backend)
+        .field("cause", cause)
+        .write();
 }
 
-/// Until when an answer is waited for: to the end where the request cannot be sent once more.
-fn patience(order: &Order) -> Instant {
-    let attempts_left = order.may_have_run + 1 < order.route.max_attempts;
-    if !attempts_left || !may_repeat(order) {
-        return order.deadline;
+/// How long to wait for a response: until the request's deadline if it cannot be sent again.
+fn attempt_deadline(context: &RequestContext) -> Instant {
+    let attempts_left = context.may_have_run + 1 < context.route.max_attempts;
+    if !attempts_left || !may_retry(context) {
+        return context.deadline;
     }
-    let target = Duration::from_millis(order.route.target_latency_ms);
-    let patience = (target * REPEAT_AFTER_TARGETS).max(LEAST_REPEAT_AFTER);
-    order.deadline.min(Instant::now() + patience)
+    let target = Duration::from_millis(context.route.target_latency_ms);
+    let attempt_deadline = (target * ATTEMPT_TIMEOUT_TARGETS).max(MIN_ATTEMPT_TIMEOUT);
+    context.deadline.min(Instant::now() + attempt_deadline)
 }
 
-/// Notes that a back end has said nothing for a while.
-pub fn tell_silent(shared: &Shared, place: &Place) {
-    if !place.fell_silent(SILENCE) {
+/// Records that a back end has sent nothing for [`SILENCE_TIMEOUT`].
+pub fn log_silence(shared: &Shared, place: &Place) {
+    if !place.fell_silent(SILENCE_TIMEOUT) {
         return;
     }
     shared.pool.forget_kept(&place.backend);
@@ -362,72 +380,78 @@
         .id(&place.backend.id)
         .field("started_ms", place.backend.started_ms)
         .text("address", place.backend.address)
-        .field("after_ms", SILENCE.as_millis() as u64)
+        .field("after_ms", SILENCE_TIMEOUT.as_millis() as u64)
         .write();
 }
 
-/// Waits for an answer, and notes the back end's silence meanwhile.
-async fn wait_for<T>(
+/// Waits for a response and records silence of the back end meanwhile.
+async fn await_response<T>(
     shared: &Shared,
     place: &Place,
     limit: Instant,
-    answer: impl std::future::Future<Output = T>,
+    response: impl std::future::Future<Output = T>,
 ) -> Result<T, tokio::time::error::Elapsed> {
     tokio::time::timeout_at(limit, async {
-        tokio::pin!(answer);
+        tokio::pin!(response);
         loop {
-            match tokio::time::timeout(SILENCE, answer.as_mut()).await {
-                Ok(answer) => return answer,
-                Err(_) => tell_silent(shared, place),
+            match tokio::time::timeout(SILENCE_TIMEOUT, response.as_mut()).await {
+                Ok(response) => return response,
+                Err(_) => log_silence(shared, place),
             }
         }
     })
     .await
 }
 
-enum Verdict {
-    Use(Box<Taken>),
+enum Classification {
+    Use(Box<BackendResponse>),
     NotRun(String),
     Ran(String),
 }
 
-/// What an answer's head says: whether the request ran, and whether the client should have it.
-fn judge(shared: &Shared, order: &mut Order, mut taken: Taken) -> Verdict {
-    let status = taken.answer.status();
-    let told = format!("{} answered {status}", taken.place.backend.id);
+/// Classifies a response head: whether the request was executed, and whether the client should get
+/// the response.
+fn classify(
+    shared: &Shared,
+    context: &mut RequestContext,
+    mut backend_response: BackendResponse,
+) -> Classification {
+    let status = backend_response.response.status();
+    let description = format!("{} answered {status}", backend_response.place.backend.id);
     if status == StatusCode::MISDIRECTED_REQUEST {
-        taken.place.outcome = Outcome::Misdirected;
-        return Verdict::NotRun(told);
+        backend_response.place.outcome = Outcome::Misdirected;
+        return Classification::NotRun(description);
     }
-    if taken.answer.headers().contains_key(&shared.dialect.headers().not_run) {
+    if backend_response.response.headers().contains_key(&shared.dialect.headers().not_run) {
         if status == StatusCode::BAD_REQUEST {
-            return Verdict::Use(Box::new(taken));
+            return Classification::Use(Box::new(backend_response));
         }
-        taken.place.outcome = Outcome::Full;
-        return Verdict::NotRun(told);
+        backend_response.place.outcome = Outcome::Full;
+        return Classification::NotRun(description);
     }
-    order.note_may_have_run();
-    let promises = [
+    context.record_possible_run();
+    let retryable_statuses = [
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::REQUEST_TIMEOUT,
     ];
-    if promises.contains(&status) {
-        // The client would take it as a promise, which the back end did not give.
-        taken.place.outcome = Outcome::Failed;
-        return Verdict::Ran(told);
+    if retryable_statuses.contains(&status) {
+        // The client would take the status as proof that the request was not executed, which the
+        // back end did not give.
+        backend_response.place.outcome = Outcome::Failed;
+        return Classification::Ran(description);
     }
     if status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT {
-        taken.place.outcome = Outcome::Failed;
-        if may_repeat(order) {
-            return Verdict::Ran(told);
+        backend_response.place.outcome = Outcome::Failed;
+        if may_retry(context) {
+            return Classification::Ran(description);
         }
     }
-    Verdict::Use(Box::new(taken))
+    Classification::Use(Box::new(backend_response))
 }
 
-/// Takes what a back end tells of itself with its answer.
-fn note_told(shared: &Shared, place: &Place, headers: &HeaderMap) {
+/// Records the load and the cold time that a back end reports with its response.
+fn record_backend_headers(shared: &Shared, place: &Place, headers: &HeaderMap) {
     let load = headers.get(&shared.dialect.headers().load);
     if let Some(load) = load.and_then(|value| shared.dialect.parse_load(value)) {
         place.told(load);
@@ -438,8 +462,8 @@
     }
 }
 
-/// This process's part of the connections that a back end accepts from all.
+/// This process's share of the connections that a back end accepts from all processes.
 fn connections_allowed(shared: &Shared, from_all: u32) -> usize {
     let processes = shared.fleet.load().members.len().max(1);
-    (from_all as usize / processes).max(LEAST_CONNECTIONS)
+    (from_all as usize / processes).max(MIN_CONNECTIONS)
 }
--- /dev/null
+++ b/crates/gateway/src/idle_eviction.rs
@@ -0,0 +1,51 @@
+//! Closes idle client connections when no new connection can be accepted, since they use up the
+//! file descriptors that clients with requests need. Otherwise a gateway with many idle connections
+//! accepts none until their idle timeout expires.
+
+use std::cell::Cell;
+use std::io;
+use std::time::Duration;
+
+use tokio::sync::Notify;
+use tokio::time::Instant;
+use yokefall_telemetry::{EventName, Line};
+
+use crate::connection::PhaseCell;
+
+/// Minimum idle time of a connection that is closed. A connection that was just opened, or whose
+/// request was just answered, may be about to carry a request; clients that cannot connect should
+/// not wait for seconds.
+const MIN_IDLE: Duration = Duration::from_millis(500);
+/// Minimum interval between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Notifies idle connections when others cannot be accepted.
+#[derive(Debug, Default)]
+pub struct IdleEviction {
+    evict: Notify,
+    logged_at: Cell<Option<Instant>>,
+}
+
+impl IdleEviction {
+    /// Records that a connection could not be accepted.
+    pub fn accept_failed(&self, error: &io::Error) {
+        metrics::counter!("gateway_accept_failures_total").increment(1);
+        let now = Instant::now();
+        if self.logged_at.get().is_none_or(|at| now - at >= LOG_INTERVAL) {
+            self.logged_at.set(Some(now));
+            Line::new(EventName::ConnectionsCrowded).text("cause", error).write();
+        }
+        self.evict.notify_waiters();
+    }
+
+    /// Completes when the connection is idle while others cannot be accepted.
+    pub async fn evicted(&self, phase: &PhaseCell) {
+        loop {
+            self.evict.notified().await;
+            if phase.idle_for().is_some_and(|idle_for| idle_for >= MIN_IDLE) {
+                metrics::counter!("gateway_resting_connections_closed_total").increment(1);
+                return;
+            }
+        }
+    }
+}
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes connections and tells what kind of call a request is.
+//! Accepts connections and dispatches requests by kind of call.
 
 use std::cell::{Cell, OnceCell};
 use std::convert::Infallible;
@@ -18,36 +18,36 @@
 use yokefall_serving::{Caller, Catalog, RequestLimits, Route, RouteKind};
 use yokefall_telemetry::{EventName, Line};
 
-use crate::answer::{plain, refusal, Answer};
 use crate::connection::{LimitedStream, PhaseCell, TimeLimits};
-use crate::forward::{forward, no_token};
-use crate::order::Order;
-use crate::quota::{self, NoToken, Token, Wanted};
+use crate::context::RequestContext;
+use crate::forward::{forward, token_rejection};
+use crate::quota::{self, Token, TokenError, TokenRequest};
+use crate::response::{plain, rejection, ClientResponse};
 use crate::shared::Shared;
 use crate::{body, directory, jobs, regions};
 
-/// Pause after a connection could not be taken, as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// When a client may come back that met a gateway without a configuration.
-const UNREADY_RETRY: Duration = Duration::from_millis(300);
-/// Time for a request whose client and route tell none.
-const DEFAULT_TIME: Duration = Duration::from_secs(30);
-/// Bytes of its head that `hyper` needs at least.
-const LEAST_HEADER_BYTES: usize = 8_192;
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// Retry delay for clients of a gateway that has no configuration yet.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Timeout of a request when neither the client nor the route sets one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Minimum size of the header buffer that `hyper` requires.
+const MIN_HEADER_BUFFER_BYTES: usize = 8_192;
 
-/// What a listener is for.
+/// Purpose of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
-    /// Requests and calls of clients.
+    /// Client requests and job calls.
     Ingress,
-    /// Checks of readiness.
+    /// Readiness checks.
     Readiness,
-    /// Queries for addresses.
+    /// Queries for gateway addresses.
     Directory,
 }
 
-/// Takes connections until the process ends. When `closing` turns true, connections that rest are
-/// closed, and the others after their present request.
+/// Accepts connections until the process ends. When `closing` turns true, idle connections are
+/// closed, and the others after their current request.
 pub async fn accept(
     listener: TcpListener,
     port: Port,
@@ -62,8 +62,8 @@
                 tokio::task::spawn_local(serving);
             }
             Err(error) => {
-                shared.crowding.note(&error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                shared.idle_eviction.accept_failed(&error);
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -81,19 +81,20 @@
         head: Duration::from_millis(limits.header_timeout_ms),
     };
     let (stream, phase) = LimitedStream::new(stream, time_limits);
-    let service = service_fn(|request| answer(shared.clone(), port, phase.clone(), request));
+    let service = service_fn(|request| handle(shared.clone(), port, phase.clone(), request));
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits.header_bytes.max(LEAST_HEADER_BYTES));
-    // A connection that comes so late gets one answer, which sends its client elsewhere.
-    let late = *closing.borrow();
-    builder.keep_alive(!late);
+    builder.max_buf_size(limits.header_bytes.max(MIN_HEADER_BUFFER_BYTES));
+    // A connection accepted after closing began gets one response, which sends its client to
+    // another gateway.
+    let is_closing = *closing.borrow();
+    builder.keep_alive(!is_closing);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        // How a connection ends is the client's affair.
+        // Connection errors concern only the client.
         _ = connection.as_mut() => return,
-        () = shared.crowding.until_in_the_way(&phase) => return,
-        _ = closing.wait_for(|closing| *closing), if !late => connection.as_mut().graceful_shutdown(),
+        () = shared.idle_eviction.evicted(&phase) => return,
+        _ = closing.wait_for(|closing| *closing), if !is_closing => connection.as_mut().graceful_shutdown(),
     }
     let _ = connection.await;
 }
@@ -103,55 +104,55 @@
     catalog.configuration.as_ref().map(|configuration| configuration.limits).unwrap_or_default()
 }
 
-/// Lives as long as a request is being served, its answer included.
-struct Serving {
+/// Counts a request as being served until its response has been sent.
+struct ActiveRequest {
     shared: Rc<Shared>,
     phase: PhaseCell,
 }
 
-impl Serving {
+impl ActiveRequest {
     fn begin(shared: &Rc<Shared>, phase: PhaseCell) -> Self {
-        phase.serving();
+        phase.set_serving();
         shared.serving.set(shared.serving.get() + 1);
         Self { shared: shared.clone(), phase }
     }
 }
 
-impl Drop for Serving {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.phase.resting();
+        self.phase.set_idle();
         self.shared.serving.set(self.shared.serving.get() - 1);
     }
 }
 
-async fn answer(
+async fn handle(
     shared: Rc<Shared>,
     port: Port,
     phase: PhaseCell,
     request: Request<Incoming>,
-) -> Result<Answer, Infallible> {
-    let serving = Serving::begin(&shared, phase);
-    let mut answer = match port {
+) -> Result<ClientResponse, Infallible> {
+    let serving = ActiveRequest::begin(&shared, phase);
+    let mut response = match port {
         Port::Readiness => readiness(&shared, &request),
         Port::Directory => addresses(&shared, &request),
         Port::Ingress => {
             let id = request.headers().get(&shared.dialect.headers().request_id).cloned();
-            let answer = serve_client(&shared, request).await;
-            tell_rejected(&shared, id.as_ref(), &answer);
-            answer
+            let response = serve_client(&shared, request).await;
+            log_rejection(&shared, id.as_ref(), &response);
+            response
         }
     };
     if shared.stopping.get() && port == Port::Ingress {
-        answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    answer.body_mut().hold(Box::new(serving));
-    Ok(answer)
+    response.body_mut().retain(Box::new(serving));
+    Ok(response)
 }
 
-/// A line for an answer of the gateway's own to a request that it did not pass on as it was sent.
-fn tell_rejected(shared: &Shared, id: Option<&HeaderValue>, answer: &Answer) {
-    let status = answer.status();
-    let own = !answer.headers().contains_key(&shared.dialect.headers().signature);
+/// Logs a client error that the gateway itself returned without forwarding the request.
+fn log_rejection(shared: &Shared, id: Option<&HeaderValue>, response: &ClientResponse) {
+    let status = response.status();
+    let own = !response.headers().contains_key(&shared.dialect.headers().signature);
     metrics::counter!("gateway_requests_total", "status" => status.as_str().to_owned())
         .increment(1);
     if status.is_client_error() && own {
@@ -163,7 +164,7 @@
     }
 }
 
-fn readiness(shared: &Shared, request: &Request<Incoming>) -> Answer {
+fn readiness(shared: &Shared, request: &Request<Incoming>) -> ClientResponse {
     if !shared.dialect.is_readiness_check(request.method(), request.uri()) {
         return plain(StatusCode::NOT_FOUND, "no such call");
     }
@@ -173,27 +174,31 @@
     }
 }
 
-fn addresses(shared: &Shared, request: &Request<Incoming>) -> Answer {
+fn addresses(shared: &Shared, request: &Request<Incoming>) -> ClientResponse {
     if !shared.dialect.is_address_query(request.method(), request.uri()) {
         return plain(StatusCode::NOT_FOUND, "no such call");
     }
     directory::addresses(shared, request.uri())
 }
 
-async fn serve_client(shared: &Rc<Shared>, request: Request<Incoming>) -> Answer {
+async fn serve_client(shared: &Rc<Shared>, request: Request<Incoming>) -> ClientResponse {
     let arrived = Instant::now();
-    if shared.refusing.get() {
+    if shared.rejecting.get() {
         let name = &shared.dialect.headers().retry_after;
-        return refusal(name, Duration::ZERO, "this gateway is stopping, ask another one");
+        return rejection(name, Duration::ZERO, "this gateway is stopping, ask another one");
     }
     let catalog = shared.catalog.load_full();
     let Some(configuration) = &catalog.configuration else {
         let name = &shared.dialect.headers().retry_after;
-        return refusal(name, UNREADY_RETRY, "no configuration is known yet");
+        return rejection(name, NOT_READY_RETRY_AFTER, "no configuration is known yet");
     };
     if !catalog.can_serve() {
         let name = &shared.dialect.headers().retry_after;
-        return refusal(name, UNREADY_RETRY, "which zones are evacuated is not known yet");
+        return rejection(
+            name,
+            NOT_READY_RETRY_AFTER,
+            "which zones are evacuated is not known yet",
+        );
     }
     let (parts, incoming) = request.into_parts();
     let Some(host) = host_of(&parts) else {
@@ -202,7 +207,9 @@
     if let Some(call) = shared.dialect.job_call(&parts.method, &parts.uri) {
         let exempt = catalog.routes.has_exempt_batch(&host);
         return match caller_of(shared, &catalog, &parts, exempt) {
-            Ok(caller) => jobs::answer(shared, call, caller.requester(), &parts, arrived).await,
+            Ok(caller) => {
+                jobs::handle_call(shared, call, caller.requester(), &parts, arrived).await
+            }
             Err(error) => unauthorized(error),
         };
     }
@@ -215,33 +222,33 @@
     };
     let deadline = match deadline_of(shared, &parts, &route, arrived) {
         Ok(deadline) => deadline,
-        Err(answer) => return *answer,
+        Err(response) => return *response,
     };
     let limit = configuration.limits.body_bytes;
     let body = match body::read(shared, incoming, limit, deadline).await {
         Ok(body) => body,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     if route.kind == RouteKind::Batch {
-        let sender = jobs::Sender { caller, host };
-        return jobs::submit(shared, &route, &parts, sender, &body.bytes, arrived).await;
+        let submitter = jobs::Submitter { caller, host };
+        return jobs::submit(shared, &route, &parts, submitter, &body.bytes, arrived).await;
     }
     let id = parts.headers.get(&shared.dialect.headers().request_id);
     let id = id.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
     let residency = catalog.residency(&route, caller.tenant().map(|tenant| &tenant.name));
     if residency.is_nowhere() {
-        regions::tell_nowhere(&id, &route, &caller, configuration.version);
-        return regions::refuse(&shared.dialect.headers().retry_after, &residency);
+        regions::log_no_common_region(&id, &route, &caller, configuration.version);
+        return regions::reject(&shared.dialect.headers().retry_after, &residency);
     }
     let token = match take_token(shared, &caller, &route, configuration.version, &id).await {
         Ok(token) => token,
-        Err(cause) => return no_token(&shared.dialect.headers().retry_after, cause),
+        Err(cause) => return token_rejection(&shared.dialect.headers().retry_after, cause),
     };
     let Some(service) = shared.splitter.borrow_mut().next(&route).map(str::to_owned) else {
         return plain(StatusCode::BAD_GATEWAY, "the route has no service");
     };
     let rank = caller.rank(route.priority);
-    let order = Order {
+    let context = RequestContext {
         residency,
         route,
         caller,
@@ -256,14 +263,14 @@
         tried: Vec::new(),
         may_have_run: 0,
         id,
-        told: Cell::new(false),
+        end_logged: Cell::new(false),
         digest: OnceCell::new(),
         alone: None,
     };
-    forward(shared, order).await
+    forward(shared, context).await
 }
 
-/// The caller of a request, by the newest configuration known; a kept connection proves nothing.
+/// Identifies the caller by the newest configuration; a reused connection proves nothing.
 fn caller_of(
     shared: &Shared,
     catalog: &Catalog,
@@ -282,21 +289,21 @@
     caller
 }
 
-/// A token for a request of a limited tenant; none is needed for others.
+/// Takes a token for a request of a rate-limited tenant; other requests need none.
 async fn take_token(
     shared: &Rc<Shared>,
     caller: &Caller,
     route: &Route,
     version: u64,
     id: &str,
-) -> Result<Option<Token>, NoToken> {
-    let Some(wanted) = Wanted::of(caller, route, version) else { return Ok(None) };
-    let Wanted { tenant, limit, .. } = wanted;
-    let taken = quota::take(shared, wanted).await;
+) -> Result<Option<Token>, TokenError> {
+    let Some(token_request) = TokenRequest::of(caller, route, version) else { return Ok(None) };
+    let TokenRequest { tenant, limit, .. } = token_request;
+    let taken = quota::take(shared, token_request).await;
     if let Err(cause) = taken {
         let (event, wait) = match cause {
-            NoToken::OverLimit { wait } => (EventName::QuotaExceeded, wait),
-            NoToken::Unknown { wait } => (EventName::QuotaUnknown, wait),
+            TokenError::OverLimit { wait } => (EventName::QuotaExceeded, wait),
+            TokenError::Unknown { wait } => (EventName::QuotaUnknown, wait),
         };
         let (name, cause) = (tenant.as_str().to_owned(), event.text());
         metrics::counter!("gateway_quota_refusals_total", "tenant" => name, "cause" => cause)
@@ -315,32 +322,32 @@
     taken.map(Some)
 }
 
-fn unauthorized(error: KeyError) -> Answer {
-    let mut answer = plain(StatusCode::UNAUTHORIZED, error.to_string());
-    answer.headers_mut().insert(header::WWW_AUTHENTICATE, identity::CHALLENGE);
-    answer
+fn unauthorized(error: KeyError) -> ClientResponse {
+    let mut response = plain(StatusCode::UNAUTHORIZED, error.to_string());
+    response.headers_mut().insert(header::WWW_AUTHENTICATE, identity::CHALLENGE);
+    response
 }
 
 /// The host of a request, in lower case.
 fn host_of(parts: &Parts) -> Option<String> {
-    let told = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
-    let host = told.or_else(|| parts.uri.host())?;
+    let host_header = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
+    let host = host_header.or_else(|| parts.uri.host())?;
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     (!name.is_empty()).then(|| name.to_ascii_lowercase())
 }
 
-/// When the client's time or the route's ends, whichever is first.
+/// The client's deadline or that of the route, whichever is earlier.
 fn deadline_of(
     shared: &Shared,
     parts: &Parts,
     route: &Route,
     arrived: Instant,
-) -> Result<Instant, Box<Answer>> {
+) -> Result<Instant, Box<ClientResponse>> {
     let name = &shared.dialect.headers().deadline_ms;
-    let mut time = DEFAULT_TIME;
+    let mut time = DEFAULT_TIMEOUT;
     if let Some(value) = parts.headers.get(name) {
-        let told = value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
-        let valid = told.filter(|ms| ms.is_finite() && *ms >= 0.0);
+        let parsed = value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
+        let valid = parsed.filter(|ms| ms.is_finite() && *ms >= 0.0);
         let Some(milliseconds) = valid else {
             let text = format!("{name}: give a number of milliseconds");
             return Err(Box::new(plain(StatusCode::BAD_REQUEST, text)));
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Calls about batch jobs, passed on to the job store.
+//! Batch job calls, passed on to the job store.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -13,149 +13,164 @@
 use yokefall_serving::{BadSubmission, Caller, JobCall, JobItem, Requester, Residency, Route};
 use yokefall_telemetry::{EventName, Line};
 
-use crate::answer::{json, plain, refusal, Answer, AnswerBody};
 use crate::regions;
+use crate::response::{json, plain, rejection, ClientResponse, ResponseBody};
 use crate::shared::Shared;
 
-/// Items of one job at most.
+/// Maximum number of items in a job.
 const MAX_ITEMS: usize = 200;
-/// Time for a call where its caller tells none.
-const CALL_TIME: Duration = Duration::from_millis(2_500);
-/// Longest wait of a read for a result.
-const MAX_WAIT: Duration = Duration::from_millis(1_000);
-/// When a caller may come back that got no sure answer.
+/// Timeout of a call when the caller sets none.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Maximum time for which a call waits for results.
+const MAX_RESULT_WAIT: Duration = Duration::from_millis(1_000);
+/// Retry delay for callers that got no definite answer.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// When a caller may come back whose job did not fit the tokens that may wait: items take seconds.
+/// Retry delay for callers whose job exceeds the tokens that may be queued: items take seconds.
 const QUOTA_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Time after which an item of a route without limits may be given up, in milliseconds.
+/// Queue timeout of items on routes without limits.
 const DEFAULT_MAX_QUEUE_MS: u64 = 3_600_000;
 
-/// Who sends a submission, and to which host.
-pub struct Sender {
+/// Caller and host of a submission.
+pub struct Submitter {
     /// The caller.
     pub caller: Caller,
     /// The host, in lower case.
     pub host: String,
 }
 
-/// Takes a submission.
+/// Handles a submission.
 pub async fn submit(
     shared: &Rc<Shared>,
     route: &Route,
     parts: &Parts,
-    sender: Sender,
+    submitter: Submitter,
     body: &Bytes,
     arrived: Instant,
-) -> Answer {
+) -> ClientResponse {
     let names = shared.dialect.headers();
     let Some(job) = parts.headers.get(&names.request_id).and_then(|id| id.to_str().ok()) else {
         let text = format!("{}: give the id of the job", names.request_id);
         return plain(StatusCode::BAD_REQUEST, text);
     };
-    let deadline = arrived + told_time(&parts.headers, &names.deadline_ms).unwrap_or(CALL_TIME);
+    let deadline =
+        arrived + duration_header(&parts.headers, &names.deadline_ms).unwrap_or(CALL_TIMEOUT);
     let items = shared.dialect.parse_submission(body).and_then(check_items);
     let mut items = match items {
         Ok(items) => items,
         Err(bad) => return plain(StatusCode::BAD_REQUEST, bad.to_string()),
     };
-    if sender.caller != Caller::Unchecked {
-        forget_keys(&mut items, &names.tenant);
+    if submitter.caller != Caller::Unchecked {
+        strip_credentials(&mut items, &names.tenant);
     }
-    let residency = residency_of(shared, route, &sender, &items);
-    let far = regions::forbidden_job_stores(shared, &residency);
-    if !far.is_empty() {
-        return answer_unkept(shared, job, sender.caller.requester(), (&residency, far), deadline)
-            .await;
+    let residency = residency_of(shared, route, &submitter, &items);
+    let outside = regions::forbidden_job_stores(shared, &residency);
+    if !outside.is_empty() {
+        return reject_unless_stored(
+            shared,
+            job,
+            submitter.caller.requester(),
+            (&residency, outside),
+            deadline,
+        )
+        .await;
     }
     let submission = Submission {
-        host: sender.host,
+        host: submitter.host,
         max_attempts: route.max_attempts.max(1),
         max_queue_ms: route.batch.map_or(DEFAULT_MAX_QUEUE_MS, |batch| batch.max_queue_ms),
         completion_target_ms: route.batch.map_or(0, |batch| batch.completion_target_ms),
-        queue: format!("{} {}{}", sender.caller.name(), route.host, route.path_prefix),
+        queue: format!("{} {}{}", submitter.caller.name(), route.host, route.path_prefix),
         most_queued_tokens: route.batch.and_then(|batch| batch.most_queued_tokens),
         items,
     };
-    let requester = sender.caller.requester();
+    let requester = submitter.caller.requester();
     let request = Request::Submit { job: job.to_owned(), requester, submission };
     let outcome = shared.jobs.call(request, deadline).await;
-    tell_unsure(job, "submit", &outcome, arrived);
+    log_uncertain_outcome(job, "submit", &outcome, arrived);
     match outcome {
         CallOutcome::Answered(Reply::Accepted) => accepted(),
         CallOutcome::Answered(Reply::Full) => {
-            refusal(&names.retry_after, RETRY_AFTER, "no room for the job now")
+            rejection(&names.retry_after, RETRY_AFTER, "no room for the job now")
         }
         CallOutcome::Answered(Reply::OverQuota) => {
             let text = "more tokens would wait on the route than may";
-            let mut answer = refusal(&names.retry_after, QUOTA_RETRY_AFTER, text);
-            *answer.status_mut() = StatusCode::TOO_MANY_REQUESTS;
-            answer
+            let mut response = rejection(&names.retry_after, QUOTA_RETRY_AFTER, text);
+            *response.status_mut() = StatusCode::TOO_MANY_REQUESTS;
+            response
         }
-        CallOutcome::Answered(Reply::Taken) => taken(),
+        CallOutcome::Answered(Reply::Taken) => job_id_conflict(),
         CallOutcome::Answered(Reply::OutOfRegions { members }) => {
-            regions::refuse_job(shared, job, &residency, &members)
+            regions::reject_job(shared, job, &residency, &members)
         }
         CallOutcome::NotDone => no_job_store(shared),
-        CallOutcome::Unknown | CallOutcome::Answered(_) => may_be_taken(),
+        CallOutcome::Unknown | CallOutcome::Answered(_) => submission_outcome_unknown(),
     }
 }
 
-/// Where a job may be kept: where its own route and those of its items allow.
-fn residency_of(shared: &Shared, route: &Route, sender: &Sender, items: &[JobItem]) -> Residency {
+/// Regions in which a job may be stored: those allowed by its own route and by the routes of its
+/// items.
+fn residency_of(
+    shared: &Shared,
+    route: &Route,
+    submitter: &Submitter,
+    items: &[JobItem],
+) -> Residency {
     let catalog = shared.catalog.load();
-    let tenant = sender.caller.tenant().map(|tenant| &tenant.name);
+    let tenant = submitter.caller.tenant().map(|tenant| &tenant.name);
     let paths = items.iter().map(|item| item.path.as_str());
-    let of_items = residency_of_job(&catalog, &sender.host, tenant, paths);
+    let of_items = residency_of_job(&catalog, &submitter.host, tenant, paths);
     catalog.residency(route, tenant).and(&of_items)
 }
 
-/// The answer to a job that may not be kept at some job stores: it stays here, unless it is kept already and
-/// was sent again.
-async fn answer_unkept(
+/// Responds to a job that some job stores may not store: the job is not sent to them, unless it was
+/// stored before and this is a resubmission.
+async fn reject_unless_stored(
     shared: &Rc<Shared>,
     job: &str,
     requester: Requester,
-    (residency, far): (&Residency, Vec<String>),
+    (residency, outside): (&Residency, Vec<String>),
     deadline: Instant,
-) -> Answer {
+) -> ClientResponse {
     let request = Request::IsKept { job: job.to_owned(), requester };
     match shared.jobs.call(request, deadline).await {
         CallOutcome::Answered(Reply::Accepted) => accepted(),
-        CallOutcome::Answered(Reply::Taken) => taken(),
-        CallOutcome::Answered(Reply::NotFound) => regions::refuse_job(shared, job, residency, &far),
+        CallOutcome::Answered(Reply::Taken) => job_id_conflict(),
+        CallOutcome::Answered(Reply::NotFound) => {
+            regions::reject_job(shared, job, residency, &outside)
+        }
         CallOutcome::NotDone => no_job_store(shared),
-        CallOutcome::Unknown | CallOutcome::Answered(_) => may_be_taken(),
+        CallOutcome::Unknown | CallOutcome::Answered(_) => submission_outcome_unknown(),
     }
 }
 
-fn accepted() -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(Bytes::new()));
-    *answer.status_mut() = StatusCode::ACCEPTED;
-    answer
+fn accepted() -> ClientResponse {
+    let mut response = Response::new(ResponseBody::complete(Bytes::new()));
+    *response.status_mut() = StatusCode::ACCEPTED;
+    response
 }
 
-fn taken() -> Answer {
+fn job_id_conflict() -> ClientResponse {
     plain(StatusCode::CONFLICT, "another tenant has a job of this id")
 }
 
-fn no_job_store(shared: &Shared) -> Answer {
+fn no_job_store(shared: &Shared) -> ClientResponse {
     let name = &shared.dialect.headers().retry_after;
-    refusal(name, RETRY_AFTER, "no job store answers now")
+    rejection(name, RETRY_AFTER, "no job store answers now")
 }
 
-/// A refusal would promise that nothing of the job runs.
-fn may_be_taken() -> Answer {
+/// A rejection would promise that no part of the job runs.
+fn submission_outcome_unknown() -> ClientResponse {
     plain(StatusCode::GATEWAY_TIMEOUT, "the job may have been taken; send it again")
 }
 
-/// Takes keys and tenants that items name out of them: they must not reach the log.
-fn forget_keys(items: &mut [JobItem], tenant: &HeaderName) {
-    let is_secret = |name: &str| {
+/// Removes API keys and tenant headers from items: they must not be written to the replicated log.
+fn strip_credentials(items: &mut [JobItem], tenant: &HeaderName) {
+    let is_credential = |name: &str| {
         name.eq_ignore_ascii_case(header::AUTHORIZATION.as_str())
             || name.eq_ignore_ascii_case(tenant.as_str())
     };
     for item in items {
-        item.headers.retain(|header| !is_secret(&header.name));
+        item.headers.retain(|header| !is_credential(&header.name));
     }
 }
 
@@ -185,8 +200,8 @@
     Ok(items)
 }
 
-/// A line for a call that got no sure answer of the leader.
-fn tell_unsure(job: &str, step: &'static str, outcome: &CallOutcome, arrived: Instant) {
+/// Logs a call without a definite answer from the leader.
+fn log_uncertain_outcome(job: &str, step: &'static str, outcome: &CallOutcome, arrived: Instant) {
     let may_be_done = match outcome {
         CallOutcome::Answered(_) => return,
         CallOutcome::NotDone => false,
@@ -200,22 +215,23 @@
         .write();
 }
 
-fn told_time(headers: &http::HeaderMap, name: &HeaderName) -> Option<Duration> {
+fn duration_header(headers: &http::HeaderMap, name: &HeaderName) -> Option<Duration> {
     let milliseconds: f64 = headers.get(name)?.to_str().ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(milliseconds / 1_000.0).ok()
 }
 
-/// Answers a call about a job that was submitted before.
-pub async fn answer(
+/// Handles a call about a job that was submitted before.
+pub async fn handle_call(
     shared: &Rc<Shared>,
     call: JobCall,
     requester: Requester,
     parts: &Parts,
     arrived: Instant,
-) -> Answer {
+) -> ClientResponse {
     let names = shared.dialect.headers();
-    let wait = told_time(&parts.headers, &names.wait_ms).unwrap_or_default().min(MAX_WAIT);
-    let time = told_time(&parts.headers, &names.deadline_ms).unwrap_or(CALL_TIME + wait);
+    let wait =
+        duration_header(&parts.headers, &names.wait_ms).unwrap_or_default().min(MAX_RESULT_WAIT);
+    let time = duration_header(&parts.headers, &names.deadline_ms).unwrap_or(CALL_TIMEOUT + wait);
     let (job_id, step) = match &call {
         JobCall::Results { job, .. } => (job.clone(), "results"),
         JobCall::Body { job, .. } => (job.clone(), "body"),
@@ -229,13 +245,13 @@
         JobCall::End { job } => Request::End { job, requester },
     };
     let outcome = shared.jobs.call(request, arrived + time).await;
-    tell_unsure(&job_id, step, &outcome, arrived);
+    log_uncertain_outcome(&job_id, step, &outcome, arrived);
     match outcome {
         CallOutcome::Answered(Reply::Page(page)) => {
             json(StatusCode::OK, shared.dialect.format_results(&page))
         }
-        CallOutcome::Answered(Reply::Body(body)) => Response::new(AnswerBody::whole(body)),
-        CallOutcome::Answered(Reply::Ended) => Response::new(AnswerBody::whole(Bytes::new())),
+        CallOutcome::Answered(Reply::Body(body)) => Response::new(ResponseBody::complete(body)),
+        CallOutcome::Answered(Reply::Ended) => Response::new(ResponseBody::complete(Bytes::new())),
         CallOutcome::Answered(Reply::NotFound) => {
             plain(StatusCode::NOT_FOUND, "there is no such job or item")
         }
@@ -243,7 +259,7 @@
             plain(StatusCode::GATEWAY_TIMEOUT, "the change may be in force; send it again")
         }
         CallOutcome::NotDone | CallOutcome::Answered(_) => {
-            refusal(&names.retry_after, RETRY_AFTER, "no job store is sure now")
+            rejection(&names.retry_after, RETRY_AFTER, "no job store is sure now")
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,33 +1,35 @@
-//! Serves clients: takes requests, forwards them to back ends, passes job calls on to the job
-//! store, tells which gateways there are.
+//! The gateway: accepts client requests, forwards them to back ends, passes job calls on to the job
+//! store and announces the addresses of gateways.
 //!
-//! Two threads: control (members, configuration, back ends) publishes snapshots; traffic (sockets,
-//! requests, answers) reads them. A request passes, in this order: `connection` (time limits),
-//! `ingress` (which kind of call it is, and whose), `body` (size limits), `quota` (the tenant's limit),
-//! `admission` (holds what back ends have no free slots for), `forward` (attempts, each after `suspect` has
-//! cleared it), `relay` (the answer) or `jobs`. `order` is a request on this way; `request` is what a back end gets of it.
+//! It runs two threads. The control thread (membership, configuration, back ends) publishes
+//! snapshots; the traffic thread (sockets, requests, responses) reads them. A request passes
+//! through `connection` (timeouts), `ingress` (routing and authentication), `body` (size limits),
+//! `quota` (rate limits of tenants), `admission` (queues requests while back ends have no
+//! capacity), `forward` (attempts, each checked by `suspect`), and then `relay` (the response) or
+//! `jobs`. `context` holds the state of a request on this path; `request` builds the request that
+//! is sent to a back end.
 
 pub mod admission;
-pub mod answer;
 pub mod body;
 pub mod connection;
+pub mod context;
 pub mod control;
-pub mod crowding;
 pub mod daemon;
 pub mod directory;
 pub mod forward;
+pub mod gateway_ranking;
+pub mod gateway_selection;
+pub mod idle_eviction;
 pub mod ingress;
 pub mod jobs;
 pub mod load;
-pub mod named_gateways;
-pub mod order;
 pub mod quota;
 pub mod read_ahead;
 pub mod regions;
 pub mod relay;
 pub mod relay_port;
 pub mod request;
-pub mod sample;
+pub mod response;
 pub mod shared;
 pub mod suspect;
 
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -1,5 +1,5 @@
-//! Reports to a job store what this gateway has in flight, and learns what all processes have: items
-//! of jobs are preempted by online requests, and gateways act as one.
+//! Reports the requests in flight at this gateway to a job store and receives the totals of all
+//! processes. Online requests thereby preempt batch items, and gateways balance load as one.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,27 +16,27 @@
 
 use crate::shared::Shared;
 
-/// Reports after which back ends that are gone are forgotten, about half a minute.
-const REPORTS_TO_FORGET: u32 = 256;
-/// Longest wait for an answer, three of the longest intervals between reports.
+/// Number of reports after which state of departed back ends is dropped: about half a minute.
+const REPORTS_PER_CLEANUP: u32 = 256;
+/// Timeout for an answer: three times the longest report interval.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// A rate in requests a millisecond, in the unit of reports.
+/// Converts requests per millisecond to the unit of reports.
 const MILLISECONDS_IN_1000_SECONDS: f64 = 1e6;
 
-/// What this gateway knows from its aggregator.
-struct Known {
+/// State of the exchange with the aggregator.
+struct ReportState {
     target: ReportTarget,
     aggregator: String,
-    /// The job store that got reports before, until the present one has taken one.
+    /// The job store that received reports before, until the current one has accepted a report.
     moved_from: Option<String>,
     totals: HashMap<BackendLife, InFlight>,
-    /// Whether `totals` followed from every answer so far.
+    /// Whether `totals` reflects every answer so far.
     is_current: bool,
 }
 
-/// Reports for ever.
+/// Sends reports forever.
 pub async fn report(shared: Rc<Shared>, target: ReportTarget) {
-    let mut known = Known {
+    let mut state = ReportState {
         target,
         aggregator: String::new(),
         moved_from: None,
@@ -50,74 +50,75 @@
         let _ = tokio::time::timeout(longest_interval, changed).await;
         let gateways = shared.fleet.load().gateways().count();
         tokio::time::sleep(report_interval(gateways)).await;
-        longest_interval = match report_once(&shared, &mut known).await {
-            Reported::Nothing => IDLE_INTERVAL,
-            Reported::Load | Reported::NotTaken => BUSY_INTERVAL,
+        longest_interval = match report_once(&shared, &mut state).await {
+            ReportOutcome::Idle => IDLE_INTERVAL,
+            ReportOutcome::Load | ReportOutcome::NotAccepted => BUSY_INTERVAL,
         };
         reports += 1;
-        if reports % REPORTS_TO_FORGET == 0 {
-            forget_gone(&shared);
+        if reports % REPORTS_PER_CLEANUP == 0 {
+            drop_departed_backends(&shared);
         }
     }
 }
 
-/// What a report came to.
-enum Reported {
-    /// Requests, or what is left of their rates and outcomes.
+/// Outcome of a report.
+enum ReportOutcome {
+    /// There were requests in flight, or their rates and outcomes have not decayed yet.
     Load,
-    /// That there is nothing to report.
-    Nothing,
-    /// No job store took it.
-    NotTaken,
+    /// There was nothing to report.
+    Idle,
+    /// No job store accepted the report.
+    NotAccepted,
 }
 
-async fn report_once(shared: &Shared, known: &mut Known) -> Reported {
+async fn report_once(shared: &Shared, state: &mut ReportState) -> ReportOutcome {
     let fleet = shared.fleet.load_full();
-    let Some(aggregator) = known.target.choose(&fleet) else { return Reported::NotTaken };
-    if aggregator.name != known.aggregator {
+    let Some(aggregator) = state.target.choose(&fleet) else { return ReportOutcome::NotAccepted };
+    if aggregator.name != state.aggregator {
         Line::new(EventName::AggregatorChanged)
             .id(&aggregator.name)
-            .field("leader", known.target.leader())
+            .field("leader", state.target.leader())
             .write();
-        let before = std::mem::replace(&mut known.aggregator, aggregator.name.clone());
-        // One that took no report has nothing to forget.
-        let taken_by = known.moved_from.take().unwrap_or(before);
-        known.moved_from =
-            (!taken_by.is_empty() && taken_by != aggregator.name).then_some(taken_by);
-        known.is_current = false;
+        let before = std::mem::replace(&mut state.aggregator, aggregator.name.clone());
+        // A job store that never accepted a report holds nothing to discard.
+        let accepted_by = state.moved_from.take().unwrap_or(before);
+        state.moved_from =
+            (!accepted_by.is_empty() && accepted_by != aggregator.name).then_some(accepted_by);
+        state.is_current = false;
     }
     let counts = counts(shared);
     let report = LoadReport {
-        gateway: known.target.gateway().to_owned(),
+        gateway: state.target.gateway().to_owned(),
         counts: counts.clone(),
         arrivals: arrivals(shared),
         outcomes: outcomes(shared),
-        answer_all: !known.is_current,
-        moved_from: known.moved_from.clone(),
+        answer_all: !state.is_current,
+        moved_from: state.moved_from.clone(),
     };
     let reported = match report.is_idle() {
-        true => Reported::Nothing,
-        false => Reported::Load,
+        true => ReportOutcome::Idle,
+        false => ReportOutcome::Load,
     };
     let limit = Instant::now() + ANSWER_TIMEOUT;
     match shared.jobs.call_member(aggregator.address, Request::Load(report), limit).await {
         Some(Reply::Load(answer)) => {
-            known.target.answered(&aggregator.name, answer.leader.clone());
-            known.moved_from = None;
-            take_answer(shared, known, answer, &counts);
+            state.target.answered(&aggregator.name, answer.leader.clone());
+            state.moved_from = None;
+            apply_answer(shared, state, answer, &counts);
             reported
         }
-        // What a lost answer said is asked for again; the aggregator may be gone, or not lead.
+        // The content of a lost answer is requested again; the aggregator may be gone, or may not
+        // lead.
         Some(_) | None => {
-            known.is_current = false;
-            known.target.failed(&aggregator.name);
-            Reported::NotTaken
+            state.is_current = false;
+            state.target.failed(&aggregator.name);
+            ReportOutcome::NotAccepted
         }
     }
 }
 
-/// Drops what is held of back ends that nobody knows any more.
-fn forget_gone(shared: &Shared) {
+/// Drops state of back ends that are no longer known.
+fn drop_departed_backends(shared: &Shared) {
     let catalog = shared.catalog.load();
     shared.pool.retain(|life| catalog.is_ready_life(life));
     shared.places.with(|balancer, now| {
@@ -155,13 +156,13 @@
     })
 }
 
-/// Leaves out back ends that fail for all gateways. Where these are more than half of a service, the
-/// fault may be a link of those who report, and each gateway judges for itself.
-fn leave_out_failing(shared: &Shared, failing: &[BackendLife]) {
+/// Ejects back ends that fail for all gateways. If they are more than half of a service, the
+/// network of the reporting processes may be at fault, and each gateway decides on its own.
+fn eject_failing(shared: &Shared, failing: &[BackendLife]) {
     if failing.is_empty() {
         return;
     }
-    // Whatever the fault is: some of them may start again.
+    // Whatever the fault is, some of them may have restarted.
     shared.cold.failed_for_all(failing.iter().map(|life| life.id.as_str()));
     let catalog = shared.catalog.load();
     for (_, backends) in catalog.ready_services() {
@@ -176,37 +177,42 @@
     }
 }
 
-/// Takes what all processes have in flight, `reported` by this gateway included.
-fn take_answer(shared: &Shared, known: &mut Known, answer: LoadAnswer, reported: &[BackendCount]) {
-    if !known.is_current {
-        known.totals.clear();
-        known.is_current = true;
+/// Applies the in-flight totals of all processes, which include what this gateway `reported`.
+fn apply_answer(
+    shared: &Shared,
+    state: &mut ReportState,
+    answer: LoadAnswer,
+    reported: &[BackendCount],
+) {
+    if !state.is_current {
+        state.totals.clear();
+        state.is_current = true;
     }
     let gateways = shared.fleet.load().gateways().count();
     let is_informed = answer.covers_most_of(gateways);
     for change in answer.changes {
         let total = InFlight { online: change.online, items: change.items };
         if total == InFlight::default() {
-            known.totals.remove(&change.backend);
+            state.totals.remove(&change.backend);
         } else {
-            known.totals.insert(change.backend, total);
+            state.totals.insert(change.backend, total);
         }
     }
-    leave_out_failing(shared, &answer.failing);
+    eject_failing(shared, &answer.failing);
     if !is_informed {
         return;
     }
-    let own = |life: &BackendLife| {
+    let own_count = |life: &BackendLife| {
         reported.iter().find(|count| count.backend == *life).map_or(0, |count| count.requests)
     };
-    let totals = known.totals.iter().map(|(life, total)| (life, *total));
+    let totals = state.totals.iter().map(|(life, total)| (life, *total));
     shared.places.with(|balancer, now| {
         balancer.set_choosers(gateways, report_interval(gateways).as_millis() as u64);
-        balancer.heard_totals(now, totals, own);
+        balancer.heard_totals(now, totals, own_count);
         for rate in answer.arrivals {
             let per_ms = rate.per_1000_seconds as f64 / MILLISECONDS_IN_1000_SECONDS;
             balancer.set_arrivals_of_all(now, rate.service, per_ms);
         }
     });
-    shared.places.room.notify_one();
+    shared.places.capacity_freed.notify_one();
 }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,5 +1,5 @@
-//! Tokens of tenants' limits: a request of a limited tenant is sent only with one. Whom to ask is
-//! decided by `yokefall_quota::Meter`; asks of the same moment travel together.
+//! Tokens of tenants' rate limits: a request of a limited tenant is sent only with a token.
+//! `yokefall_quota::Meter` decides which accountant to ask; concurrent asks are batched.
 
 pub mod asks;
 pub mod assignment;
@@ -18,109 +18,109 @@
 use yokefall_quota::{Assignment, Meter, NextStep, Part, QuotaBounds, Refused, TokenAsk};
 use yokefall_serving::{Caller, RateLimit, Route, TenantName};
 
-use self::asks::{ask_accountant, Answer, Waiting};
+use self::asks::{ask_accountant, AskOutcome, QueuedAsk};
 use self::relays::take_by_relay;
 use crate::shared::Shared;
 
-/// Part of its target for which a request waits until an accountant is known: what is refused within a
-/// quarter of its target can be served elsewhere in time.
-const PATIENCE_SHARE: f64 = 0.2;
-/// When a caller may come back where no gateway can check limits: after a loss of all processes the job
-/// stores have a leader 1.2 s after their start. Spread, so that callers do not come together.
-const COLD_RETRY: Duration = Duration::from_millis(800);
-const COLD_RETRY_SPREAD: f64 = 1.5;
+/// Fraction of its latency target for which a request waits until an accountant is known: a request
+/// rejected within a quarter of its target can be served elsewhere in time.
+const ACCOUNTANT_WAIT_FRACTION: f64 = 0.2;
+/// Retry delay while no gateway can check limits: when all processes have been lost, the job stores
+/// elect a leader 1.2 s after their start. Randomized, so that callers do not return together.
+const NO_ACCOUNTANT_RETRY_AFTER: Duration = Duration::from_millis(800);
+const NO_ACCOUNTANT_RETRY_SPREAD: f64 = 1.5;
 
-/// The right to send one request of a tenant, for a while.
+/// Permission to send one request of a tenant, valid for a limited time.
 #[derive(Clone, Copy, Debug)]
 pub struct Token {
     expires_at: Timestamp,
 }
 
-/// Why there is no token.
+/// Why no token is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoToken {
-    /// The tenant has sent as many requests as it may.
+pub enum TokenError {
+    /// The tenant has used up its limit.
     OverLimit {
-        /// When there may be a token again.
+        /// When a token may be available again.
         wait: Duration,
     },
     /// No accountant could be asked in time.
     Unknown {
-        /// When the caller may come back: at once, to another gateway, where others may reach one.
+        /// Retry delay: zero where other gateways may reach an accountant.
         wait: Duration,
     },
 }
 
-/// Limits as this gateway knows them.
+/// Rate limits as known by this gateway.
 pub struct Quota {
     meter: RefCell<Meter>,
-    queues: RefCell<HashMap<String, UnboundedSender<Waiting>>>,
-    /// Woken when another assignment is wanted.
+    queues: RefCell<HashMap<String, UnboundedSender<QueuedAsk>>>,
+    /// Notified when the assignment should be fetched again.
     refresh: Notify,
-    /// Woken when an accountant gave no answer.
-    failed: Notify,
-    /// Woken when accountants are known that were not, or answer again.
-    found: Notify,
+    /// Notified when an accountant did not answer.
+    accountant_failed: Notify,
+    /// Notified when accountants become known or answer again.
+    accountant_found: Notify,
     lifetime: Duration,
     clock: ElapsedClock,
 }
 
 impl Quota {
-    /// Knows nothing yet.
+    /// Starts without any assignment.
     pub fn new(gateway: String, bounds: QuotaBounds, clock: ElapsedClock) -> Self {
         Self {
             meter: RefCell::new(Meter::new(gateway)),
             queues: RefCell::default(),
             refresh: Notify::new(),
-            failed: Notify::new(),
-            found: Notify::new(),
+            accountant_failed: Notify::new(),
+            accountant_found: Notify::new(),
             lifetime: bounds.token_lifetime(),
             clock,
         }
     }
 
-    /// The moment from which a token lives that is asked for now.
+    /// Current time, from which the lifetime of a requested token counts.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// A token that was asked for at a moment.
+    /// A token that was requested at `asked_at`.
     pub fn token(&self, asked_at: Timestamp) -> Token {
         Token { expires_at: asked_at + self.lifetime }
     }
 
-    /// Whether a token may still be spent: its accountant counts it for its lifetime, also where this
+    /// Whether a token may still be used: its accountant counts it for its lifetime, even if this
     /// machine is suspended meanwhile.
     pub fn is_valid(&self, token: Token) -> bool {
         self.now() < token.expires_at
     }
 
-    /// What is known of each part of a tenant's limit, for a line.
+    /// Describes the state of each part of a tenant's limit, for a log line.
     pub fn describe(&self, tenant: &TenantName) -> String {
         self.meter.borrow().describe(self.now(), tenant)
     }
 
-    /// Who the accountants are, for another gateway.
+    /// The current assignment of accountants, for another gateway.
     pub fn assignment(&self) -> Assignment {
         self.meter.borrow().assignment().clone()
     }
 }
 
-/// A token that is wanted.
+/// A request for a token.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
-    /// Who sends the request.
+pub struct TokenRequest<'a> {
+    /// The tenant that sends the request.
     pub tenant: &'a TenantName,
     /// The tenant's limit.
     pub limit: RateLimit,
-    /// Version of the configuration that gave the limit.
+    /// Version of the configuration that contains the limit.
     pub version: u64,
-    /// Target for latency of the request's route.
+    /// Latency target of the request's route.
     pub target: Duration,
 }
 
-impl<'a> Wanted<'a> {
-    /// What a request of a caller on a route needs; `None` where no limit holds for it.
+impl<'a> TokenRequest<'a> {
+    /// The token that a caller's request on a route needs; `None` if no limit applies.
     pub fn of(caller: &'a Caller, route: &Route, version: u64) -> Option<Self> {
         let tenant = caller.tenant()?;
         let target = Duration::from_millis(route.target_latency_ms);
@@ -133,46 +133,54 @@
     }
 }
 
-/// Takes a token for a request of a limited tenant. Where no accountant is known, as after a start of
-/// all processes, it waits a little.
-pub async fn take(shared: &Rc<Shared>, wanted: Wanted<'_>) -> Result<Token, NoToken> {
-    let until = Instant::now() + wanted.target.mul_f64(PATIENCE_SHARE);
+/// Takes a token for a request of a rate-limited tenant. Waits briefly if no accountant is known,
+/// as after a start of all processes.
+pub async fn take(
+    shared: &Rc<Shared>,
+    token_request: TokenRequest<'_>,
+) -> Result<Token, TokenError> {
+    let until = Instant::now() + token_request.target.mul_f64(ACCOUNTANT_WAIT_FRACTION);
     loop {
-        let found = shared.quota.found.notified();
-        let taken = try_take(shared, wanted).await;
-        let is_unknown = matches!(taken, Err(NoToken::Unknown { .. }));
-        if !is_unknown || tokio::time::timeout_at(until, found).await.is_err() {
+        let accountant_found = shared.quota.accountant_found.notified();
+        let taken = try_take(shared, token_request).await;
+        let is_unknown = matches!(taken, Err(TokenError::Unknown { .. }));
+        if !is_unknown || tokio::time::timeout_at(until, accountant_found).await.is_err() {
             return taken;
         }
     }
 }
 
-async fn try_take(shared: &Rc<Shared>, wanted: Wanted<'_>) -> Result<Token, NoToken> {
+async fn try_take(
+    shared: &Rc<Shared>,
+    token_request: TokenRequest<'_>,
+) -> Result<Token, TokenError> {
     let quota = &shared.quota;
     let mut refused: Vec<Refused> = Vec::new();
     loop {
-        let step = quota.meter.borrow().next(quota.now(), wanted.tenant, &refused);
+        let step = quota.meter.borrow().next(quota.now(), token_request.tenant, &refused);
         let (part, accountant) = match step {
             NextStep::Ask { part, accountant } => (part, accountant),
             NextStep::OverLimit { wait_ms } => {
-                return Err(NoToken::OverLimit { wait: Duration::from_millis(wait_ms) });
+                return Err(TokenError::OverLimit { wait: Duration::from_millis(wait_ms) });
             }
             NextStep::Unknown => {
                 quota.refresh.notify_one();
                 if quota.meter.borrow().assignment().version == 0 {
-                    let spread = rand::random_range(1.0..COLD_RETRY_SPREAD);
-                    return Err(NoToken::Unknown { wait: COLD_RETRY.mul_f64(spread) });
+                    let spread = rand::random_range(1.0..NO_ACCOUNTANT_RETRY_SPREAD);
+                    return Err(TokenError::Unknown {
+                        wait: NO_ACCOUNTANT_RETRY_AFTER.mul_f64(spread),
+                    });
                 }
-                return take_by_relay(shared, wanted).await;
+                return take_by_relay(shared, token_request).await;
             }
         };
-        let wait_ms = match ask_accountant(shared, &accountant, wanted.ask(part)).await {
-            Answer::Token { asked_at } => return Ok(quota.token(asked_at)),
-            Answer::Spent { wait_ms } => {
-                quota.meter.borrow_mut().spent(quota.now(), wanted.tenant, part, wait_ms);
+        let wait_ms = match ask_accountant(shared, &accountant, token_request.ask(part)).await {
+            AskOutcome::Token { asked_at } => return Ok(quota.token(asked_at)),
+            AskOutcome::Spent { wait_ms } => {
+                quota.meter.borrow_mut().spent(quota.now(), token_request.tenant, part, wait_ms);
                 Some(wait_ms)
             }
-            Answer::NotHeld | Answer::None => {
+            AskOutcome::NotHeld | AskOutcome::None => {
                 quota.refresh.notify_one();
                 None
             }
--- a/crates/gateway/src/quota/asks.rs
+++ b/crates/gateway/src/quota/asks.rs
@@ -1,5 +1,5 @@
-//! Asks for tokens on their way to accountants. What comes while an answer is awaited goes together, so that
-//! a gateway has one ask on its way to each accountant however many requests arrive.
+//! Requests for tokens to accountants. Asks that arrive while an answer is pending are batched, so
+//! that a gateway has one call in flight to each accountant regardless of the number of requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 
 use crate::shared::Shared;
 
-/// Time for an accountant to answer: a round trip between zones, and one pause of a process whose
-/// share of a processor is spent (a tenth of a second).
+/// Timeout for an accountant's answer: a round trip between zones, and one pause of a process whose
+/// CPU quota is used up (a tenth of a second).
 pub(super) const ASK_TIMEOUT: Duration = Duration::from_millis(120);
-/// Longest queue of asks drained at once.
-const MOST_ASKS: usize = 256;
+/// Maximum number of asks sent in one call.
+const MAX_BATCHED_ASKS: usize = 256;
 
-/// What became of one ask.
+/// Outcome of an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Answer {
+pub(super) enum AskOutcome {
     Token { asked_at: Timestamp },
     Spent { wait_ms: u64 },
     NotHeld,
@@ -29,13 +29,17 @@
 }
 
 /// An ask that waits to be sent.
-pub(super) struct Waiting {
+pub(super) struct QueuedAsk {
     ask: TokenAsk,
-    answer: oneshot::Sender<Answer>,
+    answer: oneshot::Sender<AskOutcome>,
 }
 
 /// Queues an ask for an accountant and waits for its answer.
-pub(super) async fn ask_accountant(shared: &Rc<Shared>, accountant: &str, ask: TokenAsk) -> Answer {
+pub(super) async fn ask_accountant(
+    shared: &Rc<Shared>,
+    accountant: &str,
+    ask: TokenAsk,
+) -> AskOutcome {
     let (answer, answered) = oneshot::channel();
     let queue = {
         let mut queues = shared.quota.queues.borrow_mut();
@@ -46,20 +50,20 @@
         };
         queues.entry(accountant.to_owned()).or_insert_with(start).clone()
     };
-    if queue.send(Waiting { ask, answer }).is_err() {
-        return Answer::None;
+    if queue.send(QueuedAsk { ask, answer }).is_err() {
+        return AskOutcome::None;
     }
-    answered.await.unwrap_or(Answer::None)
+    answered.await.unwrap_or(AskOutcome::None)
 }
 
-/// Sends what is queued for one accountant, for ever.
+/// Sends the queued asks for one accountant forever.
 async fn serve_queue(
     shared: Rc<Shared>,
     accountant: String,
-    mut queue: UnboundedReceiver<Waiting>,
+    mut queue: UnboundedReceiver<QueuedAsk>,
 ) {
     let mut waiting = Vec::new();
-    while queue.recv_many(&mut waiting, MOST_ASKS).await > 0 {
+    while queue.recv_many(&mut waiting, MAX_BATCHED_ASKS).await > 0 {
         let asked_at = shared.quota.now();
         let groups = group(std::mem::take(&mut waiting));
         let asks = groups.iter().map(|group| group.ask.clone()).collect();
@@ -72,7 +76,7 @@
             }
         }
         if grants.is_none() {
-            shared.quota.failed.notify_one();
+            shared.quota.accountant_failed.notify_one();
         }
         let grants = grants.unwrap_or_default();
         let mut grants = grants.into_iter();
@@ -82,15 +86,15 @@
     }
 }
 
-/// Asks of the same part of the same tenant's limit.
+/// Asks for the same part of the same tenant's limit.
 struct Group {
     ask: TokenAsk,
-    answers: Vec<oneshot::Sender<Answer>>,
+    answers: Vec<oneshot::Sender<AskOutcome>>,
 }
 
-fn group(waiting: Vec<Waiting>) -> Vec<Group> {
+fn group(waiting: Vec<QueuedAsk>) -> Vec<Group> {
     let mut groups: Vec<Group> = Vec::new();
-    for Waiting { ask, answer } in waiting {
+    for QueuedAsk { ask, answer } in waiting {
         let is_same = |group: &&mut Group| {
             group.ask.tenant == ask.tenant
                 && group.ask.part == ask.part
@@ -108,23 +112,24 @@
 }
 
 impl Group {
-    /// Gives the tokens to those who waited first. Whoever does not wait any more loses its token.
+    /// Distributes the tokens in order of arrival. The token of a caller that no longer waits is
+    /// lost.
     fn answer(self, grant: Option<TokenGrant>, asked_at: Timestamp) {
         for (number, answer) in (0..).zip(self.answers) {
-            let told = match grant {
+            let outcome = match grant {
                 Some(TokenGrant::Granted { tokens, .. }) if number < tokens => {
-                    Answer::Token { asked_at }
+                    AskOutcome::Token { asked_at }
                 }
-                Some(TokenGrant::Granted { wait_ms, .. }) => Answer::Spent { wait_ms },
-                Some(TokenGrant::NotHeld) => Answer::NotHeld,
-                None => Answer::None,
+                Some(TokenGrant::Granted { wait_ms, .. }) => AskOutcome::Spent { wait_ms },
+                Some(TokenGrant::NotHeld) => AskOutcome::NotHeld,
+                None => AskOutcome::None,
             };
-            let _ = answer.send(told);
+            let _ = answer.send(outcome);
         }
     }
 }
 
-/// Asks an accountant; `None` where it gave no answer in time.
+/// Calls an accountant; `None` if it did not answer in time.
 pub(super) async fn call(
     shared: &Shared,
     accountant: &str,
@@ -132,8 +137,8 @@
 ) -> Option<Vec<TokenGrant>> {
     let address = {
         let fleet = shared.fleet.load();
-        let found = fleet.job_stores().find(|member| member.name == accountant);
-        found.map(|member| member.address)
+        let accountant_found = fleet.job_stores().find(|member| member.name == accountant);
+        accountant_found.map(|member| member.address)
     }?;
     let limit = Instant::now() + ASK_TIMEOUT;
     match shared.jobs.call_member(address, Request::TakeTokens(asks), limit).await {
--- a/crates/gateway/src/quota/assignment.rs
+++ b/crates/gateway/src/quota/assignment.rs
@@ -1,4 +1,5 @@
-//! Who the accountants are: asked for when it may have changed, of the leader or of other gateways.
+//! Keeps the assignment of accountants current: fetched from the leader or from other gateways when
+//! it may have changed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,26 +8,26 @@
 use yokefall_jobstore::{CallOutcome, Reply, Request};
 
 use super::asks::{call, ASK_TIMEOUT};
-use super::relays::relays;
+use super::relays::relay_gateways;
 use crate::shared::Shared;
 
-/// Pause before an accountant that gave no answer is tried again for the first time: one that has only
-/// lost a frame, or stood still for a tenth of a second, is back by then.
-const FIRST_PROBE_PAUSE: Duration = Duration::from_millis(150);
-/// Interval at which it is tried after that.
+/// Delay before the first probe of an accountant that did not answer: one that only lost a frame,
+/// or was paused for a tenth of a second, has recovered by then.
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(150);
+/// Interval between later probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(700);
-/// Time for the leader to tell who the accountants are.
+/// Timeout for the leader to return the assignment.
 const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Interval at which that is asked for without a reason.
+/// Interval at which the assignment is fetched without a reason.
 const ASSIGNMENT_INTERVAL: Duration = Duration::from_secs(30);
-/// Shortest interval between two such questions of a process that knows an answer.
+/// Minimum interval between two fetches once an assignment is known.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval at which a process whose configuration limits nobody looks whether that has changed.
+/// Interval at which a process without rate limits checks whether its configuration has some.
 const LIMITS_INTERVAL: Duration = Duration::from_millis(700);
-/// Interval at which a process that has just started looks whether it knows a configuration.
+/// Interval at which a starting process checks whether it has a configuration.
 const START_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Keeps the assignment current, for ever.
+/// Keeps the assignment current, forever.
 pub async fn maintain(shared: Rc<Shared>) {
     loop {
         match has_limits(&shared) {
@@ -39,9 +40,9 @@
 
 async fn maintain_once(shared: &Shared) {
     if refresh(shared).await {
-        shared.quota.found.notify_waiters();
+        shared.quota.accountant_found.notify_waiters();
         // One that did not answer before may be an accountant again.
-        shared.quota.failed.notify_one();
+        shared.quota.accountant_failed.notify_one();
     }
     let now = shared.quota.now();
     shared.quota.meter.borrow_mut().forget(now);
@@ -50,17 +51,17 @@
         return;
     }
     tokio::time::sleep(REFRESH_INTERVAL).await;
-    let wanted = shared.quota.refresh.notified();
-    // Without a reason it is asked for now and then all the same.
-    let _ = tokio::time::timeout(ASSIGNMENT_INTERVAL, wanted).await;
+    let refresh_requested = shared.quota.refresh.notified();
+    // Fetches periodically even if nothing requests it.
+    let _ = tokio::time::timeout(ASSIGNMENT_INTERVAL, refresh_requested).await;
 }
 
-/// Tries accountants that gave no answer until they answer, for ever. On a schedule of its own: were it
-/// put off by each request that is refused meanwhile, refusals would last for as long as callers ask.
-pub async fn try_failing(shared: Rc<Shared>) {
+/// Probes accountants that did not answer until they do, forever. It runs on its own schedule: if
+/// each rejected request postponed the probe, rejections would last as long as callers keep asking.
+pub async fn probe_failing(shared: Rc<Shared>) {
     loop {
-        shared.quota.failed.notified().await;
-        tokio::time::sleep(FIRST_PROBE_PAUSE).await;
+        shared.quota.accountant_failed.notified().await;
+        tokio::time::sleep(FIRST_PROBE_DELAY).await;
         while !shared.quota.meter.borrow().failing().is_empty() {
             probe(&shared).await;
             tokio::time::sleep(PROBE_INTERVAL).await;
@@ -68,13 +69,13 @@
     }
 }
 
-/// Whether any tenant has a limit; `None` where no configuration is known.
+/// Whether any tenant has a limit; `None` if no configuration is known.
 fn has_limits(shared: &Shared) -> Option<bool> {
     let catalog = shared.catalog.load();
     catalog.configuration.as_ref().map(|configuration| configuration.has_limits())
 }
 
-/// Asks who the accountants are; returns whether somebody told it.
+/// Fetches the assignment; returns whether it was obtained.
 async fn refresh(shared: &Shared) -> bool {
     let deadline = Instant::now() + ASSIGNMENT_TIMEOUT;
     if let CallOutcome::Answered(Reply::Accountants(assignment)) =
@@ -83,7 +84,7 @@
         shared.quota.meter.borrow_mut().set_assignment(assignment);
         return true;
     }
-    for address in relays(shared) {
+    for address in relay_gateways(shared) {
         let limit = Instant::now() + ASK_TIMEOUT;
         let reply = shared.jobs.call_member(address, Request::Accountants, limit).await;
         if let Some(Reply::Accountants(assignment)) = reply {
@@ -94,13 +95,13 @@
     false
 }
 
-/// Tries all accountants that gave no answer at once: an ask for nothing.
+/// Probes all failing accountants at once with an empty call.
 async fn probe(shared: &Shared) {
     let failing = shared.quota.meter.borrow().failing();
     let tries = failing.iter().map(|accountant| async move {
         if call(shared, accountant, Vec::new()).await.is_some() {
             shared.quota.meter.borrow_mut().answered(accountant);
-            shared.quota.found.notify_waiters();
+            shared.quota.accountant_found.notify_waiters();
         }
     });
     futures::future::join_all(tries).await;
--- a/crates/gateway/src/quota/relays.rs
+++ b/crates/gateway/src/quota/relays.rs
@@ -1,4 +1,5 @@
-//! Asks that go through other gateways: this one may be cut off from the job stores alone.
+//! Token requests relayed by other gateways, for when only this gateway is cut off from the job
+//! stores.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,24 +9,24 @@
 use yokefall_jobstore::{Reply, Request};
 use yokefall_quota::{TokenAsk, TokenGrant};
 
-use super::asks::{ask_accountant, Answer, ASK_TIMEOUT};
-use super::{NoToken, Token, Wanted};
+use super::asks::{ask_accountant, AskOutcome, ASK_TIMEOUT};
+use super::{Token, TokenError, TokenRequest};
 use crate::shared::Shared;
 
-/// Other gateways that are asked to pass an ask on where no accountant can be reached.
-const RELAYS: usize = 2;
+/// Number of other gateways asked to relay a request when no accountant can be reached.
+const MAX_RELAYS: usize = 2;
 
-/// Asks other gateways to pass an ask on: this one may be cut off from the job stores alone.
+/// Requests a token through other gateways, since only this one may be cut off from the job stores.
 pub(super) async fn take_by_relay(
     shared: &Rc<Shared>,
-    wanted: Wanted<'_>,
-) -> Result<Token, NoToken> {
-    for address in relays(shared) {
+    token_request: TokenRequest<'_>,
+) -> Result<Token, TokenError> {
+    for address in relay_gateways(shared) {
         let mut shortest_wait: Option<u64> = None;
-        let order = shared.quota.meter.borrow().order(wanted.tenant);
+        let order = shared.quota.meter.borrow().order(token_request.tenant);
         for part in order {
             let asked_at = shared.quota.now();
-            let asks = vec![wanted.ask(part)];
+            let asks = vec![token_request.ask(part)];
             let deadline = Instant::now() + ASK_TIMEOUT;
             let reply = shared.jobs.call_member(address, Request::TakeTokens(asks), deadline).await;
             let grant = match reply {
@@ -43,37 +44,38 @@
             }
         }
         if let Some(wait_ms) = shortest_wait {
-            return Err(NoToken::OverLimit { wait: Duration::from_millis(wait_ms) });
+            return Err(TokenError::OverLimit { wait: Duration::from_millis(wait_ms) });
         }
     }
-    Err(NoToken::Unknown { wait: Duration::ZERO })
+    Err(TokenError::Unknown { wait: Duration::ZERO })
 }
 
-/// Addresses of some other gateways, drawn anew each time.
-pub(super) fn relays(shared: &Shared) -> Vec<SocketAddr> {
+/// Addresses of some other gateways, sampled at random for each call.
+pub(super) fn relay_gateways(shared: &Shared) -> Vec<SocketAddr> {
     let fleet = shared.fleet.load();
     let others: Vec<SocketAddr> = fleet
         .gateways()
         .map(|member| member.address)
         .filter(|address| *address != shared.peer)
         .collect();
-    let drawn = rand::seq::index::sample(&mut rand::rng(), others.len(), RELAYS.min(others.len()));
+    let drawn =
+        rand::seq::index::sample(&mut rand::rng(), others.len(), MAX_RELAYS.min(others.len()));
     drawn.into_iter().map(|index| others[index]).collect()
 }
 
-/// Grants tokens to another gateway, which cannot reach the accountants itself.
+/// Obtains tokens for another gateway that cannot reach the accountants itself.
 pub async fn relay(shared: &Rc<Shared>, asks: Vec<TokenAsk>) -> Vec<TokenGrant> {
     let mut grants = Vec::with_capacity(asks.len());
     for ask in asks {
         let accountant = shared.quota.meter.borrow().accountant(&ask.tenant, ask.part);
         let answer = match accountant {
             Some(accountant) => ask_accountant(shared, &accountant, ask).await,
-            None => Answer::NotHeld,
+            None => AskOutcome::NotHeld,
         };
         grants.push(match answer {
-            Answer::Token { .. } => TokenGrant::Granted { tokens: 1, wait_ms: 0 },
-            Answer::Spent { wait_ms } => TokenGrant::Granted { tokens: 0, wait_ms },
-            Answer::NotHeld | Answer::None => TokenGrant::NotHeld,
+            AskOutcome::Token { .. } => TokenGrant::Granted { tokens: 1, wait_ms: 0 },
+            AskOutcome::Spent { wait_ms } => TokenGrant::Granted { tokens: 0, wait_ms },
+            AskOutcome::NotHeld | AskOutcome::None => TokenGrant::NotHeld,
         });
     }
     grants
--- a/crates/gateway/src/read_ahead.rs
+++ b/crates/gateway/src/read_ahead.rs
@@ -1,9 +1,10 @@
-//! Reads answers on for clients that read slowly.
+//! Buffers responses for clients that read slowly.
 //!
-//! A back end cuts off an answer that is left unread for some seconds, and what it holds for unread answers is its
-//! memory. An answer is passed on piece by piece as its client takes it; where the client takes nothing for a while, the
-//! rest is read into the gateway's memory, up to a bound over all clients. At the bound an answer is read as its client
-//! takes it, one piece ahead: the back end may cut it off then, and the client learns that it broke.
+//! A back end aborts a response that is left unread for some seconds, since unread responses occupy
+//! its memory. A response is relayed chunk by chunk as its client reads; when the client reads
+//! nothing for a while, the rest is read into the gateway's memory, within a limit over all
+//! clients. At the limit a response is read at the client's pace, one chunk ahead: the back end may
+//! then abort it, and the client sees the failure.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,72 +19,78 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::answer::{BrokenAnswer, Pieces};
+use crate::response::{ChunkStream, ResponseAborted};
 
-/// Time after which a client that takes nothing counts as slow: well within the seconds for which back ends wait, and
-/// longer than a client that is only busy needs.
-const SLOW_AFTER: Duration = Duration::from_millis(500);
-/// Interval at which clients are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a client may read nothing before it counts as slow: well below the seconds that back
+/// ends wait, and longer than a client that is merely busy needs.
+const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which clients are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-type Piece = Result<Bytes, BrokenAnswer>;
+type Chunk = Result<Bytes, ResponseAborted>;
 
-/// All answers that are being passed on.
+/// All responses that are being relayed.
 #[derive(Debug)]
 pub struct ReadAhead {
     open: RefCell<Vec<Weak<RefCell<Reader>>>>,
-    /// Bytes that are held for clients.
+    /// Bytes buffered for clients.
     bytes: Cell<usize>,
-    /// Most of them.
-    most_bytes: usize,
-    /// Woken when bytes are given back.
-    room: Notify,
-    /// Woken when an answer begins to be passed on while there is no other.
+    /// Upper bound for `bytes`.
+    max_bytes: usize,
+    /// Notified when buffered bytes are released.
+    capacity_freed: Notify,
+    /// Notified when a response is opened while no other is.
     opened: Notify,
 }
 
-/// One answer.
+/// One response.
 struct Reader {
     ahead: Rc<ReadAhead>,
-    /// The answer; `None` once it has ended.
-    source: Option<Pieces>,
-    /// What has been read and not been taken.
-    held: VecDeque<Piece>,
-    held_bytes: usize,
-    /// When the client last took something, unless it waits for more.
-    took_at: Option<Instant>,
+    /// The response; `None` once it has ended.
+    source: Option<ChunkStream>,
+    /// Chunks that were read and not yet taken by the client.
+    buffered: VecDeque<Chunk>,
+    buffered_bytes: usize,
+    /// When the client last took a chunk, unless it is waiting for more.
+    last_taken_at: Option<Instant>,
     /// Wakes the client's connection.
     waker: Option<Waker>,
-    /// Reads on for a slow client, to the end of the answer.
+    /// Reads the response to its end for a slow client.
     task: Option<JoinHandle<()>>,
 }
 
 impl std::fmt::Debug for Reader {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Reader").field("held_bytes", &self.held_bytes).finish()
+        formatter.debug_struct("Reader").field("buffered_bytes", &self.buffered_bytes).finish()
     }
 }
 
-/// The pieces of an answer as its client takes them.
-struct Taken {
+/// Chunks of a response as its client takes them.
+struct BufferedResponse {
     reader: Rc<RefCell<Reader>>,
 }
 
 impl ReadAhead {
-    /// Nothing is being passed on yet; at most so many bytes are held for slow clients.
-    pub fn new(most_bytes: usize) -> Rc<Self> {
+    /// Starts without responses; at most `max_bytes` are buffered for slow clients.
+    pub fn new(max_bytes: usize) -> Rc<Self> {
         let (open, bytes) = (RefCell::default(), Cell::default());
-        Rc::new(Self { open, bytes, most_bytes, room: Notify::new(), opened: Notify::new() })
+        Rc::new(Self {
+            open,
+            bytes,
+            max_bytes,
+            capacity_freed: Notify::new(),
+            opened: Notify::new(),
+        })
     }
 
-    /// Passes an answer on.
-    pub fn pass(self: &Rc<Self>, source: Pieces) -> Pieces {
+    /// Relays a response.
+    pub fn relay(self: &Rc<Self>, source: ChunkStream) -> ChunkStream {
         let reader = Rc::new(RefCell::new(Reader {
             ahead: self.clone(),
             source: Some(source),
-            held: VecDeque::new(),
-            held_bytes: 0,
-            took_at: None,
+            buffered: VecDeque::new(),
+            buffered_bytes: 0,
+            last_taken_at: None,
             waker: None,
             task: None,
         }));
@@ -92,23 +99,23 @@
             self.opened.notify_one();
         }
         open.push(Rc::downgrade(&reader));
-        Box::pin(Taken { reader })
+        Box::pin(BufferedResponse { reader })
     }
 
-    /// Bytes that are held for slow clients.
-    pub fn held_bytes(&self) -> usize {
+    /// Bytes buffered for slow clients.
+    pub fn buffered_bytes(&self) -> usize {
         self.bytes.get()
     }
 
-    /// Reads on for clients that have become slow.
-    fn look(&self) {
+    /// Starts reading ahead for clients that have become slow.
+    fn check_clients(&self) {
         let mut open = self.open.borrow_mut();
         open.retain(|reader| reader.strong_count() > 0);
         for reader in open.iter().filter_map(Weak::upgrade) {
             let is_slow = reader.borrow().is_slow();
             if is_slow {
                 metrics::counter!("gateway_slow_readers_total").increment(1);
-                let task = tokio::task::spawn_local(read_on(Rc::downgrade(&reader)));
+                let task = tokio::task::spawn_local(read_to_end(Rc::downgrade(&reader)));
                 reader.borrow_mut().task = Some(task);
             }
         }
@@ -116,57 +123,59 @@
     }
 }
 
-/// Looks for ever for clients that have become slow, while any answer is passed on.
+/// Checks for slow clients forever, while any response is being relayed.
 pub async fn watch(ahead: Rc<ReadAhead>) {
     loop {
         if ahead.open.borrow().is_empty() {
             ahead.opened.notified().await;
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
-        ahead.look();
+        tokio::time::sleep(POLL_INTERVAL).await;
+        ahead.check_clients();
     }
 }
 
-/// Reads an answer to its end. It ends with the answer: a client that leaves drops the reader, and with it this task and
-/// the connection to the back end.
-async fn read_on(reader: Weak<RefCell<Reader>>) {
+/// Reads a response to its end. When the client disconnects, the reader is dropped, and with it
+/// this task and the connection to the back end.
+async fn read_to_end(reader: Weak<RefCell<Reader>>) {
     loop {
-        wait_for_room(&reader).await;
+        wait_for_capacity(&reader).await;
         let read = std::future::poll_fn(|context| match reader.upgrade() {
             Some(reader) => reader.borrow_mut().poll_source(context),
             None => Poll::Ready(None),
         });
-        let piece = read.await;
+        let chunk = read.await;
         let Some(reader) = reader.upgrade() else { return };
-        let has_ended = piece.is_none();
-        reader.borrow_mut().hold(piece);
+        let has_ended = chunk.is_none();
+        reader.borrow_mut().buffer(chunk);
         if has_ended {
             return;
         }
     }
 }
 
-/// Waits until there is room for another piece. One piece is always read: the answer must go on.
-async fn wait_for_room(reader: &Weak<RefCell<Reader>>) {
+/// Waits until another chunk may be buffered. One chunk is always read, so that the response makes
+/// progress.
+async fn wait_for_capacity(reader: &Weak<RefCell<Reader>>) {
     loop {
-        let Some(held) = reader.upgrade() else { return };
-        let ahead = held.borrow().ahead.clone();
-        let has_room = held.borrow().held.is_empty() || ahead.bytes.get() < ahead.most_bytes;
-        drop(held);
-        if has_room {
+        let Some(upgraded) = reader.upgrade() else { return };
+        let ahead = upgraded.borrow().ahead.clone();
+        let has_capacity =
+            upgraded.borrow().buffered.is_empty() || ahead.bytes.get() < ahead.max_bytes;
+        drop(upgraded);
+        if has_capacity {
             return;
         }
-        ahead.room.notified().await;
+        ahead.capacity_freed.notified().await;
     }
 }
 
 impl Reader {
     fn is_slow(&self) -> bool {
-        let is_late = self.took_at.is_some_and(|at| at.elapsed() >= SLOW_AFTER);
+        let is_late = self.last_taken_at.is_some_and(|at| at.elapsed() >= SLOW_CLIENT_TIMEOUT);
         is_late && self.task.is_none() && self.source.is_some()
     }
 
-    fn poll_source(&mut self, context: &mut Context<'_>) -> Poll<Option<Piece>> {
+    fn poll_source(&mut self, context: &mut Context<'_>) -> Poll<Option<Chunk>> {
         let Some(source) = &mut self.source else { return Poll::Ready(None) };
         let polled = source.as_mut().poll_next(context);
         if let Poll::Ready(None) = polled {
@@ -175,29 +184,29 @@
         polled
     }
 
-    /// Holds what was read for the client.
-    fn hold(&mut self, piece: Option<Piece>) {
-        if let Some(piece) = piece {
-            let bytes = piece.as_ref().map_or(0, Bytes::len);
-            self.held_bytes += bytes;
+    /// Buffers a chunk for the client.
+    fn buffer(&mut self, chunk: Option<Chunk>) {
+        if let Some(chunk) = chunk {
+            let bytes = chunk.as_ref().map_or(0, Bytes::len);
+            self.buffered_bytes += bytes;
             self.ahead.bytes.set(self.ahead.bytes.get() + bytes);
-            self.held.push_back(piece);
+            self.buffered.push_back(chunk);
         }
         if let Some(waker) = self.waker.take() {
             waker.wake();
         }
     }
 
-    fn give_back(&mut self, bytes: usize) {
-        self.held_bytes -= bytes;
+    fn release(&mut self, bytes: usize) {
+        self.buffered_bytes -= bytes;
         self.ahead.bytes.set(self.ahead.bytes.get() - bytes);
-        self.ahead.room.notify_waiters();
+        self.ahead.capacity_freed.notify_waiters();
     }
 
-    fn take(&mut self, context: &mut Context<'_>) -> Poll<Option<Piece>> {
-        if let Some(piece) = self.held.pop_front() {
-            self.give_back(piece.as_ref().map_or(0, Bytes::len));
-            return Poll::Ready(Some(piece));
+    fn take(&mut self, context: &mut Context<'_>) -> Poll<Option<Chunk>> {
+        if let Some(chunk) = self.buffered.pop_front() {
+            self.release(chunk.as_ref().map_or(0, Bytes::len));
+            return Poll::Ready(Some(chunk));
         }
         if self.task.is_none() || self.source.is_none() {
             return self.poll_source(context);
@@ -207,13 +216,13 @@
     }
 }
 
-impl Stream for Taken {
-    type Item = Piece;
+impl Stream for BufferedResponse {
+    type Item = Chunk;
 
-    fn poll_next(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Piece>> {
+    fn poll_next(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Chunk>> {
         let mut reader = self.reader.borrow_mut();
         let taken = reader.take(context);
-        reader.took_at = taken.is_ready().then(Instant::now);
+        reader.last_taken_at = taken.is_ready().then(Instant::now);
         taken
     }
 }
@@ -223,7 +232,7 @@
         if let Some(task) = self.task.take() {
             task.abort();
         }
-        let bytes = self.held_bytes;
-        self.give_back(bytes);
+        let bytes = self.buffered_bytes;
+        self.release(bytes);
     }
 }
--- a/crates/gateway/src/regions.rs
+++ b/crates/gateway/src/regions.rs
@@ -1,4 +1,4 @@
-//! Refusals of what must stay in some regions and cannot.
+//! Rejections of requests and jobs that are restricted to regions in which they cannot be served.
 
 use std::time::Duration;
 
@@ -6,39 +6,41 @@
 use yokefall_serving::{Caller, FleetMember, Need, Residency, Route};
 use yokefall_telemetry::{EventName, Line};
 
-use crate::answer::{refusal, Answer};
+use crate::response::{rejection, ClientResponse};
 use crate::shared::Shared;
 
-/// When a caller may come back in whose regions nothing takes work: back ends that start or are let in again
-/// are known to all gateways about a second later.
-const NO_BACK_END_RETRY: Duration = Duration::from_millis(1_000);
-/// When a caller may come back whose route and tenant have no region in common, or whose job may not be kept at
-/// all job stores: not before a configuration or the job stores have changed, which takes two to four seconds.
-const NOWHERE_RETRY: Duration = Duration::from_millis(4_000);
+/// Retry delay when no back end accepts requests in the allowed regions: back ends that start or
+/// are readmitted are known to all gateways about a second later.
+const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Retry delay when route and tenant have no region in common, or when a job may not be stored at
+/// all job stores: this lasts until a configuration or the set of job stores has changed, which
+/// takes two to four seconds.
+const RESIDENCY_RETRY_AFTER: Duration = Duration::from_millis(4_000);
 
-/// Names of job stores in a line.
-const MOST_NAMES: usize = 3;
+/// Maximum number of job store names in a log line.
+const MAX_LOGGED_NAMES: usize = 3;
 
-/// Whether a request is restricted and no back end takes work where it may be served.
-pub fn lack_back_ends(shared: &Shared, need: &Need) -> bool {
+/// Whether a request is restricted to regions in which no back end accepts requests.
+pub fn has_no_backends(shared: &Shared, need: &Need) -> bool {
     let catalog = shared.catalog.load();
     let is_restricted = *need.residency != Residency::Anywhere;
     is_restricted && shared.eligibility.candidates(&catalog, need).is_empty()
 }
 
-/// The answer to a request that was not run. It is 503 even where configurations would have to change: a status
-/// of the client's own mistakes would be false, since another gateway may know a newer configuration.
-pub fn refuse(retry_after: &HeaderName, residency: &Residency) -> Answer {
+/// The response to a request that was not executed. The status is 503 even if only a configuration
+/// change would help: a 4xx status would be wrong, since another gateway may have a newer
+/// configuration.
+pub fn reject(retry_after: &HeaderName, residency: &Residency) -> ClientResponse {
     if residency.is_nowhere() {
         let text = "the route and the tenant have no region in common: no region may serve this";
-        return refusal(retry_after, NOWHERE_RETRY, text);
+        return rejection(retry_after, RESIDENCY_RETRY_AFTER, text);
     }
     let text = format!("no back end takes work where this may be served: {residency}");
-    refusal(retry_after, NO_BACK_END_RETRY, text)
+    rejection(retry_after, NO_BACKEND_RETRY_AFTER, text)
 }
 
-/// A line for a request whose route and tenant have no region in common.
-pub fn tell_nowhere(id: &str, route: &Route, caller: &Caller, version: u64) {
+/// Logs a request whose route and tenant have no region in common.
+pub fn log_no_common_region(id: &str, route: &Route, caller: &Caller, version: u64) {
     Line::new(EventName::RegionRefused)
         .id(id)
         .field("route", route.name.as_str())
@@ -49,29 +51,34 @@
         .write();
 }
 
-/// Job stores at which something with this residency may not be kept: every one that lives is a member of the
-/// group or may become one. The leader, which knows the members that have ended as well, looks again.
+/// Job stores that may not store data with this residency: every running one is a member of the
+/// group or may become one. The leader, which also knows the members that have ended, checks again.
 pub fn forbidden_job_stores(shared: &Shared, residency: &Residency) -> Vec<String> {
     if *residency == Residency::Anywhere {
         return Vec::new();
     }
     let fleet = shared.fleet.load();
-    let stands_elsewhere =
+    let is_outside =
         |member: &&FleetMember| !residency.allows(shared.zones.region_of(&member.zone));
-    fleet.job_stores().filter(stands_elsewhere).map(|member| member.name.clone()).collect()
+    fleet.job_stores().filter(is_outside).map(|member| member.name.clone()).collect()
 }
 
-/// The answer to a job that would go to job stores at which it may not be kept.
-pub fn refuse_job(shared: &Shared, job: &str, residency: &Residency, far: &[String]) -> Answer {
-    let few: Vec<&str> = far.iter().take(MOST_NAMES).map(String::as_str).collect();
+/// The response to a job that would be stored at job stores where that is not allowed.
+pub fn reject_job(
+    shared: &Shared,
+    job: &str,
+    residency: &Residency,
+    outside: &[String],
+) -> ClientResponse {
+    let names: Vec<&str> = outside.iter().take(MAX_LOGGED_NAMES).map(String::as_str).collect();
     Line::new(EventName::RegionRefused)
         .id(job)
         .field("version", shared.catalog.load().version())
         .text("regions", residency)
-        .field("job_stores_elsewhere", far.len())
-        .field("some", few)
+        .field("job_stores_elsewhere", outside.len())
+        .field("some", names)
         .field("cause", "a copy of the job would go where it may not be kept")
         .write();
     let text = format!("this job may be kept in {residency} alone, and job stores stand elsewhere");
-    refusal(&shared.dialect.headers().retry_after, NOWHERE_RETRY, text)
+    rejection(&shared.dialect.headers().retry_after, RESIDENCY_RETRY_AFTER, text)
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passes an answer on: whole where it is short, as it comes where it is a stream. A stream that
-//! may be resumed goes on at another back end when its own breaks off.
+//! Relays a response to the client: short ones complete, streams as they arrive. A resumable stream
+//! continues at another back end when its own fails.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -13,171 +13,177 @@
 use yokefall_telemetry::{EventName, Line};
 use yokefall_upstream::{Connection, Place};
 
-use crate::answer::{Answer, AnswerBody, BrokenAnswer};
-use crate::forward::{send, tell_silent, Taken, SILENCE};
-use crate::order::{may_repeat, Order};
+use crate::context::{may_retry, RequestContext};
+use crate::forward::{log_silence, send, BackendResponse, SILENCE_TIMEOUT};
 use crate::request::copy_headers;
+use crate::response::{ClientResponse, ResponseAborted, ResponseBody};
 use crate::shared::Shared;
 use crate::suspect;
 
-/// Most bytes of an answer that is read whole before it is passed on.
-const WHOLE_BYTES: usize = 256 * 1024;
+/// Maximum size of a response that is collected before it is relayed.
+const MAX_COLLECTED_BYTES: usize = 256 * 1024;
 
-/// Ends an event of a stream.
+/// Terminates an event of a stream.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Passes an answer on. Where it breaks off before any of it was passed on, the order comes back
-/// with the cause.
-pub async fn pass(
+/// Relays a response. If it fails before any of it was sent to the client, returns the context with
+/// the cause.
+pub async fn relay(
     shared: &Rc<Shared>,
-    order: Order,
-    taken: Taken,
-) -> Result<Answer, (Box<Order>, String)> {
-    let streamed = order.route.kind == RouteKind::Stream && taken.answer.status().is_success();
-    let Taken { answer, connection, place } = taken;
-    let (head, body) = answer.into_parts();
-    let resumes = streamed && order.route.resumable;
-    let last_event = if resumes { asked_event(shared, &order) } else { 0 };
-    let deadline = Box::pin(tokio::time::sleep_until(order.deadline));
+    context: RequestContext,
+    backend_response: BackendResponse,
+) -> Result<ClientResponse, (Box<RequestContext>, String)> {
+    let streamed =
+        context.route.kind == RouteKind::Stream && backend_response.response.status().is_success();
+    let BackendResponse { response, connection, place } = backend_response;
+    let (head, body) = response.into_parts();
+    let resumes = streamed && context.route.resumable;
+    let last_event = if resumes { requested_event(shared, &context) } else { 0 };
+    let deadline = Box::pin(tokio::time::sleep_until(context.deadline));
     let close = Connection::is_last(&head.headers);
     let mut relay = Relay {
         shared: shared.clone(),
-        order: Box::new(order),
+        context: Box::new(context),
         source: Some(Source { body, connection, place, close }),
         deadline,
-        silence: Box::pin(tokio::time::sleep(SILENCE)),
+        silence: Box::pin(tokio::time::sleep(SILENCE_TIMEOUT)),
         resumes,
         last_event,
         partial: BytesMut::new(),
     };
     let mut collected = BytesMut::new();
     let first = loop {
-        match relay.piece().await {
-            Some(Ok(piece)) if streamed => break Some(piece),
-            Some(Ok(piece)) if collected.len() + piece.len() > WHOLE_BYTES => {
-                collected.extend_from_slice(&piece);
+        match relay.chunk().await {
+            Some(Ok(chunk)) if streamed => break Some(chunk),
+            Some(Ok(chunk)) if collected.len() + chunk.len() > MAX_COLLECTED_BYTES => {
+                collected.extend_from_slice(&chunk);
                 break Some(std::mem::take(&mut collected).freeze());
             }
-            Some(Ok(piece)) => collected.extend_from_slice(&piece),
+            Some(Ok(chunk)) => collected.extend_from_slice(&chunk),
             None => break None,
-            Some(Err(BrokenAnswer(cause))) => return Err((relay.order, cause)),
+            Some(Err(ResponseAborted(cause))) => return Err((relay.context, cause)),
         }
     };
     let body = match first {
-        None => AnswerBody::whole(collected.freeze()),
-        Some(first) => AnswerBody::passed(shared.ahead.pass(Box::pin(relay.into_pieces(first)))),
+        None => ResponseBody::complete(collected.freeze()),
+        Some(first) => {
+            ResponseBody::streamed(shared.read_ahead.relay(Box::pin(relay.into_chunks(first))))
+        }
     };
     Ok(respond(head.status, &head.headers, body))
 }
 
 /// The event after which the client itself asks to continue.
-fn asked_event(shared: &Shared, order: &Order) -> u64 {
-    let asked = order.parts.headers.get(&shared.dialect.headers().resume_after);
-    asked.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0)
+fn requested_event(shared: &Shared, context: &RequestContext) -> u64 {
+    let requested = context.parts.headers.get(&shared.dialect.headers().resume_after);
+    requested.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0)
 }
 
-fn respond(status: StatusCode, headers: &HeaderMap, body: AnswerBody) -> Answer {
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
-    copy_headers(headers, answer.headers_mut());
-    if hyper::body::Body::size_hint(answer.body()).exact().is_some() {
-        answer.headers_mut().remove(header::CONTENT_LENGTH);
+fn respond(status: StatusCode, headers: &HeaderMap, body: ResponseBody) -> ClientResponse {
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    copy_headers(headers, response.headers_mut());
+    if hyper::body::Body::size_hint(response.body()).exact().is_some() {
+        response.headers_mut().remove(header::CONTENT_LENGTH);
     }
-    answer
+    response
 }
 
 struct Source {
     body: Incoming,
     connection: Connection,
     place: Place,
-    /// Whether the back end closes the connection after the answer.
+    /// Whether the back end closes the connection after the response.
     close: bool,
 }
 
 struct Relay {
     shared: Rc<Shared>,
-    order: Box<Order>,
-    /// Where the answer comes from; `None` once it has ended.
+    context: Box<RequestContext>,
+    /// Source of the response; `None` once it has ended.
     source: Option<Source>,
     deadline: Pin<Box<Sleep>>,
-    /// Looks now and then whether the back end still says something.
+    /// Checks periodically whether the back end still sends data.
     silence: Pin<Box<Sleep>>,
     /// Whether the stream may continue at another back end.
     resumes: bool,
-    /// Last event passed on.
+    /// Last event that was relayed.
     last_event: u64,
-    /// Bytes of an event that is not complete.
+    /// Bytes of an incomplete event.
     partial: BytesMut,
 }
 
-enum Next {
+enum NextFrame {
     Data(Bytes),
     End,
     Broken(String),
-    OutOfTime,
+    TimedOut,
 }
 
 impl Relay {
-    /// The next piece to pass on; `None` at the exact end of the answer.
-    async fn piece(&mut self) -> Option<Result<Bytes, BrokenAnswer>> {
+    /// The next chunk to relay; `None` when the response has ended completely.
+    async fn chunk(&mut self) -> Option<Result<Bytes, ResponseAborted>> {
         loop {
             let source = self.source.as_mut()?;
-            match next(&self.shared, source, &mut self.deadline, &mut self.silence).await {
-                Next::Data(data) if !self.resumes => return Some(Ok(data)),
-                Next::Data(data) => {
-                    if let Some(events) = self.whole_events(&data) {
+            match next_frame(&self.shared, source, &mut self.deadline, &mut self.silence).await {
+                NextFrame::Data(data) if !self.resumes => return Some(Ok(data)),
+                NextFrame::Data(data) => {
+                    if let Some(events) = self.complete_events(&data) {
                         return Some(Ok(events));
                     }
                 }
-                Next::End => {
+                NextFrame::End => {
                     self.finish();
                     let rest = std::mem::take(&mut self.partial);
                     return (!rest.is_empty()).then(|| Ok(rest.freeze()));
                 }
-                Next::OutOfTime => {
+                NextFrame::TimedOut => {
                     self.source = None;
-                    self.tell(self.order.end_line(EventName::AnswerBroken), "its time ended");
-                    return Some(Err(BrokenAnswer("its time ended".into())));
+                    self.log(
+                        self.context.final_log_line(EventName::AnswerBroken),
+                        "its time ended",
+                    );
+                    return Some(Err(ResponseAborted("its time ended".into())));
                 }
-                Next::Broken(cause) => {
+                NextFrame::Broken(cause) => {
                     source.place.outcome = Outcome::Failed;
                     source.place.broke();
                     self.note_break().await;
                     self.source = None;
                     if !self.resumes || !self.resume().await {
-                        self.tell(self.order.end_line(EventName::AnswerBroken), &cause);
-                        return Some(Err(BrokenAnswer(cause)));
+                        self.log(self.context.final_log_line(EventName::AnswerBroken), &cause);
+                        return Some(Err(ResponseAborted(cause)));
                     }
                 }
             }
         }
     }
 
-    /// Finds out whether the back end ended under the request.
+    /// Determines whether the back end terminated during the request.
     async fn note_break(&self) {
         let Some(source) = &self.source else { return };
         let (backend, sent) = (&source.place.backend, source.place.taken());
-        self.shared.suspects.note_break(backend, sent, || self.order.digest()).await;
+        self.shared.suspects.note_break(backend, sent, || self.context.digest()).await;
     }
 
-    fn tell(&self, line: Line, cause: &str) {
-        line.field("last_event", self.last_event).field("cause", cause).write();
+    fn log(&self, log_line: Line, cause: &str) {
+        log_line.field("last_event", self.last_event).field("cause", cause).write();
     }
 
     fn finish(&mut self) {
         let Some(mut source) = self.source.take() else { return };
-        let line = self.order.end_line(EventName::RequestAnswered);
-        line.field("backend", source.place.backend.id.as_str()).write();
+        let log_line = self.context.final_log_line(EventName::RequestAnswered);
+        log_line.field("backend", source.place.backend.id.as_str()).write();
         source.place.outcome = Outcome::Answered;
-        suspect::note_answer(&self.shared, &self.order);
+        suspect::note_answer(&self.shared, &self.context);
         if !source.close {
             self.shared.pool.put_back(source.connection);
         }
     }
 
-    /// Whole events out of what came so far: a part of one must not be passed on, since the back
-    /// end may break off within it.
-    fn whole_events(&mut self, data: &[u8]) -> Option<Bytes> {
+    /// Extracts the complete events received so far. A partial event must not be relayed, since the
+    /// back end may fail within it.
+    fn complete_events(&mut self, data: &[u8]) -> Option<Bytes> {
         self.partial.extend_from_slice(data);
         let end = last_position(&self.partial, EVENT_END)? + EVENT_END.len();
         let events = self.partial.split_to(end).freeze();
@@ -190,48 +196,51 @@
     /// Continues at another back end. Returns whether one has taken over.
     async fn resume(&mut self) -> bool {
         self.partial.clear();
-        if !may_repeat(&self.order) {
+        if !may_retry(&self.context) {
             return false;
         }
-        let sent = send(&self.shared, &mut self.order, self.last_event).await;
-        let Ok(Taken { answer, connection, place }) = sent else { return false };
-        if !answer.status().is_success() {
+        let sent = send(&self.shared, &mut self.context, self.last_event).await;
+        let Ok(BackendResponse { response, connection, place }) = sent else { return false };
+        if !response.status().is_success() {
             return false;
         }
-        self.tell(self.order.line(EventName::StreamResumed), "the back end before broke off");
-        let close = Connection::is_last(answer.headers());
-        self.source = Some(Source { body: answer.into_body(), connection, place, close });
+        self.log(self.context.log_line(EventName::StreamResumed), "previous back end failed");
+        let close = Connection::is_last(response.headers());
+        self.source = Some(Source { body: response.into_body(), connection, place, close });
         true
     }
 
-    fn into_pieces(self, first: Bytes) -> impl futures::Stream<Item = Result<Bytes, BrokenAnswer>> {
+    fn into_chunks(
+        self,
+        first: Bytes,
+    ) -> impl futures::Stream<Item = Result<Bytes, ResponseAborted>> {
         futures::stream::unfold((self, Some(first)), |(mut relay, first)| async move {
-            let piece = match first {
+            let chunk = match first {
                 Some(first) => Ok(first),
-                None => relay.piece().await?,
+                None => relay.chunk().await?,
             };
-            Some((piece, (relay, None)))
+            Some((chunk, (relay, None)))
         })
     }
 }
 
-async fn next(
+async fn next_frame(
     shared: &Shared,
     source: &mut Source,
     deadline: &mut Pin<Box<Sleep>>,
     silence: &mut Pin<Box<Sleep>>,
-) -> Next {
+) -> NextFrame {
     let waiting_since = Instant::now();
     loop {
         let frame = tokio::select! {
             biased;
             frame = source.body.frame() => frame,
-            () = deadline.as_mut() => return Next::OutOfTime,
+            () = deadline.as_mut() => return NextFrame::TimedOut,
             () = silence.as_mut() => {
-                if waiting_since.elapsed() >= SILENCE {
-                    tell_silent(shared, &source.place);
+                if waiting_since.elapsed() >= SILENCE_TIMEOUT {
+                    log_silence(shared, &source.place);
                 }
-                silence.as_mut().reset(Instant::now() + SILENCE);
+                silence.as_mut().reset(Instant::now() + SILENCE_TIMEOUT);
                 continue;
             }
         };
@@ -239,11 +248,11 @@
             Some(Ok(frame)) => {
                 source.place.heard();
                 if let Ok(data) = frame.into_data() {
-                    return Next::Data(data);
+                    return NextFrame::Data(data);
                 }
             }
-            Some(Err(error)) => return Next::Broken(error.to_string()),
-            None => return Next::End,
+            Some(Err(error)) => return NextFrame::Broken(error.to_string()),
+            None => return NextFrame::End,
         }
     }
 }
@@ -252,7 +261,7 @@
     bytes.windows(wanted.len()).rposition(|window| window == wanted)
 }
 
-/// Id of the last event in whole events.
+/// Id of the last of several complete events.
 fn last_event_id(events: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(events).ok()?;
     let id = text.lines().rev().find_map(|line| line.strip_prefix("id:"))?;
--- a/crates/gateway/src/relay_port.rs
+++ b/crates/gateway/src/relay_port.rs
@@ -1,4 +1,5 @@
-//! The port for other gateways: those that cannot reach the job stores ask through this one.
+//! Listener for other gateways: those that cannot reach the job stores send token requests through
+//! this one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,22 +12,22 @@
 use crate::quota;
 use crate::shared::Shared;
 
-/// Pause after a connection could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Serves a listener for ever.
+/// Serves a listener forever.
 pub async fn serve(listener: TcpListener, shared: Rc<Shared>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 tokio::task::spawn_local(serve_connection(stream, shared.clone()));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-/// Answers one request after the other; a frame of another kind ends the connection.
+/// Answers requests one after the other; any other kind of frame ends the connection.
 async fn serve_connection(stream: TcpStream, shared: Rc<Shared>) {
     let mut frames = framed(stream);
     while let Some(Ok(bytes)) = frames.next().await {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the traffic thread share.
+//! State shared by all tasks of the traffic thread.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use yokefall_upstream::{Places, Pool};
 
 use crate::admission::Admission;
-use crate::crowding::Crowding;
+use crate::idle_eviction::IdleEviction;
 use crate::quota::Quota;
 use crate::read_ahead::ReadAhead;
 
@@ -22,56 +22,56 @@
 pub struct Shared {
     /// Routes and back ends.
     pub catalog: CatalogCell,
-    /// Which back ends may take a request.
+    /// Which back ends may receive a request.
     pub eligibility: Eligibility,
-    /// What may be sent to back ends that are not known to be warm.
+    /// Limits on requests to back ends that are not known to be warm.
     pub cold: Rc<ColdStart>,
-    /// How old what is known of the platform is.
+    /// Age of the data from the platform.
     pub freshness: Freshness,
-    /// The system's processes.
+    /// The processes of the system.
     pub fleet: FleetCell,
-    /// Regions of zones, as settings tell them: known before any configuration is.
+    /// Regions of zones from the settings, known before any configuration is.
     pub zones: Arc<ZoneMap>,
-    /// Names and formats.
+    /// Header names and message formats of the platform.
     pub dialect: Arc<dyn Dialect>,
     /// Load and health of back ends.
     pub places: Rc<Places>,
-    /// Limits of tenants.
+    /// Rate limits of tenants.
     pub quota: Quota,
-    /// Requests under which back ends ended.
+    /// Requests during which back ends terminated.
     pub suspects: Rc<Registry>,
-    /// Requests that are held until back ends have room.
+    /// Requests that are queued until back ends have capacity.
     pub admission: Admission,
-    /// Decisions that are switched on.
+    /// Enabled policies.
     pub policy: Policy,
-    /// Shares of split routes.
+    /// Weights of routes with a traffic split.
     pub splitter: RefCell<Splitter>,
     /// Connections to back ends.
     pub pool: Pool,
-    /// What gives way when no connection can be taken.
-    pub crowding: Crowding,
-    /// Answers that are being passed on, and what is held of them for slow clients.
-    pub ahead: Rc<ReadAhead>,
-    /// Calls to the job store.
+    /// Closes idle client connections when no new one can be accepted.
+    pub idle_eviction: IdleEviction,
+    /// Buffers responses for slow clients.
+    pub read_ahead: Rc<ReadAhead>,
+    /// Client of the job store.
     pub jobs: Rc<JobClient>,
     /// Address for clients; the other gateways use the same port.
     pub ingress: SocketAddr,
     /// Address for other processes.
     pub peer: SocketAddr,
-    /// Whether a stop has begun.
+    /// Whether shutdown has begun.
     pub stopping: Cell<bool>,
-    /// Whether a stop has come so far that new requests are refused.
-    pub refusing: Cell<bool>,
-    /// Requests that are being served.
+    /// Whether shutdown has reached the point from which new requests are rejected.
+    pub rejecting: Cell<bool>,
+    /// Number of requests being served.
     pub serving: Cell<usize>,
-    /// Bytes of request bodies that are held.
-    pub held_bytes: Cell<usize>,
-    /// Most bytes of request bodies that are held.
-    pub most_held_bytes: usize,
+    /// Bytes of request bodies held in memory.
+    pub buffered_body_bytes: Cell<usize>,
+    /// Upper bound for `buffered_body_bytes`.
+    pub max_buffered_body_bytes: usize,
 }
 
 impl Shared {
-    /// Whether this gateway takes requests.
+    /// Whether this gateway accepts requests.
     pub fn is_ready(&self) -> bool {
         !self.stopping.get() && self.catalog.load().can_serve()
     }
--- a/crates/gateway/src/suspect.rs
+++ b/crates/gateway/src/suspect.rs
@@ -1,7 +1,8 @@
-//! Whether a request may be sent, as far as back ends ended under it before, at this gateway or another.
+//! Decides whether a request may be sent, given that back ends terminated during it before, at this
+//! gateway or another.
 //!
-//! Asked before each send, not once a request: a retry, a resume and the attempt of another client are the
-//! same to the back end that would end.
+//! This is checked before each send, not once per request: a retry, a resumed stream and an attempt
+//! by another client put a back end at the same risk.
 
 use std::time::Duration;
 
@@ -10,44 +11,45 @@
 use yokefall_jobstore::{Reply, Request};
 use yokefall_suspects::{Grant, Standing};
 
-use crate::order::Order;
+use crate::context::RequestContext;
 use crate::shared::Shared;
 
-/// Longest wait for the leader's answer: some round trips, and an election cut short. Requests that ask are
-/// few, and their callers come back.
+/// Timeout for the leader's answer: several round trips and a short election. Few requests ask, and
+/// their callers retry.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a caller may come back whose request could not be granted, since no leader answered.
+/// Retry delay for requests that could not be granted because no leader answered.
 const NO_LEADER_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Whether a request may go to a back end.
+/// Whether a request may be sent to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Clearance {
-    /// It may.
+    /// It may be sent.
     Clear,
-    /// It may go to another one.
+    /// It may be sent to another back end.
     OtherBackend,
     /// It may not be sent before this time has passed.
     HeldBack(Duration),
 }
 
-/// The time for which a request may not be sent anywhere; `None` where it may, or where its leader decides.
-pub fn held_back(shared: &Shared, order: &Order) -> Option<Duration> {
+/// How long a request may not be sent anywhere; `None` if it may be sent, or if the leader decides.
+pub fn held_back(shared: &Shared, context: &RequestContext) -> Option<Duration> {
     if shared.suspects.is_empty() {
         return None;
     }
-    match shared.suspects.standing(&order.digest()) {
+    match shared.suspects.standing(&context.digest()) {
         Standing::HeldBack { wait_ms } => Some(Duration::from_millis(wait_ms)),
         Standing::Free | Standing::Alone => None,
     }
 }
 
-/// Whether a request may go to a back end now. One that must run alone needs the word of the leader of the
-/// job stores, which all gateways ask: without it nobody knows where else it runs.
-pub async fn clear(shared: &Shared, order: &mut Order, backend: &str) -> Clearance {
+/// Checks whether a request may be sent to a back end now. A request that must run exclusively
+/// needs a grant from the leader of the job stores, which all gateways ask: nobody else knows where
+/// it is running.
+pub async fn clear(shared: &Shared, context: &mut RequestContext, backend: &str) -> Clearance {
     if shared.suspects.is_empty() {
         return Clearance::Clear;
     }
-    let digest = order.digest();
+    let digest = context.digest();
     match shared.suspects.standing(&digest) {
         Standing::Free => return Clearance::Clear,
         Standing::HeldBack { wait_ms } => {
@@ -57,10 +59,10 @@
     }
     let Some(news) = shared.suspects.news_of(&digest) else { return Clearance::Clear };
     let request = Request::TrySuspect { news, backend: backend.to_owned() };
-    let deadline = order.deadline.min(Instant::now() + GRANT_TIMEOUT);
+    let deadline = context.deadline.min(Instant::now() + GRANT_TIMEOUT);
     match shared.jobs.call(request, deadline).await {
         CallOutcome::Answered(Reply::Tried(Grant::Granted)) => {
-            order.alone = Some(shared.suspects.run_alone(digest));
+            context.alone = Some(shared.suspects.run_alone(digest));
             Clearance::Clear
         }
         CallOutcome::Answered(Reply::Tried(Grant::OtherBackend)) => Clearance::OtherBackend,
@@ -71,9 +73,10 @@
     }
 }
 
-/// A back end answered a request whole: where ends are held against it, they had another cause.
-pub fn note_answer(shared: &Shared, order: &Order) {
+/// Records that a back end completed a request: if terminations are attributed to it, they had
+/// another cause.
+pub fn note_answer(shared: &Shared, context: &RequestContext) {
     if !shared.suspects.is_empty() {
-        shared.suspects.note_answer(&order.digest());
+        shared.suspects.note_answer(&context.digest());
     }
 }
