--- a/crates/gateway/tests/read_ahead.rs
+++ b/crates/gateway/tests/read_ahead.rs
@@ -1,7 +1,7 @@
-//! Answers for clients that read slowly: they are read to their end, within a bound over all clients.
+//! Responses of slow clients are read to their end, within a limit over all clients.
 //!
-//! What happened without it: an answer was read as its client took it, so that one which a client left for some seconds
-//! was cut off by its back end, which holds it in its own memory until then.
+//! Guards against reading a response only at the client's pace: a back end keeps an unread response
+//! in its own memory and aborts one that its client leaves unread for some seconds.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,21 +9,21 @@
 
 use bytes::Bytes;
 use futures::{Stream, StreamExt};
-use yokefall_gateway::answer::{BrokenAnswer, Pieces};
 use yokefall_gateway::read_ahead::{watch, ReadAhead};
+use yokefall_gateway::response::{ChunkStream, ResponseAborted};
 
-const PIECE_BYTES: usize = 1_000;
-/// Longer than a client may take nothing before it counts as slow.
-const LONG: Duration = Duration::from_secs(3);
+const CHUNK_BYTES: usize = 1_000;
+/// Longer than a client may read nothing before it counts as slow.
+const SLOW_CLIENT_PAUSE: Duration = Duration::from_secs(3);
 
-/// How far an answer has been read, and whether its connection is open.
+/// How far a response has been read, and whether its connection is closed.
 #[derive(Default)]
-struct Source {
+struct UpstreamState {
     read: Cell<usize>,
     closed: Cell<bool>,
 }
 
-struct CloseOnDrop(Rc<Source>);
+struct CloseOnDrop(Rc<UpstreamState>);
 
 impl Drop for CloseOnDrop {
     fn drop(&mut self) {
@@ -31,18 +31,18 @@
     }
 }
 
-/// An answer of so many pieces, each of which names its place; it may break off after the last.
-fn answer(source: &Rc<Source>, pieces: usize, breaks: bool) -> Pieces {
+/// A response of `chunks` chunks, each filled with its index; it may abort after the last.
+fn response(source: &Rc<UpstreamState>, chunks: usize, breaks: bool) -> ChunkStream {
     let open = CloseOnDrop(source.clone());
-    let stream = futures::stream::unfold((0, open), move |(place, open)| async move {
+    let stream = futures::stream::unfold((0, open), move |(index, open)| async move {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        open.0.read.set(place);
-        match place {
-            place if place < pieces => {
-                Some((Ok(Bytes::from(vec![place as u8; PIECE_BYTES])), (place + 1, open)))
+        open.0.read.set(index);
+        match index {
+            index if index < chunks => {
+                Some((Ok(Bytes::from(vec![index as u8; CHUNK_BYTES])), (index + 1, open)))
             }
-            place if breaks && place == pieces => {
-                Some((Err(BrokenAnswer("reset".into())), (place + 1, open)))
+            index if breaks && index == chunks => {
+                Some((Err(ResponseAborted("reset".into())), (index + 1, open)))
             }
             _ => None,
         }
@@ -50,126 +50,131 @@
     Box::pin(stream)
 }
 
-/// The places of the pieces that are still to be taken, and whether the answer breaks off.
+/// Indices of the remaining chunks, and whether the response was aborted.
 async fn rest(
-    mut pieces: impl Stream<Item = Result<Bytes, BrokenAnswer>> + Unpin,
+    mut chunks: impl Stream<Item = Result<Bytes, ResponseAborted>> + Unpin,
 ) -> (Vec<u8>, bool) {
-    let mut places = Vec::new();
-    while let Some(piece) = pieces.next().await {
-        match piece {
-            Ok(piece) => places.push(piece[0]),
-            Err(_) => return (places, true),
+    let mut indices = Vec::new();
+    while let Some(chunk) = chunks.next().await {
+        match chunk {
+            Ok(chunk) => indices.push(chunk[0]),
+            Err(_) => return (indices, true),
         }
     }
-    (places, false)
+    (indices, false)
 }
 
-async fn locally<T>(test: impl std::future::Future<Output = T>) -> T {
+async fn run_local<T>(test: impl std::future::Future<Output = T>) -> T {
     tokio::task::LocalSet::new().run_until(test).await
 }
 
-fn started(most_bytes: usize) -> Rc<ReadAhead> {
-    let ahead = ReadAhead::new(most_bytes);
+fn start_read_ahead(max_bytes: usize) -> Rc<ReadAhead> {
+    let ahead = ReadAhead::new(max_bytes);
     tokio::task::spawn_local(watch(ahead.clone()));
     ahead
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_is_read_to_its_end_though_its_client_takes_nothing() {
-    locally(async {
-        let (ahead, source) = (started(1_000_000), Rc::new(Source::default()));
-        let mut pieces = ahead.pass(answer(&source, 20, false));
-        pieces.next().await.expect("a first piece").expect("whole");
-        tokio::time::sleep(LONG).await;
-        assert_eq!(source.read.get(), 20, "pieces were read");
-        assert!(source.closed.get(), "the back end is done with it");
-        assert_eq!(ahead.held_bytes(), 19 * PIECE_BYTES);
-        assert_eq!(rest(pieces).await, ((1..20).collect(), false));
-        assert_eq!(ahead.held_bytes(), 0);
+async fn a_response_is_read_to_its_end_for_a_client_that_reads_nothing() {
+    run_local(async {
+        let (ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
+        let mut chunks = ahead.relay(response(&source, 20, false));
+        chunks.next().await.expect("a first chunk").expect("not aborted");
+        tokio::time::sleep(SLOW_CLIENT_PAUSE).await;
+        assert_eq!(source.read.get(), 20, "chunks read");
+        assert!(source.closed.get(), "the connection to the back end is still open");
+        assert_eq!(ahead.buffered_bytes(), 19 * CHUNK_BYTES);
+        assert_eq!(rest(chunks).await, ((1..20).collect(), false));
+        assert_eq!(ahead.buffered_bytes(), 0);
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_breaks_off_breaks_off_for_a_slow_client_too() {
-    locally(async {
-        let (ahead, source) = (started(1_000_000), Rc::new(Source::default()));
-        let mut pieces = ahead.pass(answer(&source, 5, true));
-        pieces.next().await.expect("a first piece").expect("whole");
-        tokio::time::sleep(LONG).await;
-        assert_eq!(rest(pieces).await, ((1..5).collect(), true));
+async fn an_aborted_response_is_aborted_for_a_slow_client_too() {
+    run_local(async {
+        let (ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
+        let mut chunks = ahead.relay(response(&source, 5, true));
+        chunks.next().await.expect("a first chunk").expect("not aborted");
+        tokio::time::sleep(SLOW_CLIENT_PAUSE).await;
+        assert_eq!(rest(chunks).await, ((1..5).collect(), true));
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_that_reads_is_read_for_no_further_than_it_takes() {
-    locally(async {
-        let (ahead, source) = (started(1_000_000), Rc::new(Source::default()));
-        let mut pieces = ahead.pass(answer(&source, 50, false));
-        for place in 0..50 {
+async fn nothing_is_read_ahead_for_a_client_that_keeps_reading() {
+    run_local(async {
+        let (ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
+        let mut chunks = ahead.relay(response(&source, 50, false));
+        for index in 0..50 {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            assert_eq!(pieces.next().await.expect("a piece").expect("whole")[0], place);
-            assert!(source.read.get() <= usize::from(place) + 1);
-            assert_eq!(ahead.held_bytes(), 0);
+            assert_eq!(chunks.next().await.expect("a chunk").expect("not aborted")[0], index);
+            assert!(source.read.get() <= usize::from(index) + 1);
+            assert_eq!(ahead.buffered_bytes(), 0);
         }
     })
     .await;
 }
 
-/// A back end that says nothing is no client that takes nothing.
+/// A back end that sends nothing does not make its client slow.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_waits_for_the_back_end_is_not_slow() {
-    locally(async {
-        let ahead = started(1_000_000);
-        let quiet = futures::stream::once(async {
-            tokio::time::sleep(LONG).await;
+    run_local(async {
+        let ahead = start_read_ahead(1_000_000);
+        let silent = futures::stream::once(async {
+            tokio::time::sleep(SLOW_CLIENT_PAUSE).await;
             Ok(Bytes::from_static(b"late"))
         });
-        let pieces = ahead.pass(Box::pin(quiet));
-        assert_eq!(rest(pieces).await, (vec![b'l'], false));
-        assert_eq!(ahead.held_bytes(), 0);
+        let chunks = ahead.relay(Box::pin(silent));
+        assert_eq!(rest(chunks).await, (vec![b'l'], false));
+        assert_eq!(ahead.buffered_bytes(), 0);
     })
     .await;
 }
 
-/// 300 clients that take nothing on one gateway: what it holds for them has a bound, and each goes on once it reads.
+/// 300 clients of one gateway read nothing: the memory buffered for them is bounded, and each
+/// response continues once its client reads.
 #[tokio::test(start_paused = true)]
-async fn what_is_held_for_all_clients_has_a_bound() {
-    const MOST_BYTES: usize = 100_000;
-    locally(async {
-        let ahead = started(MOST_BYTES);
+async fn buffered_bytes_of_all_clients_are_bounded() {
+    const MAX_BYTES: usize = 100_000;
+    run_local(async {
+        let ahead = start_read_ahead(MAX_BYTES);
         let mut slow = Vec::new();
         for _ in 0..300 {
-            let mut pieces = ahead.pass(answer(&Rc::default(), 20, false));
-            pieces.next().await.expect("a first piece").expect("whole");
-            slow.push(pieces);
+            let mut chunks = ahead.relay(response(&Rc::default(), 20, false));
+            chunks.next().await.expect("a first chunk").expect("not aborted");
+            slow.push(chunks);
         }
         for _ in 0..20 {
             tokio::time::sleep(Duration::from_millis(500)).await;
-            // One piece more for each client: its answer must go on.
-            assert!(ahead.held_bytes() <= MOST_BYTES + 300 * PIECE_BYTES, "{}", ahead.held_bytes());
+            // One more chunk for each client, since its response must make progress.
+            assert!(
+                ahead.buffered_bytes() <= MAX_BYTES + 300 * CHUNK_BYTES,
+                "{}",
+                ahead.buffered_bytes()
+            );
         }
-        for pieces in slow {
-            assert_eq!(rest(pieces).await, ((1..20).collect(), false));
+        for chunks in slow {
+            assert_eq!(rest(chunks).await, ((1..20).collect(), false));
         }
-        assert_eq!(ahead.held_bytes(), 0);
+        assert_eq!(ahead.buffered_bytes(), 0);
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_client_that_leaves_takes_its_answer_along() {
-    locally(async {
-        let (ahead, source) = (started(1_000_000), Rc::new(Source::default()));
-        let mut pieces = ahead.pass(answer(&source, 1_000, false));
-        pieces.next().await.expect("a first piece").expect("whole");
-        tokio::time::sleep(LONG).await;
+async fn a_slow_client_that_disconnects_closes_its_response() {
+    run_local(async {
+        let (ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
+        let mut chunks = ahead.relay(response(&source, 1_000, false));
+        chunks.next().await.expect("a first chunk").expect("not aborted");
+        tokio::time::sleep(SLOW_CLIENT_PAUSE).await;
         let read = source.read.get();
-        assert!(!source.closed.get() && read > 20 && read < 1_000, "{read} pieces were read");
-        drop(pieces);
-        assert!(source.closed.get(), "the connection to the back end is closed at once");
-        assert_eq!(ahead.held_bytes(), 0);
+        assert!(!source.closed.get() && read > 20 && read < 1_000, "{read} chunks read");
+        drop(chunks);
+        assert!(source.closed.get(), "the connection to the back end is still open");
+        assert_eq!(ahead.buffered_bytes(), 0);
     })
     .await;
 }
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! The life of a token of a tenant's limit on a machine that is suspended.
+//! Lifetime of a rate-limit token on a machine that is suspended.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 use yokefall_gateway::quota::Quota;
 use yokefall_quota::QuotaBounds;
 
-/// What happens: a gateway asks for a token, is suspended for 5 s and sends a request with it, in a window in
-/// which its accountant has granted the token's place to another.
+/// Guards against a gateway that requests a token, is suspended for 5 s and then sends a request
+/// with it, in a window in which the accountant has granted the same capacity to another.
 #[tokio::test(start_paused = true)]
-async fn a_token_ends_while_its_gateway_is_suspended() {
+async fn a_token_expires_while_its_gateway_is_suspended() {
     let suspended_ms = Arc::new(AtomicU64::new(0));
     let clock = ElapsedClock::new(SuspensionSource::Told(suspended_ms.clone()));
     let quota = Quota::new("edge-1".into(), QuotaBounds::default(), clock);
--- a/crates/upstream/src/exchange.rs
+++ b/crates/upstream/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a back end.
+//! One request/response exchange with a back end.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 
 use crate::pool::Connection;
 
-/// Why an exchange gave no answer.
+/// Why an exchange produced no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendFailure {
     /// Nothing of the request was written.
@@ -18,7 +18,7 @@
         /// The cause.
         cause: String,
     },
-    /// The request may have run.
+    /// The request may have been executed.
     MayHaveRun {
         /// The cause.
         cause: String,
@@ -34,10 +34,10 @@
     }
 }
 
-/// Sends a request and waits for the head of its answer. An answer that does not name the request
-/// belongs to another one: it is not taken, and the connection is dropped with it. `id_header` is
-/// `None` where back ends do not name requests. `permit` is the right to send just this request; one for another
-/// back end, or for another life of it, sends nothing.
+/// Sends a request and waits for the response head. A response that does not carry the id of the
+/// request belongs to another request: it is discarded together with the connection. `id_header` is
+/// `None` where back ends do not echo request ids. `permit` authorizes exactly this request; with a
+/// permit for another back end, or for another incarnation of it, nothing is sent.
 pub async fn exchange(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
@@ -49,8 +49,8 @@
         return Err(SendFailure::NotSent { cause });
     }
     let id = id_header.and_then(|name| request.headers().get(name).cloned());
-    let answer = match connection.sender.try_send_request(request).await {
-        Ok(answer) => answer,
+    let response = match connection.sender.try_send_request(request).await {
+        Ok(response) => response,
         Err(mut error) => {
             let unsent = error.take_message().is_some();
             let cause = error.error().to_string();
@@ -60,12 +60,14 @@
             });
         }
     };
-    let named = id_header.and_then(|name| answer.headers().get(name));
-    // A refusal may come before the back end has read the id; a success without one is nobody's.
-    let own = named == id.as_ref() || (named.is_none() && !answer.status().is_success());
-    if !own {
+    let named = id_header.and_then(|name| response.headers().get(name));
+    // An error may be returned before the back end has read the id; a success without an id cannot
+    // be attributed to any request.
+    let is_own_response =
+        named == id.as_ref() || (named.is_none() && !response.status().is_success());
+    if !is_own_response {
         let cause = "the answer names another request".to_owned();
         return Err(SendFailure::MayHaveRun { cause });
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,7 +1,7 @@
-//! Connections to back ends, and one exchange of request and answer on them.
+//! Connections to back ends and request/response exchanges on them.
 //!
-//! The one question that decides about repeats is answered here: whether a request that got no
-//! answer may have run.
+//! Retries depend on one question that is answered here: whether a request that got no response may
+//! have been executed.
 
 pub mod exchange;
 pub mod place;
--- a/crates/upstream/src/place.rs
+++ b/crates/upstream/src/place.rs
@@ -1,4 +1,5 @@
-//! Places at back ends: what this process has in flight there, given back however it ends.
+//! Requests in flight at back ends: acquired before a request is sent and released on drop, however
+//! the request ends.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,26 +12,26 @@
 use yokefall_core::Timestamp;
 use yokefall_serving::{Backend, BackendLoad, Balancer, ColdStart, Outcome};
 
-/// Load and health of back ends as one thread sees them.
+/// Load and health of back ends as seen by one thread.
 #[derive(Debug)]
 pub struct Places {
     balancer: RefCell<Balancer>,
-    /// Hears of back ends that failed: they may have started again.
+    /// Notified of back ends that failed, since they may have restarted.
     cold: Option<Rc<ColdStart>>,
     clock: ElapsedClock,
-    /// Woken when a place is taken or given back.
+    /// Notified when a slot is acquired or released.
     pub changed: Notify,
-    /// Woken when there may be room for a request that is held.
-    pub room: Notify,
+    /// Notified when a back end may have capacity for a queued request.
+    pub capacity_freed: Notify,
 }
 
 impl Places {
-    /// Nothing in flight yet.
+    /// Starts with nothing in flight.
     pub fn new(balancer: Balancer, clock: ElapsedClock) -> Rc<Self> {
         Self::build(balancer, clock, None)
     }
 
-    /// The same where `cold` hears of back ends that failed.
+    /// Like [`Self::new`], and reports failed back ends to `cold`.
     pub fn with_cold_start(
         balancer: Balancer,
         clock: ElapsedClock,
@@ -41,16 +42,22 @@
 
     fn build(balancer: Balancer, clock: ElapsedClock, cold: Option<Rc<ColdStart>>) -> Rc<Self> {
         let balancer = RefCell::new(balancer);
-        Rc::new(Self { balancer, clock, cold, changed: Notify::new(), room: Notify::new() })
+        Rc::new(Self {
+            balancer,
+            clock,
+            cold,
+            changed: Notify::new(),
+            capacity_freed: Notify::new(),
+        })
     }
 
-    /// Looks at load and health at this moment.
+    /// Runs `look` on the balancer with the current time.
     pub fn with<R>(&self, look: impl FnOnce(&mut Balancer, Timestamp) -> R) -> R {
         let now = self.clock.now();
         look(&mut self.balancer.borrow_mut(), now)
     }
 
-    /// Takes a place at a back end.
+    /// Acquires a slot at a back end.
     pub fn take(self: &Rc<Self>, backend: Arc<Backend>) -> Place {
         self.with(|balancer, _| balancer.started(&backend));
         self.changed.notify_one();
@@ -59,24 +66,24 @@
     }
 }
 
-/// A place taken at a back end.
+/// One request in flight at a back end; released on drop.
 #[derive(Debug)]
 pub struct Place {
     places: Rc<Places>,
     /// The back end.
     pub backend: Arc<Backend>,
     taken: Instant,
-    /// How the request ended; until somebody says so it counts as abandoned.
+    /// How the request ended; counts as abandoned until it is set.
     pub outcome: Outcome,
 }
 
 impl Place {
-    /// When it was taken, right before the request went there.
+    /// When the slot was acquired, immediately before the request was sent.
     pub fn taken(&self) -> Instant {
         self.taken
     }
 
-    /// Something came from the back end.
+    /// Records that data was received from the back end.
     pub fn heard(&self) {
         self.places.with(|balancer, now| balancer.heard(now, &self.backend));
         if let Some(cold) = &self.places.cold {
@@ -84,28 +91,30 @@
         }
     }
 
-    /// The back end has said nothing on this request for a while. Returns whether it is left out.
+    /// Records that the back end has sent nothing on this request for `silence`. Returns whether it
+    /// is now excluded from selection.
     pub fn fell_silent(&self, silence: Duration) -> bool {
         let silence_ms = silence.as_millis() as u64;
-        // No sign that it started again: one that has too much to do is silent as well, and the connection stands.
+        // Silence is not reported as a restart: an overloaded back end is silent as well, and the
+        // connection is still open.
         self.places.with(|balancer, now| balancer.fell_silent(now, &self.backend, silence_ms))
     }
 
-    /// The back end broke off, or gave no answer in time.
+    /// Records that the connection broke or that the back end did not respond in time.
     pub fn broke(&self) {
         if let Some(cold) = &self.places.cold {
             cold.failed(&self.backend.id);
         }
     }
 
-    /// The back end told for how much longer it is cold.
+    /// Records the remaining cold time that the back end reported.
     pub fn told_cold(&self, remaining_ms: u64) {
         if let Some(cold) = &self.places.cold {
             cold.told(&self.backend, remaining_ms);
         }
     }
 
-    /// The back end told its load.
+    /// Records the load that the back end reported.
     pub fn told(&self, load: BackendLoad) {
         self.places.with(|balancer, now| balancer.told(now, &self.backend, load));
     }
@@ -125,6 +134,6 @@
             }
         });
         self.places.changed.notify_one();
-        self.places.room.notify_one();
+        self.places.capacity_freed.notify_one();
     }
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,5 +1,5 @@
-//! Kept connections, by life of a back end: one to an earlier life ended with it, and what still hangs there
-//! must not use up what the new life takes.
+//! Connection pool, keyed by incarnation of a back end. Connections to an earlier incarnation ended
+//! with it, and those still lingering must not count against the connection limit of the new one.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -15,27 +15,29 @@
 use tokio::time::Instant;
 use yokefall_serving::{Backend, BackendLife, ByLife};
 
-/// Time for which a connection is kept where the back end tells none.
-const DEFAULT_IDLE: Duration = Duration::from_secs(10);
-/// Time before the end that a back end tells after which its connection is not used: a request that
-/// crosses the close may or may not have run.
+/// How long an idle connection is kept when the back end announces no timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long before the announced idle timeout a connection is no longer reused: a request that
+/// crosses the close may or may not have been executed.
 const IDLE_MARGIN: Duration = Duration::from_millis(900);
-/// Bytes read at once from a back end. There are hundreds of connections, and events are short.
+/// Size of the read buffer of each connection. There are hundreds of connections, and events are
+/// short.
 const READ_BUFFER_BYTES: usize = 4 * 1024;
-/// Time without acknowledgement of sent bytes after which the system gives a connection up.
+/// `TCP_USER_TIMEOUT`: how long sent data may stay unacknowledged before the kernel closes the
+/// connection.
 const USER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Why there is no connection. Nothing was sent.
+/// Why no connection is available. Nothing was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
     /// The back end could not be reached.
     Unreachable {
-        /// Its address.
+        /// Address of the back end.
         peer: String,
         /// The cause.
         cause: String,
     },
-    /// This process has as many connections there as it may.
+    /// This process already has its maximum number of connections to the back end.
     Exhausted,
 }
 
@@ -59,7 +61,7 @@
 }
 
 impl Connection {
-    /// Notes what the back end said of keeping the connection.
+    /// Applies the `Keep-Alive` header of a response to the idle timeout of the connection.
     pub fn note_keep_alive(&mut self, headers: &HeaderMap) {
         let Some(value) = headers.get("keep-alive").and_then(|value| value.to_str().ok()) else {
             return;
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Whether an answer's head says that the connection ends with it.
+    /// Whether response headers announce that the connection closes after the response.
     pub fn is_last(headers: &HeaderMap) -> bool {
         let value = headers.get(header::CONNECTION).and_then(|value| value.to_str().ok());
         value.is_some_and(|value| value.eq_ignore_ascii_case("close"))
@@ -78,14 +80,14 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct BackendConnections {
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
     open: Rc<()>,
 }
 
@@ -96,18 +98,18 @@
 }
 
 impl Pool {
-    /// A kept connection, or a new one within `limit`. `most` bounds the connections of this
-    /// process to the back end.
+    /// Returns an idle connection, or opens a new one within `limit`. `max_connections` bounds the
+    /// connections of this process to the back end.
     pub async fn connect(
         &self,
         backend: &Backend,
         limit: Duration,
-        most: usize,
+        max_connections: usize,
     ) -> Result<Connection, ConnectFailure> {
-        if let Some(connection) = self.kept(backend) {
+        if let Some(connection) = self.take_idle(backend) {
             return Ok(connection);
         }
-        let open = self.reserve(backend, most).ok_or(ConnectFailure::Exhausted)?;
+        let open = self.reserve(backend, max_connections).ok_or(ConnectFailure::Exhausted)?;
         let failed = |cause: String| ConnectFailure::Unreachable {
             peer: backend.address.to_string(),
             cause,
@@ -124,33 +126,33 @@
             .await
             .map_err(|cause| failed(cause.to_string()))?;
         tokio::task::spawn_local(async move {
-            // How an exchange ends is seen by whoever made it.
+            // Errors are returned to the caller of the exchange.
             let _ = driver.await;
             drop(open);
         });
-        Ok(Connection { sender, life: backend.life(), idle: DEFAULT_IDLE })
+        Ok(Connection { sender, life: backend.life(), idle: DEFAULT_IDLE_TIMEOUT })
     }
 
-    fn reserve(&self, backend: &Backend, most: usize) -> Option<Rc<()>> {
+    fn reserve(&self, backend: &Backend, max_connections: usize) -> Option<Rc<()>> {
         let mut backends = self.backends.borrow_mut();
         let connections = backends.entry(backend.life());
-        (Rc::strong_count(&connections.open) <= most).then(|| connections.open.clone())
+        (Rc::strong_count(&connections.open) <= max_connections).then(|| connections.open.clone())
     }
 
-    /// The connection kept last, which is the one that its back end closes last.
-    fn kept(&self, backend: &Backend) -> Option<Connection> {
+    /// Returns the most recently used idle connection, which the back end closes last.
+    fn take_idle(&self, backend: &Backend) -> Option<Connection> {
         let mut backends = self.backends.borrow_mut();
         let connections = backends.get_mut(backend)?;
         let now = Instant::now();
-        while let Some(Idle { connection, until }) = connections.idle.pop() {
-            if until > now && connection.sender.is_ready() {
+        while let Some(IdleConnection { connection, expires_at }) = connections.idle.pop() {
+            if expires_at > now && connection.sender.is_ready() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Returns a connection to the pool after its response has been read completely.
     pub fn put_back(&self, connection: Connection) {
         if connection.sender.is_closed() || connection.idle.is_zero() {
             return;
@@ -158,20 +160,23 @@
         let mut backends = self.backends.borrow_mut();
         let Some(connections) = backends.of_life_mut(&connection.life) else { return };
         let now = Instant::now();
-        connections.idle.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
-        let until = now + connection.idle;
-        connections.idle.push(Idle { connection, until });
+        connections
+            .idle
+            .retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+        let expires_at = now + connection.idle;
+        connections.idle.push(IdleConnection { connection, expires_at });
     }
 
-    /// Drops what is kept to a back end that says nothing on a request. Its connections may have gone silent
-    /// together and for good, while it takes new ones; each that is used would cost a request.
+    /// Closes the idle connections to a back end that does not respond to a request. They may all
+    /// have died silently together while the back end accepts new ones, and each reuse would cost a
+    /// request.
     pub fn forget_kept(&self, backend: &Backend) {
         if let Some(connections) = self.backends.borrow_mut().get_mut(backend) {
             connections.idle.clear();
         }
     }
 
-    /// Drops what is kept to lives that nobody knows any more.
+    /// Closes idle connections to incarnations that are no longer known.
     pub fn retain(&self, known: impl Fn(&BackendLife) -> bool) {
         self.backends.borrow_mut().retain(|life, connections| {
             if known(life) {
