--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -17,7 +17,7 @@
 
 use crate::admission::{admit, choose, QueueTimeout};
 use crate::context::{may_retry, RequestContext};
-use crate::quota::{self, TokenError, TokenRequest};
+use crate::quota::{self, QuotaCheck, TokenError};
 use crate::regions;
 use crate::relay;
 use crate::request::{affinity, request_for};
@@ -103,12 +103,11 @@
 /// Ensures that the request has a token that is valid at the time of sending. Invariant: no request
 /// of a rate-limited tenant is sent without a token, and no token is used twice.
 async fn ensure_token(shared: &Rc<Shared>, context: &mut RequestContext) -> Result<(), TokenError> {
-    let Some(token_request) = TokenRequest::of(&context.caller, &context.route, context.version)
-    else {
+    let Some(check) = QuotaCheck::of(&context.caller, &context.route, context.version) else {
         return Ok(());
     };
     if context.token.is_none_or(|token| !shared.quota.is_valid(token)) {
-        context.token = Some(quota::take(shared, token_request).await?);
+        context.token = Some(quota::take(shared, check).await?);
     }
     Ok(())
 }
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -21,7 +21,7 @@
 use crate::connection::{LimitedStream, PhaseCell, TimeLimits};
 use crate::context::RequestContext;
 use crate::forward::{forward, token_rejection};
-use crate::quota::{self, Token, TokenError, TokenRequest};
+use crate::quota::{self, QuotaCheck, Token, TokenError};
 use crate::response::{plain, rejection, ClientResponse};
 use crate::shared::Shared;
 use crate::{body, directory, jobs, regions};
@@ -297,9 +297,9 @@
     version: u64,
     id: &str,
 ) -> Result<Option<Token>, TokenError> {
-    let Some(token_request) = TokenRequest::of(caller, route, version) else { return Ok(None) };
-    let TokenRequest { tenant, limit, .. } = token_request;
-    let taken = quota::take(shared, token_request).await;
+    let Some(check) = QuotaCheck::of(caller, route, version) else { return Ok(None) };
+    let QuotaCheck { tenant, limit, .. } = check;
+    let taken = quota::take(shared, check).await;
     if let Err(cause) = taken {
         let (event, wait) = match cause {
             TokenError::OverLimit { wait } => (EventName::QuotaExceeded, wait),
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -106,9 +106,9 @@
     }
 }
 
-/// A request for a token.
+/// What checking a tenant's limit for one request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct TokenRequest<'a> {
+pub struct QuotaCheck<'a> {
     /// The tenant that sends the request.
     pub tenant: &'a TenantName,
     /// The tenant's limit.
@@ -119,8 +119,8 @@
     pub target: Duration,
 }
 
-impl<'a> TokenRequest<'a> {
-    /// The token that a caller's request on a route needs; `None` if no limit applies.
+impl<'a> QuotaCheck<'a> {
+    /// The check for a request of a caller on a route; `None` if no limit applies.
     pub fn of(caller: &'a Caller, route: &Route, version: u64) -> Option<Self> {
         let tenant = caller.tenant()?;
         let target = Duration::from_millis(route.target_latency_ms);
@@ -135,14 +135,11 @@
 
 /// Takes a token for a request of a rate-limited tenant. Waits briefly if no accountant is known,
 /// as after a start of all processes.
-pub async fn take(
-    shared: &Rc<Shared>,
-    token_request: TokenRequest<'_>,
-) -> Result<Token, TokenError> {
-    let until = Instant::now() + token_request.target.mul_f64(ACCOUNTANT_WAIT_FRACTION);
+pub async fn take(shared: &Rc<Shared>, check: QuotaCheck<'_>) -> Result<Token, TokenError> {
+    let until = Instant::now() + check.target.mul_f64(ACCOUNTANT_WAIT_FRACTION);
     loop {
         let accountant_found = shared.quota.accountant_found.notified();
-        let taken = try_take(shared, token_request).await;
+        let taken = try_take(shared, check).await;
         let is_unknown = matches!(taken, Err(TokenError::Unknown { .. }));
         if !is_unknown || tokio::time::timeout_at(until, accountant_found).await.is_err() {
             return taken;
@@ -150,14 +147,11 @@
     }
 }
 
-async fn try_take(
-    shared: &Rc<Shared>,
-    token_request: TokenRequest<'_>,
-) -> Result<Token, TokenError> {
+async fn try_take(shared: &Rc<Shared>, check: QuotaCheck<'_>) -> Result<Token, TokenError> {
     let quota = &shared.quota;
     let mut refused: Vec<Refused> = Vec::new();
     loop {
-        let step = quota.meter.borrow().next(quota.now(), token_request.tenant, &refused);
+        let step = quota.meter.borrow().next(quota.now(), check.tenant, &refused);
         let (part, accountant) = match step {
             NextStep::Ask { part, accountant } => (part, accountant),
             NextStep::OverLimit { wait_ms } => {
@@ -171,13 +165,13 @@
                         wait: NO_ACCOUNTANT_RETRY_AFTER.mul_f64(spread),
                     });
                 }
-                return take_by_relay(shared, token_request).await;
+                return take_by_relay(shared, check).await;
             }
         };
-        let wait_ms = match ask_accountant(shared, &accountant, token_request.ask(part)).await {
+        let wait_ms = match ask_accountant(shared, &accountant, check.ask(part)).await {
             AskOutcome::Token { asked_at } => return Ok(quota.token(asked_at)),
             AskOutcome::Spent { wait_ms } => {
-                quota.meter.borrow_mut().spent(quota.now(), token_request.tenant, part, wait_ms);
+                quota.meter.borrow_mut().spent(quota.now(), check.tenant, part, wait_ms);
                 Some(wait_ms)
             }
             AskOutcome::NotHeld | AskOutcome::None => {
--- a/crates/gateway/src/quota/relays.rs
+++ b/crates/gateway/src/quota/relays.rs
@@ -10,7 +10,7 @@
 use yokefall_quota::{TokenAsk, TokenGrant};
 
 use super::asks::{ask_accountant, AskOutcome, ASK_TIMEOUT};
-use super::{Token, TokenError, TokenRequest};
+use super::{QuotaCheck, Token, TokenError};
 use crate::shared::Shared;
 
 /// Number of other gateways asked to relay a request when no accountant can be reached.
@@ -19,14 +19,14 @@
 /// Requests a token through other gateways, since only this one may be cut off from the job stores.
 pub(super) async fn take_by_relay(
     shared: &Rc<Shared>,
-    token_request: TokenRequest<'_>,
+    check: QuotaCheck<'_>,
 ) -> Result<Token, TokenError> {
     for address in relay_gateways(shared) {
         let mut shortest_wait: Option<u64> = None;
-        let order = shared.quota.meter.borrow().order(token_request.tenant);
+        let order = shared.quota.meter.borrow().order(check.tenant);
         for part in order {
             let asked_at = shared.quota.now();
-            let asks = vec![token_request.ask(part)];
+            let asks = vec![check.ask(part)];
             let deadline = Instant::now() + ASK_TIMEOUT;
             let reply = shared.jobs.call_member(address, Request::TakeTokens(asks), deadline).await;
             let grant = match reply {
