--- a/crates/app/src/commands/serving.rs
+++ b/crates/app/src/commands/serving.rs
@@ -17,7 +17,7 @@
 use yokefall_serving::ZoneMap;
 use yokefall_settings::{LogLevel, ServingRole, ServingSettings};
 use yokefall_standalone::Standalone;
-use yokefall_telemetry::{init_lines, EventName, HealthState, Level, Line, MetricsServer};
+use yokefall_telemetry::{init_log_lines, EventName, HealthState, Level, LogLine, MetricsServer};
 
 use crate::exit::{fail, ExitStatus};
 
@@ -63,7 +63,7 @@
         LogLevel::Info => Level::Info,
         LogLevel::Debug => Level::Debug,
     };
-    init_lines(role, &settings.node.name, level);
+    init_log_lines(role, &settings.node.name, level);
 }
 
 /// Interval at which the settings file is looked at: it may change without a signal.
@@ -87,7 +87,7 @@
         match load(&self.file, self.role) {
             Ok(settings) => {
                 let seeds = settings.fleet.seeds;
-                Line::new(EventName::Reloaded)
+                LogLine::new(EventName::Reloaded)
                     .field("accepted", true)
                     .field("seeds", seeds.len())
                     .write();
@@ -97,7 +97,7 @@
                     differ
                 });
             }
-            Err(error) => Line::new(EventName::Reloaded)
+            Err(error) => LogLine::new(EventName::Reloaded)
                 .field("accepted", false)
                 .field("cause", error)
                 .write(),
@@ -175,7 +175,7 @@
         Err(error) => Err(error),
     };
     if let Err(error) = started {
-        Line::new(EventName::DependencyLost)
+        LogLine::new(EventName::DependencyLost)
             .id("metrics-port")
             .text("address", address)
             .text("cause", error)
@@ -212,10 +212,10 @@
         readiness: listen.readiness.unwrap_or(listen.peer),
         directory: listen.directory.unwrap_or(listen.peer),
         peer: listen.peer,
-        news: listen.news(),
+        exchange: listen.exchange_address(),
         bootstrap: settings.fleet.bootstrap,
         seeds,
-        held_body_bytes: (memory * BODY_MEMORY_SHARE) as usize,
+        max_buffered_body_bytes: (memory * BODY_MEMORY_SHARE) as usize,
         stop_time: Duration::from_secs_f64(settings.stop.seconds),
         policy: settings.policy,
         quota: settings.quota,
@@ -256,7 +256,7 @@
         zones: Arc::new(ZoneMap::new(settings.zones)),
         placement: settings.placement,
         peer: settings.listen.peer,
-        news: settings.listen.news(),
+        exchange: settings.listen.exchange_address(),
         seeds,
         folder: data.folder,
         bootstrap: data.bootstrap,
@@ -268,6 +268,6 @@
         policy: settings.policy,
         quota: settings.quota,
         suspension: SuspensionSource::Machine,
-        most_runs: (memory_mb * BYTES_PER_MB * RUN_MEMORY_SHARE / RUN_BYTES) as usize + 1,
+        max_runs: (memory_mb * BYTES_PER_MB * RUN_MEMORY_SHARE / RUN_BYTES) as usize + 1,
     }
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -13,7 +13,7 @@
 use nix::time::{clock_gettime, ClockId};
 use tokio::time::Instant;
 use yokefall_core::Timestamp;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 /// Suspension that is told: shorter than any lease or the life of any token, and far longer than two readings
 /// of the clocks are apart.
@@ -26,7 +26,7 @@
     #[default]
     Machine,
     /// Milliseconds that somebody tells, for tests: a machine can't be suspended in one.
-    Told(Arc<AtomicU64>),
+    Simulated(Arc<AtomicU64>),
 }
 
 impl SuspensionSource {
@@ -34,7 +34,7 @@
     pub fn suspended(&self) -> Duration {
         match self {
             SuspensionSource::Machine => suspended_by_clocks(),
-            SuspensionSource::Told(ms) => Duration::from_millis(ms.load(Ordering::Relaxed)),
+            SuspensionSource::Simulated(ms) => Duration::from_millis(ms.load(Ordering::Relaxed)),
         }
     }
 }
@@ -92,7 +92,7 @@
         self.told.set(suspended);
         let amount = suspended - told;
         metrics::counter!("suspended_milliseconds_total").increment(amount.as_millis() as u64);
-        Line::new(EventName::MachineSuspended)
+        LogLine::new(EventName::MachineSuspended)
             .field("suspended_ms", amount.as_millis() as u64)
             .write();
         suspended
--- a/crates/clock/tests/elapsed.rs
+++ b/crates/clock/tests/elapsed.rs
@@ -10,7 +10,7 @@
 
 fn told() -> (Arc<AtomicU64>, ElapsedClock) {
     let ms = Arc::new(AtomicU64::new(7_000));
-    let clock = ElapsedClock::new(SuspensionSource::Told(ms.clone()));
+    let clock = ElapsedClock::new(SuspensionSource::Simulated(ms.clone()));
     (ms, clock)
 }
 
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -22,18 +22,19 @@
     ///
     /// Neither of a pair can go on without the other: there is no quorum. Each holds everything
     /// that was committed, though, so either may go on alone as long as the other never does. A
-    /// claim on the pair, recorded once outside the group, decides which: see `outlive`.
+    /// claim on the pair, recorded once outside the group, decides which: see `become_sole_voter`.
     pub fn pair(&self) -> Option<Pair> {
         let members = self.members();
         let is_pair = members.voters.len() == 2 && members.voters.contains(&self.me);
         // Newer entries may tell of other learners; members that were never committed are no pair.
-        let settled = self.members_at(self.settled).epoch == members.epoch;
-        (is_pair && settled).then_some(Pair { epoch: members.epoch })
+        let committed_members_index =
+            self.members_at(self.committed_members_index).epoch == members.epoch;
+        (is_pair && committed_members_index).then_some(Pair { epoch: members.epoch })
     }
 
     /// Goes on alone after the other of a pair. The caller must hold the claim on the pair, and the
     /// members must not be changed from a pair by anyone without it.
-    pub fn outlive(&mut self, now: Millis, pair: Pair) -> bool {
+    pub fn become_sole_voter(&mut self, now: Millis, pair: Pair) -> bool {
         if self.pair() != Some(pair) {
             return false;
         }
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -28,13 +28,19 @@
     }
 
     fn accepted(&self, matched: Index, sent_at: Millis) -> Body {
-        let settled = self.durable_settled;
-        Body::AppendReply { accepted: true, matched, refused: 0, settled, sent_at }
+        let committed_members_index = self.durable_settled;
+        Body::AppendReply { accepted: true, matched, refused: 0, committed_members_index, sent_at }
     }
 
     fn refused(&self, refused: Index, hint: Index, sent_at: Millis) -> Body {
-        let settled = self.durable_settled;
-        Body::AppendReply { accepted: false, matched: hint, refused, settled, sent_at }
+        let committed_members_index = self.durable_settled;
+        Body::AppendReply {
+            accepted: false,
+            matched: hint,
+            refused,
+            committed_members_index,
+            sent_at,
+        }
     }
 
     pub(crate) fn take_entries(
@@ -112,7 +118,7 @@
             for unsynced in &mut self.unsynced {
                 unsynced.last_index = unsynced.last_index.min(matched);
             }
-            self.settled = self.settled.max(matched);
+            self.committed_members_index = self.committed_members_index.max(matched);
             self.effects.committed.clear();
             self.effects.install = Some(snapshot.clone());
             self.effects.writes.push(Write::Snapshot { snapshot, keep_rest: false });
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -107,7 +107,7 @@
         /// given up tells it nothing.
         refused: Index,
         /// Position of the newest members that the sender's disk knows to be committed.
-        settled: Index,
+        committed_members_index: Index,
         /// Clock of the leader as it was sent.
         sent_at: Millis,
     },
@@ -119,5 +119,5 @@
         sent_at: Millis,
     },
     /// Asks the receiver to stand for election at once.
-    HandOver,
+    TransferLeadership,
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -36,7 +36,7 @@
         /// Who got the vote of this member in it.
         voted_for: Option<MemberId>,
         /// Position of the newest members that are known to be committed.
-        settled: Index,
+        committed_members_index: Index,
     },
     /// Entries; they take the place of any at their positions and after.
     Entries(Vec<Entry>),
@@ -52,7 +52,7 @@
 /// What the shell must do.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// To be written, in this order, then synced. The shell calls `Consensus::persisted` after.
+    /// To be written, in this order, then synced. The shell calls `Consensus::writes_synced` after.
     pub writes: Vec<Write>,
     /// May be sent at once.
     pub messages: Vec<Message>,
@@ -64,7 +64,7 @@
     pub committed: Vec<Entry>,
     /// Members that need the whole state. After `committed` is applied the shell calls
     /// `Consensus::install` for each with the state.
-    pub installs: Vec<MemberId>,
+    pub snapshot_targets: Vec<MemberId>,
 }
 
 /// What a disk held.
@@ -75,7 +75,7 @@
     /// Vote in it.
     pub voted_for: Option<MemberId>,
     /// Position of the newest members that are known to be committed.
-    pub settled: Index,
+    pub committed_members_index: Index,
     /// Snapshot.
     pub snapshot: Snapshot,
     /// Entries after it.
@@ -112,7 +112,7 @@
 #[derive(Debug)]
 pub(crate) struct Unsynced {
     pub(crate) last_index: Index,
-    pub(crate) settled: Index,
+    pub(crate) committed_members_index: Index,
     term: Term,
 }
 
@@ -124,7 +124,7 @@
     pub(crate) voted_for: Option<MemberId>,
     /// Position of the newest members that are known to be committed. It is kept on disk: a member
     /// that returns alone must know whether the members that it sees were ever in force.
-    pub(crate) settled: Index,
+    pub(crate) committed_members_index: Index,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
     pub(crate) log: Log,
@@ -134,7 +134,7 @@
     pub(crate) durable: Index,
     /// What each batch of writes that is not synced yet brings to the disk.
     pub(crate) unsynced: VecDeque<Unsynced>,
-    /// `settled` as far as it is on this member's disk.
+    /// `committed_members_index` as far as it is on this member's disk.
     pub(crate) durable_settled: Index,
     pub(crate) votes: BTreeSet<MemberId>,
     /// The pair that this member is about to outlive.
@@ -161,8 +161,8 @@
             me,
             term: recovered.term,
             voted_for: recovered.voted_for,
-            settled: recovered.settled,
-            durable_settled: recovered.settled,
+            committed_members_index: recovered.committed_members_index,
+            durable_settled: recovered.committed_members_index,
             role: Role::Follower,
             leader: None,
             commit: applied,
@@ -186,7 +186,7 @@
     }
 
     /// Begins a group whose only member is this one. The disk must be empty.
-    pub fn found(&mut self, now: Millis) {
+    pub fn bootstrap(&mut self, now: Millis) {
         if self.log.last_index() > 0 {
             return;
         }
@@ -227,8 +227,8 @@
     }
 
     /// Position of the newest members that are known to be committed.
-    pub fn settled(&self) -> Index {
-        self.settled
+    pub fn committed_members_index(&self) -> Index {
+        self.committed_members_index
     }
 
     /// Voters of the newest members that are known to be committed.
@@ -258,16 +258,16 @@
     }
 
     fn collect_committed(&mut self) {
-        let settled = self.settled;
+        let committed_members_index = self.committed_members_index;
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied + 1) else { break };
             if matches!(entry.payload, Payload::Members(_)) {
-                self.settled = self.settled.max(entry.index);
+                self.committed_members_index = self.committed_members_index.max(entry.index);
             }
             self.effects.committed.push(entry.clone());
             self.applied += 1;
         }
-        if self.settled > settled {
+        if self.committed_members_index > committed_members_index {
             self.save_state();
         }
     }
@@ -295,12 +295,14 @@
     }
 
     /// Everything written by the oldest batch of effects that had writes is synced.
-    pub fn persisted(&mut self, now: Millis) {
-        let Some(Unsynced { last_index, settled, term }) = self.unsynced.pop_front() else {
+    pub fn writes_synced(&mut self, now: Millis) {
+        let Some(Unsynced { last_index, committed_members_index, term }) =
+            self.unsynced.pop_front()
+        else {
             return;
         };
         self.durable = self.durable.max(last_index.min(self.log.last_index()));
-        self.durable_settled = self.durable_settled.max(settled);
+        self.durable_settled = self.durable_settled.max(committed_members_index);
         if self.role == Role::Leader {
             self.advance_commit(now);
         }
@@ -310,9 +312,10 @@
     }
 
     /// Notes a batch of writes; the shell calls this for each batch before it writes it.
-    pub fn writing(&mut self) {
-        let (last_index, settled, term) = (self.log.last_index(), self.settled, self.term);
-        self.unsynced.push_back(Unsynced { last_index, settled, term });
+    pub fn writes_started(&mut self) {
+        let (last_index, committed_members_index, term) =
+            (self.log.last_index(), self.committed_members_index, self.term);
+        self.unsynced.push_back(Unsynced { last_index, committed_members_index, term });
     }
 
     pub(crate) fn schedule_election(&mut self, now: Millis) {
@@ -320,8 +323,9 @@
     }
 
     pub(crate) fn save_state(&mut self) {
-        let (term, voted_for, settled) = (self.term, self.voted_for.clone(), self.settled);
-        self.effects.writes.push(Write::State { term, voted_for, settled });
+        let (term, voted_for, committed_members_index) =
+            (self.term, self.voted_for.clone(), self.committed_members_index);
+        self.effects.writes.push(Write::State { term, voted_for, committed_members_index });
     }
 
     pub(crate) fn append_own(&mut self, entries: Vec<Entry>) {
@@ -377,18 +381,18 @@
                     self.take_snapshot(from, snapshot, sent_at);
                 }
             }
-            Body::AppendReply { accepted, matched, refused, settled, sent_at } => {
+            Body::AppendReply { accepted, matched, refused, committed_members_index, sent_at } => {
                 if term > self.term {
                     self.become_follower(now, term);
                 } else if term == self.term && self.role == Role::Leader {
                     self.take_reply(
                         now,
                         &from,
-                        Reply { accepted, matched, refused, settled, sent_at },
+                        Reply { accepted, matched, refused, committed_members_index, sent_at },
                     );
                 }
             }
-            Body::HandOver => {
+            Body::TransferLeadership => {
                 let votes = self.members().voters.contains(&self.me);
                 if term == self.term && votes && self.role == Role::Follower {
                     self.campaign(now, Role::Candidate, true);
--- a/crates/consensus/src/policy.rs
+++ b/crates/consensus/src/policy.rs
@@ -19,7 +19,7 @@
 
 /// What the leader hears from outside the log.
 #[derive(Clone, Debug, Default)]
-pub struct Wishes {
+pub struct DesiredMembership {
     /// Members that ask to join.
     pub joining: Vec<MemberId>,
     /// Names of members that are to be emptied.
@@ -34,16 +34,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing.
-    Rest,
+    Idle,
     /// Propose these members.
     Change(Members),
     /// Ask another voter to lead.
-    HandOver(MemberId),
+    TransferLeadership(MemberId),
 }
 
 /// The next step. One voter changes at a time, and a place is filled before another one is given
 /// up, so that the group is a pair only where there are no more than two machines for it.
-pub fn next_step(node: &Consensus, now: Millis, wishes: &Wishes) -> Step {
+pub fn next_step(node: &Consensus, now: Millis, wishes: &DesiredMembership) -> Step {
     let members = node.members();
     let step = admit(node, now, members, wishes)
         .or_else(|| replace_lost(node, now, members))
@@ -52,7 +52,7 @@
         .or_else(|| drop_silent(node, now, members, wishes))
         .or_else(|| drop_silent_learner(node, now, members))
         .or_else(|| spread(node, now, members, wishes));
-    step.unwrap_or(Step::Rest)
+    step.unwrap_or(Step::Idle)
 }
 
 /// Whether a step changes who votes in a pair, other than by a successor of a lost disk. Such a step
@@ -64,7 +64,7 @@
 
 /// Whether a member of a pair should try to go on alone: soon where the other one asks to join with
 /// an empty disk, and after a time longer than cuts usually last where it is silent.
-pub fn should_outlive(node: &Consensus, now: Millis, joining: &[MemberId]) -> bool {
+pub fn should_become_sole_voter(node: &Consensus, now: Millis, joining: &[MemberId]) -> bool {
     if node.role() == Role::Leader || node.pair().is_none() {
         return false;
     }
@@ -107,14 +107,19 @@
 }
 
 /// Whether a member that asks may belong to the group at all.
-fn may_join(members: &Members, wishes: &Wishes, member: &MemberId) -> bool {
+fn may_join(members: &Members, wishes: &DesiredMembership, member: &MemberId) -> bool {
     !members.contains(member) && !wishes.leaving.contains(&member.name)
 }
 
 /// Lets a member that asks begin to learn, where the group has or is about to have too few voters.
 /// The others stand by with nothing: each member costs the leader the whole log. One whose name the
 /// group knows has a new disk in the place of a lost one, and is always admitted.
-fn admit(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
+fn admit(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &DesiredMembership,
+) -> Option<Step> {
     let stays = |member: &&MemberId| {
         node.silent_ms(now, member) < SILENCE_MS && !wishes.leaving.contains(&member.name)
     };
@@ -132,7 +137,12 @@
 
 /// Makes a learner that has caught up a voter, where a place is free, or is about to be: one that a
 /// silent or leaving voter still holds. Everyone else must answer, or the change could not commit.
-fn promote(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
+fn promote(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &DesiredMembership,
+) -> Option<Step> {
     let learner = members.learners.iter().find(|learner| {
         is_caught_up(node, now, learner)
             && !wishes.leaving.contains(&learner.name)
@@ -159,9 +169,14 @@
 
 /// Moves a voter from a crowded zone to one with fewer, in three steps, each only while all voters answer: a
 /// machine of that zone learns, then votes, then the one in the crowded zone goes.
-fn spread(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
+fn spread(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &DesiredMembership,
+) -> Option<Step> {
     let answers = |member: &MemberId| node.silent_ms(now, member) < SILENCE_MS;
-    if !members.voters.iter().all(answers) || !node.members_are_settled() {
+    if !members.voters.iter().all(answers) || !node.members_durably_committed() {
         return None;
     }
     let crowded_out = |by: &MemberId| wishes.zones.crowded_out(&members.voters, by, node.id());
@@ -192,7 +207,12 @@
 }
 
 /// Removes a silent voter where others have taken its place.
-fn drop_silent(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
+fn drop_silent(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &DesiredMembership,
+) -> Option<Step> {
     let silent = |voter: &&MemberId| node.silent_ms(now, voter) >= SILENCE_MS;
     let gone = members.voters.iter().find(silent)?;
     (members.voters.len() > wishes.voters).then(|| Step::Change(without(members, gone)))
@@ -208,7 +228,12 @@
 /// Removes a member that is to be emptied, once enough others vote and have everything: as many as
 /// are wanted, where other machines could still fill its place, since the loss of several may follow
 /// at once.
-fn release(node: &Consensus, now: Millis, members: &Members, wishes: &Wishes) -> Option<Step> {
+fn release(
+    node: &Consensus,
+    now: Millis,
+    members: &Members,
+    wishes: &DesiredMembership,
+) -> Option<Step> {
     let leaving = members.all().find(|member| wishes.leaving.contains(&member.name))?;
     let others: Vec<&MemberId> = members
         .voters
@@ -232,7 +257,7 @@
     if leaving == node.id() {
         // The lead can go only to one that has everything.
         let nearest = others.iter().max_by_key(|other| node.matched(other));
-        return nearest.map(|other| Step::HandOver((*other).clone()));
+        return nearest.map(|other| Step::TransferLeadership((*other).clone()));
     }
     Some(Step::Change(without(members, leaving)))
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -51,7 +51,7 @@
     /// When anything was last heard of it.
     heard_at: Millis,
     /// Position of the newest members that its disk knows to be committed.
-    settled: Index,
+    committed_members_index: Index,
 }
 
 impl Progress {
@@ -104,7 +104,7 @@
     pub accepted: bool,
     pub matched: Index,
     pub refused: Index,
-    pub settled: Index,
+    pub committed_members_index: Index,
     pub sent_at: Millis,
 }
 
@@ -189,7 +189,7 @@
                 sent_at: now,
                 acknowledged_at: None,
                 heard_at: now,
-                settled: 0,
+                committed_members_index: 0,
             });
         }
     }
@@ -255,8 +255,8 @@
                 // One at a time: the state is large, and each is a copy of it under way. One that is
                 // not heard would keep it from the others.
                 let is_heard = now < progress.heard_at + INSTALL_HEARD_MS;
-                if is_heard && self.effects.installs.is_empty() && !self.is_installing() {
-                    self.effects.installs.push(member.clone());
+                if is_heard && self.effects.snapshot_targets.is_empty() && !self.is_installing() {
+                    self.effects.snapshot_targets.push(member.clone());
                 }
                 break;
             }
@@ -304,10 +304,11 @@
 
     /// A member answered.
     pub(crate) fn take_reply(&mut self, now: Millis, from: &MemberId, reply: Reply) {
-        let Reply { accepted, matched, refused, settled, sent_at } = reply;
+        let Reply { accepted, matched, refused, committed_members_index, sent_at } = reply;
         let Some(progress) = self.progress.get_mut(from) else { return };
         progress.heard_at = now;
-        progress.settled = progress.settled.max(settled);
+        progress.committed_members_index =
+            progress.committed_members_index.max(committed_members_index);
         progress.acknowledged_at = progress.acknowledged_at.max(Some(sent_at));
         if accepted {
             progress.accept(matched);
@@ -348,7 +349,7 @@
         }
         if !members.voters.contains(&self.me) {
             self.become_follower(now, self.term);
-        } else if !self.members_are_settled() {
+        } else if !self.members_durably_committed() {
             // Others hear at once that the members are in force.
             self.heartbeat_at = now;
         }
@@ -356,13 +357,13 @@
 
     /// Whether the disk of every voter knows that the present members are committed. Until then one
     /// that is left alone could not tell whether they ever were.
-    pub fn members_are_settled(&self) -> bool {
+    pub fn members_durably_committed(&self) -> bool {
         let (position, members) = self.log.members();
-        let settled = |voter: &MemberId| match self.progress.get(voter) {
-            Some(progress) => progress.settled >= position,
+        let committed_members_index = |voter: &MemberId| match self.progress.get(voter) {
+            Some(progress) => progress.committed_members_index >= position,
             None => *voter == self.me && self.durable_settled >= position,
         };
-        self.role == Role::Leader && members.voters.iter().all(settled)
+        self.role == Role::Leader && members.voters.iter().all(committed_members_index)
     }
 
     /// Whether no other leader can exist now.
@@ -381,14 +382,14 @@
     }
 
     /// Asks a voter to take over. The lease ends with the asking.
-    pub fn hand_over(&mut self, now: Millis, to: &MemberId) -> bool {
+    pub fn transfer_leadership(&mut self, now: Millis, to: &MemberId) -> bool {
         let votes = self.members().voters.contains(to) && *to != self.me;
         if self.role != Role::Leader || !votes || self.matched(to) < self.log.last_index() {
             return false;
         }
         self.handing_over = true;
         self.heartbeat_at = now + HEARTBEAT_MS;
-        self.send(to.clone(), self.term, Body::HandOver);
+        self.send(to.clone(), self.term, Body::TransferLeadership);
         true
     }
 }
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -25,8 +25,8 @@
         let effects = core.take_effects();
         let wrote = !effects.writes.is_empty();
         if wrote {
-            core.writing();
-            core.persisted(now);
+            core.writes_started();
+            core.writes_synced(now);
         }
         let sent = effects.messages.len() + effects.messages_after_sync.len();
         messages.extend(effects.messages);
@@ -50,7 +50,7 @@
 fn a_learner_is_sent_each_entry_about_once() {
     let mut leader = core("a");
     let mut learner = core("b");
-    leader.found(0);
+    leader.bootstrap(0);
     leader.tick(0);
     drain(&mut leader, 0);
     leader.tick(1);
@@ -127,12 +127,12 @@
                 }
                 loop {
                     let effects = core.take_effects();
-                    let more = !effects.writes.is_empty() || !effects.installs.is_empty();
+                    let more = !effects.writes.is_empty() || !effects.snapshot_targets.is_empty();
                     if !effects.writes.is_empty() {
-                        core.writing();
-                        core.persisted(now);
+                        core.writes_started();
+                        core.writes_synced(now);
                     }
-                    for to in &effects.installs {
+                    for to in &effects.snapshot_targets {
                         core.install(now, to, STATE.into());
                     }
                     if effects.install.is_some_and(|snapshot| &snapshot.state[..] == STATE) {
@@ -172,7 +172,7 @@
 #[test]
 fn a_member_that_is_gone_does_not_keep_the_state_from_another() {
     let mut group = Group::of(&["a", "b", "c", "d"]);
-    group.at("a").found(0);
+    group.at("a").bootstrap(0);
     group.run(10);
     for voters in [vec!["a", "b"], vec!["a", "b", "c"]] {
         let voters = voters.into_iter().map(member).collect();
@@ -191,7 +191,7 @@
         group.at(name).compact(STATE.into());
     }
     let now = group.now;
-    assert!(group.at("a").hand_over(now, &member("b")));
+    assert!(group.at("a").transfer_leadership(now, &member("b")));
     group.run(500);
     let now = group.now;
     group.at("b").propose(now, vec![0; 100]).expect("the leader");
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -6,7 +6,9 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use yokefall_consensus::policy::{needs_claim, next_step, should_outlive, Step, Wishes};
+use yokefall_consensus::policy::{
+    needs_claim, next_step, should_become_sole_voter, DesiredMembership, Step,
+};
 use yokefall_consensus::Zones;
 use yokefall_consensus::{
     Consensus, Effects, Entry, Index, MemberId, Message, Millis, Pair, Payload, Recovered, Write,
@@ -28,8 +30,8 @@
         let mut recovered = Recovered::default();
         for write in &self.writes {
             match write {
-                Write::State { term, voted_for, settled } => {
-                    recovered.settled = *settled;
+                Write::State { term, voted_for, committed_members_index } => {
+                    recovered.committed_members_index = *committed_members_index;
                     recovered.term = *term;
                     recovered.voted_for = voted_for.clone();
                 }
@@ -221,7 +223,7 @@
         node.applied = decode(&state);
         let mut core = Consensus::new(me, recovered, self.now, seed);
         if node.founder && node.disk.writes.is_empty() {
-            core.found(self.now);
+            core.bootstrap(self.now);
         }
         node.founder = false;
         node.core = Some(core);
@@ -245,11 +247,11 @@
     fn carry_out(&mut self, at: usize) -> Result<(), Violation> {
         let Some(core) = self.nodes[at].core.as_mut() else { return Ok(()) };
         let effects = core.take_effects();
-        let Effects { writes, messages, messages_after_sync, install, committed, installs } =
+        let Effects { writes, messages, messages_after_sync, install, committed, snapshot_targets } =
             effects;
         let has_writes = !writes.is_empty();
         if has_writes {
-            core.writing();
+            core.writes_started();
         }
         for message in messages {
             self.post(at, message);
@@ -261,7 +263,7 @@
         for entry in committed {
             self.apply(at, entry)?;
         }
-        self.install(at, &installs);
+        self.install(at, &snapshot_targets);
         let delay = self.random.random_range(1..4);
         let node = &mut self.nodes[at];
         node.disk.writes.extend(writes);
@@ -384,7 +386,7 @@
                 self.post(at, message);
             }
             if let Some(core) = self.nodes[at].core.as_mut().filter(|_| batch.has_writes) {
-                core.persisted(self.now);
+                core.writes_synced(self.now);
                 self.carry_out(at)?;
             }
         }
@@ -481,28 +483,28 @@
                 self.nodes.iter().enumerate().map(|(n, node)| (node.name.clone(), zone(n))),
             );
             let leaving = self.leaving.clone();
-            let wishes = Wishes { joining, leaving, voters: self.voters, zones };
+            let wishes = DesiredMembership { joining, leaving, voters: self.voters, zones };
             let step = next_step(core, self.now, &wishes);
             let pair = core.pair().filter(|_| match &step {
                 Step::Change(members) => needs_claim(core, members),
-                Step::Rest | Step::HandOver(_) => false,
+                Step::Idle | Step::TransferLeadership(_) => false,
             });
             if !self.claim(at, pair) {
                 continue;
             }
             let Some(core) = self.nodes[at].core.as_mut() else { continue };
             match step {
-                Step::Rest => {}
+                Step::Idle => {}
                 Step::Change(members) => {
                     core.change_members(self.now, members);
                 }
-                Step::HandOver(to) => {
-                    core.hand_over(self.now, &to);
+                Step::TransferLeadership(to) => {
+                    core.transfer_leadership(self.now, &to);
                 }
             }
             self.carry_out(at)?;
         }
-        self.outlive()
+        self.become_sole_voter()
     }
 
     /// Whether a member has the claim on a pair; nothing needs one where there is no pair.
@@ -517,7 +519,7 @@
         self.claims_answer && *self.claims.entry(pair).or_insert(me.clone()) == me
     }
 
-    fn outlive(&mut self) -> Result<(), Violation> {
+    fn become_sole_voter(&mut self) -> Result<(), Violation> {
         let joining: Vec<MemberId> = self
             .nodes
             .iter()
@@ -530,7 +532,7 @@
                 continue;
             }
             let Some(core) = self.nodes[at].core.as_ref() else { continue };
-            let alone = core.pair().filter(|_| should_outlive(core, self.now, &joining));
+            let alone = core.pair().filter(|_| should_become_sole_voter(core, self.now, &joining));
             let Some(pair) = alone else {
                 continue;
             };
@@ -538,7 +540,7 @@
                 continue;
             }
             if let Some(core) = self.nodes[at].core.as_mut() {
-                core.outlive(self.now, pair);
+                core.become_sole_voter(self.now, pair);
             }
             self.note(format!("{at} goes on alone"));
             self.carry_out(at)?;
@@ -578,7 +580,7 @@
             let members = core.members();
             let present = self.nodes.iter().filter_map(|node| node.core.as_ref());
             core.can_read(self.now)
-                && core.members_are_settled()
+                && core.members_durably_committed()
                 && members.voters.len() >= self.nodes.len().min(3) - self.retired
                 && members.voters.len() >= 2
                 && members.voters.iter().all(|voter| {
@@ -753,7 +755,7 @@
                 self.nodes[leader].core.as_ref().is_some_and(|core| {
                     core.can_read(self.now)
                         && core.can_change_members()
-                        && core.members_are_settled()
+                        && core.members_durably_committed()
                         && !core.members().all().any(|member| member.name == name)
                 })
             });
@@ -851,7 +853,7 @@
                 core.log().last_index(),
                 core.log().last_term(),
                 core.commit_index(),
-                core.settled(),
+                core.committed_members_index(),
                 core.members(),
             ),
         };
@@ -997,7 +999,7 @@
             let out = self.leaders().iter().any(|&leader| {
                 self.nodes[leader].core.as_ref().is_some_and(|core| {
                     core.can_change_members()
-                        && core.members_are_settled()
+                        && core.members_durably_committed()
                         && !core.members().all().any(|member| member.name == name)
                 })
             });
@@ -1013,9 +1015,9 @@
         }
         let told = |&leader: &usize| {
             let core = self.nodes[leader].core.as_ref()?;
-            let settled = core.members_are_settled();
+            let committed_members_index = core.members_durably_committed();
             Some(format!(
-                "{}: may change {}, settled {settled}",
+                "{}: may change {}, settled {committed_members_index}",
                 core.id(),
                 core.can_change_members()
             ))
--- a/crates/consensus/tests/zones.rs
+++ b/crates/consensus/tests/zones.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use yokefall_consensus::policy::{next_step, Step, Wishes};
+use yokefall_consensus::policy::{next_step, DesiredMembership, Step};
 use yokefall_consensus::{Consensus, MemberId, Message, Millis, Recovered, Role, Zones};
 
 const VOTERS: usize = 5;
@@ -31,7 +31,7 @@
         };
         let cores = (0..).zip(names).map(core).collect();
         let mut machines = Self { now: 0, cores, lost: BTreeSet::new() };
-        machines.cores.get_mut(names[0]).expect("a machine").found(0);
+        machines.cores.get_mut(names[0]).expect("a machine").bootstrap(0);
         machines
     }
 
@@ -64,8 +64,8 @@
                 if effects.writes.is_empty() {
                     break;
                 }
-                core.writing();
-                core.persisted(self.now);
+                core.writes_started();
+                core.writes_synced(self.now);
             }
         }
         messages
@@ -83,7 +83,7 @@
         let asks = running.map(|(_, core)| core.id()).filter(|id| !leader.members().contains(id));
         let zones = Zones::new(self.cores.keys().map(|name| (name.clone(), zone_of(name))));
         let joining = asks.cloned().collect();
-        let wishes = Wishes { joining, leaving: Vec::new(), voters: VOTERS, zones };
+        let wishes = DesiredMembership { joining, leaving: Vec::new(), voters: VOTERS, zones };
         let Step::Change(members) = next_step(leader, self.now, &wishes) else { return };
         let name = leader.id().name.clone();
         let now = self.now;
--- a/crates/core/src/batch.rs
+++ b/crates/core/src/batch.rs
@@ -193,7 +193,7 @@
         service: &ServiceId,
         items: Vec<LeasedItem>,
     ) -> Vec<BatchEffect> {
-        self.note_answer(now, store, service, items.is_empty());
+        self.record_answer(now, store, service, items.is_empty());
         let mut effects = Vec::new();
         let mut returned = Vec::new();
         for item in items {
@@ -227,10 +227,16 @@
 
     /// A store could not be asked.
     pub fn lease_failed(&mut self, now: Timestamp, store: &NodeName, service: &ServiceId) {
-        self.note_answer(now, store, service, true);
+        self.record_answer(now, store, service, true);
     }
 
-    fn note_answer(&mut self, now: Timestamp, store: &NodeName, service: &ServiceId, empty: bool) {
+    fn record_answer(
+        &mut self,
+        now: Timestamp,
+        store: &NodeName,
+        service: &ServiceId,
+        empty: bool,
+    ) {
         let poll = self.polls.entry((store.clone(), service.clone())).or_default();
         poll.asked = None;
         if empty {
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -49,7 +49,7 @@
 /// For how many milliseconds the platform's store has not confirmed what a member knows, by kind; `None` where it
 /// never has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct NewsAges {
+pub struct StateAges {
     /// The configuration.
     pub configuration_ms: Option<u32>,
     /// Back ends.
@@ -70,7 +70,7 @@
     /// Evacuated zones that the sender knows.
     pub evacuations: ObjectDigest,
     /// Age of what it knows.
-    pub ages: NewsAges,
+    pub ages: StateAges,
     /// TCP port at which the sender tells them to peers; 0 where it does not.
     pub news_port: u16,
     /// Digest of the sender's member list.
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -20,7 +20,7 @@
 use self::digest::ListDigests;
 use self::gossip::NewsQueue;
 pub use self::message::{
-    Datagram, DatagramKind, MemberRecord, MemberState, NewsAges, ObjectDigest, Outgoing,
+    Datagram, DatagramKind, MemberRecord, MemberState, ObjectDigest, Outgoing, StateAges,
 };
 use self::probes::{Probe, Relay};
 use crate::time::Timestamp;
@@ -77,7 +77,7 @@
     configuration_version: u64,
     backends: ObjectDigest,
     evacuations: ObjectDigest,
-    ages: NewsAges,
+    ages: StateAges,
     news_port: u16,
     generator: SmallRng,
     changed: bool,
@@ -108,7 +108,7 @@
             configuration_version: 0,
             backends: ObjectDigest::default(),
             evacuations: ObjectDigest::default(),
-            ages: NewsAges::default(),
+            ages: StateAges::default(),
             news_port: 0,
             generator: SmallRng::seed_from_u64(seed),
             changed: true,
@@ -141,13 +141,13 @@
     }
 
     /// Notes the age of what this daemon knows of the platform's objects.
-    pub fn set_news_ages(&mut self, ages: NewsAges) {
+    pub fn set_state_ages(&mut self, ages: StateAges) {
         self.ages = ages;
     }
 
     /// How long ago this daemon sent the probe that a datagram acknowledges, in milliseconds; `None` for all
     /// other datagrams. The sender was asked then, so that what it says is no older than it tells and this.
-    pub fn asked_ms_ago(&self, now: Timestamp, datagram: &Datagram) -> Option<u64> {
+    pub fn probe_age_ms(&self, now: Timestamp, datagram: &Datagram) -> Option<u64> {
         let is_answered = |probe: &&Probe| {
             datagram.kind == DatagramKind::Ack { sequence: probe.sequence }
                 && datagram.from == probe.target
@@ -200,7 +200,7 @@
 
     /// Datagrams that tell a few members, drawn by chance, what this daemon knows now: `near` of its
     /// own zone, between which bytes are not paid for, and `far` of the others.
-    pub fn tell_some(&mut self, near: usize, far: usize) -> Vec<Outgoing> {
+    pub fn gossip_to_some(&mut self, near: usize, far: usize) -> Vec<Outgoing> {
         let drawn = self.draw(near, far);
         drawn.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
     }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -10,10 +10,10 @@
 
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use yokefall_serving::admission::{load_limit, Held, HoldQueue, Terms};
-use yokefall_serving::{Catalog, Need, Residency, TenantName};
+use yokefall_serving::admission::{load_limit, AdmissionQueue, QueueLimits, QueuedRequest};
+use yokefall_serving::{Catalog, Requirements, Residency, TenantName};
 use yokefall_telemetry::EventName;
-use yokefall_upstream::Place;
+use yokefall_upstream::BackendSlot;
 
 use crate::context::RequestContext;
 use crate::shared::Shared;
@@ -28,7 +28,7 @@
 
 /// Receiver of a queued request's slot, and the inputs for selecting a back end.
 struct Waiter {
-    grant: oneshot::Sender<Result<Option<Place>, QueueTimeout>>,
+    grant: oneshot::Sender<Result<Option<BackendSlot>, QueueTimeout>>,
     affinity: Option<u64>,
     target: Duration,
     host: String,
@@ -45,18 +45,21 @@
 }
 
 impl QueueKey {
-    fn of(need: &Need) -> Self {
-        Self { residency: Reverse(need.residency.clone()), service: need.service.to_owned() }
+    fn of(requirements: &Requirements) -> Self {
+        Self {
+            residency: Reverse(requirements.residency.clone()),
+            service: requirements.service.to_owned(),
+        }
     }
 
-    fn need(&self) -> Need<'_> {
-        Need { service: &self.service, residency: &self.residency.0 }
+    fn requirements(&self) -> Requirements<'_> {
+        Requirements { service: &self.service, residency: &self.residency.0 }
     }
 }
 
 #[derive(Default)]
 struct ServiceQueue {
-    queue: HoldQueue,
+    queue: AdmissionQueue,
     waiters: HashMap<u64, Waiter>,
 }
 
@@ -91,31 +94,31 @@
     shared: &Shared,
     context: &RequestContext,
     affinity: Option<u64>,
-) -> Result<Option<Place>, QueueTimeout> {
+) -> Result<Option<BackendSlot>, QueueTimeout> {
     let admission = &shared.admission;
     let target = Duration::from_millis(context.route.target_latency_ms);
-    let key = QueueKey::of(&context.need());
+    let key = QueueKey::of(&context.requirements());
     let is_first = admission.is_empty(&key);
     if !shared.policy.hold_requests
         || target.is_zero()
-        || (is_first && has_capacity(shared, &context.need(), target))
+        || (is_first && has_capacity(shared, &context.requirements(), target))
     {
-        return Ok(choose(shared, &context.need(), &[], affinity));
+        return Ok(choose(shared, &context.requirements(), &[], affinity));
     }
     let ticket = admission.next_ticket.get();
     admission.next_ticket.set(ticket + 1);
-    let terms = Terms {
+    let terms = QueueLimits {
         rank: context.rank,
         target,
-        time: context.deadline.duration_since(context.arrived),
+        timeout: context.deadline.duration_since(context.arrived),
     };
     let (grant, granted) = oneshot::channel();
-    let queued = shared.places.with(|_, now| Held::new(ticket, now, terms));
+    let queued = shared.balancer.with(|_, now| QueuedRequest::new(ticket, now, terms));
     let (host, path) = (context.route.host.clone(), context.parts.uri.path().to_owned());
     let tenant = context.caller.tenant().map(|tenant| tenant.name.clone());
     admission.enqueue(key, queued, Waiter { grant, affinity, target, host, path, tenant });
     // Wakes the dispatcher for the new request, which may have to expire first.
-    shared.places.capacity_freed.notify_one();
+    shared.balancer.capacity_freed.notify_one();
     let began = Instant::now();
     let remove_on_drop = RemoveOnDrop { shared, ticket };
     let outcome = granted.await.unwrap_or(Err(QueueTimeout));
@@ -135,10 +138,10 @@
         self.queues.borrow().get(key).is_none_or(|service_queue| service_queue.queue.is_empty())
     }
 
-    fn enqueue(&self, key: QueueKey, queued: Held, waiter: Waiter) {
+    fn enqueue(&self, key: QueueKey, queued: QueuedRequest, waiter: Waiter) {
         let mut queues = self.queues.borrow_mut();
         let service_queue = queues.entry(key).or_default();
-        service_queue.queue.hold(queued);
+        service_queue.queue.enqueue(queued);
         service_queue.waiters.insert(queued.ticket, waiter);
     }
 
@@ -171,14 +174,17 @@
 /// Whether the least loaded back ends of a service are below the load limit for requests with a
 /// latency target. Returns true if no back end is known, so that selection reports the cause
 /// instead of queueing.
-fn has_capacity(shared: &Shared, need: &Need, target: Duration) -> bool {
+fn has_capacity(shared: &Shared, requirements: &Requirements, target: Duration) -> bool {
     let catalog = shared.catalog.load();
-    shared.places.with(|balancer, now| {
-        let Some(service_ms) = balancer.service_ms(need.service) else { return true };
-        let drawn = shared.eligibility.draw(&catalog, need, None, balancer.generator());
-        let level = match drawn {
-            Some(drawn) => balancer.online_level_of_part(now, &drawn.backends, drawn.part),
-            None => balancer.online_level(now, &shared.eligibility.candidates(&catalog, need)),
+    shared.balancer.with(|balancer, now| {
+        let Some(service_ms) = balancer.service_ms(requirements.service) else { return true };
+        let sample = shared.eligibility.sample(&catalog, requirements, None, balancer.generator());
+        let level = match sample {
+            Some(sample) => {
+                balancer.projected_online_load_of_sample(now, &sample.backends, sample.fraction)
+            }
+            None => balancer
+                .projected_online_load(now, &shared.eligibility.candidates(&catalog, requirements)),
         };
         level.is_none_or(|level| level <= load_limit(target, service_ms))
     })
@@ -187,21 +193,22 @@
 /// Selects a back end that is not in `tried` and acquires a slot there; `None` if there is none.
 pub fn choose(
     shared: &Shared,
-    need: &Need,
+    requirements: &Requirements,
     tried: &[String],
     affinity: Option<u64>,
-) -> Option<Place> {
+) -> Option<BackendSlot> {
     let catalog = shared.catalog.load_full();
-    let backend = shared.places.with(|balancer, now| {
-        let drawn = shared.eligibility.draw(&catalog, need, affinity, balancer.generator());
-        let chosen = drawn.and_then(|drawn| balancer.choose_drawn(now, &drawn, tried));
+    let backend = shared.balancer.with(|balancer, now| {
+        let sample =
+            shared.eligibility.sample(&catalog, requirements, affinity, balancer.generator());
+        let chosen = sample.and_then(|sample| balancer.choose_from_sample(now, &sample, tried));
         chosen.or_else(|| {
             // There are few back ends, or all sampled ones are excluded because of failures.
-            let candidates = shared.eligibility.candidates(&catalog, need);
+            let candidates = shared.eligibility.candidates(&catalog, requirements);
             balancer.choose(now, &candidates, tried, affinity)
         })
     })?;
-    Some(shared.places.take(backend))
+    Some(shared.balancer.take(backend))
 }
 
 /// Dispatches queued requests forever, whenever there may be capacity or a request expires.
@@ -210,11 +217,11 @@
         let wait = match shared.admission.next_expiry() {
             None => None,
             Some(at) => {
-                let wait = shared.places.with(|_, now| at.millis_since(now).max(1));
+                let wait = shared.balancer.with(|_, now| at.millis_since(now).max(1));
                 Some(Duration::from_millis(wait).min(POLL_INTERVAL))
             }
         };
-        let capacity_freed = shared.places.capacity_freed.notified();
+        let capacity_freed = shared.balancer.capacity_freed.notified();
         match wait {
             None => capacity_freed.await,
             Some(wait) => {
@@ -237,7 +244,7 @@
 fn expire_queued(shared: &Shared, key: &QueueKey) {
     let mut queues = shared.admission.queues.borrow_mut();
     let Some(service_queue) = queues.get_mut(key) else { return };
-    let expired = shared.places.with(|_, now| service_queue.queue.expire(now));
+    let expired = shared.balancer.with(|_, now| service_queue.queue.expire(now));
     for queued in expired {
         if let Some(waiter) = service_queue.waiters.remove(&queued.ticket) {
             let _ = waiter.grant.send(Err(QueueTimeout));
@@ -250,10 +257,10 @@
     let waiter = {
         let mut queues = shared.admission.queues.borrow_mut();
         let Some(service_queue) = queues.get_mut(key) else { return false };
-        let next = shared.places.with(|_, now| service_queue.queue.next(now));
+        let next = shared.balancer.with(|_, now| service_queue.queue.next(now));
         let Some(queued) = next else { return false };
         let target = service_queue.waiters.get(&queued.ticket).map(|waiter| waiter.target);
-        if target.is_some_and(|target| !has_capacity(shared, &key.need(), target)) {
+        if target.is_some_and(|target| !has_capacity(shared, &key.requirements(), target)) {
             return false;
         }
         service_queue.queue.remove(queued.ticket);
@@ -261,12 +268,12 @@
     };
     // The caller has just disconnected.
     let Some(waiter) = waiter else { return true };
-    let place = match choose(shared, &key.need(), &[], waiter.affinity) {
+    let slot = match choose(shared, &key.requirements(), &[], waiter.affinity) {
         // No back end in the regions of the request accepts requests any more; `None` reports that
         // to the caller.
         None if key.residency.0 != Residency::Anywhere => Ok(None),
-        place => place.map(Some).ok_or(QueueTimeout),
+        slot => slot.map(Some).ok_or(QueueTimeout),
     };
-    let _ = waiter.grant.send(place);
+    let _ = waiter.grant.send(slot);
     true
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -5,9 +5,9 @@
 
 use http::request::Parts;
 use tokio::time::Instant;
-use yokefall_serving::{Caller, Catalog, Need, Residency, Route, RouteKind};
-use yokefall_suspects::{AloneRun, RequestDigest, RequestIdentity};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_serving::{Caller, Catalog, Requirements, Residency, Route, RouteKind};
+use yokefall_suspects::{IsolatedRun, RequestDigest, RequestIdentity};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::body::BufferedBody;
 use crate::quota::Token;
@@ -47,13 +47,13 @@
     /// Digest of the request, computed on first use: most requests never need it.
     pub digest: OnceCell<RequestDigest>,
     /// Held while the request runs exclusively, as granted by the leader of the job stores.
-    pub alone: Option<AloneRun>,
+    pub alone: Option<IsolatedRun>,
 }
 
 impl RequestContext {
     /// What the request requires of a back end.
-    pub fn need(&self) -> Need<'_> {
-        Need { service: &self.service, residency: &self.residency }
+    pub fn requirements(&self) -> Requirements<'_> {
+        Requirements { service: &self.service, residency: &self.residency }
     }
 
     /// Applies the newest configuration to the regions in which the request may be served: what was
@@ -86,8 +86,8 @@
     }
 
     /// A log line with the fields common to all events of this request.
-    pub fn log_line(&self, event: EventName) -> Line {
-        Line::new(event)
+    pub fn log_line(&self, event: EventName) -> LogLine {
+        LogLine::new(event)
             .id(&self.id)
             .field("route", self.route.name.as_str())
             .field("service", self.service.as_str())
@@ -107,7 +107,7 @@
     }
 
     /// The log line of the end of this request.
-    pub fn final_log_line(&self, event: EventName) -> Line {
+    pub fn final_log_line(&self, event: EventName) -> LogLine {
         self.end_logged.set(true);
         let seconds = self.arrived.elapsed().as_secs_f64();
         metrics::histogram!("gateway_request_seconds", "route" => self.route.name.clone())
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -3,7 +3,7 @@
 use tokio::sync::watch;
 use yokefall_clock::ElapsedClock;
 use yokefall_serving::discovery::{self, DiscoveryOptions, PeerPorts};
-use yokefall_serving::fleet::{start_number, Identity, Notices};
+use yokefall_serving::fleet::{new_incarnation, Identity, Notices};
 use yokefall_serving::{CatalogCell, FleetCell, Freshness, Platform};
 
 use crate::daemon::GatewayOptions;
@@ -33,7 +33,7 @@
         zone: options.zone,
         region: options.region,
         job_store: false,
-        incarnation: start_number(),
+        incarnation: new_incarnation(),
     };
     let discovery = DiscoveryOptions {
         identity,
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -19,12 +19,12 @@
 use yokefall_serving::fleet::Notices;
 use yokefall_serving::table::Splitter;
 use yokefall_serving::{
-    empty_catalog, empty_fleet, Balancer, ColdStart, ColdStartOptions, Eligibility, Freshness,
-    PlacementBounds, Platform, Policy, Sender, ZoneMap,
+    empty_catalog, empty_fleet, Balancer, ColdStartLimiter, ColdStartLimiterOptions, Eligibility,
+    Freshness, PlacementBounds, Platform, Policy, SenderId, ZoneMap,
 };
 use yokefall_suspects::Registry;
-use yokefall_telemetry::{version, EventName, Line};
-use yokefall_upstream::{Places, Pool};
+use yokefall_telemetry::{version, EventName, LogLine};
+use yokefall_upstream::{Pool, SharedBalancer};
 
 use crate::admission::{self, Admission};
 use crate::control::{self, ControlOutputs};
@@ -69,13 +69,13 @@
     /// Address for other processes, UDP.
     pub peer: SocketAddr,
     /// Address at which other processes fetch configuration and back ends.
-    pub news: SocketAddr,
+    pub exchange: SocketAddr,
     /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
     /// Peer addresses of some processes; updated when the settings are reloaded.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
     /// Upper bound for the bytes of request bodies held in memory.
-    pub held_body_bytes: usize,
+    pub max_buffered_body_bytes: usize,
     /// Time between the stop request and the termination of the process.
     pub stop_time: Duration,
     /// Enabled policies.
@@ -142,12 +142,12 @@
         let relay = listen("listen for gateways", options.peer).await?;
         options.peer = relay.local_addr().unwrap_or(options.peer);
         let datagrams = bind_udp(options.peer).await?;
-        let news = listen("listen for news", options.news).await?;
+        let exchange = listen("listen for news", options.exchange).await?;
         options.ingress = ingress.local_addr().unwrap_or(options.ingress);
         options.readiness = readiness.local_addr().unwrap_or(options.readiness);
         options.directory = directory.local_addr().unwrap_or(options.directory);
         options.peer = datagrams.local_addr().unwrap_or(options.peer);
-        let ports = PeerPorts { datagrams, news };
+        let ports = PeerPorts { datagrams, exchange };
         Ok(Self { options, ingress, readiness, directory, relay, ports })
     }
 
@@ -164,7 +164,7 @@
         mut stop: watch::Receiver<bool>,
     ) -> Result<(), StartError> {
         let Self { options, ingress, readiness, directory, relay, ports } = self;
-        Line::new(EventName::Started)
+        LogLine::new(EventName::Started)
             .id(&options.name)
             .text("ingress", options.ingress)
             .text("peer", options.peer)
@@ -191,11 +191,11 @@
         tokio::task::spawn_local(quota::assignment::probe_failing(shared.clone()));
         let target = || {
             ReportTarget::new(options.name.clone())
-                .standing_in(options.zone.clone(), options.zones.clone())
+                .in_zone(options.zone.clone(), options.zones.clone())
         };
         tokio::task::spawn_local(load::report(shared.clone(), target()));
         let (registry, fleet) = (shared.suspects.clone(), shared.fleet.clone());
-        suspects::share(registry, shared.jobs.clone(), fleet, target(), port);
+        suspects::start_exchange(registry, shared.jobs.clone(), fleet, target(), port);
         while !*stop.borrow() {
             if stop.changed().await.is_err() {
                 break;
@@ -213,13 +213,13 @@
     let balancer = Balancer::new(options.zone.clone(), rand::random(), options.policy)
         .with_zones(options.zones.clone());
     let freshness = Freshness::new(options.suspension.clone());
-    let cold_options = ColdStartOptions {
-        sender: Sender { name: options.name.clone(), job_store: false },
+    let cold_options = ColdStartLimiterOptions {
+        sender: SenderId { name: options.name.clone(), job_store: false },
         bounds: options.placement,
         freshness: freshness.clone(),
         clock: clock(),
     };
-    let cold = ColdStart::new(catalog.clone(), fleet.clone(), cold_options);
+    let cold = ColdStartLimiter::new(catalog.clone(), fleet.clone(), cold_options);
     Shared {
         catalog: catalog.clone(),
         eligibility: Eligibility::with_cold_start(catalog.clone(), cold.clone()),
@@ -228,7 +228,7 @@
         fleet: fleet.clone(),
         zones: options.zones.clone(),
         dialect: platform.dialect(),
-        places: Places::with_cold_start(balancer, clock(), cold),
+        balancer: SharedBalancer::with_cold_start(balancer, clock(), cold),
         quota: Quota::new(options.name.clone(), options.quota, clock()),
         suspects: Registry::new(catalog, clock()),
         admission: Admission::default(),
@@ -243,8 +243,8 @@
         rejecting: Cell::new(false),
         serving: Cell::new(0),
         buffered_body_bytes: Cell::new(0),
-        max_buffered_body_bytes: options.held_body_bytes,
-        read_ahead: ReadAhead::new(options.held_body_bytes / READ_AHEAD_DIVISOR),
+        max_buffered_body_bytes: options.max_buffered_body_bytes,
+        read_ahead: ReadAhead::new(options.max_buffered_body_bytes / READ_AHEAD_DIVISOR),
     }
 }
 
@@ -262,15 +262,15 @@
         peer: "control".into(),
         cause: cause.to_string(),
     };
-    let PeerPorts { datagrams, news } = ports;
+    let PeerPorts { datagrams, exchange } = ports;
     let datagrams = datagrams.into_std().map_err(failed)?;
-    let news = news.into_std().map_err(failed)?;
+    let exchange = exchange.into_std().map_err(failed)?;
     let (options, catalog, fleet) = (options.clone(), shared.catalog.clone(), shared.fleet.clone());
     let outputs = ControlOutputs { catalog, fleet, freshness: shared.freshness.clone() };
     std::thread::Builder::new()
         .name("control".into())
         .spawn(move || {
-            let sockets = (datagrams, news);
+            let sockets = (datagrams, exchange);
             run_control(options, platform, sockets, outputs, notices, stop)
         })
         .map_err(failed)?;
@@ -280,7 +280,7 @@
 fn run_control<P: Platform>(
     options: GatewayOptions,
     platform: P,
-    (datagrams, news): (std::net::UdpSocket, std::net::TcpListener),
+    (datagrams, exchange): (std::net::UdpSocket, std::net::TcpListener),
     outputs: ControlOutputs,
     notices: Notices,
     stop: watch::Receiver<bool>,
@@ -288,12 +288,12 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let Ok(runtime) = runtime else { return };
     LocalSet::new().block_on(&runtime, async move {
-        let (Ok(datagrams), Ok(news)) =
-            (UdpSocket::from_std(datagrams), TcpListener::from_std(news))
+        let (Ok(datagrams), Ok(exchange)) =
+            (UdpSocket::from_std(datagrams), TcpListener::from_std(exchange))
         else {
             return;
         };
-        let ports = PeerPorts { datagrams, news };
+        let ports = PeerPorts { datagrams, exchange };
         control::run(options, platform, ports, outputs, notices, stop).await;
     });
 }
@@ -303,7 +303,7 @@
 async fn shut_down(shared: &Shared, options: &GatewayOptions, close: &watch::Sender<bool>) {
     let begun = Instant::now();
     shared.stopping.set(true);
-    Line::new(EventName::Stopping).field("serving", shared.serving.get()).write();
+    LogLine::new(EventName::Stopping).field("serving", shared.serving.get()).write();
     tokio::time::sleep(options.stop_time.mul_f64(STOP_SERVING_FRACTION)).await;
     shared.rejecting.set(true);
     close.send_replace(true);
@@ -311,5 +311,5 @@
     while shared.serving.get() > 0 && Instant::now() < end {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
-    Line::new(EventName::Stopped).field("cut_off", shared.serving.get()).write();
+    LogLine::new(EventName::Stopped).field("cut_off", shared.serving.get()).write();
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -12,8 +12,8 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 use yokefall_serving::{Ineligible, Outcome, Residency};
-use yokefall_telemetry::{EventName, Line};
-use yokefall_upstream::{exchange, ConnectFailure, Connection, Place, SendFailure};
+use yokefall_telemetry::{EventName, LogLine};
+use yokefall_upstream::{exchange, BackendSlot, ConnectFailure, Connection, SendFailure};
 
 use crate::admission::{admit, choose, QueueTimeout};
 use crate::context::{may_retry, RequestContext};
@@ -55,7 +55,7 @@
     /// The connection.
     pub connection: Connection,
     /// The slot.
-    pub place: Place,
+    pub slot: BackendSlot,
 }
 
 /// Why no back end returned a usable response.
@@ -203,7 +203,7 @@
     let mut admitted = match is_new {
         false => None,
         true => match admit(shared, context, affinity).await {
-            Ok(place) => place,
+            Ok(slot) => slot,
             Err(QueueTimeout) => return Err(ForwardError::QueueTimeout),
         },
     };
@@ -215,15 +215,18 @@
         }
         let catalog = shared.catalog.load_full();
         context.update_regions(&catalog);
-        let place =
-            admitted.take().or_else(|| choose(shared, &context.need(), &context.tried, affinity));
-        let Some(mut place) = place else {
-            if let Some(wait_ms) = shared.eligibility.cold_wait_ms(&catalog, &context.need()) {
+        let slot = admitted
+            .take()
+            .or_else(|| choose(shared, &context.requirements(), &context.tried, affinity));
+        let Some(mut slot) = slot else {
+            if let Some(wait_ms) =
+                shared.eligibility.cold_wait_ms(&catalog, &context.requirements())
+            {
                 return Err(all_cold(context, wait_ms));
             }
             break;
         };
-        let backend = place.backend.clone();
+        let backend = slot.backend.clone();
         context.tried.push(backend.id.clone());
         let max_connections =
             connections_allowed(shared, catalog.max_connections(&context.service));
@@ -231,7 +234,7 @@
         let mut connection = match shared.pool.connect(&backend, limit, max_connections).await {
             Ok(connection) => connection,
             Err(error) => {
-                place.outcome = match error {
+                slot.outcome = match error {
                     ConnectFailure::Unreachable { .. } => Outcome::Unreachable,
                     ConnectFailure::Exhausted => Outcome::Full,
                 };
@@ -242,7 +245,7 @@
         };
         match suspect::clear(shared, context, &backend.id).await {
             Clearance::Clear => {}
-            Clearance::OtherBackend => {
+            Clearance::BackendBusy => {
                 shared.pool.put_back(connection);
                 last = format!("{} runs another suspect alone", backend.id);
                 log_failed_attempt(context, &backend.id, &last);
@@ -261,15 +264,15 @@
             return Err(ForwardError::NotRun("the request cannot be passed on".into()));
         };
         let names = shared.dialect.headers();
-        let id_header = shared.dialect.marks_answers().then_some(&names.request_id);
+        let id_header = shared.dialect.signs_responses().then_some(&names.request_id);
         context.update_regions(&shared.catalog.load());
-        let permit = match shared.eligibility.permit(&backend, &context.need()) {
+        let permit = match shared.eligibility.permit(&backend, &context.requirements()) {
             Ok(permit) => permit,
             Err(cause) => {
                 shared.pool.put_back(connection);
                 last = format!("{}: {cause}", backend.id);
                 log_failed_attempt(context, &backend.id, &last);
-                cause.tell_kept_from(&context.id, &backend);
+                cause.record_rejection(&context.id, &backend);
                 if matches!(cause, Ineligible::Cold { .. }) {
                     // Another request has used up the share meanwhile: nothing was tried, and this
                     // back end is no longer a candidate.
@@ -281,7 +284,7 @@
         };
         let sent = exchange(&mut connection, request, id_header, permit);
         let limit = attempt_deadline(context);
-        let response = match await_response(shared, &place, limit, sent).await {
+        let response = match await_response(shared, &slot, limit, sent).await {
             Ok(Ok(response)) => response,
             Ok(Err(SendFailure::NotSent { cause })) => {
                 // The back end closed an idle connection, which says nothing about its health.
@@ -291,12 +294,15 @@
                 continue;
             }
             Ok(Err(SendFailure::MayHaveRun { cause })) => {
-                place.outcome = Outcome::Failed;
-                place.broke();
+                slot.outcome = Outcome::Failed;
+                slot.record_failure();
                 context.record_possible_run();
                 last = format!("{}: {cause}", backend.id);
                 log_failed_attempt(context, &backend.id, &last);
-                shared.suspects.note_break(&backend, place.taken(), || context.digest()).await;
+                shared
+                    .suspects
+                    .record_disconnect(&backend, slot.acquired_at(), || context.digest())
+                    .await;
                 if may_retry(context) {
                     continue;
                 }
@@ -304,7 +310,7 @@
             }
             Err(_) => {
                 let out_of_time = limit >= context.deadline;
-                place.outcome = if out_of_time { Outcome::Abandoned } else { Outcome::Failed };
+                slot.outcome = if out_of_time { Outcome::Abandoned } else { Outcome::Failed };
                 context.record_possible_run();
                 if !out_of_time && may_retry(context) {
                     last = format!("{} gave no answer", backend.id);
@@ -315,9 +321,9 @@
             }
         };
         connection.note_keep_alive(response.headers());
-        place.heard();
-        record_backend_headers(shared, &place, response.headers());
-        let backend_response = BackendResponse { response, connection, place };
+        slot.record_activity();
+        record_backend_headers(shared, &slot, response.headers());
+        let backend_response = BackendResponse { response, connection, slot };
         match classify(shared, context, backend_response) {
             Classification::Use(backend_response) => return Ok(*backend_response),
             Classification::NotRun(cause) => {
@@ -336,7 +342,7 @@
     if context.may_have_run > 0 {
         return Err(ForwardError::MayHaveRun(last));
     }
-    if regions::has_no_backends(shared, &context.need()) {
+    if regions::has_no_backends(shared, &context.requirements()) {
         return Err(ForwardError::NoRegion(context.residency.clone()));
     }
     Err(ForwardError::NotRun(last))
@@ -370,15 +376,15 @@
 }
 
 /// Records that a back end has sent nothing for [`SILENCE_TIMEOUT`].
-pub fn log_silence(shared: &Shared, place: &Place) {
-    if !place.fell_silent(SILENCE_TIMEOUT) {
+pub fn log_silence(shared: &Shared, slot: &BackendSlot) {
+    if !slot.record_silence(SILENCE_TIMEOUT) {
         return;
     }
-    shared.pool.forget_kept(&place.backend);
-    Line::new(EventName::BackendSilent)
-        .id(&place.backend.id)
-        .field("started_ms", place.backend.started_ms)
-        .text("address", place.backend.address)
+    shared.pool.close_idle(&slot.backend);
+    LogLine::new(EventName::BackendSilent)
+        .id(&slot.backend.id)
+        .field("started_ms", slot.backend.started_ms)
+        .text("address", slot.backend.address)
         .field("after_ms", SILENCE_TIMEOUT.as_millis() as u64)
         .write();
 }
@@ -386,7 +392,7 @@
 /// Waits for a response and records silence of the back end meanwhile.
 async fn await_response<T>(
     shared: &Shared,
-    place: &Place,
+    slot: &BackendSlot,
     limit: Instant,
     response: impl std::future::Future<Output = T>,
 ) -> Result<T, tokio::time::error::Elapsed> {
@@ -395,7 +401,7 @@
         loop {
             match tokio::time::timeout(SILENCE_TIMEOUT, response.as_mut()).await {
                 Ok(response) => return response,
-                Err(_) => log_silence(shared, place),
+                Err(_) => log_silence(shared, slot),
             }
         }
     })
@@ -416,16 +422,16 @@
     mut backend_response: BackendResponse,
 ) -> Classification {
     let status = backend_response.response.status();
-    let description = format!("{} answered {status}", backend_response.place.backend.id);
+    let description = format!("{} answered {status}", backend_response.slot.backend.id);
     if status == StatusCode::MISDIRECTED_REQUEST {
-        backend_response.place.outcome = Outcome::Misdirected;
+        backend_response.slot.outcome = Outcome::Misdirected;
         return Classification::NotRun(description);
     }
     if backend_response.response.headers().contains_key(&shared.dialect.headers().not_run) {
         if status == StatusCode::BAD_REQUEST {
             return Classification::Use(Box::new(backend_response));
         }
-        backend_response.place.outcome = Outcome::Full;
+        backend_response.slot.outcome = Outcome::Full;
         return Classification::NotRun(description);
     }
     context.record_possible_run();
@@ -437,11 +443,11 @@
     if retryable_statuses.contains(&status) {
         // The client would take the status as proof that the request was not executed, which the
         // back end did not give.
-        backend_response.place.outcome = Outcome::Failed;
+        backend_response.slot.outcome = Outcome::Failed;
         return Classification::Ran(description);
     }
     if status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT {
-        backend_response.place.outcome = Outcome::Failed;
+        backend_response.slot.outcome = Outcome::Failed;
         if may_retry(context) {
             return Classification::Ran(description);
         }
@@ -450,14 +456,14 @@
 }
 
 /// Records the load and the cold time that a back end reports with its response.
-fn record_backend_headers(shared: &Shared, place: &Place, headers: &HeaderMap) {
+fn record_backend_headers(shared: &Shared, slot: &BackendSlot, headers: &HeaderMap) {
     let load = headers.get(&shared.dialect.headers().load);
     if let Some(load) = load.and_then(|value| shared.dialect.parse_load(value)) {
-        place.told(load);
+        slot.record_report(load);
     }
     let cold = headers.get(&shared.dialect.headers().cold_ms);
     if let Some(remaining_ms) = cold.and_then(|value| shared.dialect.parse_cold(value)) {
-        place.told_cold(remaining_ms);
+        slot.record_cold_remaining(remaining_ms);
     }
 }
 
--- a/crates/gateway/src/idle_eviction.rs
+++ b/crates/gateway/src/idle_eviction.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::connection::PhaseCell;
 
@@ -33,7 +33,7 @@
         let now = Instant::now();
         if self.logged_at.get().is_none_or(|at| now - at >= LOG_INTERVAL) {
             self.logged_at.set(Some(now));
-            Line::new(EventName::ConnectionsCrowded).text("cause", error).write();
+            LogLine::new(EventName::ConnectionsCrowded).text("cause", error).write();
         }
         self.evict.notify_waiters();
     }
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use yokefall_serving::identity::{self, identify, KeyError};
 use yokefall_serving::{Caller, Catalog, RequestLimits, Route, RouteKind};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::connection::{LimitedStream, PhaseCell, TimeLimits};
 use crate::context::RequestContext;
@@ -156,7 +156,7 @@
     metrics::counter!("gateway_requests_total", "status" => status.as_str().to_owned())
         .increment(1);
     if status.is_client_error() && own {
-        Line::new(EventName::RequestRejected)
+        LogLine::new(EventName::RequestRejected)
             .id(id.and_then(|value| value.to_str().ok()).unwrap_or_default())
             .field("status", status.as_u16())
             .field("version", shared.catalog.load().version())
@@ -280,7 +280,7 @@
     let caller = identify(catalog.tenants.as_deref(), &parts.headers, exempt);
     if let Err(error) = &caller {
         let id = parts.headers.get(&shared.dialect.headers().request_id);
-        Line::new(EventName::KeyRejected)
+        LogLine::new(EventName::KeyRejected)
             .id(id.and_then(|value| value.to_str().ok()).unwrap_or_default())
             .text("cause", error)
             .field("version", catalog.version())
@@ -309,7 +309,7 @@
         metrics::counter!("gateway_quota_refusals_total", "tenant" => name, "cause" => cause)
             .increment(1);
         let parts = (event == EventName::QuotaUnknown).then(|| shared.quota.describe(tenant));
-        Line::new(event)
+        LogLine::new(event)
             .id(id)
             .field("parts", parts)
             .field("tenant", tenant.as_str())
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -8,10 +8,10 @@
 use http::request::Parts;
 use http::{header, HeaderName, HeaderValue, Response, StatusCode};
 use tokio::time::Instant;
-use yokefall_jobstore::residence::residency_of_job;
+use yokefall_jobstore::residency::residency_of_job;
 use yokefall_jobstore::{CallOutcome, Reply, Request, Submission};
 use yokefall_serving::{BadSubmission, Caller, JobCall, JobItem, Requester, Residency, Route};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::regions;
 use crate::response::{json, plain, rejection, ClientResponse, ResponseBody};
@@ -80,7 +80,7 @@
         max_queue_ms: route.batch.map_or(DEFAULT_MAX_QUEUE_MS, |batch| batch.max_queue_ms),
         completion_target_ms: route.batch.map_or(0, |batch| batch.completion_target_ms),
         queue: format!("{} {}{}", submitter.caller.name(), route.host, route.path_prefix),
-        most_queued_tokens: route.batch.and_then(|batch| batch.most_queued_tokens),
+        max_queued_tokens: route.batch.and_then(|batch| batch.max_queued_tokens),
         items,
     };
     let requester = submitter.caller.requester();
@@ -98,8 +98,8 @@
             *response.status_mut() = StatusCode::TOO_MANY_REQUESTS;
             response
         }
-        CallOutcome::Answered(Reply::Taken) => job_id_conflict(),
-        CallOutcome::Answered(Reply::OutOfRegions { members }) => {
+        CallOutcome::Answered(Reply::JobIdConflict) => job_id_conflict(),
+        CallOutcome::Answered(Reply::ResidencyViolation { members }) => {
             regions::reject_job(shared, job, &residency, &members)
         }
         CallOutcome::NotDone => no_job_store(shared),
@@ -131,10 +131,10 @@
     (residency, outside): (&Residency, Vec<String>),
     deadline: Instant,
 ) -> ClientResponse {
-    let request = Request::IsKept { job: job.to_owned(), requester };
+    let request = Request::HasJob { job: job.to_owned(), requester };
     match shared.jobs.call(request, deadline).await {
         CallOutcome::Answered(Reply::Accepted) => accepted(),
-        CallOutcome::Answered(Reply::Taken) => job_id_conflict(),
+        CallOutcome::Answered(Reply::JobIdConflict) => job_id_conflict(),
         CallOutcome::Answered(Reply::NotFound) => {
             regions::reject_job(shared, job, residency, &outside)
         }
@@ -207,7 +207,7 @@
         CallOutcome::NotDone => false,
         CallOutcome::Unknown => true,
     };
-    Line::new(EventName::JobCallFailed)
+    LogLine::new(EventName::JobCallFailed)
         .id(job)
         .field("step", step)
         .field("may_be_done", may_be_done)
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -7,12 +7,14 @@
 
 use tokio::time::Instant;
 use yokefall_jobstore::aggregators::ReportTarget;
-use yokefall_jobstore::loads::{report_interval, BUSY_INTERVAL, IDLE_INTERVAL, THOUSANDTHS};
+use yokefall_jobstore::loads::{
+    report_interval, IDLE_REPORT_INTERVAL, MAX_BUSY_REPORT_INTERVAL, OUTCOME_SCALE,
+};
 use yokefall_jobstore::{
     BackendCount, BackendOutcomes, LoadAnswer, LoadReport, Reply, Request, ServiceRate,
 };
-use yokefall_serving::{Backend, BackendLife, InFlight, Outcomes};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_serving::{Backend, BackendIncarnation, InFlight, Outcomes};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::shared::Shared;
 
@@ -28,8 +30,8 @@
     target: ReportTarget,
     aggregator: String,
     /// The job store that received reports before, until the current one has accepted a report.
-    moved_from: Option<String>,
-    totals: HashMap<BackendLife, InFlight>,
+    previous_aggregator: Option<String>,
+    totals: HashMap<BackendIncarnation, InFlight>,
     /// Whether `totals` reflects every answer so far.
     is_current: bool,
 }
@@ -39,20 +41,20 @@
     let mut state = ReportState {
         target,
         aggregator: String::new(),
-        moved_from: None,
+        previous_aggregator: None,
         totals: HashMap::new(),
         is_current: false,
     };
     let mut longest_interval = Duration::ZERO;
     let mut reports: u32 = 0;
     loop {
-        let changed = shared.places.changed.notified();
+        let changed = shared.balancer.changed.notified();
         let _ = tokio::time::timeout(longest_interval, changed).await;
         let gateways = shared.fleet.load().gateways().count();
         tokio::time::sleep(report_interval(gateways)).await;
         longest_interval = match report_once(&shared, &mut state).await {
-            ReportOutcome::Idle => IDLE_INTERVAL,
-            ReportOutcome::Load | ReportOutcome::NotAccepted => BUSY_INTERVAL,
+            ReportOutcome::Idle => IDLE_REPORT_INTERVAL,
+            ReportOutcome::Load | ReportOutcome::NotAccepted => MAX_BUSY_REPORT_INTERVAL,
         };
         reports += 1;
         if reports % REPORTS_PER_CLEANUP == 0 {
@@ -75,14 +77,14 @@
     let fleet = shared.fleet.load_full();
     let Some(aggregator) = state.target.choose(&fleet) else { return ReportOutcome::NotAccepted };
     if aggregator.name != state.aggregator {
-        Line::new(EventName::AggregatorChanged)
+        LogLine::new(EventName::AggregatorChanged)
             .id(&aggregator.name)
             .field("leader", state.target.leader())
             .write();
         let before = std::mem::replace(&mut state.aggregator, aggregator.name.clone());
         // A job store that never accepted a report holds nothing to discard.
-        let accepted_by = state.moved_from.take().unwrap_or(before);
-        state.moved_from =
+        let accepted_by = state.previous_aggregator.take().unwrap_or(before);
+        state.previous_aggregator =
             (!accepted_by.is_empty() && accepted_by != aggregator.name).then_some(accepted_by);
         state.is_current = false;
     }
@@ -92,8 +94,8 @@
         counts: counts.clone(),
         arrivals: arrivals(shared),
         outcomes: outcomes(shared),
-        answer_all: !state.is_current,
-        moved_from: state.moved_from.clone(),
+        wants_all_totals: !state.is_current,
+        previous_aggregator: state.previous_aggregator.clone(),
     };
     let reported = match report.is_idle() {
         true => ReportOutcome::Idle,
@@ -103,7 +105,7 @@
     match shared.jobs.call_member(aggregator.address, Request::Load(report), limit).await {
         Some(Reply::Load(answer)) => {
             state.target.answered(&aggregator.name, answer.leader.clone());
-            state.moved_from = None;
+            state.previous_aggregator = None;
             apply_answer(shared, state, answer, &counts);
             reported
         }
@@ -120,34 +122,34 @@
 /// Drops state of back ends that are no longer known.
 fn drop_departed_backends(shared: &Shared) {
     let catalog = shared.catalog.load();
-    shared.pool.retain(|life| catalog.is_ready_life(life));
-    shared.places.with(|balancer, now| {
-        balancer.retain(|life| catalog.is_ready_life(life));
-        balancer.forget_idle(now);
+    shared.pool.retain(|incarnation| catalog.is_ready_incarnation(incarnation));
+    shared.balancer.with(|balancer, now| {
+        balancer.retain(|incarnation| catalog.is_ready_incarnation(incarnation));
+        balancer.prune_idle(now);
     });
 }
 
 fn counts(shared: &Shared) -> Vec<BackendCount> {
-    shared.places.with(|balancer, _| {
+    shared.balancer.with(|balancer, _| {
         let count = |(backend, requests)| BackendCount { backend, requests };
         balancer.all_in_flight().map(count).collect()
     })
 }
 
 fn arrivals(shared: &Shared) -> Vec<ServiceRate> {
-    shared.places.with(|balancer, now| {
+    shared.balancer.with(|balancer, now| {
         let rate = |(service, per_ms): (&str, f64)| ServiceRate {
             service: service.to_owned(),
             per_1000_seconds: (per_ms * MILLISECONDS_IN_1000_SECONDS) as u64,
         };
-        balancer.own_arrivals(now).map(rate).filter(|rate| rate.per_1000_seconds > 0).collect()
+        balancer.own_arrival_rates(now).map(rate).filter(|rate| rate.per_1000_seconds > 0).collect()
     })
 }
 
 fn outcomes(shared: &Shared) -> Vec<BackendOutcomes> {
-    let thousandths = |requests: f64| (requests * THOUSANDTHS) as u64;
-    shared.places.with(|balancer, now| {
-        let outcome = |(backend, sums): (BackendLife, Outcomes)| BackendOutcomes {
+    let thousandths = |requests: f64| (requests * OUTCOME_SCALE) as u64;
+    shared.balancer.with(|balancer, now| {
+        let outcome = |(backend, sums): (BackendIncarnation, Outcomes)| BackendOutcomes {
             backend,
             failed: thousandths(sums.failed),
             answered: thousandths(sums.answered),
@@ -158,21 +160,23 @@
 
 /// Ejects back ends that fail for all gateways. If they are more than half of a service, the
 /// network of the reporting processes may be at fault, and each gateway decides on its own.
-fn eject_failing(shared: &Shared, failing: &[BackendLife]) {
+fn eject_failing(shared: &Shared, failing: &[BackendIncarnation]) {
     if failing.is_empty() {
         return;
     }
     // Whatever the fault is, some of them may have restarted.
-    shared.cold.failed_for_all(failing.iter().map(|life| life.id.as_str()));
+    shared.cold.record_reported_failure(failing.iter().map(|incarnation| incarnation.id.as_str()));
     let catalog = shared.catalog.load();
     for (_, backends) in catalog.ready_services() {
-        let of_service = |life: &BackendLife| {
-            backends.get(&life.id).filter(|backend| backend.started_ms == life.started_ms)
+        let of_service = |incarnation: &BackendIncarnation| {
+            backends
+                .get(&incarnation.id)
+                .filter(|backend| backend.started_ms == incarnation.started_ms)
         };
         let failing: Vec<&Backend> =
             failing.iter().filter_map(of_service).map(|backend| backend.as_ref()).collect();
         if failing.len() * 2 <= backends.len() {
-            shared.places.with(|balancer, now| balancer.fail_for_all(now, failing.into_iter()));
+            shared.balancer.with(|balancer, now| balancer.eject_reported(now, failing.into_iter()));
         }
     }
 }
@@ -189,7 +193,7 @@
         state.is_current = true;
     }
     let gateways = shared.fleet.load().gateways().count();
-    let is_informed = answer.covers_most_of(gateways);
+    let is_informed = answer.covers_majority_of(gateways);
     for change in answer.changes {
         let total = InFlight { online: change.online, items: change.items };
         if total == InFlight::default() {
@@ -202,17 +206,20 @@
     if !is_informed {
         return;
     }
-    let own_count = |life: &BackendLife| {
-        reported.iter().find(|count| count.backend == *life).map_or(0, |count| count.requests)
+    let own_count = |incarnation: &BackendIncarnation| {
+        reported
+            .iter()
+            .find(|count| count.backend == *incarnation)
+            .map_or(0, |count| count.requests)
     };
-    let totals = state.totals.iter().map(|(life, total)| (life, *total));
-    shared.places.with(|balancer, now| {
-        balancer.set_choosers(gateways, report_interval(gateways).as_millis() as u64);
-        balancer.heard_totals(now, totals, own_count);
+    let totals = state.totals.iter().map(|(incarnation, total)| (incarnation, *total));
+    shared.balancer.with(|balancer, now| {
+        balancer.set_balancer_count(gateways, report_interval(gateways).as_millis() as u64);
+        balancer.update_totals(now, totals, own_count);
         for rate in answer.arrivals {
             let per_ms = rate.per_1000_seconds as f64 / MILLISECONDS_IN_1000_SECONDS;
-            balancer.set_arrivals_of_all(now, rate.service, per_ms);
+            balancer.set_total_arrival_rate(now, rate.service, per_ms);
         }
     });
-    shared.places.capacity_freed.notify_one();
+    shared.balancer.capacity_freed.notify_one();
 }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,5 +1,5 @@
 //! Tokens of tenants' rate limits: a request of a limited tenant is sent only with a token.
-//! `yokefall_quota::Meter` decides which accountant to ask; concurrent asks are batched.
+//! `yokefall_quota::IssuerSelector` decides which accountant to ask; concurrent asks are batched.
 
 pub mod asks;
 pub mod assignment;
@@ -15,7 +15,9 @@
 use tokio::time::Instant;
 use yokefall_clock::ElapsedClock;
 use yokefall_core::Timestamp;
-use yokefall_quota::{Assignment, Meter, NextStep, Part, QuotaBounds, Refused, TokenAsk};
+use yokefall_quota::{
+    Assignment, IssuerSelector, NextStep, Part, PartRefusal, QuotaBounds, TokenRequest,
+};
 use yokefall_serving::{Caller, RateLimit, Route, TenantName};
 
 use self::asks::{ask_accountant, AskOutcome, QueuedAsk};
@@ -53,7 +55,7 @@
 
 /// Rate limits as known by this gateway.
 pub struct Quota {
-    meter: RefCell<Meter>,
+    meter: RefCell<IssuerSelector>,
     queues: RefCell<HashMap<String, UnboundedSender<QueuedAsk>>>,
     /// Notified when the assignment should be fetched again.
     refresh: Notify,
@@ -69,7 +71,7 @@
     /// Starts without any assignment.
     pub fn new(gateway: String, bounds: QuotaBounds, clock: ElapsedClock) -> Self {
         Self {
-            meter: RefCell::new(Meter::new(gateway)),
+            meter: RefCell::new(IssuerSelector::new(gateway)),
             queues: RefCell::default(),
             refresh: Notify::new(),
             accountant_failed: Notify::new(),
@@ -127,9 +129,9 @@
         Some(Self { tenant: &tenant.name, limit: tenant.limit?, version, target })
     }
 
-    fn ask(&self, part: Part) -> TokenAsk {
+    fn ask(&self, part: Part) -> TokenRequest {
         let tenant = self.tenant.clone();
-        TokenAsk { tenant, part, limit: self.limit, version: self.version, tokens: 1 }
+        TokenRequest { tenant, part, limit: self.limit, version: self.version, tokens: 1 }
     }
 }
 
@@ -149,11 +151,11 @@
 
 async fn try_take(shared: &Rc<Shared>, check: QuotaCheck<'_>) -> Result<Token, TokenError> {
     let quota = &shared.quota;
-    let mut refused: Vec<Refused> = Vec::new();
+    let mut refused: Vec<PartRefusal> = Vec::new();
     loop {
-        let step = quota.meter.borrow().next(quota.now(), check.tenant, &refused);
-        let (part, accountant) = match step {
-            NextStep::Ask { part, accountant } => (part, accountant),
+        let step = quota.meter.borrow().next_step(quota.now(), check.tenant, &refused);
+        let (part, token_issuer) = match step {
+            NextStep::Ask { part, token_issuer } => (part, token_issuer),
             NextStep::OverLimit { wait_ms } => {
                 return Err(TokenError::OverLimit { wait: Duration::from_millis(wait_ms) });
             }
@@ -168,10 +170,10 @@
                 return take_by_relay(shared, check).await;
             }
         };
-        let wait_ms = match ask_accountant(shared, &accountant, check.ask(part)).await {
+        let wait_ms = match ask_accountant(shared, &token_issuer, check.ask(part)).await {
             AskOutcome::Token { asked_at } => return Ok(quota.token(asked_at)),
             AskOutcome::Spent { wait_ms } => {
-                quota.meter.borrow_mut().spent(quota.now(), check.tenant, part, wait_ms);
+                quota.meter.borrow_mut().mark_exhausted(quota.now(), check.tenant, part, wait_ms);
                 Some(wait_ms)
             }
             AskOutcome::NotHeld | AskOutcome::None => {
@@ -179,6 +181,6 @@
                 None
             }
         };
-        refused.push(Refused { part, wait_ms });
+        refused.push(PartRefusal { part, wait_ms });
     }
 }
--- a/crates/gateway/src/quota/asks.rs
+++ b/crates/gateway/src/quota/asks.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use yokefall_core::Timestamp;
 use yokefall_jobstore::{Reply, Request};
-use yokefall_quota::{TokenAsk, TokenGrant};
+use yokefall_quota::{TokenGrant, TokenRequest};
 
 use crate::shared::Shared;
 
@@ -30,25 +30,29 @@
 
 /// An ask that waits to be sent.
 pub(super) struct QueuedAsk {
-    ask: TokenAsk,
+    ask: TokenRequest,
     answer: oneshot::Sender<AskOutcome>,
 }
 
 /// Queues an ask for an accountant and waits for its answer.
 pub(super) async fn ask_accountant(
     shared: &Rc<Shared>,
-    accountant: &str,
-    ask: TokenAsk,
+    token_issuer: &str,
+    ask: TokenRequest,
 ) -> AskOutcome {
     let (answer, answered) = oneshot::channel();
     let queue = {
         let mut queues = shared.quota.queues.borrow_mut();
         let start = || {
             let (sender, receiver) = unbounded_channel();
-            tokio::task::spawn_local(serve_queue(shared.clone(), accountant.to_owned(), receiver));
+            tokio::task::spawn_local(serve_queue(
+                shared.clone(),
+                token_issuer.to_owned(),
+                receiver,
+            ));
             sender
         };
-        queues.entry(accountant.to_owned()).or_insert_with(start).clone()
+        queues.entry(token_issuer.to_owned()).or_insert_with(start).clone()
     };
     if queue.send(QueuedAsk { ask, answer }).is_err() {
         return AskOutcome::None;
@@ -59,7 +63,7 @@
 /// Sends the queued asks for one accountant forever.
 async fn serve_queue(
     shared: Rc<Shared>,
-    accountant: String,
+    token_issuer: String,
     mut queue: UnboundedReceiver<QueuedAsk>,
 ) {
     let mut waiting = Vec::new();
@@ -67,12 +71,12 @@
         let asked_at = shared.quota.now();
         let groups = group(std::mem::take(&mut waiting));
         let asks = groups.iter().map(|group| group.ask.clone()).collect();
-        let grants = call(&shared, &accountant, asks).await;
+        let grants = call(&shared, &token_issuer, asks).await;
         {
             let mut meter = shared.quota.meter.borrow_mut();
             match grants {
-                Some(_) => meter.answered(&accountant),
-                None => meter.failed(&accountant),
+                Some(_) => meter.mark_reachable(&token_issuer),
+                None => meter.mark_unreachable(&token_issuer),
             }
         }
         if grants.is_none() {
@@ -88,7 +92,7 @@
 
 /// Asks for the same part of the same tenant's limit.
 struct Group {
-    ask: TokenAsk,
+    ask: TokenRequest,
     answers: Vec<oneshot::Sender<AskOutcome>>,
 }
 
@@ -132,12 +136,12 @@
 /// Calls an accountant; `None` if it did not answer in time.
 pub(super) async fn call(
     shared: &Shared,
-    accountant: &str,
-    asks: Vec<TokenAsk>,
+    token_issuer: &str,
+    asks: Vec<TokenRequest>,
 ) -> Option<Vec<TokenGrant>> {
     let address = {
         let fleet = shared.fleet.load();
-        let accountant_found = fleet.job_stores().find(|member| member.name == accountant);
+        let accountant_found = fleet.job_stores().find(|member| member.name == token_issuer);
         accountant_found.map(|member| member.address)
     }?;
     let limit = Instant::now() + ASK_TIMEOUT;
--- a/crates/gateway/src/quota/assignment.rs
+++ b/crates/gateway/src/quota/assignment.rs
@@ -45,7 +45,7 @@
         shared.quota.accountant_failed.notify_one();
     }
     let now = shared.quota.now();
-    shared.quota.meter.borrow_mut().forget(now);
+    shared.quota.meter.borrow_mut().expire(now);
     if shared.quota.meter.borrow().assignment().version == 0 {
         tokio::time::sleep(START_INTERVAL).await;
         return;
@@ -62,7 +62,7 @@
     loop {
         shared.quota.accountant_failed.notified().await;
         tokio::time::sleep(FIRST_PROBE_DELAY).await;
-        while !shared.quota.meter.borrow().failing().is_empty() {
+        while !shared.quota.meter.borrow().unreachable().is_empty() {
             probe(&shared).await;
             tokio::time::sleep(PROBE_INTERVAL).await;
         }
@@ -97,10 +97,10 @@
 
 /// Probes all failing accountants at once with an empty call.
 async fn probe(shared: &Shared) {
-    let failing = shared.quota.meter.borrow().failing();
-    let tries = failing.iter().map(|accountant| async move {
-        if call(shared, accountant, Vec::new()).await.is_some() {
-            shared.quota.meter.borrow_mut().answered(accountant);
+    let failing = shared.quota.meter.borrow().unreachable();
+    let tries = failing.iter().map(|token_issuer| async move {
+        if call(shared, token_issuer, Vec::new()).await.is_some() {
+            shared.quota.meter.borrow_mut().mark_reachable(token_issuer);
             shared.quota.accountant_found.notify_waiters();
         }
     });
--- a/crates/gateway/src/quota/relays.rs
+++ b/crates/gateway/src/quota/relays.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 use yokefall_jobstore::{Reply, Request};
-use yokefall_quota::{TokenAsk, TokenGrant};
+use yokefall_quota::{TokenGrant, TokenRequest};
 
 use super::asks::{ask_accountant, AskOutcome, ASK_TIMEOUT};
 use super::{QuotaCheck, Token, TokenError};
@@ -64,12 +64,12 @@
 }
 
 /// Obtains tokens for another gateway that cannot reach the accountants itself.
-pub async fn relay(shared: &Rc<Shared>, asks: Vec<TokenAsk>) -> Vec<TokenGrant> {
+pub async fn relay(shared: &Rc<Shared>, asks: Vec<TokenRequest>) -> Vec<TokenGrant> {
     let mut grants = Vec::with_capacity(asks.len());
     for ask in asks {
-        let accountant = shared.quota.meter.borrow().accountant(&ask.tenant, ask.part);
-        let answer = match accountant {
-            Some(accountant) => ask_accountant(shared, &accountant, ask).await,
+        let token_issuer = shared.quota.meter.borrow().token_issuer(&ask.tenant, ask.part);
+        let answer = match token_issuer {
+            Some(token_issuer) => ask_accountant(shared, &token_issuer, ask).await,
             None => AskOutcome::NotHeld,
         };
         grants.push(match answer {
--- a/crates/gateway/src/regions.rs
+++ b/crates/gateway/src/regions.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use http::HeaderName;
-use yokefall_serving::{Caller, FleetMember, Need, Residency, Route};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_serving::{Caller, FleetMember, Requirements, Residency, Route};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::response::{rejection, ClientResponse};
 use crate::shared::Shared;
@@ -21,10 +21,10 @@
 const MAX_LOGGED_NAMES: usize = 3;
 
 /// Whether a request is restricted to regions in which no back end accepts requests.
-pub fn has_no_backends(shared: &Shared, need: &Need) -> bool {
+pub fn has_no_backends(shared: &Shared, requirements: &Requirements) -> bool {
     let catalog = shared.catalog.load();
-    let is_restricted = *need.residency != Residency::Anywhere;
-    is_restricted && shared.eligibility.candidates(&catalog, need).is_empty()
+    let is_restricted = *requirements.residency != Residency::Anywhere;
+    is_restricted && shared.eligibility.candidates(&catalog, requirements).is_empty()
 }
 
 /// The response to a request that was not executed. The status is 503 even if only a configuration
@@ -41,7 +41,7 @@
 
 /// Logs a request whose route and tenant have no region in common.
 pub fn log_no_common_region(id: &str, route: &Route, caller: &Caller, version: u64) {
-    Line::new(EventName::RegionRefused)
+    LogLine::new(EventName::RegionRefused)
         .id(id)
         .field("route", route.name.as_str())
         .field("tenant", caller.name())
@@ -71,7 +71,7 @@
     outside: &[String],
 ) -> ClientResponse {
     let names: Vec<&str> = outside.iter().take(MAX_LOGGED_NAMES).map(String::as_str).collect();
-    Line::new(EventName::RegionRefused)
+    LogLine::new(EventName::RegionRefused)
         .id(job)
         .field("version", shared.catalog.load().version())
         .text("regions", residency)
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -10,8 +10,8 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, Sleep};
 use yokefall_serving::{Outcome, RouteKind};
-use yokefall_telemetry::{EventName, Line};
-use yokefall_upstream::{Connection, Place};
+use yokefall_telemetry::{EventName, LogLine};
+use yokefall_upstream::{BackendSlot, Connection};
 
 use crate::context::{may_retry, RequestContext};
 use crate::forward::{log_silence, send, BackendResponse, SILENCE_TIMEOUT};
@@ -35,16 +35,16 @@
 ) -> Result<ClientResponse, (Box<RequestContext>, String)> {
     let streamed =
         context.route.kind == RouteKind::Stream && backend_response.response.status().is_success();
-    let BackendResponse { response, connection, place } = backend_response;
+    let BackendResponse { response, connection, slot } = backend_response;
     let (head, body) = response.into_parts();
     let resumes = streamed && context.route.resumable;
     let last_event = if resumes { requested_event(shared, &context) } else { 0 };
     let deadline = Box::pin(tokio::time::sleep_until(context.deadline));
-    let close = Connection::is_last(&head.headers);
+    let close = Connection::closes_after(&head.headers);
     let mut relay = Relay {
         shared: shared.clone(),
         context: Box::new(context),
-        source: Some(Source { body, connection, place, close }),
+        source: Some(Source { body, connection, slot, close }),
         deadline,
         silence: Box::pin(tokio::time::sleep(SILENCE_TIMEOUT)),
         resumes,
@@ -92,7 +92,7 @@
 struct Source {
     body: Incoming,
     connection: Connection,
-    place: Place,
+    slot: BackendSlot,
     /// Whether the back end closes the connection after the response.
     close: bool,
 }
@@ -146,9 +146,9 @@
                     return Some(Err(ResponseAborted("its time ended".into())));
                 }
                 NextFrame::Broken(cause) => {
-                    source.place.outcome = Outcome::Failed;
-                    source.place.broke();
-                    self.note_break().await;
+                    source.slot.outcome = Outcome::Failed;
+                    source.slot.record_failure();
+                    self.record_disconnect().await;
                     self.source = None;
                     if !self.resumes || !self.resume().await {
                         self.log(self.context.final_log_line(EventName::AnswerBroken), &cause);
@@ -160,22 +160,22 @@
     }
 
     /// Determines whether the back end terminated during the request.
-    async fn note_break(&self) {
+    async fn record_disconnect(&self) {
         let Some(source) = &self.source else { return };
-        let (backend, sent) = (&source.place.backend, source.place.taken());
-        self.shared.suspects.note_break(backend, sent, || self.context.digest()).await;
+        let (backend, sent) = (&source.slot.backend, source.slot.acquired_at());
+        self.shared.suspects.record_disconnect(backend, sent, || self.context.digest()).await;
     }
 
-    fn log(&self, log_line: Line, cause: &str) {
+    fn log(&self, log_line: LogLine, cause: &str) {
         log_line.field("last_event", self.last_event).field("cause", cause).write();
     }
 
     fn finish(&mut self) {
         let Some(mut source) = self.source.take() else { return };
         let log_line = self.context.final_log_line(EventName::RequestAnswered);
-        log_line.field("backend", source.place.backend.id.as_str()).write();
-        source.place.outcome = Outcome::Answered;
-        suspect::note_answer(&self.shared, &self.context);
+        log_line.field("backend", source.slot.backend.id.as_str()).write();
+        source.slot.outcome = Outcome::Answered;
+        suspect::record_answer(&self.shared, &self.context);
         if !source.close {
             self.shared.pool.put_back(source.connection);
         }
@@ -200,13 +200,13 @@
             return false;
         }
         let sent = send(&self.shared, &mut self.context, self.last_event).await;
-        let Ok(BackendResponse { response, connection, place }) = sent else { return false };
+        let Ok(BackendResponse { response, connection, slot }) = sent else { return false };
         if !response.status().is_success() {
             return false;
         }
         self.log(self.context.log_line(EventName::StreamResumed), "previous back end failed");
-        let close = Connection::is_last(response.headers());
-        self.source = Some(Source { body: response.into_body(), connection, place, close });
+        let close = Connection::closes_after(response.headers());
+        self.source = Some(Source { body: response.into_body(), connection, slot, close });
         true
     }
 
@@ -238,7 +238,7 @@
             () = deadline.as_mut() => return NextFrame::TimedOut,
             () = silence.as_mut() => {
                 if waiting_since.elapsed() >= SILENCE_TIMEOUT {
-                    log_silence(shared, &source.place);
+                    log_silence(shared, &source.slot);
                 }
                 silence.as_mut().reset(Instant::now() + SILENCE_TIMEOUT);
                 continue;
@@ -246,7 +246,7 @@
         };
         match frame {
             Some(Ok(frame)) => {
-                source.place.heard();
+                source.slot.record_activity();
                 if let Ok(data) = frame.into_data() {
                     return NextFrame::Data(data);
                 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -60,7 +60,7 @@
     let headers = request.headers_mut()?;
     copy_headers(&context.parts.headers, headers);
     headers.remove(header::CONTENT_LENGTH);
-    context.caller.mark(&names.tenant, headers);
+    context.caller.set_tenant_header(&names.tenant, headers);
     let remaining_ms = context.deadline.duration_since(Instant::now()).as_millis().max(1) as u64;
     headers.insert(&names.deadline_ms, HeaderValue::from(remaining_ms));
     headers.insert(&names.expected_backend, HeaderValue::try_from(backend).ok()?);
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -8,10 +8,10 @@
 use yokefall_jobstore::JobClient;
 use yokefall_serving::table::Splitter;
 use yokefall_serving::{
-    CatalogCell, ColdStart, Dialect, Eligibility, FleetCell, Freshness, Policy, ZoneMap,
+    CatalogCell, ColdStartLimiter, Dialect, Eligibility, FleetCell, Freshness, Policy, ZoneMap,
 };
 use yokefall_suspects::Registry;
-use yokefall_upstream::{Places, Pool};
+use yokefall_upstream::{Pool, SharedBalancer};
 
 use crate::admission::Admission;
 use crate::idle_eviction::IdleEviction;
@@ -25,7 +25,7 @@
     /// Which back ends may receive a request.
     pub eligibility: Eligibility,
     /// Limits on requests to back ends that are not known to be warm.
-    pub cold: Rc<ColdStart>,
+    pub cold: Rc<ColdStartLimiter>,
     /// Age of the data from the platform.
     pub freshness: Freshness,
     /// The processes of the system.
@@ -35,7 +35,7 @@
     /// Header names and message formats of the platform.
     pub dialect: Arc<dyn Dialect>,
     /// Load and health of back ends.
-    pub places: Rc<Places>,
+    pub balancer: Rc<SharedBalancer>,
     /// Rate limits of tenants.
     pub quota: Quota,
     /// Requests during which back ends terminated.
--- a/crates/gateway/src/suspect.rs
+++ b/crates/gateway/src/suspect.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use yokefall_jobstore::client::CallOutcome;
 use yokefall_jobstore::{Reply, Request};
-use yokefall_suspects::{Grant, Standing};
+use yokefall_suspects::{Grant, SuspectStatus};
 
 use crate::context::RequestContext;
 use crate::shared::Shared;
@@ -26,7 +26,7 @@
     /// It may be sent.
     Clear,
     /// It may be sent to another back end.
-    OtherBackend,
+    BackendBusy,
     /// It may not be sent before this time has passed.
     HeldBack(Duration),
 }
@@ -36,9 +36,9 @@
     if shared.suspects.is_empty() {
         return None;
     }
-    match shared.suspects.standing(&context.digest()) {
-        Standing::HeldBack { wait_ms } => Some(Duration::from_millis(wait_ms)),
-        Standing::Free | Standing::Alone => None,
+    match shared.suspects.status(&context.digest()) {
+        SuspectStatus::HeldBack { wait_ms } => Some(Duration::from_millis(wait_ms)),
+        SuspectStatus::Free | SuspectStatus::Isolated => None,
     }
 }
 
@@ -50,23 +50,23 @@
         return Clearance::Clear;
     }
     let digest = context.digest();
-    match shared.suspects.standing(&digest) {
-        Standing::Free => return Clearance::Clear,
-        Standing::HeldBack { wait_ms } => {
+    match shared.suspects.status(&digest) {
+        SuspectStatus::Free => return Clearance::Clear,
+        SuspectStatus::HeldBack { wait_ms } => {
             return Clearance::HeldBack(Duration::from_millis(wait_ms));
         }
-        Standing::Alone => {}
+        SuspectStatus::Isolated => {}
     }
-    let Some(news) = shared.suspects.news_of(&digest) else { return Clearance::Clear };
-    let request = Request::TrySuspect { news, backend: backend.to_owned() };
+    let Some(update) = shared.suspects.update_for(&digest) else { return Clearance::Clear };
+    let request = Request::TrySuspect { update, backend: backend.to_owned() };
     let deadline = context.deadline.min(Instant::now() + GRANT_TIMEOUT);
     match shared.jobs.call(request, deadline).await {
-        CallOutcome::Answered(Reply::Tried(Grant::Granted)) => {
-            context.alone = Some(shared.suspects.run_alone(digest));
+        CallOutcome::Answered(Reply::TrialGrant(Grant::Granted)) => {
+            context.alone = Some(shared.suspects.run_isolated(digest));
             Clearance::Clear
         }
-        CallOutcome::Answered(Reply::Tried(Grant::OtherBackend)) => Clearance::OtherBackend,
-        CallOutcome::Answered(Reply::Tried(Grant::Wait { ms })) => {
+        CallOutcome::Answered(Reply::TrialGrant(Grant::BackendBusy)) => Clearance::BackendBusy,
+        CallOutcome::Answered(Reply::TrialGrant(Grant::Wait { ms })) => {
             Clearance::HeldBack(Duration::from_millis(ms))
         }
         _ => Clearance::HeldBack(NO_LEADER_WAIT),
@@ -75,8 +75,8 @@
 
 /// Records that a back end completed a request: if terminations are attributed to it, they had
 /// another cause.
-pub fn note_answer(shared: &Shared, context: &RequestContext) {
+pub fn record_answer(shared: &Shared, context: &RequestContext) {
     if !shared.suspects.is_empty() {
-        shared.suspects.note_answer(&context.digest());
+        shared.suspects.record_answer(&context.digest());
     }
 }
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -13,7 +13,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_token_expires_while_its_gateway_is_suspended() {
     let suspended_ms = Arc::new(AtomicU64::new(0));
-    let clock = ElapsedClock::new(SuspensionSource::Told(suspended_ms.clone()));
+    let clock = ElapsedClock::new(SuspensionSource::Simulated(suspended_ms.clone()));
     let quota = Quota::new("edge-1".into(), QuotaBounds::default(), clock);
     let token = quota.token(quota.now());
     assert!(quota.is_valid(token));
--- a/crates/jobstore/src/aggregators.rs
+++ b/crates/jobstore/src/aggregators.rs
@@ -107,7 +107,7 @@
     }
 
     /// The same for a gateway whose zone is known: it reports in its own region while it can.
-    pub fn standing_in(self, zone: String, zones: Arc<ZoneMap>) -> Self {
+    pub fn in_zone(self, zone: String, zones: Arc<ZoneMap>) -> Self {
         Self { zone, zones, ..self }
     }
 
--- a/crates/jobstore/src/backlog.rs
+++ b/crates/jobstore/src/backlog.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::room::ServiceSlots;
 
@@ -46,7 +46,7 @@
     /// Items that this leader runs.
     pub running: usize,
     /// Items that it runs at most.
-    pub most_runs: usize,
+    pub max_runs: usize,
     /// Gateways whose reports count.
     pub gateways_heard: u32,
 }
@@ -96,7 +96,7 @@
 }
 
 fn limit(slots: &ServiceSlots, figures: PassFigures) -> Limit {
-    if figures.running >= figures.most_runs {
+    if figures.running >= figures.max_runs {
         return Limit::Runs;
     }
     let room = slots.room();
@@ -112,7 +112,7 @@
 fn tell(service: &str, slots: &ServiceSlots, limit: Limit, figures: PassFigures) {
     let room = slots.room();
     held_items(service).set(slots.held as f64);
-    Line::new(EventName::ItemsHeld)
+    LogLine::new(EventName::ItemsHeld)
         .id(service)
         .field("held", slots.held)
         .field("running", figures.running)
--- a/crates/jobstore/src/client.rs
+++ b/crates/jobstore/src/client.rs
@@ -87,7 +87,7 @@
             let limit = (Instant::now() + REPLY_TIMEOUT + wait).min(deadline);
             match self.call_one(address, request.clone(), limit).await {
                 Try::Reply(Reply::NotLeader { leader }) => self.follow_hint(&name, leader).await,
-                Try::Reply(Reply::Unsure) => tokio::time::sleep(ROUND_PAUSE).await,
+                Try::Reply(Reply::LeaderNotReady) => tokio::time::sleep(ROUND_PAUSE).await,
                 Try::Reply(Reply::Unknown) => may_be_done = true,
                 Try::Reply(reply) => {
                     *self.leader.borrow_mut() = Some(name);
--- a/crates/jobstore/src/connections.rs
+++ b/crates/jobstore/src/connections.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::time::Instant;
 use yokefall_serving::FleetCell;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::addresses::Addresses;
 use crate::protocol::{encode, send_frame, split, Frame, IncomingFrames};
@@ -99,7 +99,7 @@
         send_frame(&mut self.writer, frame).await?;
         if self.is_answered && self.asked_at.elapsed() >= RENEW_INTERVAL {
             (self.asked_at, self.written, self.is_answered) = (Instant::now(), 0, false);
-            send_frame(&mut self.writer, encode(&Frame::Renew)).await?;
+            send_frame(&mut self.writer, encode(&Frame::Heartbeat)).await?;
         }
         Ok(())
     }
@@ -149,7 +149,7 @@
             frame = frames.recv() => frame,
             lost = lost => {
                 if matches!(lost, Lost::Silent) {
-                    Line::new(EventName::LinkSilent)
+                    LogLine::new(EventName::LinkSilent)
                         .id(&name)
                         .field("after_ms", ANSWER_TIMEOUT.as_millis() as u64)
                         .write();
--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -14,14 +14,14 @@
 use yokefall_quota::QuotaBounds;
 use yokefall_serving::discovery::{self, DiscoveryOptions, PeerPorts};
 use yokefall_serving::eligibility::cold_start;
-use yokefall_serving::fleet::{start_number, Identity, Notices};
+use yokefall_serving::fleet::{new_incarnation, Identity, Notices};
 use yokefall_serving::{
-    empty_catalog, empty_fleet, Balancer, ColdStart, ColdStartOptions, Freshness, PlacementBounds,
-    Platform, Policy, Sender, ZoneMap,
+    empty_catalog, empty_fleet, Balancer, ColdStartLimiter, ColdStartLimiterOptions, Freshness,
+    PlacementBounds, Platform, Policy, SenderId, ZoneMap,
 };
 use yokefall_suspects::Registry;
-use yokefall_telemetry::{version, EventName, Line};
-use yokefall_upstream::Places;
+use yokefall_telemetry::{version, EventName, LogLine};
+use yokefall_upstream::SharedBalancer;
 
 use crate::aggregators::ReportTarget;
 use crate::client::JobClient;
@@ -29,7 +29,7 @@
 use crate::delegation::Delegation;
 use crate::disk::{Disk, Synced};
 use crate::quota::{self, QuotaService};
-use crate::residence::KnownZones;
+use crate::residency::KnownZones;
 use crate::run::ItemRunner;
 use crate::runner::{Runner, RunnerOptions};
 use crate::state::{Applied, UnreadableCommand};
@@ -57,7 +57,7 @@
     /// Address for other processes, TCP and UDP.
     pub peer: SocketAddr,
     /// Address at which other processes ask for configuration and back ends.
-    pub news: SocketAddr,
+    pub exchange: SocketAddr,
     /// Peer addresses of some processes; they change when settings are read again.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
     /// Folder for the log.
@@ -75,7 +75,7 @@
     /// Bytes of results that may be on their way to readers.
     pub page_bytes: usize,
     /// Items that run at once at most.
-    pub most_runs: usize,
+    pub max_runs: usize,
     /// Decisions that are switched on.
     pub policy: Policy,
     /// What is tolerated beyond tenants' limits.
@@ -118,8 +118,8 @@
         let listener = TcpListener::bind(options.peer).await.map_err(at("listen for peers"))?;
         options.peer = listener.local_addr().map_err(at("listen for peers"))?;
         let datagrams = UdpSocket::bind(options.peer).await.map_err(at("open datagram port"))?;
-        let news = TcpListener::bind(options.news).await.map_err(at("listen for news"))?;
-        Ok(Self { options, listener, ports: PeerPorts { datagrams, news } })
+        let exchange = TcpListener::bind(options.exchange).await.map_err(at("listen for news"))?;
+        Ok(Self { options, listener, ports: PeerPorts { datagrams, exchange } })
     }
 
     /// What it was told, with the ports that are open.
@@ -137,7 +137,7 @@
         let peer = options.peer;
         let opened = Wal::open(&options.folder, rand::random()).map_err(at("open log"))?;
         let me = MemberId { name: options.name.clone(), incarnation: opened.incarnation };
-        Line::new(EventName::Started)
+        LogLine::new(EventName::Started)
             .id(&me)
             .text("peer", peer)
             .text("zone", &options.zone)
@@ -155,7 +155,7 @@
             zone: options.zone.clone(),
             region: options.region.clone(),
             job_store: true,
-            incarnation: start_number(),
+            incarnation: new_incarnation(),
         };
         let catalog = empty_catalog();
         let state = opened.recovered.snapshot.state.clone();
@@ -200,10 +200,10 @@
         );
 
         if options.bootstrap && opened.was_empty {
-            tokio::task::spawn_local(group::found(platform.clone(), store.clone(), me.clone()));
+            tokio::task::spawn_local(group::bootstrap(platform.clone(), store.clone(), me.clone()));
         }
         tokio::task::spawn_local(group::join(store.clone(), fleet.clone(), me));
-        tokio::task::spawn_local(group::outlive(platform.clone(), store.clone()));
+        tokio::task::spawn_local(group::become_sole_voter(platform.clone(), store.clone()));
         tokio::task::spawn_local(aggregators::exchange(
             store.clone(),
             fleet.clone(),
@@ -218,28 +218,27 @@
             (fleet.clone(), catalog.clone(), known_zones.clone()),
             voters,
         ));
-        let cold_options = ColdStartOptions {
-            sender: Sender { name: options.name.clone(), job_store: true },
+        let cold_options = ColdStartLimiterOptions {
+            sender: SenderId { name: options.name.clone(), job_store: true },
             bounds: options.placement,
             freshness: freshness.clone(),
             clock: clock(),
         };
-        let cold = ColdStart::new(catalog.clone(), fleet.clone(), cold_options);
+        let cold = ColdStartLimiter::new(catalog.clone(), fleet.clone(), cold_options);
         tokio::task::spawn_local(cold_start::watch(cold.clone()));
         // It knows no regions: items of all would fill the back ends of the leader's region, though a worker near
         // the back end sends them.
         let balancer = Balancer::new(options.zone.clone(), rand::random(), options.policy);
-        let places = Places::with_cold_start(balancer, clock(), cold.clone());
+        let places = SharedBalancer::with_cold_start(balancer, clock(), cold.clone());
         let suspects = Registry::new(catalog.clone(), clock());
         suspects::load(&options.folder, &suspects);
         tokio::task::spawn_local(suspects::keep(options.folder.clone(), suspects.clone()));
         let client = Rc::new(JobClient::new(fleet.clone()));
         let target = ReportTarget::new(options.name.clone())
-            .standing_in(options.zone.clone(), options.zones.clone());
-        suspects::share(suspects.clone(), client, fleet.clone(), target, port);
+            .in_zone(options.zone.clone(), options.zones.clone());
+        suspects::start_exchange(suspects.clone(), client, fleet.clone(), target, port);
         let items = ItemRunner::new(platform.dialect(), suspects.clone());
-        let worker =
-            Worker::new(catalog.clone(), cold, freshness, items, places, options.most_runs);
+        let worker = Worker::new(catalog.clone(), cold, freshness, items, places, options.max_runs);
         let quota = QuotaService::new(options.name.clone(), options.quota, clock());
         tokio::task::spawn_local(quota::renew_leases(
             quota.clone(),
@@ -256,7 +255,7 @@
             Delegation::new(fleet.clone(), options.zones.clone(), store.clone(), suspects.clone());
         let runner_options = RunnerOptions {
             retention: options.retention,
-            most_runs: options.most_runs,
+            max_runs: options.max_runs,
             policy: options.policy,
         };
         let runner =
@@ -278,10 +277,10 @@
                 break;
             }
         }
-        Line::new(EventName::Stopping).field("leads", store.is_leader()).write();
+        LogLine::new(EventName::Stopping).field("leads", store.is_leader()).write();
         quota::release(&quota, &fleet).await;
-        hand_over(&store).await;
-        Line::new(EventName::Stopped).write();
+        transfer_leadership(&store).await;
+        LogLine::new(EventName::Stopped).write();
         Ok(())
     }
 }
@@ -310,13 +309,13 @@
 }
 
 /// Before a planned stop the lead goes to another member, so that nobody waits for an election.
-async fn hand_over(store: &Store) {
+async fn transfer_leadership(store: &Store) {
     let other = store.with_core(|core, now| {
         let me = core.id().clone();
         let mut others: Vec<MemberId> =
             core.members().voters.iter().filter(|voter| **voter != me).cloned().collect();
         others.sort_by_key(|other| core.silent_ms(now, other));
-        let done = others.iter().any(|other| core.hand_over(now, other));
+        let done = others.iter().any(|other| core.transfer_leadership(now, other));
         done && core.role() == Role::Leader
     });
     if other {
@@ -331,7 +330,7 @@
 
 impl StoreObserver for LogObserver {
     fn unreadable(&self, index: Index, error: &UnreadableCommand) {
-        Line::new(EventName::LogUnreadable)
+        LogLine::new(EventName::LogUnreadable)
             .field("position", index)
             .text("cause", error)
             .text("build", version::build())
@@ -346,7 +345,7 @@
     fn role(&self, role: Role, term: Term, leader: Option<&MemberId>) {
         let leads = if role == Role::Leader { 1.0 } else { 0.0 };
         metrics::gauge!("job_store_leads").set(leads);
-        Line::new(EventName::RoleChanged)
+        LogLine::new(EventName::RoleChanged)
             .text("role_now", format_args!("{role:?}"))
             .field("term", term)
             .field("leader", leader.map(MemberId::to_string))
@@ -354,7 +353,7 @@
     }
 
     fn members(&self, voters: usize, learners: usize, index: Index) {
-        Line::new(EventName::MembersChanged)
+        LogLine::new(EventName::MembersChanged)
             .field("voters", voters)
             .field("learners", learners)
             .field("position", index)
@@ -362,7 +361,7 @@
     }
 
     fn compacted(&self, state: usize, log: usize, jobs: usize) {
-        Line::new(EventName::LogCompacted)
+        LogLine::new(EventName::LogCompacted)
             .field("state_bytes", state)
             .field("log_bytes", log)
             .field("job_bytes", jobs)
@@ -370,11 +369,11 @@
     }
 
     fn state_sent(&self, member: &MemberId, bytes: usize) {
-        Line::new(EventName::StateSent).id(member).field("bytes", bytes).write();
+        LogLine::new(EventName::StateSent).id(member).field("bytes", bytes).write();
     }
 
     fn state_taken(&self, index: Index, bytes: usize) {
-        Line::new(EventName::StateTaken).field("position", index).field("bytes", bytes).write();
+        LogLine::new(EventName::StateTaken).field("position", index).field("bytes", bytes).write();
     }
 
     fn applied(&self, index: Index, applied: &Applied) {
@@ -385,6 +384,6 @@
             Applied::Forgotten { job } => (job, EventName::JobForgotten),
             Applied::Finished { .. } | Applied::Nothing => return,
         };
-        Line::new(event).id(id).field("position", index).write();
+        LogLine::new(event).id(id).field("position", index).write();
     }
 }
--- a/crates/jobstore/src/delegation.rs
+++ b/crates/jobstore/src/delegation.rs
@@ -20,9 +20,9 @@
 use yokefall_serving::{Backend, Fleet, FleetCell, FleetMember, Residency, ZoneMap};
 use yokefall_suspects::Registry;
 use yokefall_types::rendezvous_score;
-use yokefall_upstream::Place;
+use yokefall_upstream::BackendSlot;
 
-use crate::protocol::{decode, encode, framed, Frame, Reply, Request, RunOrder, RunReport};
+use crate::protocol::{decode, encode, framed, Frame, Reply, Request, RunReport, RunRequest};
 use crate::run::{Progress, RunEnd};
 use crate::store::Store;
 
@@ -146,8 +146,8 @@
     pub async fn run(
         &self,
         worker: &FleetMember,
-        order: RunOrder,
-        place: &mut Place,
+        order: RunRequest,
+        slot: &mut BackendSlot,
         progress: &Rc<RefCell<Progress>>,
         preempted: &Notify,
     ) -> RunEnd {
@@ -160,7 +160,7 @@
         link.runs.borrow_mut().insert(call, OpenRun { progress: progress.clone(), report });
         let _cancel = CancelOnDrop { link: &link, call };
         let lost =
-            || RunEnd::Again { cause: format!("lost the run at worker {name}"), pause: false };
+            || RunEnd::Retry { cause: format!("lost the run at worker {name}"), pause: false };
         if link.frames.send(Frame::Request { call, request: Request::Run(order) }).is_err() {
             return lost();
         }
@@ -177,16 +177,16 @@
         };
         match reply {
             Some(Reply::RunEnded(RunReport { end, outcome, last_event, text })) => {
-                place.outcome = outcome;
+                slot.outcome = outcome;
                 progress.borrow_mut().extend(last_event, text);
                 match end {
-                    RunEnd::Again { .. } if was_preempted => preemption(),
+                    RunEnd::Retry { .. } if was_preempted => preemption(),
                     end => end,
                 }
             }
             Some(_) => {
                 self.rest(name);
-                RunEnd::Again { cause: format!("worker {name} is full"), pause: false }
+                RunEnd::Retry { cause: format!("worker {name} is full"), pause: false }
             }
             None if was_preempted => preemption(),
             None => {
@@ -232,7 +232,7 @@
 
 /// How a run ends that gave its slot to an online request.
 pub fn preemption() -> RunEnd {
-    RunEnd::Again { cause: "preempted by online requests".into(), pause: true }
+    RunEnd::Retry { cause: "preempted by online requests".into(), pause: true }
 }
 
 type Queued = tokio::sync::mpsc::UnboundedReceiver<Frame>;
@@ -273,7 +273,7 @@
                 if is_unused || store.now() - heard_at > RUN_LEASE.as_millis() as u64 {
                     return;
                 }
-                if sink.send(encode(&Frame::Renew)).await.is_err() {
+                if sink.send(encode(&Frame::Heartbeat)).await.is_err() {
                     return;
                 }
             }
--- a/crates/jobstore/src/disk.rs
+++ b/crates/jobstore/src/disk.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use yokefall_consensus::Write;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::wal::{Rewrite, Wal};
 
@@ -77,7 +77,7 @@
     let mut told = false;
     while let Err(error) = action() {
         if !told {
-            Line::new(EventName::DiskFailed).field("step", step).text("cause", &error).write();
+            LogLine::new(EventName::DiskFailed).field("step", step).text("cause", &error).write();
             told = true;
         }
         std::thread::sleep(RETRY_PAUSE);
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -6,19 +6,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use yokefall_consensus::policy::{needs_claim, next_step, should_outlive, Step, Wishes};
+use yokefall_consensus::policy::{
+    needs_claim, next_step, should_become_sole_voter, DesiredMembership, Step,
+};
 use yokefall_consensus::{MemberId, Pair, Role, Zones};
-use yokefall_serving::duty::Duty;
 use yokefall_serving::source::Revision;
 use yokefall_serving::watch::{follow, Follow, Sink, Waits};
+use yokefall_serving::watch_role::WatchRole;
 use yokefall_serving::{
     Catalog, CatalogCell, Change, Claim, FleetCell, Listing, Platform, Registry, Retirement,
     SourceError,
 };
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::protocol::Frame;
-use crate::residence::KnownZones;
+use crate::residency::KnownZones;
 use crate::store::Store;
 
 /// Interval at which a member that is outside asks to join, at first: a lost disk is to be replaced
@@ -90,19 +92,19 @@
 }
 
 fn decided(decision: &'static str, about: impl std::fmt::Display) {
-    Line::new(EventName::GroupDecision).id(about).field("decision", decision).write();
+    LogLine::new(EventName::GroupDecision).id(about).field("decision", decision).write();
 }
 
 /// Founds the group, where this is the first start of the whole system and no other member was
 /// faster. The platform's store decides which one: its record is made once.
-pub async fn found<P: Platform>(platform: P, store: Rc<Store>, me: MemberId) {
+pub async fn bootstrap<P: Platform>(platform: P, store: Rc<Store>, me: MemberId) {
     let mut registry = platform.registry();
     let offer = me.to_string();
     loop {
         match tokio::time::timeout(FOUND_TIMEOUT, registry.claim(FOUNDER_KEY, &offer)).await {
             Ok(Ok(Claim::Mine)) => {
                 decided("found the group", &me);
-                store.with_core(|core, now| core.found(now));
+                store.with_core(|core, now| core.bootstrap(now));
                 store.deadline_changed.notify_one();
                 return;
             }
@@ -166,7 +168,7 @@
             let following = Follow {
                 refresh: Rc::default(),
                 others: Vec::new(),
-                duty: Duty::always(),
+                watch_role: WatchRole::always(),
                 waits: Waits::Long,
             };
             let watching = follow(platform.retirements(), sink, following);
@@ -193,17 +195,18 @@
     known_zones.note(&fleet.load());
     let joining = store.joining(JOIN_LIFETIME);
     let joining = from_inside(store, &catalog.load(), known_zones, joining);
-    let wishes = Wishes { joining, leaving: leaving.all(), voters, zones: zones_of(fleet) };
+    let wishes =
+        DesiredMembership { joining, leaving: leaving.all(), voters, zones: zones_of(fleet) };
     let (step, pair) = store.with_core(|core, now| {
         let step = next_step(core, now, &wishes);
         let pair = core.pair().filter(|_| match &step {
             Step::Change(members) => needs_claim(core, members),
-            Step::Rest | Step::HandOver(_) => false,
+            Step::Idle | Step::TransferLeadership(_) => false,
         });
         (step, pair)
     });
     match step {
-        Step::Rest => {}
+        Step::Idle => {}
         Step::Change(members) => {
             if claim_pair(platform, store, pair).await {
                 let told = format!("{members:?}");
@@ -214,9 +217,9 @@
                 decided("wait for the claim on a pair", format!("{pair:?}"));
             }
         }
-        Step::HandOver(to) => {
+        Step::TransferLeadership(to) => {
             decided("hand the lead over", &to);
-            store.with_core(|core, now| core.hand_over(now, &to));
+            store.with_core(|core, now| core.transfer_leadership(now, &to));
         }
     }
     let learners = store.with_core(|core, _| !core.members().learners.is_empty());
@@ -256,18 +259,19 @@
 
 /// Where the group is a pair and the other one is silent: goes on alone, if this one's claim is the
 /// first.
-pub async fn outlive<P: Platform>(platform: P, store: Rc<Store>) {
+pub async fn become_sole_voter<P: Platform>(platform: P, store: Rc<Store>) {
     loop {
         tokio::time::sleep(OUTLIVE_INTERVAL).await;
         let joining = store.joining(JOIN_LIFETIME);
-        let pair = store
-            .with_core(|core, now| core.pair().filter(|_| should_outlive(core, now, &joining)));
+        let pair = store.with_core(|core, now| {
+            core.pair().filter(|_| should_become_sole_voter(core, now, &joining))
+        });
         if pair.is_none() || !claim_pair(&platform, &store, pair).await {
             continue;
         }
         let alone = store.with_core(|core, now| {
-            let silent = should_outlive(core, now, &joining);
-            silent && pair.is_some_and(|pair| core.outlive(now, pair))
+            let silent = should_become_sole_voter(core, now, &joining);
+            silent && pair.is_some_and(|pair| core.become_sole_voter(now, pair))
         });
         if alone {
             decided(
@@ -284,7 +288,7 @@
     for name in leaving.open() {
         let out = store.with_core(|core, _| {
             let member = core.members().all().any(|member| member.name == name);
-            !member && core.can_change_members() && core.members_are_settled()
+            !member && core.can_change_members() && core.members_durably_committed()
         });
         if !out {
             continue;
--- a/crates/jobstore/src/held_items.rs
+++ b/crates/jobstore/src/held_items.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use yokefall_suspects::{Grant, Registry, RequestDigest, Sender};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_suspects::{Grant, Registry, RequestDigest, RequestSource};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::running::ItemKey;
 
@@ -46,13 +46,13 @@
             return true;
         }
         let Some(digest) = digest() else { return true };
-        let wait = match suspects.grant(&digest, backend, Sender::Job) {
+        let wait = match suspects.grant(&digest, backend, RequestSource::Job) {
             Grant::Granted => return true,
-            Grant::OtherBackend => OTHER_BACKEND_PAUSE,
+            Grant::BackendBusy => OTHER_BACKEND_PAUSE,
             Grant::Wait { ms } => Duration::from_millis(ms),
         };
         if wait >= TOLD_WAIT {
-            Line::new(EventName::ItemHeldBack)
+            LogLine::new(EventName::ItemHeldBack)
                 .id(format_args!("{} item {}", key.0, key.1))
                 .text("digest", digest)
                 .text("job", &key.0)
--- a/crates/jobstore/src/intake.rs
+++ b/crates/jobstore/src/intake.rs
@@ -76,7 +76,7 @@
         let same_queue = pending.values().filter(|pending| pending.queue == submission.queue);
         let pending_tokens: u64 = same_queue.map(|pending| pending.tokens).sum();
         let waiting = occupied.queued_tokens + pending_tokens + tokens;
-        if submission.most_queued_tokens.is_some_and(|most| waiting > most) {
+        if submission.max_queued_tokens.is_some_and(|most| waiting > most) {
             return Err(NotTaken::OverQuota);
         }
         let queue = submission.queue.clone();
--- a/crates/jobstore/src/item_run.rs
+++ b/crates/jobstore/src/item_run.rs
@@ -8,14 +8,14 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use yokefall_serving::{Backend, ItemState, JobItem, Permit};
-use yokefall_telemetry::{EventName, Line};
-use yokefall_upstream::Place;
+use yokefall_telemetry::{EventName, LogLine};
+use yokefall_upstream::BackendSlot;
 
 use crate::delegation::preemption;
 use crate::item_worker::ItemWorker;
 use crate::preemption::Phase;
-use crate::protocol::RunOrder;
-use crate::run::{item_digest, ItemSender, NoPermit, Progress, RunEnd};
+use crate::protocol::RunRequest;
+use crate::run::{item_digest, ItemSender, PermitDenied, Progress, RunEnd};
 use crate::runner::Runner;
 use crate::running::{take_output, CountedItem, ItemKey, Running};
 use crate::state::{Command, Run};
@@ -25,7 +25,7 @@
 
 /// The slot of an item that starts.
 struct PlacedItem {
-    place: Place,
+    slot: BackendSlot,
     worker: ItemWorker,
     phase: Rc<Cell<Phase>>,
     /// Tells it to give its slot to an online request.
@@ -44,7 +44,7 @@
         let run = Run { number: rand::random(), asked_after: partial };
         let progress = Progress { run, kept_event: partial, last_event: partial, text: None };
         let progress = Rc::new(RefCell::new(progress));
-        let place = self.worker.places.take(backend.clone());
+        let slot = self.worker.balancer.take(backend.clone());
         let preempted = Rc::new(Notify::new());
         let phase = Rc::new(Cell::new(Phase::Placed));
         let task = tokio::task::spawn_local(self.clone().run_item(
@@ -52,7 +52,7 @@
             sender,
             item,
             progress.clone(),
-            PlacedItem { place, worker, phase: phase.clone(), preempted: preempted.clone() },
+            PlacedItem { slot, worker, phase: phase.clone(), preempted: preempted.clone() },
         ));
         let started = Instant::now();
         let backend = Some(backend);
@@ -68,57 +68,57 @@
         progress: Rc<RefCell<Progress>>,
         placed: PlacedItem,
     ) {
-        let PlacedItem { mut place, worker, phase, preempted } = placed;
+        let PlacedItem { mut slot, worker, phase, preempted } = placed;
         let worker = match worker {
             ItemWorker::Leader => None,
             ItemWorker::Other(member) => Some(member),
         };
-        let life = place.backend.life();
-        Line::new(EventName::ItemStarted)
+        let incarnation = slot.backend.incarnation();
+        LogLine::new(EventName::ItemStarted)
             .id(&item.id)
             .text("job", &key.0)
-            .text("backend", &place.backend.id)
+            .text("backend", &slot.backend.id)
             .field("worker", worker.as_ref().map(|worker| worker.name.clone()))
-            .field("online", self.store.loads.online(&life))
-            .field("items", self.store.loads.items(&life))
+            .field("online", self.store.loads.online(&incarnation))
+            .field("items", self.store.loads.items(&incarnation))
             .field("after_event", progress.borrow().last_event)
             .write();
-        let counted = CountedItem::new(self.store.clone(), life);
+        let counted = CountedItem::new(self.store.clone(), incarnation);
         let (began, events_before) = (Instant::now(), progress.borrow().last_event);
         let end = match worker {
             Some(worker) => {
-                let order = RunOrder {
-                    backend: Backend::clone(&place.backend),
+                let order = RunRequest {
+                    backend: Backend::clone(&slot.backend),
                     host: sender.host.clone(),
                     tenant: sender.tenant.clone(),
                     item: JobItem::clone(&item),
                     after_event: events_before,
                 };
-                self.delegation.run(&worker, order, &mut place, &progress, &preempted).await
+                self.delegation.run(&worker, order, &mut slot, &progress, &preempted).await
             }
             None => {
-                let backend = place.backend.clone();
+                let backend = slot.backend.clone();
                 let permit = || self.permit(&key, &backend, &sender, &item);
                 let items = &self.worker.items;
                 tokio::select! {
-                    end = items.run_at(&mut place, &sender, &item, &progress, permit) => end,
+                    end = items.run_at(&mut slot, &sender, &item, &progress, permit) => end,
                     () = preempted.notified() => preemption(),
                 }
             }
         };
-        drop(place);
+        drop(slot);
         drop(counted);
         phase.set(Phase::Ended);
         let suspects = &self.worker.items.suspects;
         if !suspects.is_empty() {
             let digest = item_digest(&sender, &item);
             match end.is_whole_answer() {
-                true => suspects.note_answer(&digest),
+                true => suspects.record_answer(&digest),
                 false => {
                     // One that gave no event may have waited in the back end's queue.
                     let gave_events = progress.borrow().last_event > events_before;
                     let worked = if gave_events { began.elapsed() } else { Duration::ZERO };
-                    suspects.note_concluded(&digest, worked);
+                    suspects.record_inconclusive_run(&digest, worked);
                 }
             }
         }
@@ -140,10 +140,10 @@
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
-    ) -> Result<Permit, NoPermit> {
+    ) -> Result<Permit, PermitDenied> {
         let is_open = self.store.with_job(job, |job| job.open.contains_key(index));
         if !self.store.serves() || is_open != Some(true) {
-            return Err(NoPermit::new("it is not wanted any more"));
+            return Err(PermitDenied::new("it is not wanted any more"));
         }
         self.worker.permit(backend, sender, item)
     }
@@ -159,7 +159,7 @@
         match end {
             RunEnd::Completed => {
                 let Progress { run, kept_event, text, .. } = progress.borrow().clone();
-                Line::new(EventName::ItemFinished)
+                LogLine::new(EventName::ItemFinished)
                     .id(&item.id)
                     .text("job", &job)
                     .field("events", progress.borrow().last_event)
@@ -184,8 +184,8 @@
                 let _ = recording.await;
             }
             RunEnd::ItemFailed => self.count_failure(job, index, item).await,
-            RunEnd::Again { cause, pause } => {
-                Line::new(EventName::ItemRetried)
+            RunEnd::Retry { cause, pause } => {
+                LogLine::new(EventName::ItemRetried)
                     .id(&item.id)
                     .text("job", &job)
                     .field("after_event", progress.borrow().last_event)
@@ -205,7 +205,7 @@
     }
 
     fn tell_abandoned(&self, item: &JobItem, job: &str, cause: &'static str) {
-        Line::new(EventName::ItemAbandoned)
+        LogLine::new(EventName::ItemAbandoned)
             .id(&item.id)
             .field("job", job)
             .field("cause", cause)
--- a/crates/jobstore/src/item_worker.rs
+++ b/crates/jobstore/src/item_worker.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use rand::Rng;
-use yokefall_serving::{Backend, Catalog, Drawn, FleetMember, Need, Residency};
+use yokefall_serving::{Backend, CandidateSample, Catalog, FleetMember, Requirements, Residency};
 
 use crate::delegation::Delegation;
 use crate::worker::Worker;
@@ -31,24 +31,35 @@
 
 impl ItemWorkers<'_> {
     /// Back ends that may take an item now.
-    pub fn candidates<'a>(&self, catalog: &'a Catalog, need: &Need) -> Cow<'a, [Arc<Backend>]> {
-        let free = self.delegation.free_names(need.residency);
+    pub fn candidates<'a>(
+        &self,
+        catalog: &'a Catalog,
+        requirements: &Requirements,
+    ) -> Cow<'a, [Arc<Backend>]> {
+        let free = self.delegation.free_names(requirements.residency);
         let usable = |name: &str| self.is_usable(&free, name);
-        self.worker.eligibility.item_candidates(catalog, need, usable)
+        self.worker.eligibility.item_candidates(catalog, requirements, usable)
     }
 
     /// Back ends out of many that may take an item now, by chance; `None` where all are to be looked at.
-    pub fn draw(&self, catalog: &Catalog, need: &Need, generator: &mut impl Rng) -> Option<Drawn> {
-        let free = self.delegation.free_names(need.residency);
+    pub fn sample(
+        &self,
+        catalog: &Catalog,
+        requirements: &Requirements,
+        generator: &mut impl Rng,
+    ) -> Option<CandidateSample> {
+        let free = self.delegation.free_names(requirements.residency);
         let usable = |name: &str| self.is_usable(&free, name);
-        self.worker.eligibility.draw_for_items(catalog, need, usable, generator)
+        self.worker.eligibility.sample_for_items(catalog, requirements, usable, generator)
     }
 
     /// Back ends that may not take an item now because they are not known to be warm; `None` where each is to be
     /// looked at.
-    pub fn closed(&self, need: &Need) -> Option<Vec<Arc<Backend>>> {
-        let free = self.delegation.free_names(need.residency);
-        self.worker.eligibility.closed_to_items(need.service, |name| self.is_usable(&free, name))
+    pub fn closed(&self, requirements: &Requirements) -> Option<Vec<Arc<Backend>>> {
+        let free = self.delegation.free_names(requirements.residency);
+        self.worker
+            .eligibility
+            .closed_to_items(requirements.service, |name| self.is_usable(&free, name))
     }
 
     /// Whether a further item with a residency may go to a back end now.
@@ -63,7 +74,7 @@
             return Some(other.map_or(ItemWorker::Leader, ItemWorker::Other));
         }
         let holder = self.share_holder(backend, residency)?;
-        self.worker.cold.gave_item(backend, &holder);
+        self.worker.cold.record_item_assignment(backend, &holder);
         if holder == self.leader {
             return Some(ItemWorker::Leader);
         }
--- a/crates/jobstore/src/kept_file.rs
+++ b/crates/jobstore/src/kept_file.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 /// Bytes of the checksum before the content.
 const CHECKSUM_BYTES: usize = 4;
@@ -59,7 +59,7 @@
 }
 
 fn tell_failed(name: &'static str, step: &'static str, error: &Error) {
-    Line::new(EventName::DiskFailed)
+    LogLine::new(EventName::DiskFailed)
         .id(name)
         .field("step", step)
         .field("cause", error.to_string())
--- a/crates/jobstore/src/lib.rs
+++ b/crates/jobstore/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod protocol;
 pub mod quota;
 pub mod reads;
-pub mod residence;
+pub mod residency;
 pub mod room;
 pub mod run;
 pub mod runner;
--- a/crates/jobstore/src/loads.rs
+++ b/crates/jobstore/src/loads.rs
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use yokefall_serving::{BackendLife, InFlight, Outcomes};
+use yokefall_serving::{BackendIncarnation, InFlight, Outcomes};
 
 use crate::protocol::{
     BackendOutcomes, BackendTotal, LoadAnswer, LoadReport, LoadSums, ServiceRate,
 };
 
 /// Longest interval between two reports of a gateway that has something to report.
-pub const BUSY_INTERVAL: Duration = Duration::from_millis(500);
+pub const MAX_BUSY_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between two reports of a gateway that has nothing to report. It still reports: a gateway that
 /// says nothing at all may be cut off, and have any number of requests.
-pub const IDLE_INTERVAL: Duration = Duration::from_millis(1_500);
+pub const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Time for which a report counts: two of the next ones may be lost.
 const LIFETIME: Duration = Duration::from_millis(1_500);
 /// The same for a report that holds nothing.
@@ -34,7 +34,7 @@
 const MOST_CHANGES: usize = 48;
 
 /// Parts of one request in reported outcomes.
-pub const THOUSANDTHS: f64 = 1_000.0;
+pub const OUTCOME_SCALE: f64 = 1_000.0;
 
 /// Share of an aggregator's time for which one gateway asks: an aggregator takes 250 reports a second
 /// at most.
@@ -75,7 +75,7 @@
     }
 
     fn is_failing(&self) -> bool {
-        let requests = |thousandths: u64| thousandths as f64 / THOUSANDTHS;
+        let requests = |thousandths: u64| thousandths as f64 / OUTCOME_SCALE;
         let outcomes =
             Outcomes { failed: requests(self.failed), answered: requests(self.answered) };
         outcomes.is_failing()
@@ -87,15 +87,15 @@
     gateways: HashMap<String, Source>,
     job_stores: HashMap<String, Source>,
     /// Items that this process runs, by back end.
-    own_items: HashMap<BackendLife, u32>,
-    totals: HashMap<BackendLife, InFlight>,
+    own_items: HashMap<BackendIncarnation, u32>,
+    totals: HashMap<BackendIncarnation, InFlight>,
     /// Requests in 1,000 seconds, by service.
     arrivals: HashMap<String, u64>,
     /// Recent outcomes in thousandths, by back end.
-    outcomes: HashMap<BackendLife, SummedOutcomes>,
+    outcomes: HashMap<BackendIncarnation, SummedOutcomes>,
     reporters: u32,
     /// Totals that each gateway was answered with.
-    answered: HashMap<String, HashMap<BackendLife, InFlight>>,
+    answered: HashMap<String, HashMap<BackendIncarnation, InFlight>>,
     expired_at: Option<Instant>,
 }
 
@@ -129,7 +129,7 @@
         let unheard = 1.0 - f64::from(self.heard) / f64::from(all);
         // A process that has just started may not know all gateways; each of them reports once in the
         // longest interval.
-        let not_yet = 1.0 - self.listening.div_duration_f64(IDLE_INTERVAL);
+        let not_yet = 1.0 - self.listening.div_duration_f64(IDLE_REPORT_INTERVAL);
         unheard.max(not_yet).clamp(0.0, 1.0)
     }
 
@@ -152,7 +152,14 @@
         // A gateway that is idle says so; else nobody could tell it from one that is cut off, and most slots would
         // stay free for requests that do not exist.
         let lifetime = if report.is_idle() { IDLE_LIFETIME } else { LIFETIME };
-        let LoadReport { gateway, counts, arrivals, outcomes, answer_all, moved_from: _ } = report;
+        let LoadReport {
+            gateway,
+            counts,
+            arrivals,
+            outcomes,
+            wants_all_totals,
+            previous_aggregator: _,
+        } = report;
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         let counts = counts.into_iter().map(|count| BackendTotal {
@@ -168,7 +175,7 @@
         if let Some(before) = sums.gateways.insert(gateway.clone(), source) {
             sums.subtract(&before);
         }
-        if answer_all {
+        if wants_all_totals {
             sums.answered.remove(&gateway);
         }
         let arrivals = sums.arrivals.iter();
@@ -198,7 +205,7 @@
         let answered = answered.entry(gateway).or_default();
         self.count_steps(totals.len() + answered.len());
         let mut changes: Vec<(u32, BackendTotal)> = Vec::new();
-        let mut note = |backend: &BackendLife, total: InFlight, before: InFlight| {
+        let mut note = |backend: &BackendIncarnation, total: InFlight, before: InFlight| {
             let difference =
                 total.online.abs_diff(before.online) + total.items.abs_diff(before.items);
             if difference > 0 {
@@ -248,9 +255,9 @@
         if sums.gateways.is_empty() && sums.own_items.is_empty() {
             return None;
         }
-        let mut counts: BTreeMap<&BackendLife, InFlight> = BTreeMap::new();
+        let mut counts: BTreeMap<&BackendIncarnation, InFlight> = BTreeMap::new();
         let mut arrivals: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut outcomes: BTreeMap<&BackendLife, SummedOutcomes> = BTreeMap::new();
+        let mut outcomes: BTreeMap<&BackendIncarnation, SummedOutcomes> = BTreeMap::new();
         for source in sums.gateways.values() {
             for count in &source.counts {
                 counts.entry(&count.backend).or_default().online += count.online;
@@ -270,7 +277,7 @@
             service: service.to_owned(),
             per_1000_seconds: rate,
         };
-        let told = |(backend, sum): (&BackendLife, SummedOutcomes)| BackendOutcomes {
+        let told = |(backend, sum): (&BackendIncarnation, SummedOutcomes)| BackendOutcomes {
             backend: backend.clone(),
             failed: sum.failed,
             answered: sum.answered,
@@ -285,14 +292,14 @@
     }
 
     /// Notes an item that starts at a back end.
-    pub fn item_started(&self, backend: &BackendLife) {
+    pub fn item_started(&self, backend: &BackendIncarnation) {
         let sums = &mut *self.sums.borrow_mut();
         *sums.own_items.entry(backend.clone()).or_default() += 1;
         sums.totals.entry(backend.clone()).or_default().items += 1;
     }
 
     /// Notes an item that no longer runs at a back end.
-    pub fn item_ended(&self, backend: &BackendLife) {
+    pub fn item_ended(&self, backend: &BackendIncarnation) {
         let sums = &mut *self.sums.borrow_mut();
         if let Some(count) = sums.own_items.get_mut(backend) {
             *count -= 1;
@@ -304,7 +311,7 @@
     }
 
     /// Items at a back end.
-    pub fn items(&self, backend: &BackendLife) -> u32 {
+    pub fn items(&self, backend: &BackendIncarnation) -> u32 {
         self.sums.borrow().totals.get(backend).map_or(0, |total| total.items)
     }
 
@@ -320,19 +327,19 @@
     }
 
     /// Online requests at a back end, of the gateways that are heard; `None` where none is.
-    pub fn online(&self, backend: &BackendLife) -> Option<u32> {
+    pub fn online(&self, backend: &BackendIncarnation) -> Option<u32> {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         (sums.reporters > 0).then(|| sums.totals.get(backend).map_or(0, |total| total.online))
     }
 
     /// Back ends with online requests of the gateways that are heard, and how many.
-    pub fn each_online(&self, mut take: impl FnMut(&BackendLife, u32)) {
+    pub fn each_online(&self, mut take: impl FnMut(&BackendIncarnation, u32)) {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
         if sums.reporters > 0 {
             let totals = sums.totals.iter().filter(|(_, total)| total.online > 0);
-            totals.for_each(|(life, total)| take(life, total.online));
+            totals.for_each(|(incarnation, total)| take(incarnation, total.online));
         }
     }
 
@@ -407,7 +414,7 @@
         self.reporters += source.gateways;
     }
 
-    fn failing(&self) -> Vec<BackendLife> {
+    fn failing(&self) -> Vec<BackendIncarnation> {
         let failing = self.outcomes.iter().filter(|(_, sum)| sum.is_failing());
         failing.map(|(backend, _)| backend.clone()).collect()
     }
@@ -437,7 +444,7 @@
         self.reporters -= source.gateways;
     }
 
-    fn remove_from_total(&mut self, backend: &BackendLife, part: InFlight) {
+    fn remove_from_total(&mut self, backend: &BackendIncarnation, part: InFlight) {
         let Some(total) = self.totals.get_mut(backend) else { return };
         total.online -= part.online;
         total.items -= part.items;
@@ -447,6 +454,6 @@
     }
 }
 
-fn total_of(backend: &BackendLife, total: InFlight) -> BackendTotal {
+fn total_of(backend: &BackendIncarnation, total: InFlight) -> BackendTotal {
     BackendTotal { backend: backend.clone(), online: total.online, items: total.items }
 }
--- a/crates/jobstore/src/pool_slots.rs
+++ b/crates/jobstore/src/pool_slots.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use yokefall_serving::backend_table::BackendTable;
-use yokefall_serving::{Backend, BackendLife};
+use yokefall_serving::{Backend, BackendIncarnation};
 
 use crate::room::Room;
 
@@ -35,8 +35,8 @@
     }
 
     /// Requests or items have slots of a back end, if it is in one of the tables.
-    pub fn take(&mut self, life: &BackendLife, slots: u32) {
-        let Some(backend) = self.find(&life.id, life.started_ms) else { return };
+    pub fn take(&mut self, incarnation: &BackendIncarnation, slots: u32) {
+        let Some(backend) = self.find(&incarnation.id, incarnation.started_ms) else { return };
         if let Some(taken) = self.taken.entry(&backend.id).or_insert(Some(0)) {
             *taken += slots;
         }
--- a/crates/jobstore/src/preemption.rs
+++ b/crates/jobstore/src/preemption.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use tokio::time::Instant;
-use yokefall_serving::{Backend, BackendLife};
+use yokefall_serving::{Backend, BackendIncarnation};
 
 /// Where a run stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
         let service = services.entry(&run.backend.service).or_default();
         match run.phase {
             Phase::Placed => {
-                service.by_backend.entry(run.backend.life()).or_default().push(position);
+                service.by_backend.entry(run.backend.incarnation()).or_default().push(position);
             }
             Phase::Leaving => service.leaving += 1,
             // An item that rests has no slot: if it counted, its back end would stay full, and another
@@ -73,7 +73,7 @@
 #[derive(Debug, Default)]
 struct ServiceRuns {
     /// Positions of those that have a slot and may lose it, by the life at which it is.
-    by_backend: BTreeMap<BackendLife, Vec<usize>>,
+    by_backend: BTreeMap<BackendIncarnation, Vec<usize>>,
     /// Runs that were told to give their slot back and still have it.
     leaving: usize,
 }
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -12,9 +12,11 @@
 use tokio_util::codec::{Framed, FramedRead, LengthDelimitedCodec};
 use yokefall_consensus::message::Body;
 use yokefall_consensus::{Entry, MemberId, Message};
-use yokefall_quota::{Assignment, SlotLease, TokenAsk, TokenGrant};
-use yokefall_serving::{Backend, BackendLife, JobItem, Outcome, Requester, ResultPage, TenantName};
-use yokefall_suspects::{Grant, SuspectNews, SuspectReport};
+use yokefall_quota::{Assignment, SlotLease, TokenGrant, TokenRequest};
+use yokefall_serving::{
+    Backend, BackendIncarnation, JobItem, Outcome, Requester, ResultPage, TenantName,
+};
+use yokefall_suspects::{Grant, SuspectReport, SuspectUpdate};
 
 use crate::run::RunEnd;
 use crate::suspects::SuspectExchange;
@@ -43,7 +45,7 @@
     /// Queue that limits its waiting tokens: the tenant, and the host and path prefix of the route.
     pub queue: String,
     /// Most tokens of items that may wait in the queue; `None` for no limit.
-    pub most_queued_tokens: Option<u64>,
+    pub max_queued_tokens: Option<u64>,
     /// The items.
     pub items: Vec<JobItem>,
 }
@@ -59,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendCount {
     /// The back end, in one life: what an earlier one has says nothing of the load of the next.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// Requests that run or wait there.
     pub requests: u32,
 }
@@ -68,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendTotal {
     /// The back end, in one life: what an earlier one has says nothing of the load of the next.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// Online requests.
     pub online: u32,
     /// Items of jobs.
@@ -88,7 +90,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendOutcomes {
     /// The back end, in one life: what an earlier one has says nothing of the load of the next.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// Requests that failed.
     pub failed: u64,
     /// Requests that were answered.
@@ -108,9 +110,9 @@
     pub outcomes: Vec<BackendOutcomes>,
     /// Whether every total is wanted, and not only those that changed: the gateway is new to this
     /// job store, or has missed an answer.
-    pub answer_all: bool,
+    pub wants_all_totals: bool,
     /// The job store that got the report before, where that was another one.
-    pub moved_from: Option<String>,
+    pub previous_aggregator: Option<String>,
 }
 
 impl LoadReport {
@@ -128,7 +130,7 @@
     /// Arrivals at all gateways, by service.
     pub arrivals: Vec<ServiceRate>,
     /// Back ends that fail for all gateways.
-    pub failing: Vec<BackendLife>,
+    pub failing: Vec<BackendIncarnation>,
     /// The job store that leads, as far as known.
     pub leader: Option<String>,
     /// Gateways whose requests are in it.
@@ -138,7 +140,7 @@
 impl LoadAnswer {
     /// Whether it is of most gateways of a fleet with so many. One of a job store that hears few says
     /// nothing of the others, and is not to be taken for all that is in flight.
-    pub fn covers_most_of(&self, gateways: usize) -> bool {
+    pub fn covers_majority_of(&self, gateways: usize) -> bool {
         self.gateways as usize * 2 > gateways
     }
 }
@@ -160,7 +162,7 @@
 
 /// An item to be run at a back end, for the leader.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct RunOrder {
+pub struct RunRequest {
     /// The back end.
     pub backend: Backend,
     /// Host that the item's job was sent to.
@@ -228,9 +230,9 @@
     /// Reports what a gateway has in flight, and asks what all processes have.
     Load(LoadReport),
     /// Runs an item for the leader, who asks.
-    Run(RunOrder),
+    Run(RunRequest),
     /// Asks an accountant for tokens of tenants' limits.
-    TakeTokens(Vec<TokenAsk>),
+    TakeTokens(Vec<TokenRequest>),
     /// Asks the leader who the accountants are.
     Accountants,
     /// Compares what is known of suspects.
@@ -238,7 +240,7 @@
     /// Asks the leader whether a suspect may run alone at a back end.
     TrySuspect {
         /// What the asking process knows of it.
-        news: SuspectNews,
+        update: SuspectUpdate,
         /// Identity of the back end.
         backend: String,
     },
@@ -250,7 +252,7 @@
         releases: bool,
     },
     /// Asks whether a job is kept, or may yet be, without sending it.
-    IsKept {
+    HasJob {
         /// Id of the job.
         job: String,
         /// Who asks.
@@ -276,7 +278,7 @@
     /// There is no such job or item of this requester, for certain.
     NotFound,
     /// Another tenant has a job of this id; nothing was kept.
-    Taken,
+    JobIdConflict,
     /// The job, or the run, cannot be taken for want of memory; nothing of it was kept or sent.
     Full,
     /// More tokens would wait in its queue than may; nothing of it was kept.
@@ -288,7 +290,7 @@
     /// What is known of suspects.
     Suspects(SuspectExchange),
     /// Whether a suspect may run alone.
-    Tried(Grant),
+    TrialGrant(Grant),
     /// Slots that are leased to whom asked.
     Slots(Vec<SlotLease>),
     /// This member does not lead; the one that does, as far as known. Nothing was done.
@@ -297,11 +299,11 @@
         leader: Option<String>,
     },
     /// This member leads but cannot be sure now. Nothing was done.
-    Unsure,
+    LeaderNotReady,
     /// The change may be in force or not.
     Unknown,
     /// The job may not be kept at some members of the group, to which it would go; nothing of it was kept.
-    OutOfRegions {
+    ResidencyViolation {
         /// Their names.
         members: Vec<String>,
     },
@@ -363,7 +365,7 @@
     /// decides on the next run.
     Suspects(SuspectReport),
     /// The leader still wants its runs; the worker answers with the same.
-    Renew,
+    Heartbeat,
 }
 
 /// A frame to send, with the room that it takes until it is sent.
--- a/crates/jobstore/src/quota.rs
+++ b/crates/jobstore/src/quota.rs
@@ -9,12 +9,12 @@
 use yokefall_clock::ElapsedClock;
 use yokefall_consensus::Term;
 use yokefall_core::Timestamp;
-use yokefall_quota::accountant::RENEW_INTERVAL_MS;
+use yokefall_quota::token_issuer::RENEW_INTERVAL_MS;
 use yokefall_quota::{
-    Accountant, Candidate, Overseer, QuotaBounds, SlotLease, TokenAsk, TokenGrant,
+    Candidate, LeaseManager, QuotaBounds, SlotLease, TokenGrant, TokenIssuer, TokenRequest,
 };
 use yokefall_serving::{CatalogCell, FleetCell};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::client::{CallOutcome, JobClient};
 use crate::protocol::{Reply, Request};
@@ -38,10 +38,10 @@
 pub struct QuotaService {
     name: String,
     clock: ElapsedClock,
-    accountant: RefCell<Accountant>,
+    token_issuer: RefCell<TokenIssuer>,
     /// What this process knows of leases as the leader of a term. Invariant: what it knew in another
     /// term is dropped, since another leader may have renewed leases in between.
-    overseer: RefCell<Option<(Term, Overseer)>>,
+    lease_manager: RefCell<Option<(Term, LeaseManager)>>,
 }
 
 impl QuotaService {
@@ -50,8 +50,8 @@
         Rc::new(Self {
             name,
             clock,
-            accountant: RefCell::new(Accountant::new(bounds)),
-            overseer: RefCell::new(None),
+            token_issuer: RefCell::new(TokenIssuer::new(bounds)),
+            lease_manager: RefCell::new(None),
         })
     }
 
@@ -60,34 +60,34 @@
     }
 
     /// Grants tokens, one answer for each ask.
-    pub fn take(&self, asks: &[TokenAsk]) -> Vec<TokenGrant> {
+    pub fn take(&self, asks: &[TokenRequest]) -> Vec<TokenGrant> {
         let now = self.now();
-        let mut accountant = self.accountant.borrow_mut();
-        asks.iter().map(|ask| accountant.take(now, ask)).collect()
+        let mut token_issuer = self.token_issuer.borrow_mut();
+        asks.iter().map(|ask| token_issuer.take(now, ask)).collect()
     }
 
     /// Renews the leases of an accountant, or takes its slots back. To be called where this process
     /// leads and may answer.
     pub fn renew(&self, store: &Store, name: &str, releases: bool) -> Vec<SlotLease> {
         let now = self.now();
-        self.with_overseer(store, |overseer| {
+        self.with_lease_manager(store, |lease_manager| {
             if releases {
-                overseer.released(name);
+                lease_manager.mark_released(name);
                 return Vec::new();
             }
-            overseer.renew(now, &store.accountants(), name)
+            lease_manager.renew(now, &store.token_issuers(), name)
         })
     }
 
     /// The overseer of the present term.
-    fn with_overseer<R>(&self, store: &Store, step: impl FnOnce(&mut Overseer) -> R) -> R {
+    fn with_lease_manager<R>(&self, store: &Store, step: impl FnOnce(&mut LeaseManager) -> R) -> R {
         let term = store.term();
-        let mut held = self.overseer.borrow_mut();
+        let mut held = self.lease_manager.borrow_mut();
         if held.as_ref().is_none_or(|(held, _)| *held != term) {
-            *held = Some((term, Overseer::new(self.now())));
+            *held = Some((term, LeaseManager::new(self.now())));
         }
-        let (_, overseer) = held.get_or_insert_with(|| (term, Overseer::new(self.now())));
-        step(overseer)
+        let (_, lease_manager) = held.get_or_insert_with(|| (term, LeaseManager::new(self.now())));
+        step(lease_manager)
     }
 }
 
@@ -104,7 +104,7 @@
 /// Renews the leases of this process's slots until it gives them back.
 pub async fn renew_leases(quota: Rc<QuotaService>, catalog: CatalogCell, fleet: FleetCell) {
     let leader = JobClient::new(fleet);
-    while !quota.accountant.borrow().is_released() {
+    while !quota.token_issuer.borrow().is_released() {
         if let Some(pause) = pause(&catalog) {
             tokio::time::sleep(pause).await;
             continue;
@@ -114,11 +114,11 @@
         let outcome = leader.call(request, Instant::now() + RENEW_INTERVAL).await;
         if let CallOutcome::Answered(Reply::Slots(leases)) = outcome {
             let now = quota.now();
-            let mut accountant = quota.accountant.borrow_mut();
-            if accountant.renewed(now, asked_at, &leases) {
-                let held = accountant.held(now);
+            let mut token_issuer = quota.token_issuer.borrow_mut();
+            if token_issuer.apply_leases(now, asked_at, &leases) {
+                let held = token_issuer.held_slots(now);
                 metrics::gauge!("quota_slots").set(held as f64);
-                Line::new(EventName::QuotaLeaseChanged).field("slots", held).write();
+                LogLine::new(EventName::QuotaLeaseChanged).field("slots", held).write();
             }
         }
         let next = asked_at.plus_millis(RENEW_INTERVAL_MS);
@@ -153,25 +153,26 @@
         .filter(|member| member.accepting)
         .map(|member| Candidate { name: member.name.clone(), zone: member.zone.clone() })
         .collect();
-    let changes = quota.with_overseer(store, |overseer| {
-        overseer.plan(now, &store.accountants(), &candidates, &quota.name)
+    let changes = quota.with_lease_manager(store, |lease_manager| {
+        lease_manager.plan(now, &store.token_issuers(), &candidates, &quota.name)
     });
     if changes.is_empty() {
         return;
     }
-    Line::new(EventName::QuotaAssigned)
+    LogLine::new(EventName::QuotaAssigned)
         .field("slots", changes.len())
         .field("job_stores", candidates.len())
         .write();
-    let slots = changes.into_iter().map(|(slot, accountant)| SlotAssignment { slot, accountant });
+    let slots =
+        changes.into_iter().map(|(slot, token_issuer)| SlotAssignment { slot, token_issuer });
     // Where the lead is lost, the next leader finds the slots without an accountant as well.
     let _ = store.propose(&Command::AssignSlots(slots.collect())).await;
 }
 
 /// Gives this process's slots back before a planned stop, so that nobody waits for leases to end.
 pub async fn release(quota: &QuotaService, fleet: &FleetCell) {
-    let held = quota.accountant.borrow().held(quota.now());
-    quota.accountant.borrow_mut().release();
+    let held = quota.token_issuer.borrow().held_slots(quota.now());
+    quota.token_issuer.borrow_mut().release();
     if held == 0 {
         return;
     }
--- a/crates/jobstore/src/reads.rs
+++ b/crates/jobstore/src/reads.rs
@@ -8,7 +8,7 @@
 use yokefall_quota::Assignment;
 use yokefall_serving::{Catalog, Requester, Residency, ResultPage};
 
-use crate::residence::residency_of_job;
+use crate::residency::residency_of_job;
 use crate::state::{Job, Jobs};
 use crate::store::Store;
 
@@ -20,14 +20,14 @@
     /// It is not there, for certain.
     No,
     /// This replica cannot be sure.
-    Unsure,
+    LeaderNotReady,
 }
 
 impl Store {
     /// Reads the jobs where this replica may answer reads.
     pub fn read<R>(&self, read: impl FnOnce(&Jobs) -> Option<R>) -> Found<R> {
         if !self.serves() {
-            return Found::Unsure;
+            return Found::LeaderNotReady;
         }
         let inner = self.inner.borrow();
         read(&inner.jobs).map_or(Found::No, Found::Yes)
@@ -84,8 +84,8 @@
     }
 
     /// Who the accountants of tenants' limits are, as far as this replica has applied.
-    pub fn accountants(&self) -> Assignment {
-        self.inner.borrow().jobs.accountants().clone()
+    pub fn token_issuers(&self) -> Assignment {
+        self.inner.borrow().jobs.token_issuers().clone()
     }
 
     /// Looks at one job.
--- a/crates/jobstore/src/run.rs
+++ b/crates/jobstore/src/run.rs
@@ -11,10 +11,10 @@
 use futures::StreamExt;
 use http::{header, HeaderName, HeaderValue, Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
-use yokefall_serving::identity::mark_tenant;
+use yokefall_serving::identity::set_tenant_header;
 use yokefall_serving::{Backend, Dialect, JobItem, Outcome, Permit, TenantName};
 use yokefall_suspects::{Registry, RequestDigest, RequestIdentity};
-use yokefall_upstream::{exchange, ConnectFailure, Connection, Place, Pool, SendFailure};
+use yokefall_upstream::{exchange, BackendSlot, ConnectFailure, Connection, Pool, SendFailure};
 
 use crate::state::Run;
 
@@ -69,7 +69,7 @@
     /// The item failed by its own fault.
     ItemFailed,
     /// It did not run, or broke off: try again.
-    Again {
+    Retry {
         /// The cause.
         cause: String,
         /// Whether a pause should come first.
@@ -80,20 +80,20 @@
 impl RunEnd {
     /// Whether the back end gave a whole answer, of whatever kind: it outlived the item.
     pub fn is_whole_answer(&self) -> bool {
-        !matches!(self, RunEnd::Again { .. })
+        !matches!(self, RunEnd::Retry { .. })
     }
 }
 
 /// Why an item may not be sent to a back end now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NoPermit {
+pub struct PermitDenied {
     /// The cause, as text.
     pub cause: String,
     /// Whether the back end is cold and this process has no share left: trying again at once is in vain.
     pub is_cold: bool,
 }
 
-impl NoPermit {
+impl PermitDenied {
     /// A cause that another back end may not have.
     pub fn new(cause: impl Into<String>) -> Self {
         Self { cause: cause.into(), is_cold: false }
@@ -150,18 +150,18 @@
     /// the back end have begun to drain.
     pub async fn run_at(
         &self,
-        place: &mut Place,
+        slot: &mut BackendSlot,
         sender: &ItemSender,
         item: &Arc<JobItem>,
         progress: &Rc<RefCell<Progress>>,
-        permit: impl Fn() -> Result<Permit, NoPermit>,
+        permit: impl Fn() -> Result<Permit, PermitDenied>,
     ) -> RunEnd {
-        let backend = place.backend.clone();
-        let again = |cause: String, pause| RunEnd::Again { cause, pause };
+        let backend = slot.backend.clone();
+        let again = |cause: String, pause| RunEnd::Retry { cause, pause };
         let mut connection = match self.pool.connect(&backend, CONNECT_TIMEOUT, CONNECTIONS).await {
             Ok(connection) => connection,
             Err(error) => {
-                place.outcome = match error {
+                slot.outcome = match error {
                     ConnectFailure::Unreachable { .. } => Outcome::Unreachable,
                     ConnectFailure::Exhausted => Outcome::Full,
                 };
@@ -174,73 +174,75 @@
         };
         let permit = match permit() {
             Ok(permit) => permit,
-            Err(NoPermit { cause, is_cold }) => {
-                place.outcome = Outcome::Abandoned;
+            Err(PermitDenied { cause, is_cold }) => {
+                slot.outcome = Outcome::Abandoned;
                 self.pool.put_back(connection);
                 let cause = format!("not to be sent when the connection was up: {cause}");
                 return again(cause, is_cold);
             }
         };
         let names = self.dialect.headers();
-        let id_header = self.dialect.marks_answers().then_some(&names.request_id);
+        let id_header = self.dialect.signs_responses().then_some(&names.request_id);
         let sent = exchange(&mut connection, request, id_header, permit);
         let answer = match tokio::time::timeout(SILENCE_LIMIT, sent).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
-                place.outcome = match error {
+                slot.outcome = match error {
                     SendFailure::NotSent { .. } => Outcome::Abandoned,
                     SendFailure::MayHaveRun { .. } => Outcome::Failed,
                 };
-                if place.outcome == Outcome::Failed {
-                    place.broke();
+                if slot.outcome == Outcome::Failed {
+                    slot.record_failure();
                     let digest = || item_digest(sender, item);
-                    self.suspects.note_break(&place.backend, place.taken(), digest).await;
+                    self.suspects
+                        .record_disconnect(&slot.backend, slot.acquired_at(), digest)
+                        .await;
                 }
                 return again(error.to_string(), false);
             }
             Err(_) => {
-                place.outcome = Outcome::Failed;
-                self.pool.forget_kept(&backend);
-                place.broke();
+                slot.outcome = Outcome::Failed;
+                self.pool.close_idle(&backend);
+                slot.record_failure();
                 return again(format!("{} gave no answer", backend.id), false);
             }
         };
         connection.note_keep_alive(answer.headers());
-        self.note_told(place, answer.headers());
+        self.note_told(slot, answer.headers());
         let not_run = answer.headers().contains_key(&self.dialect.headers().not_run);
         match answer.status() {
             StatusCode::OK => {
                 let digest = || item_digest(sender, item);
-                self.read_events(place, connection, answer, progress, digest).await
+                self.read_events(slot, connection, answer, progress, digest).await
             }
             StatusCode::UNPROCESSABLE_ENTITY => {
-                place.outcome = Outcome::Answered;
+                slot.outcome = Outcome::Answered;
                 RunEnd::Impossible
             }
             StatusCode::MISDIRECTED_REQUEST => {
-                place.outcome = Outcome::Misdirected;
+                slot.outcome = Outcome::Misdirected;
                 again(format!("{} is another back end now", backend.address), false)
             }
             StatusCode::INTERNAL_SERVER_ERROR if !not_run => {
-                place.outcome = Outcome::Answered;
+                slot.outcome = Outcome::Answered;
                 RunEnd::ItemFailed
             }
             status => {
-                place.outcome = if not_run { Outcome::Full } else { Outcome::Failed };
+                slot.outcome = if not_run { Outcome::Full } else { Outcome::Failed };
                 again(format!("{} answered {status}", backend.id), true)
             }
         }
     }
 
     /// Takes what a back end tells of itself with its answer.
-    fn note_told(&self, place: &Place, headers: &http::HeaderMap) {
+    fn note_told(&self, slot: &BackendSlot, headers: &http::HeaderMap) {
         let load = headers.get(&self.dialect.headers().load);
         if let Some(load) = load.and_then(|value| self.dialect.parse_load(value)) {
-            place.told(load);
+            slot.record_report(load);
         }
         let cold = headers.get(&self.dialect.headers().cold_ms);
         if let Some(remaining_ms) = cold.and_then(|value| self.dialect.parse_cold(value)) {
-            place.told_cold(remaining_ms);
+            slot.record_cold_remaining(remaining_ms);
         }
     }
 
@@ -259,7 +261,7 @@
             headers.append(name, HeaderValue::try_from(header.value.as_str()).ok()?);
         }
         // What the submission named of keys and tenants is no back end's business.
-        mark_tenant(sender.tenant.as_ref(), &names.tenant, headers);
+        set_tenant_header(sender.tenant.as_ref(), &names.tenant, headers);
         headers.insert(header::HOST, HeaderValue::try_from(&sender.host).ok()?);
         headers.insert(&names.request_id, HeaderValue::try_from(item.id.as_str()).ok()?);
         headers.insert(&names.expected_backend, HeaderValue::try_from(&backend.id).ok()?);
@@ -271,37 +273,39 @@
 
     async fn read_events(
         &self,
-        place: &mut Place,
+        slot: &mut BackendSlot,
         connection: Connection,
         answer: http::Response<hyper::body::Incoming>,
         progress: &Rc<RefCell<Progress>>,
         digest: impl FnOnce() -> RequestDigest,
     ) -> RunEnd {
-        let again = |cause: String| RunEnd::Again { cause, pause: false };
+        let again = |cause: String| RunEnd::Retry { cause, pause: false };
         let signature = &self.dialect.headers().signature;
-        let signed = !self.dialect.marks_answers() || answer.headers().contains_key(signature);
-        let last = Connection::is_last(answer.headers());
+        let signed = !self.dialect.signs_responses() || answer.headers().contains_key(signature);
+        let last = Connection::closes_after(answer.headers());
         let mut events = answer.into_body().into_data_stream().eventsource();
         loop {
             let event = match tokio::time::timeout(SILENCE_LIMIT, events.next()).await {
                 Ok(Some(Ok(event))) => event,
                 Ok(None) => break,
                 Ok(Some(Err(error))) => {
-                    place.outcome = Outcome::Failed;
-                    place.broke();
-                    self.suspects.note_break(&place.backend, place.taken(), digest).await;
-                    return again(format!("read answer of {}: {error}", place.backend.id));
+                    slot.outcome = Outcome::Failed;
+                    slot.record_failure();
+                    self.suspects
+                        .record_disconnect(&slot.backend, slot.acquired_at(), digest)
+                        .await;
+                    return again(format!("read answer of {}: {error}", slot.backend.id));
                 }
                 Err(_) => {
-                    place.outcome = Outcome::Failed;
-                    self.pool.forget_kept(&place.backend);
-                    place.broke();
-                    return again(format!("{} fell silent", place.backend.id));
+                    slot.outcome = Outcome::Failed;
+                    self.pool.close_idle(&slot.backend);
+                    slot.record_failure();
+                    return again(format!("{} fell silent", slot.backend.id));
                 }
             };
             let mut progress = progress.borrow_mut();
             if event.id.parse() != Ok(progress.last_event + 1) {
-                place.outcome = Outcome::Failed;
+                slot.outcome = Outcome::Failed;
                 let expected = progress.last_event + 1;
                 return again(format!("event {:?} in the place of {expected}", event.id));
             }
@@ -309,10 +313,10 @@
             progress.push(event_number, &event.data);
         }
         drop(events);
-        place.outcome = Outcome::Answered;
+        slot.outcome = Outcome::Answered;
         if !signed || progress.borrow().last_event == 0 {
-            place.outcome = Outcome::Failed;
-            return again(format!("{} gave no signed events", place.backend.id));
+            slot.outcome = Outcome::Failed;
+            return again(format!("{} gave no signed events", slot.backend.id));
         }
         if !last {
             self.pool.put_back(connection);
--- a/crates/jobstore/src/runner.rs
+++ b/crates/jobstore/src/runner.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use yokefall_serving::{BackendLife, FleetCell, InFlight, Policy};
+use yokefall_serving::{BackendIncarnation, FleetCell, InFlight, Policy};
 use yokefall_suspects::RequestDigest;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::backlog::{Backlog, PassFigures};
 use crate::delegation::Delegation;
@@ -54,7 +54,7 @@
     /// Time for which jobs that are over are kept.
     pub retention: Duration,
     /// Items that run at once at most; each takes memory for its connection and its output.
-    pub most_runs: usize,
+    pub max_runs: usize,
     /// Decisions that are switched on.
     pub policy: Policy,
 }
@@ -136,7 +136,7 @@
                 running.task.abort();
             }
             if was_ended == Some(true) {
-                Line::new(EventName::ItemStopped)
+                LogLine::new(EventName::ItemStopped)
                     .id(format_args!("{job} item {item}"))
                     .text("job", job)
                     .field("backend", running.backend.as_ref().map(|backend| backend.id.clone()))
@@ -152,8 +152,8 @@
         let totals = totals
             .iter()
             .map(|total| (&total.backend, InFlight { online: total.online, items: total.items }));
-        let items = |life: &BackendLife| self.store.loads.items(life);
-        self.worker.places.with(|balancer, now| balancer.heard_totals(now, totals, items));
+        let items = |incarnation: &BackendIncarnation| self.store.loads.items(incarnation);
+        self.worker.balancer.with(|balancer, now| balancer.update_totals(now, totals, items));
     }
 
     /// Starts what waits, in its order, as far as there are free slots. The work of a pass grows with
@@ -170,7 +170,7 @@
         }
         let figures = PassFigures {
             running: self.running.borrow().len(),
-            most_runs: self.options.most_runs,
+            max_runs: self.options.max_runs,
             gateways_heard: self.store.loads.reporters(),
         };
         self.backlog.note(services.services(), figures);
@@ -222,9 +222,8 @@
             // An item whose route is unknown must not hold up the items of others.
             let Some(pool) = self.pool_of(&key) else { continue };
             let free = services.of(&pool, || self.free_slots(&pool));
-            let may_start =
-                free.items() > 0 && self.running.borrow().len() < self.options.most_runs;
-            let choose = || self.worker.places.with(|balancer, now| free.choose(balancer, now));
+            let may_start = free.items() > 0 && self.running.borrow().len() < self.options.max_runs;
+            let choose = || self.worker.balancer.with(|balancer, now| free.choose(balancer, now));
             let Some(backend) = may_start.then(choose).flatten() else {
                 free.held += waiting.len() - started;
                 return;
@@ -236,7 +235,7 @@
             if let Some(worker) = self.item_workers().choose(&backend, &pool.residency) {
                 self.start(key, backend.clone(), worker);
             }
-            let items = self.worker.places.with(|balancer, _| balancer.in_flight(&backend));
+            let items = self.worker.balancer.with(|balancer, _| balancer.in_flight(&backend));
             let may_take = self.item_workers().may_take(&backend, &pool.residency);
             if !self.has_free_slot(&backend, items) || !may_take {
                 free.remove(&backend.id);
@@ -257,7 +256,7 @@
     fn give_up(self: &Rc<Self>, key: ItemKey) {
         let (runner, item) = (self.clone(), key.clone());
         let task = tokio::task::spawn_local(async move {
-            Line::new(EventName::ItemAbandoned)
+            LogLine::new(EventName::ItemAbandoned)
                 .id(format_args!("{} item {}", item.0, item.1))
                 .text("job", &item.0)
                 .field("cause", "it waited longer than its route allows")
@@ -302,10 +301,10 @@
             self.store.with_job(job, |job| job.open.contains_key(item)) == Some(true)
         });
         let catalog = self.worker.catalog.load();
-        self.worker.items.pool.retain(|life| catalog.is_ready_life(life));
-        self.worker.places.with(|balancer, now| {
-            balancer.retain(|life| catalog.is_ready_life(life));
-            balancer.forget_idle(now);
+        self.worker.items.pool.retain(|incarnation| catalog.is_ready_incarnation(incarnation));
+        self.worker.balancer.with(|balancer, now| {
+            balancer.retain(|incarnation| catalog.is_ready_incarnation(incarnation));
+            balancer.prune_idle(now);
         });
     }
 }
--- a/crates/jobstore/src/running.rs
+++ b/crates/jobstore/src/running.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use yokefall_serving::{Backend, BackendLife};
+use yokefall_serving::{Backend, BackendIncarnation};
 
 use crate::preemption::{Phase, PlacedRun};
 use crate::run::Progress;
@@ -49,12 +49,12 @@
 /// An item that counts at its back end, until it is dropped.
 pub struct CountedItem {
     store: Rc<Store>,
-    backend: BackendLife,
+    backend: BackendIncarnation,
 }
 
 impl CountedItem {
     /// Counts an item from now on.
-    pub fn new(store: Rc<Store>, backend: BackendLife) -> Self {
+    pub fn new(store: Rc<Store>, backend: BackendIncarnation) -> Self {
         store.loads.item_started(&backend);
         store.loads_changed.notify_one();
         Self { store, backend }
--- a/crates/jobstore/src/server.rs
+++ b/crates/jobstore/src/server.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use yokefall_consensus::MemberId;
 use yokefall_serving::{FleetCell, Requester, Residency};
-use yokefall_suspects::{Sender, SuspectReport};
+use yokefall_suspects::{RequestSource, SuspectReport};
 
 use crate::delegation::RUN_LEASE;
 use crate::intake::NotTaken;
@@ -21,7 +21,7 @@
 };
 use crate::quota::QuotaService;
 use crate::reads::Found;
-use crate::residence::{residency_of_job, KnownZones};
+use crate::residency::{residency_of_job, KnownZones};
 use crate::state::{Command, PAGE_BYTES};
 use crate::store::{ProposeError, Store};
 use crate::worker::{ConnectionRuns, Worker};
@@ -110,9 +110,9 @@
                 runs.start(&server.worker, call, order, replies.clone());
             }
             Frame::Cancel { call } => runs.cancel(call),
-            Frame::Renew => {
+            Frame::Heartbeat => {
                 // A writer that has ended ends the connection as well.
-                let _ = replies.send(Outgoing::new(Frame::Renew));
+                let _ = replies.send(Outgoing::new(Frame::Heartbeat));
             }
             Frame::Request { call, request } => {
                 let answering = answer(server.clone(), call, request, replies.clone());
@@ -160,7 +160,7 @@
     // Loads are no part of the log: any job store adds them up, so that they stay known while
     // nobody leads.
     if let Request::Load(report) = request {
-        if let Some(before) = &report.moved_from {
+        if let Some(before) = &report.previous_aggregator {
             store.send_frame(before, &Frame::GatewayMoved { gateway: report.gateway.clone() });
         }
         let answer = store.loads.report(report, store.leader_in_touch());
@@ -179,21 +179,22 @@
         return not_sure(store);
     }
     match request {
-        Request::TrySuspect { news, backend } => {
-            let digest = news.digest;
-            suspects.take(SuspectReport { suspects: vec![news], ended: Vec::new() });
-            Reply::Tried(suspects.grant(&digest, &backend, Sender::Client))
+        Request::TrySuspect { update, backend } => {
+            let digest = update.digest;
+            suspects.take(SuspectReport { suspects: vec![update], crashed_backends: Vec::new() });
+            Reply::TrialGrant(suspects.grant(&digest, &backend, RequestSource::Client))
         }
         Request::Submit { job, requester, submission } => {
-            let may_use = store.with_job(&job, |held| requester.may_use(held.tenant.as_ref()));
-            match may_use {
+            let may_access =
+                store.with_job(&job, |held| requester.may_access(held.tenant.as_ref()));
+            match may_access {
                 Some(true) => return Reply::Accepted,
-                Some(false) => return Reply::Taken,
+                Some(false) => return Reply::JobIdConflict,
                 None => {}
             }
             let members = forbidden_members(server, &requester, &submission);
             if !members.is_empty() {
-                return Reply::OutOfRegions { members };
+                return Reply::ResidencyViolation { members };
             }
             let _room = match store.reserve(&job, &submission) {
                 Ok(room) => room,
@@ -205,8 +206,9 @@
             changed(store, command, Reply::Accepted).await
         }
         Request::End { job, requester } => {
-            let may_use = store.with_job(&job, |held| requester.may_use(held.tenant.as_ref()));
-            if may_use != Some(true) {
+            let may_access =
+                store.with_job(&job, |held| requester.may_access(held.tenant.as_ref()));
+            if may_access != Some(true) {
                 return found(store, Found::No, |()| Reply::Ended);
             }
             changed(store, Command::End { job }, Reply::Ended).await
@@ -215,18 +217,18 @@
             let body = store.read(|jobs| jobs.body(&job, &requester, &item).map(<[u8]>::to_vec));
             found(store, body, Reply::Body)
         }
-        Request::IsKept { job, requester } => {
-            match store.with_job(&job, |held| requester.may_use(held.tenant.as_ref())) {
+        Request::HasJob { job, requester } => {
+            match store.with_job(&job, |held| requester.may_access(held.tenant.as_ref())) {
                 Some(true) => Reply::Accepted,
-                Some(false) => Reply::Taken,
+                Some(false) => Reply::JobIdConflict,
                 None if store.is_under_way(&job) => Reply::Unknown,
                 None => Reply::NotFound,
             }
         }
-        Request::Accountants => Reply::Accountants(store.accountants()),
+        Request::Accountants => Reply::Accountants(store.token_issuers()),
         Request::RenewSlots { name, releases } => Reply::Slots(quota.renew(store, &name, releases)),
         Request::Load(_) | Request::Run(_) | Request::TakeTokens(_) | Request::Suspects(_) => {
-            Reply::Unsure
+            Reply::LeaderNotReady
         }
         Request::Results { job, requester, from, .. } => {
             found(store, store.page(&job, &requester, from), Reply::Page)
@@ -257,7 +259,7 @@
 
 fn not_sure(store: &Store) -> Reply {
     if store.is_leader() {
-        return Reply::Unsure;
+        return Reply::LeaderNotReady;
     }
     Reply::NotLeader { leader: store.leader() }
 }
@@ -274,7 +276,7 @@
     match found {
         Found::Yes(value) => reply(value),
         Found::No => Reply::NotFound,
-        Found::Unsure => not_sure(store),
+        Found::LeaderNotReady => not_sure(store),
     }
 }
 
--- a/crates/jobstore/src/slots.rs
+++ b/crates/jobstore/src/slots.rs
@@ -4,7 +4,7 @@
 use std::borrow::Cow;
 use std::sync::Arc;
 
-use yokefall_serving::{Backend, Need, Residency, RouteKind};
+use yokefall_serving::{Backend, Requirements, Residency, RouteKind};
 
 use crate::item_worker::ItemWorkers;
 use crate::pool_slots::PoolSlots;
@@ -19,13 +19,13 @@
     pub(crate) fn free_slots(&self, pool: &SlotPool) -> ServiceSlots {
         let catalog = self.worker.catalog.load();
         let room = self.room(pool);
-        let need = Need { service: &pool.service, residency: &pool.residency };
+        let requirements = Requirements { service: &pool.service, residency: &pool.residency };
         let workers = self.item_workers();
-        let backends = self.worker.places.with(|balancer, now| {
-            let drawn = workers.draw(&catalog, &need, balancer.generator());
-            let candidates = match drawn {
-                Some(drawn) => Cow::Owned(drawn.backends),
-                None => workers.candidates(&catalog, &need),
+        let backends = self.worker.balancer.with(|balancer, now| {
+            let sample = workers.sample(&catalog, &requirements, balancer.generator());
+            let candidates = match sample {
+                Some(sample) => Cow::Owned(sample.backends),
+                None => workers.candidates(&catalog, &requirements),
             };
             let is_free = |backend: &&Arc<Backend>| {
                 let items = balancer.in_flight(backend);
@@ -54,26 +54,31 @@
     /// fifty times a second, and before 10,000 back ends a leader that looked at all of them had a fifth of its items done.
     fn room(&self, pool: &SlotPool) -> Room {
         let catalog = self.worker.catalog.load();
-        let need = Need { service: &pool.service, residency: &pool.residency };
+        let requirements = Requirements { service: &pool.service, residency: &pool.residency };
         let coverage = self.store.loads.coverage(self.fleet.load().gateways().count());
         let room = Room::new(self.store.loads.report_interval()).heard(coverage);
-        let Some(closed) = self.item_workers().closed(&need) else {
+        let Some(closed) = self.item_workers().closed(&requirements) else {
             // What is known is too old to tell that any of them is warm.
-            return self.room_of_each(room, &self.item_workers().candidates(&catalog, &need));
+            return self
+                .room_of_each(room, &self.item_workers().candidates(&catalog, &requirements));
         };
-        let tables = self.worker.eligibility.tables(&catalog, &need);
-        self.worker.places.with(|balancer, now| {
+        let tables = self.worker.eligibility.tables(&catalog, &requirements);
+        self.worker.balancer.with(|balancer, now| {
             let mut counted = PoolSlots::new(&tables);
             closed.iter().for_each(|backend| counted.leave_out(&backend.id, backend.started_ms));
             balancer.ejected(now).for_each(|(id, started_ms)| counted.leave_out(id, started_ms));
-            self.store.loads.each_online(|life, requests| counted.take(life, requests));
-            balancer.all_in_flight().for_each(|(life, items)| counted.take(&life, items));
+            self.store
+                .loads
+                .each_online(|incarnation, requests| counted.take(incarnation, requests));
+            balancer
+                .all_in_flight()
+                .for_each(|(incarnation, items)| counted.take(&incarnation, items));
             counted.add_to(room)
         })
     }
 
     fn room_of_each(&self, mut room: Room, candidates: &[Arc<Backend>]) -> Room {
-        self.worker.places.with(|balancer, now| {
+        self.worker.balancer.with(|balancer, now| {
             for backend in candidates.iter().filter(|backend| !balancer.is_ejected(now, backend)) {
                 let online = self.reported_online(backend);
                 room.add(backend.slots, online + balancer.in_flight(backend));
@@ -96,7 +101,7 @@
     /// Online requests at a back end of the gateways that are heard. Those of the others are in the
     /// reserve of the service (`Coverage`), at which back end is not known.
     fn reported_online(&self, backend: &Backend) -> u32 {
-        self.store.loads.online(&backend.life()).unwrap_or(0)
+        self.store.loads.online(&backend.incarnation()).unwrap_or(0)
     }
 
     /// Where online requests need the slots of items, the newest items are preempted.
--- a/crates/jobstore/src/snapshot.rs
+++ b/crates/jobstore/src/snapshot.rs
@@ -76,5 +76,5 @@
 fn decode_version_1(state: &[u8]) -> std::io::Result<Jobs> {
     let jobs: BTreeMap<String, JobVersion1> = borsh::from_slice(state)?;
     let jobs = jobs.into_iter().map(|(id, job)| (id, job.into())).collect();
-    Ok(Jobs { jobs, accountants: Assignment::default() })
+    Ok(Jobs { jobs, token_issuers: Assignment::default() })
 }
