--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -130,7 +130,7 @@
     /// The slot.
     pub slot: SlotId,
     /// Name of the job store.
-    pub accountant: String,
+    pub token_issuer: String,
 }
 
 /// A run of an item at a back end.
@@ -273,7 +273,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Jobs {
     pub(crate) jobs: BTreeMap<String, Job>,
-    pub(crate) accountants: Assignment,
+    pub(crate) token_issuers: Assignment,
 }
 
 impl Jobs {
@@ -283,8 +283,8 @@
     }
 
     /// Who the accountants of tenants' limits are.
-    pub fn accountants(&self) -> &Assignment {
-        &self.accountants
+    pub fn token_issuers(&self) -> &Assignment {
+        &self.token_issuers
     }
 
     /// Every job with its id.
@@ -316,8 +316,8 @@
                 Applied::Forgotten { job }
             }
             Command::AssignSlots(slots) => {
-                let changes = slots.into_iter().map(|change| (change.slot, change.accountant));
-                self.accountants.assign(changes.collect());
+                let changes = slots.into_iter().map(|change| (change.slot, change.token_issuer));
+                self.token_issuers.assign(changes.collect());
                 Applied::Nothing
             }
             Command::Several(commands) => {
@@ -414,7 +414,7 @@
 
     /// A job that a requester may read and end.
     pub fn of(&self, id: &str, requester: &Requester) -> Option<&Job> {
-        self.jobs.get(id).filter(|job| requester.may_use(job.tenant.as_ref()))
+        self.jobs.get(id).filter(|job| requester.may_access(job.tenant.as_ref()))
     }
 
     /// Results of a job from a position on; one at least where one exists.
--- a/crates/jobstore/src/store.rs
+++ b/crates/jobstore/src/store.rs
@@ -199,7 +199,7 @@
             if batch.orders > 0 {
                 break;
             }
-            inner.core.persisted(now);
+            inner.core.writes_synced(now);
             let held = inner.batches.pop_front().map(|batch| batch.held).unwrap_or_default();
             self.send(held);
         }
@@ -221,12 +221,18 @@
     fn carry_out(&self, inner: &mut Inner) {
         loop {
             let effects = inner.core.take_effects();
-            let Effects { writes, messages, messages_after_sync, install, committed, installs } =
-                effects;
+            let Effects {
+                writes,
+                messages,
+                messages_after_sync,
+                install,
+                committed,
+                snapshot_targets,
+            } = effects;
             let idle = writes.is_empty()
                 && install.is_none()
                 && committed.is_empty()
-                && installs.is_empty();
+                && snapshot_targets.is_empty();
             self.send(messages);
             self.order_writes(inner, writes, messages_after_sync);
             if let Some(snapshot) = install {
@@ -235,8 +241,8 @@
             for entry in committed {
                 self.apply(inner, entry);
             }
-            if !installs.is_empty() {
-                self.send_state(inner, &installs);
+            if !snapshot_targets.is_empty() {
+                self.send_state(inner, &snapshot_targets);
             }
             if idle {
                 break;
@@ -271,7 +277,7 @@
             }
             return;
         }
-        inner.core.writing();
+        inner.core.writes_started();
         let mut orders = 0;
         let mut plain = Vec::new();
         for write in writes {
@@ -407,7 +413,7 @@
     /// Reserves room for a submission while it is on its way into the log.
     pub fn reserve(&self, job: &str, submission: &Submission) -> Result<Reservation<'_>, NotTaken> {
         let inner = self.inner.borrow();
-        let limited = submission.most_queued_tokens.is_some();
+        let limited = submission.max_queued_tokens.is_some();
         let occupied = Occupied {
             bytes: inner.jobs.held_bytes(),
             most_bytes: self.limits.job_bytes,
@@ -465,6 +471,12 @@
 
 fn rewrite_of(core: &Consensus, snapshot: Snapshot) -> Rewrite {
     let entries = core.log().from(snapshot.index + 1, usize::MAX);
-    let (term, settled) = (core.term(), core.settled());
-    Rewrite { term, voted_for: core.voted_for().cloned(), settled, snapshot, entries }
+    let (term, committed_members_index) = (core.term(), core.committed_members_index());
+    Rewrite {
+        term,
+        voted_for: core.voted_for().cloned(),
+        committed_members_index,
+        snapshot,
+        entries,
+    }
 }
--- a/crates/jobstore/src/suspects.rs
+++ b/crates/jobstore/src/suspects.rs
@@ -63,7 +63,7 @@
 }
 
 /// Starts what keeps knowledge of suspects alike in all processes. `target` names this process.
-pub fn share(
+pub fn start_exchange(
     registry: Rc<Registry>,
     client: Rc<JobClient>,
     fleet: FleetCell,
@@ -71,8 +71,8 @@
     port: NoticePort,
 ) {
     let NoticePort { outgoing, incoming } = port;
-    tokio::task::spawn_local(notices::tell(registry.clone(), fleet.clone(), outgoing));
-    tokio::task::spawn_local(notices::hear(registry.clone(), incoming));
+    tokio::task::spawn_local(notices::publish(registry.clone(), fleet.clone(), outgoing));
+    tokio::task::spawn_local(notices::receive(registry.clone(), incoming));
     tokio::task::spawn_local(exchange(registry, client, fleet, target));
 }
 
@@ -88,7 +88,7 @@
     loop {
         rounds = rounds.wrapping_add(1);
         if rounds % ROUNDS_TO_FORGET == 0 {
-            registry.forget();
+            registry.expire();
         }
         let interval = if has_learnt { EXCHANGE_INTERVAL } else { FIRST_INTERVAL };
         let wait = interval.mul_f64(rand::random_range(0.5..1.0));
@@ -150,7 +150,7 @@
         if fingerprint == kept {
             continue;
         }
-        let report = registry.report_to_keep();
+        let report = registry.persistent_report();
         if kept_file::save_aside(folder.clone(), FILE, report).await {
             kept = fingerprint;
         }
--- a/crates/jobstore/src/wal.rs
+++ b/crates/jobstore/src/wal.rs
@@ -27,7 +27,7 @@
     /// Identity of the disk.
     Identity { incarnation: u64 },
     /// Term and vote.
-    State { term: Term, voted_for: Option<MemberId>, settled: Index },
+    State { term: Term, voted_for: Option<MemberId>, committed_members_index: Index },
     /// Entries, in the place of any at their positions and after.
     Entries(Vec<Entry>),
     /// A snapshot, in the place of everything before.
@@ -63,7 +63,7 @@
     /// Vote in it.
     pub voted_for: Option<MemberId>,
     /// Position of the newest members that are known to be committed.
-    pub settled: Index,
+    pub committed_members_index: Index,
     /// The snapshot.
     pub snapshot: Snapshot,
     /// Entries after it.
@@ -183,9 +183,11 @@
     /// Adds a write; it lasts when `sync` has returned well.
     pub fn add(&mut self, write: &Write) {
         let record = match write {
-            Write::State { term, voted_for, settled } => {
-                Record::State { term: *term, voted_for: voted_for.clone(), settled: *settled }
-            }
+            Write::State { term, voted_for, committed_members_index } => Record::State {
+                term: *term,
+                voted_for: voted_for.clone(),
+                committed_members_index: *committed_members_index,
+            },
             Write::Entries(entries) => Record::Entries(entries.clone()),
             // Written by `rewrite`, which also carries over what stays.
             Write::Snapshot { .. } => return,
@@ -228,7 +230,7 @@
             Record::State {
                 term: rewrite.term,
                 voted_for: rewrite.voted_for,
-                settled: rewrite.settled,
+                committed_members_index: rewrite.committed_members_index,
             },
             Record::Snapshot(rewrite.snapshot),
             Record::Entries(rewrite.entries),
@@ -333,10 +335,10 @@
         left -= length;
         match record {
             Record::Identity { incarnation: held } => incarnation = Some(held),
-            Record::State { term, voted_for, settled } => {
+            Record::State { term, voted_for, committed_members_index } => {
                 recovered.term = term;
                 recovered.voted_for = voted_for;
-                recovered.settled = settled;
+                recovered.committed_members_index = committed_members_index;
             }
             Record::Entries(entries) => take_entries(&mut recovered, entries),
             Record::Snapshot(snapshot) => {
--- a/crates/jobstore/src/worker.rs
+++ b/crates/jobstore/src/worker.rs
@@ -11,13 +11,13 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
 use yokefall_serving::{
-    Backend, CatalogCell, ColdStart, Eligibility, Freshness, Ineligible, JobItem, Need, Outcome,
-    Permit,
+    Backend, CatalogCell, ColdStartLimiter, Eligibility, Freshness, Ineligible, JobItem, Outcome,
+    Permit, Requirements,
 };
-use yokefall_upstream::Places;
+use yokefall_upstream::SharedBalancer;
 
-use crate::protocol::{Frame, Outgoing, Reply, RunOrder, RunReport};
-use crate::run::{ItemRunner, ItemSender, NoPermit, Progress, RunEnd};
+use crate::protocol::{Frame, Outgoing, Reply, RunReport, RunRequest};
+use crate::run::{ItemRunner, ItemSender, PermitDenied, Progress, RunEnd};
 use crate::state::Run;
 
 /// Interval at which the output of a run is sent to the leader, which makes it durable as often.
@@ -30,15 +30,15 @@
     /// Which of them may take an item.
     pub eligibility: Eligibility,
     /// What may be sent to those that are not known to be warm.
-    pub cold: Rc<ColdStart>,
+    pub cold: Rc<ColdStartLimiter>,
     /// How old what is known of the platform's objects is.
     pub freshness: Freshness,
     /// Runs of this process.
     pub items: ItemRunner,
     /// Load and health of back ends as this process sees them.
-    pub places: Rc<Places>,
+    pub balancer: Rc<SharedBalancer>,
     /// Runs for a leader at once at most.
-    pub most_runs: usize,
+    pub max_runs: usize,
     runs: Cell<usize>,
 }
 
@@ -46,15 +46,15 @@
     /// A worker without runs yet.
     pub fn new(
         catalog: CatalogCell,
-        cold: Rc<ColdStart>,
+        cold: Rc<ColdStartLimiter>,
         freshness: Freshness,
         items: ItemRunner,
-        places: Rc<Places>,
-        most_runs: usize,
+        balancer: Rc<SharedBalancer>,
+        max_runs: usize,
     ) -> Rc<Self> {
         let eligibility = Eligibility::with_cold_start(catalog.clone(), cold.clone());
         let runs = Cell::new(0);
-        Rc::new(Self { catalog, eligibility, cold, freshness, items, places, most_runs, runs })
+        Rc::new(Self { catalog, eligibility, cold, freshness, items, balancer, max_runs, runs })
     }
 
     /// The right to send an item to a back end now, as this process knows it; else the cause.
@@ -63,8 +63,10 @@
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
-    ) -> Result<Permit, NoPermit> {
-        self.ask(backend, sender, item, |need| self.eligibility.permit(backend, need))
+    ) -> Result<Permit, PermitDenied> {
+        self.ask(backend, sender, item, |requirements| {
+            self.eligibility.permit(backend, requirements)
+        })
     }
 
     /// Whether `permit` would give it.
@@ -73,8 +75,10 @@
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
-    ) -> Result<(), NoPermit> {
-        self.ask(backend, sender, item, |need| self.eligibility.check(backend, need))
+    ) -> Result<(), PermitDenied> {
+        self.ask(backend, sender, item, |requirements| {
+            self.eligibility.check(backend, requirements)
+        })
     }
 
     fn ask<T>(
@@ -82,22 +86,22 @@
         backend: &Backend,
         sender: &ItemSender,
         item: &JobItem,
-        ask: impl FnOnce(&Need) -> Result<T, Ineligible>,
-    ) -> Result<T, NoPermit> {
+        ask: impl FnOnce(&Requirements) -> Result<T, Ineligible>,
+    ) -> Result<T, PermitDenied> {
         let catalog = self.catalog.load();
         let route = catalog.routes.find(&sender.host, &item.path);
-        let route = route.ok_or_else(|| NoPermit::new("no route has its path"))?;
+        let route = route.ok_or_else(|| PermitDenied::new("no route has its path"))?;
         let residency = catalog.residency(route, sender.tenant.as_ref());
-        let need = Need { service: &backend.service, residency: &residency };
-        ask(&need).map_err(|cause| {
-            cause.tell_kept_from(&item.id, backend);
+        let requirements = Requirements { service: &backend.service, residency: &residency };
+        ask(&requirements).map_err(|cause| {
+            cause.record_rejection(&item.id, backend);
             let is_cold = matches!(cause, Ineligible::Cold { .. });
-            NoPermit { cause: cause.to_string(), is_cold }
+            PermitDenied { cause: cause.to_string(), is_cold }
         })
     }
 
-    async fn run(&self, order: RunOrder, sink: &OutputSink, cancelled: &Notify) -> RunReport {
-        let RunOrder { backend, host, tenant, item, after_event } = order;
+    async fn run(&self, order: RunRequest, sink: &OutputSink, cancelled: &Notify) -> RunReport {
+        let RunRequest { backend, host, tenant, item, after_event } = order;
         let sender = ItemSender { host, tenant };
         let run = Run { number: 0, asked_after: after_event };
         let progress =
@@ -108,7 +112,7 @@
         if let Err(refused) = self.check(&backend, &sender, &item) {
             let cause =
                 format!("{} takes no work now, as its worker knows: {}", backend.id, refused.cause);
-            let end = RunEnd::Again { cause, pause: refused.is_cold };
+            let end = RunEnd::Retry { cause, pause: refused.is_cold };
             return RunReport {
                 end,
                 outcome: Outcome::Abandoned,
@@ -116,23 +120,23 @@
                 text: None,
             };
         }
-        let mut place = self.places.take(backend.clone());
+        let mut slot = self.balancer.take(backend.clone());
         let end = {
             let permit = || self.permit(&backend, &sender, &item);
-            let running = self.items.run_at(&mut place, &sender, &item, &progress, permit);
+            let running = self.items.run_at(&mut slot, &sender, &item, &progress, permit);
             tokio::pin!(running);
             loop {
                 tokio::select! {
                     end = &mut running => break end,
                     () = cancelled.notified() => {
-                        break RunEnd::Again { cause: "cancelled by the leader".into(), pause: true };
+                        break RunEnd::Retry { cause: "cancelled by the leader".into(), pause: true };
                     }
                     () = tokio::time::sleep(OUTPUT_INTERVAL) => sink.send_output(&progress),
                 }
             }
         };
-        let outcome = place.outcome;
-        drop(place);
+        let outcome = slot.outcome;
+        drop(slot);
         let Progress { last_event, text, .. } = progress.take();
         RunReport { end, outcome, last_event, text }
     }
@@ -173,10 +177,10 @@
         &self,
         worker: &Rc<Worker>,
         call: u64,
-        order: RunOrder,
+        order: RunRequest,
         replies: UnboundedSender<Outgoing>,
     ) {
-        if worker.runs.get() >= worker.most_runs {
+        if worker.runs.get() >= worker.max_runs {
             let _ = replies.send(Outgoing::new(Frame::Reply { call, reply: Reply::Full }));
             return;
         }
--- a/crates/jobstore/tests/aggregators.rs
+++ b/crates/jobstore/tests/aggregators.rs
@@ -37,7 +37,7 @@
 }
 
 fn target(gateway: &FleetMember) -> ReportTarget {
-    ReportTarget::new(gateway.name.clone()).standing_in(gateway.zone.clone(), zones())
+    ReportTarget::new(gateway.name.clone()).in_zone(gateway.zone.clone(), zones())
 }
 
 #[test]
--- a/crates/jobstore/tests/connections.rs
+++ b/crates/jobstore/tests/connections.rs
@@ -46,7 +46,9 @@
                 while heard < 40 {
                     let bytes = frames.next().await.expect("a connection").expect("a frame");
                     match decode(&bytes).expect("a frame") {
-                        Frame::Renew => frames.send(encode(&Frame::Renew)).await.expect("a write"),
+                        Frame::Heartbeat => {
+                            frames.send(encode(&Frame::Heartbeat)).await.expect("a write")
+                        }
                         Frame::Leader(_) => heard += 1,
                         _ => panic!("nothing else was sent"),
                     }
--- a/crates/jobstore/tests/formats.rs
+++ b/crates/jobstore/tests/formats.rs
@@ -63,12 +63,12 @@
     let tenant = Some(TenantName::new("huka270"));
     jobs.apply(Command::SubmitFor { job, tenant: tenant.clone(), submission });
     let slot = SlotId { shard: 3, part: Part(1) };
-    let change = SlotAssignment { slot, accountant: "storage-1".into() };
+    let change = SlotAssignment { slot, token_issuer: "storage-1".into() };
     jobs.apply(Command::AssignSlots(vec![change]));
     let read = decode_state(&encode_state(&jobs)).expect("a state");
     assert_eq!(read, jobs);
     assert_eq!(read.get("job-1").expect("the job").tenant, tenant);
-    assert!(read.accountants().is_holder(slot, "storage-1"));
+    assert!(read.token_issuers().is_holder(slot, "storage-1"));
 }
 
 #[test]
--- a/crates/jobstore/tests/frames.rs
+++ b/crates/jobstore/tests/frames.rs
@@ -3,18 +3,18 @@
 use quickcheck::{quickcheck, TestResult};
 use yokefall_jobstore::protocol::{decode, encode, Frame};
 use yokefall_jobstore::{BackendCount, LoadReport, Reply, Request, ServiceRate};
-use yokefall_serving::news_exchange::{NewsAnswer, NewsRequest};
-use yokefall_serving::BackendLife;
+use yokefall_serving::state_exchange::{StateRequest, StateResponse};
+use yokefall_serving::BackendIncarnation;
 
 fn sample(text: &str, number: u32) -> Vec<Frame> {
-    let life = BackendLife { id: text.to_owned(), started_ms: number.into() };
+    let incarnation = BackendIncarnation { id: text.to_owned(), started_ms: number.into() };
     let report = LoadReport {
         gateway: text.to_owned(),
-        counts: vec![BackendCount { backend: life, requests: number }],
+        counts: vec![BackendCount { backend: incarnation, requests: number }],
         arrivals: vec![ServiceRate { service: text.to_owned(), per_1000_seconds: number.into() }],
         outcomes: vec![],
-        answer_all: number % 2 == 0,
-        moved_from: (number % 3 == 0).then(|| text.to_owned()),
+        wants_all_totals: number % 2 == 0,
+        previous_aggregator: (number % 3 == 0).then(|| text.to_owned()),
     };
     vec![
         Frame::Request { call: 1, request: Request::Load(report) },
@@ -22,15 +22,15 @@
         Frame::Output { call: 3, last_event: 4, text: text.to_owned() },
         Frame::Impossible { job: text.to_owned(), item: number },
         Frame::GatewayMoved { gateway: text.to_owned() },
-        Frame::Renew,
+        Frame::Heartbeat,
     ]
 }
 
 quickcheck! {
     fn any_bytes_decode_or_fail(bytes: Vec<u8>) -> bool {
         let _ = decode(&bytes);
-        let _ = borsh::from_slice::<NewsAnswer>(&bytes);
-        let _ = borsh::from_slice::<NewsRequest>(&bytes);
+        let _ = borsh::from_slice::<StateResponse>(&bytes);
+        let _ = borsh::from_slice::<StateRequest>(&bytes);
         true
     }
 
--- a/crates/jobstore/tests/golden_bytes.rs
+++ b/crates/jobstore/tests/golden_bytes.rs
@@ -17,7 +17,7 @@
 use yokefall_core::membership::Datagram;
 use yokefall_jobstore::protocol::{Frame, Reply, Request};
 use yokefall_jobstore::state::{Command, Jobs};
-use yokefall_serving::news_exchange::{NewsAnswer, NewsRequest};
+use yokefall_serving::state_exchange::{StateRequest, StateResponse};
 use yokefall_suspects::SuspectReport;
 
 const GOLDEN: &str = include_str!("golden/version-1.txt");
@@ -109,8 +109,8 @@
     vec![
         form::<Datagram>("membership-datagram", false),
         form::<yokefall_core::membership::DatagramKind>("membership-datagram-kind", true),
-        form::<NewsRequest>("news-request", false),
-        form::<NewsAnswer>("news-answer", false),
+        form::<StateRequest>("news-request", false),
+        form::<StateResponse>("news-answer", false),
         form::<SuspectReport>("suspect-report", false),
         form::<Frame>("job-store-frame", true),
         form::<Request>("job-store-request", true),
--- a/crates/jobstore/tests/intake.rs
+++ b/crates/jobstore/tests/intake.rs
@@ -20,7 +20,7 @@
         max_queue_ms: 1_000,
         completion_target_ms: 1_000,
         queue: queue.into(),
-        most_queued_tokens: Some(250),
+        max_queued_tokens: Some(250),
         items: vec![item],
     }
 }
--- a/crates/jobstore/tests/loads.rs
+++ b/crates/jobstore/tests/loads.rs
@@ -10,16 +10,16 @@
 use yokefall_jobstore::{
     BackendCount, BackendOutcomes, BackendTotal, LoadReport, LoadSums, ServiceRate,
 };
-use yokefall_serving::{BackendLife, Fleet, FleetMember, ZoneMap};
+use yokefall_serving::{BackendIncarnation, Fleet, FleetMember, ZoneMap};
 
 /// The life of a back end that tells no start.
-fn life(id: &str) -> BackendLife {
-    BackendLife { id: id.into(), started_ms: 0 }
+fn incarnation(id: &str) -> BackendIncarnation {
+    BackendIncarnation { id: id.into(), started_ms: 0 }
 }
 
 fn report(gateway: usize, counts: &[(usize, u32)]) -> LoadReport {
     let count = |(backend, requests): &(usize, u32)| BackendCount {
-        backend: life(&format!("i-{backend}")),
+        backend: incarnation(&format!("i-{backend}")),
         requests: *requests,
     };
     LoadReport {
@@ -27,8 +27,8 @@
         counts: counts.iter().map(count).collect(),
         arrivals: vec![ServiceRate { service: "models".into(), per_1000_seconds: 1_000 }],
         outcomes: vec![],
-        answer_all: false,
-        moved_from: None,
+        wants_all_totals: false,
+        previous_aggregator: None,
     }
 }
 
@@ -124,16 +124,16 @@
 }
 
 fn total(backend: usize, online: u32) -> BackendTotal {
-    BackendTotal { backend: life(&format!("i-{backend}")), online, items: 0 }
+    BackendTotal { backend: incarnation(&format!("i-{backend}")), online, items: 0 }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_gateway_that_falls_silent_is_forgotten() {
     let loads = Loads::default();
     loads.report(report(1, &[(1, 4)]), None);
-    assert_eq!(loads.online(&life("i-1")), Some(4));
+    assert_eq!(loads.online(&incarnation("i-1")), Some(4));
     tokio::time::sleep(Duration::from_millis(2_000)).await;
-    assert_eq!(loads.online(&life("i-1")), None);
+    assert_eq!(loads.online(&incarnation("i-1")), None);
     assert!(loads.totals().is_empty());
     assert_eq!(loads.reporters(), 0);
 }
@@ -155,7 +155,7 @@
     }
     assert_eq!(learnt, 150);
     assert!(loads.report(report(2, &[]), None).changes.is_empty());
-    let again = loads.report(LoadReport { answer_all: true, ..report(2, &[]) }, None);
+    let again = loads.report(LoadReport { wants_all_totals: true, ..report(2, &[]) }, None);
     assert_eq!(again.changes.len(), 48);
 }
 
@@ -163,10 +163,10 @@
 async fn sums_of_other_job_stores_count_beside_own_reports_and_items() {
     let loads = Loads::default();
     loads.report(report(1, &[(1, 2)]), None);
-    loads.item_started(&life("i-1"));
+    loads.item_started(&incarnation("i-1"));
     let sums = LoadSums {
         from: "store-2".into(),
-        counts: vec![BackendTotal { backend: life("i-1"), online: 3, items: 4 }],
+        counts: vec![BackendTotal { backend: incarnation("i-1"), online: 3, items: 4 }],
         arrivals: vec![ServiceRate { service: "models".into(), per_1000_seconds: 500 }],
         outcomes: vec![],
         gateways: 7,
@@ -174,20 +174,20 @@
     loads.take_sums(sums.clone());
     loads.take_sums(sums);
     assert_eq!(
-        (loads.online(&life("i-1")), loads.items(&life("i-1")), loads.reporters()),
+        (loads.online(&incarnation("i-1")), loads.items(&incarnation("i-1")), loads.reporters()),
         (Some(5), 5, 8)
     );
     let own = loads.own_sums("store-1").expect("sums");
-    assert_eq!(own.counts, [BackendTotal { backend: life("i-1"), online: 2, items: 1 }]);
+    assert_eq!(own.counts, [BackendTotal { backend: incarnation("i-1"), online: 2, items: 1 }]);
     assert_eq!((own.gateways, own.arrivals[0].per_1000_seconds), (1, 1_000));
     let answer = loads.report(report(1, &[(1, 2)]), None);
     assert_eq!(answer.arrivals[0].per_1000_seconds, 1_500);
-    loads.item_ended(&life("i-1"));
-    assert_eq!(loads.items(&life("i-1")), 4);
+    loads.item_ended(&incarnation("i-1"));
+    assert_eq!(loads.items(&incarnation("i-1")), 4);
 }
 
 fn outcome(gateway: usize, failed: u64, answered: u64) -> LoadReport {
-    let outcomes = BackendOutcomes { backend: life("i-1"), failed, answered };
+    let outcomes = BackendOutcomes { backend: incarnation("i-1"), failed, answered };
     LoadReport { outcomes: vec![outcomes], ..report(gateway, &[]) }
 }
 
@@ -197,12 +197,12 @@
 async fn a_back_end_that_fails_for_two_gateways_is_known_to_all() {
     let loads = Loads::default();
     assert!(loads.report(outcome(1, 1_000, 0), None).failing.is_empty());
-    assert_eq!(loads.report(outcome(2, 900, 0), None).failing, [life("i-1")]);
-    assert_eq!(loads.report(report(3, &[]), None).failing, [life("i-1")]);
+    assert_eq!(loads.report(outcome(2, 900, 0), None).failing, [incarnation("i-1")]);
+    assert_eq!(loads.report(report(3, &[]), None).failing, [incarnation("i-1")]);
     // Their sums make it known to the gateways of other aggregators.
     let other = Loads::default();
     other.take_sums(loads.own_sums("store-1").expect("sums"));
-    assert_eq!(other.report(report(4, &[]), None).failing, [life("i-1")]);
+    assert_eq!(other.report(report(4, &[]), None).failing, [incarnation("i-1")]);
     // It is forgotten with the reports.
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     assert!(loads.report(report(3, &[]), None).failing.is_empty());
@@ -270,11 +270,11 @@
     let loads = Loads::default();
     (0..6).for_each(|gateway| drop(loads.report(idle(gateway), None)));
     tokio::time::sleep(Duration::from_millis(3_100)).await;
-    assert_eq!((loads.reporters(), loads.online(&life("i-1"))), (6, Some(0)));
+    assert_eq!((loads.reporters(), loads.online(&incarnation("i-1"))), (6, Some(0)));
     // All slots but those that a burst fills before items are preempted.
     assert_eq!(reserve(&loads), 8);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    assert_eq!((loads.coverage(6).heard, loads.online(&life("i-1"))), (0, None));
+    assert_eq!((loads.coverage(6).heard, loads.online(&incarnation("i-1"))), (0, None));
     assert_eq!(reserve(&loads), 70);
 }
 
@@ -298,7 +298,7 @@
     let loads = Loads::default();
     let covers = (0..6).map(|gateway| {
         let answer = loads.report(report(gateway, &[(1, 1)]), None);
-        (answer.gateways, answer.covers_most_of(6))
+        (answer.gateways, answer.covers_majority_of(6))
     });
     let covers: Vec<(u32, bool)> = covers.collect();
     assert_eq!(covers, [(1, false), (2, false), (3, false), (4, true), (5, true), (6, true)]);
@@ -376,12 +376,12 @@
     other.report(report(1, &[(1, 4)]), None);
     other.report(report(2, &[(1, 1)]), None);
     leader.take_sums(other.own_sums("store-2").expect("sums"));
-    assert_eq!((leader.online(&life("i-1")), leader.reporters()), (Some(5), 2));
+    assert_eq!((leader.online(&incarnation("i-1")), leader.reporters()), (Some(5), 2));
     // Its report at the leader tells where it comes from; that job store forgets it.
     leader.report(report(1, &[(1, 4)]), None);
     other.forget("edge-1");
     leader.take_sums(other.own_sums("store-2").expect("sums"));
-    assert_eq!((leader.online(&life("i-1")), leader.reporters()), (Some(5), 2));
+    assert_eq!((leader.online(&incarnation("i-1")), leader.reporters()), (Some(5), 2));
 }
 
 #[tokio::test(start_paused = true)]
@@ -405,9 +405,12 @@
 #[tokio::test(start_paused = true)]
 async fn what_is_told_of_an_earlier_life_says_nothing_of_the_new_one() {
     let loads = Loads::default();
-    let (before, after) = (life("i-1"), BackendLife { started_ms: 9, ..life("i-1") });
-    let count =
-        |backend: &BackendLife, requests| BackendCount { backend: backend.clone(), requests };
+    let (before, after) =
+        (incarnation("i-1"), BackendIncarnation { started_ms: 9, ..incarnation("i-1") });
+    let count = |backend: &BackendIncarnation, requests| BackendCount {
+        backend: backend.clone(),
+        requests,
+    };
     let told = |gateway, counts| LoadReport { counts, ..report(gateway, &[]) };
     loads.report(told(1, vec![count(&after, 2)]), None);
     loads.report(
--- a/crates/jobstore/tests/pool_slots.rs
+++ b/crates/jobstore/tests/pool_slots.rs
@@ -8,7 +8,7 @@
 use yokefall_jobstore::pool_slots::PoolSlots;
 use yokefall_jobstore::room::Room;
 use yokefall_serving::backend_table::BackendTable;
-use yokefall_serving::{Backend, BackendLife, BackendState};
+use yokefall_serving::{Backend, BackendIncarnation, BackendState};
 
 fn backend(index: usize) -> Arc<Backend> {
     Arc::new(Backend {
@@ -23,8 +23,8 @@
     })
 }
 
-fn life(index: u8) -> BackendLife {
-    BackendLife { id: format!("i-{index}"), started_ms: 1 }
+fn incarnation(index: u8) -> BackendIncarnation {
+    BackendIncarnation { id: format!("i-{index}"), started_ms: 1 }
 }
 
 /// Every back end of a pool was looked at up to fifty times a second, and before 10,000 the leader came to little else.
@@ -51,11 +51,11 @@
         let mut counted = PoolSlots::new(&tables);
         // In any order: a back end may be found to be left out before or after its work is counted.
         let (early, late) = taken.split_at(taken.len() / 2);
-        early.iter().for_each(|(index, slots)| counted.take(&life(*index), u32::from(*slots)));
-        left_out.iter().for_each(|index| counted.leave_out(&life(*index).id, 1));
-        late.iter().for_each(|(index, slots)| counted.take(&life(*index), u32::from(*slots)));
+        early.iter().for_each(|(index, slots)| counted.take(&incarnation(*index), u32::from(*slots)));
+        left_out.iter().for_each(|index| counted.leave_out(&incarnation(*index).id, 1));
+        late.iter().for_each(|(index, slots)| counted.take(&incarnation(*index), u32::from(*slots)));
         // Another life of a back end says nothing of this one.
-        counted.take(&BackendLife { id: "i-0".into(), started_ms: 2 }, 1);
+        counted.take(&BackendIncarnation { id: "i-0".into(), started_ms: 2 }, 1);
         counted.leave_out("i-0", 2);
         let room = counted.add_to(Room::new(Duration::from_millis(20)));
         (room.slots, room.free) == by_each_back_end(count, &left_out, &taken)
--- a/crates/jobstore/tests/residence.rs
+++ b/crates/jobstore/tests/residence.rs
@@ -7,7 +7,7 @@
 
 use yokefall_consensus::MemberId;
 use yokefall_jobstore::delegation::nearest;
-use yokefall_jobstore::residence::{residency_of_job, KnownZones};
+use yokefall_jobstore::residency::{residency_of_job, KnownZones};
 use yokefall_serving::{
     Catalog, Configuration, Fleet, FleetMember, Residency, Route, RouteKind, SplitPart, Tenant,
     TenantName, ZoneMap,
--- a/crates/jobstore/tests/state.rs
+++ b/crates/jobstore/tests/state.rs
@@ -25,7 +25,7 @@
         max_queue_ms: 1_000,
         completion_target_ms: 500,
         queue: "h/".into(),
-        most_queued_tokens: None,
+        max_queued_tokens: None,
         items,
     };
     Command::Submit { job: JOB.into(), submission }
--- a/crates/jobstore/tests/wal.rs
+++ b/crates/jobstore/tests/wal.rs
@@ -35,12 +35,12 @@
 fn what_was_synced_is_there_again() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut wal = open(folder.path()).wal;
-    wal.add(&Write::State { term: 3, voted_for: None, settled: 2 });
+    wal.add(&Write::State { term: 3, voted_for: None, committed_members_index: 2 });
     wal.add(&Write::Entries(vec![entry(1, 1), entry(2, 1), entry(3, 1)]));
     wal.add(&Write::Entries(vec![entry(2, 3)]));
     wal.sync().expect("a sync");
     let recovered = open(folder.path()).recovered;
-    assert_eq!((recovered.term, recovered.settled), (3, 2));
+    assert_eq!((recovered.term, recovered.committed_members_index), (3, 2));
     assert_eq!(recovered.entries, [entry(1, 1), entry(2, 3)]);
 }
 
@@ -88,7 +88,7 @@
     let rewrite = Rewrite {
         term: 4,
         voted_for: None,
-        settled: 1,
+        committed_members_index: 1,
         snapshot: snapshot.clone(),
         entries: vec![entry(3, 1)],
     };
@@ -100,7 +100,7 @@
     assert_eq!(opened.incarnation, 7);
     assert_eq!(opened.recovered.snapshot, snapshot);
     assert_eq!(opened.recovered.entries, [entry(3, 1), entry(4, 4)]);
-    assert_eq!((opened.recovered.term, opened.recovered.settled), (4, 1));
+    assert_eq!((opened.recovered.term, opened.recovered.committed_members_index), (4, 1));
 }
 
 #[test]
@@ -113,7 +113,7 @@
     let rewrite = Rewrite {
         term: 2,
         voted_for: None,
-        settled: 0,
+        committed_members_index: 0,
         snapshot: Snapshot { index: 1, term: 1, ..Snapshot::default() },
         entries: Vec::new(),
     };
--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -8,9 +8,9 @@
 use yokefall_core::Timestamp;
 use yokefall_types::rendezvous_score;
 
-use crate::accountant::LEASE_MS;
 use crate::message::SlotLease;
 use crate::slot::SlotId;
+use crate::token_issuer::LEASE_MS;
 
 /// Time beyond the length of a lease after which it has ended, whatever the rates of two clocks.
 const LEASE_MARGIN_MS: u64 = 250;
@@ -74,7 +74,7 @@
 /// The leader's view of leases. It lives as long as the lead: what leaders before leased has ended
 /// `LEASE_MS` after their lead did, and so after this one began.
 #[derive(Debug)]
-pub struct Overseer {
+pub struct LeaseManager {
     leads_since: Timestamp,
     /// Last renewal of each job store; none for one that gave its slots back.
     renewed: HashMap<String, Option<Timestamp>>,
@@ -82,7 +82,7 @@
     pending: BTreeMap<SlotId, String>,
 }
 
-impl Overseer {
+impl LeaseManager {
     /// The overseer of a lead that begins now.
     pub fn new(now: Timestamp) -> Self {
         Self { leads_since: now, renewed: HashMap::new(), pending: BTreeMap::new() }
@@ -98,7 +98,7 @@
     }
 
     /// A job store has given its slots back.
-    pub fn released(&mut self, name: &str) {
+    pub fn mark_released(&mut self, name: &str) {
         self.renewed.insert(name.to_owned(), None);
     }
 
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -7,7 +7,7 @@
 
 /// A gateway asks for tokens of a part of a tenant's limit.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct TokenAsk {
+pub struct TokenRequest {
     /// The tenant.
     pub tenant: TenantName,
     /// The part.
@@ -20,7 +20,7 @@
     pub tokens: u32,
 }
 
-/// The answer to a `TokenAsk`.
+/// The answer to a `TokenRequest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum TokenGrant {
     /// Tokens, maybe fewer than were wanted.
--- a/crates/quota/src/meter.rs
+++ b/crates/quota/src/meter.rs
@@ -16,7 +16,7 @@
         /// The part of the limit.
         part: Part,
         /// Name of its accountant.
-        accountant: String,
+        token_issuer: String,
     },
     /// Every part is spent: the tenant is at its limit.
     OverLimit {
@@ -29,7 +29,7 @@
 
 /// A part that was asked for a token in vain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct PartRefusal {
     /// The part.
     pub part: Part,
     /// Milliseconds until it has a token; `None` where its accountant gave no answer.
@@ -38,7 +38,7 @@
 
 /// What a gateway knows of accountants and of limits that are spent.
 #[derive(Debug)]
-pub struct Meter {
+pub struct IssuerSelector {
     gateway: String,
     assignment: Assignment,
     spent_until: HashMap<(TenantName, Part), Timestamp>,
@@ -46,7 +46,7 @@
     failing: BTreeSet<String>,
 }
 
-impl Meter {
+impl IssuerSelector {
     /// The meter of a gateway of this name.
     pub fn new(gateway: String) -> Self {
         Self {
@@ -76,7 +76,12 @@
     }
 
     /// What to do for a request of a tenant to which some parts gave no token.
-    pub fn next(&self, now: Timestamp, tenant: &TenantName, refused: &[Refused]) -> NextStep {
+    pub fn next_step(
+        &self,
+        now: Timestamp,
+        tenant: &TenantName,
+        refused: &[PartRefusal],
+    ) -> NextStep {
         let mut earliest: Option<u64> = None;
         let mut is_unknown = false;
         for part in self.order(tenant) {
@@ -93,7 +98,7 @@
             }
             let holder = self.assignment.holder(SlotId::of(tenant, part));
             match holder.filter(|holder| !self.failing.contains(&holder.name)) {
-                Some(holder) => return NextStep::Ask { part, accountant: holder.name.clone() },
+                Some(holder) => return NextStep::Ask { part, token_issuer: holder.name.clone() },
                 None => is_unknown = true,
             }
         }
@@ -104,7 +109,7 @@
     }
 
     /// The accountant of a part of a tenant's limit; `None` where none is known that answers.
-    pub fn accountant(&self, tenant: &TenantName, part: Part) -> Option<String> {
+    pub fn token_issuer(&self, tenant: &TenantName, part: Part) -> Option<String> {
         let holder = self.assignment.holder(SlotId::of(tenant, part))?;
         (!self.failing.contains(&holder.name)).then(|| holder.name.clone())
     }
@@ -128,29 +133,35 @@
     }
 
     /// A part has no token for a while.
-    pub fn spent(&mut self, now: Timestamp, tenant: &TenantName, part: Part, wait_ms: u64) {
+    pub fn mark_exhausted(
+        &mut self,
+        now: Timestamp,
+        tenant: &TenantName,
+        part: Part,
+        wait_ms: u64,
+    ) {
         self.spent_until.insert((tenant.clone(), part), now.plus_millis(wait_ms.max(1)));
     }
 
     /// An accountant gave no answer.
-    pub fn failed(&mut self, accountant: &str) {
-        self.failing.insert(accountant.to_owned());
+    pub fn mark_unreachable(&mut self, token_issuer: &str) {
+        self.failing.insert(token_issuer.to_owned());
     }
 
     /// An accountant answers.
-    pub fn answered(&mut self, accountant: &str) {
-        self.failing.remove(accountant);
+    pub fn mark_reachable(&mut self, token_issuer: &str) {
+        self.failing.remove(token_issuer);
     }
 
     /// Accountants that gave no answer and are to be tried again aside from requests.
-    pub fn failing(&self) -> Vec<String> {
+    pub fn unreachable(&self) -> Vec<String> {
         let is_accountant =
             |name: &&String| SlotId::all().any(|slot| self.assignment.is_holder(slot, name));
         self.failing.iter().filter(is_accountant).cloned().collect()
     }
 
     /// Drops what no longer holds.
-    pub fn forget(&mut self, now: Timestamp) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.spent_until.retain(|_, until| *until > now);
     }
 }
--- a/crates/quota/src/accountant.rs
+++ b/crates/quota/src/token_issuer.rs
@@ -10,7 +10,7 @@
 
 use crate::bounds::QuotaBounds;
 use crate::bucket::Bucket;
-use crate::message::{SlotLease, TokenAsk, TokenGrant};
+use crate::message::{SlotLease, TokenGrant, TokenRequest};
 use crate::slot::SlotId;
 
 /// Time for which slots are leased. Longer than the job stores are without a leader after its loss
@@ -30,7 +30,7 @@
 
 /// Slots of this process.
 #[derive(Debug)]
-pub struct Accountant {
+pub struct TokenIssuer {
     bounds: QuotaBounds,
     slots: HashMap<SlotId, LeasedSlot>,
     leased_until: Timestamp,
@@ -38,7 +38,7 @@
     is_released: bool,
 }
 
-impl Accountant {
+impl TokenIssuer {
     /// An accountant without slots.
     pub fn new(bounds: QuotaBounds) -> Self {
         Self { bounds, slots: HashMap::new(), leased_until: Timestamp(0), is_released: false }
@@ -46,7 +46,12 @@
 
     /// The leader answered a request for renewal that was sent at `asked_at`. Returns whether other
     /// slots are held than before.
-    pub fn renewed(&mut self, now: Timestamp, asked_at: Timestamp, leases: &[SlotLease]) -> bool {
+    pub fn apply_leases(
+        &mut self,
+        now: Timestamp,
+        asked_at: Timestamp,
+        leases: &[SlotLease],
+    ) -> bool {
         if self.is_released {
             return false;
         }
@@ -80,7 +85,7 @@
     }
 
     /// Slots held now.
-    pub fn held(&self, now: Timestamp) -> usize {
+    pub fn held_slots(&self, now: Timestamp) -> usize {
         if now < self.leased_until {
             self.slots.len()
         } else {
@@ -89,7 +94,7 @@
     }
 
     /// Grants tokens.
-    pub fn take(&mut self, now: Timestamp, ask: &TokenAsk) -> TokenGrant {
+    pub fn take(&mut self, now: Timestamp, ask: &TokenRequest) -> TokenGrant {
         if now >= self.leased_until {
             return TokenGrant::NotHeld;
         }
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -1,10 +1,10 @@
 //! Accountants, assignments and meters by themselves.
 
 use yokefall_core::Timestamp;
-use yokefall_quota::accountant::LEASE_MS;
+use yokefall_quota::token_issuer::LEASE_MS;
 use yokefall_quota::{
-    Accountant, Assignment, Candidate, Meter, NextStep, Overseer, Part, QuotaBounds, Refused,
-    SlotId, SlotLease, TokenAsk, TokenGrant,
+    Assignment, Candidate, IssuerSelector, LeaseManager, NextStep, Part, PartRefusal, QuotaBounds,
+    SlotId, SlotLease, TokenGrant, TokenIssuer, TokenRequest,
 };
 use yokefall_types::{RateLimit, TenantName};
 
@@ -15,8 +15,8 @@
     TenantName::new("tenant-1")
 }
 
-fn ask(limit: RateLimit, version: u64, tokens: u32) -> TokenAsk {
-    TokenAsk { tenant: tenant(), part: Part(0), limit, version, tokens }
+fn ask(limit: RateLimit, version: u64, tokens: u32) -> TokenRequest {
+    TokenRequest { tenant: tenant(), part: Part(0), limit, version, tokens }
 }
 
 fn lease(generation: u64) -> Vec<SlotLease> {
@@ -24,10 +24,10 @@
 }
 
 /// An accountant whose lease was asked for and given at the start.
-fn accountant() -> Accountant {
-    let mut accountant = Accountant::new(QuotaBounds::default());
-    assert!(accountant.renewed(START, START, &lease(1)));
-    accountant
+fn token_issuer() -> TokenIssuer {
+    let mut token_issuer = TokenIssuer::new(QuotaBounds::default());
+    assert!(token_issuer.apply_leases(START, START, &lease(1)));
+    token_issuer
 }
 
 fn tokens(grant: TokenGrant) -> u32 {
@@ -39,66 +39,66 @@
 
 #[test]
 fn a_lease_is_counted_from_when_it_was_asked_for() {
-    let mut accountant = Accountant::new(QuotaBounds::default());
+    let mut token_issuer = TokenIssuer::new(QuotaBounds::default());
     let answered_at = START.plus_millis(2_000);
-    accountant.renewed(answered_at, START, &lease(1));
+    token_issuer.apply_leases(answered_at, START, &lease(1));
     let last = START.plus_millis(LEASE_MS - 1);
-    assert_eq!(tokens(accountant.take(last, &ask(LIMIT, 1, 1))), 1);
+    assert_eq!(tokens(token_issuer.take(last, &ask(LIMIT, 1, 1))), 1);
     let end = START.plus_millis(LEASE_MS);
-    assert_eq!(accountant.take(end, &ask(LIMIT, 1, 1)), TokenGrant::NotHeld);
-    assert_eq!(accountant.held(end), 0);
+    assert_eq!(token_issuer.take(end, &ask(LIMIT, 1, 1)), TokenGrant::NotHeld);
+    assert_eq!(token_issuer.held_slots(end), 0);
 }
 
 #[test]
 fn a_new_lease_begins_with_one_token_and_fills_at_a_third_of_the_rate() {
-    let mut accountant = accountant();
-    assert_eq!(tokens(accountant.take(START, &ask(LIMIT, 1, 100))), 1);
-    assert_eq!(tokens(accountant.take(START.plus_millis(1_000), &ask(LIMIT, 1, 100))), 10);
+    let mut token_issuer = token_issuer();
+    assert_eq!(tokens(token_issuer.take(START, &ask(LIMIT, 1, 100))), 1);
+    assert_eq!(tokens(token_issuer.take(START.plus_millis(1_000), &ask(LIMIT, 1, 100))), 10);
     // A bucket that is first asked for later has filled meanwhile: a third of the burst and four more.
-    let mut late = self::accountant();
+    let mut late = self::token_issuer();
     assert_eq!(tokens(late.take(START.plus_millis(5_000), &ask(LIMIT, 1, 100))), 14);
 }
 
 #[test]
 fn a_slot_that_was_elsewhere_meanwhile_begins_anew() {
-    let mut accountant = accountant();
+    let mut token_issuer = token_issuer();
     let later = START.plus_millis(3_000);
-    assert!(!accountant.renewed(later, later, &lease(1)), "the same slots");
-    accountant.renewed(later, later, &[]);
-    assert_eq!(accountant.take(later, &ask(LIMIT, 1, 1)), TokenGrant::NotHeld);
-    accountant.renewed(later, later, &lease(3));
-    assert_eq!(tokens(accountant.take(later, &ask(LIMIT, 1, 100))), 1);
+    assert!(!token_issuer.apply_leases(later, later, &lease(1)), "the same slots");
+    token_issuer.apply_leases(later, later, &[]);
+    assert_eq!(token_issuer.take(later, &ask(LIMIT, 1, 1)), TokenGrant::NotHeld);
+    token_issuer.apply_leases(later, later, &lease(3));
+    assert_eq!(tokens(token_issuer.take(later, &ask(LIMIT, 1, 100))), 1);
 }
 
 #[test]
 fn what_was_given_back_is_not_leased_by_an_answer_on_its_way() {
-    let mut accountant = accountant();
-    accountant.release();
-    accountant.renewed(START, START, &lease(1));
-    assert_eq!(accountant.take(START, &ask(LIMIT, 1, 1)), TokenGrant::NotHeld);
+    let mut token_issuer = token_issuer();
+    token_issuer.release();
+    token_issuer.apply_leases(START, START, &lease(1));
+    assert_eq!(token_issuer.take(START, &ask(LIMIT, 1, 1)), TokenGrant::NotHeld);
 }
 
 #[test]
 fn a_gateway_that_is_behind_does_not_bring_back_a_limit() {
-    let mut accountant = accountant();
+    let mut token_issuer = token_issuer();
     let low = RateLimit { per_1000_seconds: 3_000, burst: 0 };
     let later = START.plus_millis(4_000);
-    tokens(accountant.take(later, &ask(low, 2, 1)));
+    tokens(token_issuer.take(later, &ask(low, 2, 1)));
     // Four tokens beyond the burst are the most that a part without a burst holds.
     let much_later = START.plus_millis(5_800);
-    assert!(tokens(accountant.take(much_later, &ask(LIMIT, 1, 100))) <= 4);
+    assert!(tokens(token_issuer.take(much_later, &ask(LIMIT, 1, 100))) <= 4);
     let later_still = much_later.plus_millis(150);
-    assert_eq!(tokens(accountant.take(later_still, &ask(LIMIT, 1, 100))), 0, "one a second");
+    assert_eq!(tokens(token_issuer.take(later_still, &ask(LIMIT, 1, 100))), 0, "one a second");
 }
 
 #[test]
 fn a_refusal_tells_when_there_is_a_token() {
-    let mut accountant = accountant();
-    tokens(accountant.take(START, &ask(LIMIT, 1, 1)));
-    let grant = accountant.take(START, &ask(LIMIT, 1, 1));
+    let mut token_issuer = token_issuer();
+    tokens(token_issuer.take(START, &ask(LIMIT, 1, 1)));
+    let grant = token_issuer.take(START, &ask(LIMIT, 1, 1));
     let TokenGrant::Granted { tokens: 0, wait_ms } = grant else { panic!("{grant:?}") };
     assert_eq!(wait_ms, 100, "ten a second in this part");
-    assert_eq!(tokens(accountant.take(START.plus_millis(wait_ms), &ask(LIMIT, 1, 1))), 1);
+    assert_eq!(tokens(token_issuer.take(START.plus_millis(wait_ms), &ask(LIMIT, 1, 1))), 1);
 }
 
 fn candidates(names: &[&str]) -> Vec<Candidate> {
@@ -111,16 +111,16 @@
 const SETTLED: Timestamp = Timestamp(10_000);
 
 /// An assignment by an overseer that leads since long, with everybody's lease renewed.
-fn assigned(names: &[&str]) -> (Overseer, Assignment) {
-    let mut overseer = Overseer::new(Timestamp(0));
+fn assigned(names: &[&str]) -> (LeaseManager, Assignment) {
+    let mut lease_manager = LeaseManager::new(Timestamp(0));
     let mut assignment = Assignment::default();
-    let changes = overseer.plan(SETTLED, &assignment, &candidates(names), names[0]);
+    let changes = lease_manager.plan(SETTLED, &assignment, &candidates(names), names[0]);
     assert_eq!(changes.len(), SlotId::all().count());
     assignment.assign(changes);
     for name in names {
-        overseer.renew(SETTLED, &assignment, name);
+        lease_manager.renew(SETTLED, &assignment, name);
     }
-    (overseer, assignment)
+    (lease_manager, assignment)
 }
 
 #[test]
@@ -146,27 +146,27 @@
 #[test]
 fn a_slot_goes_to_another_when_its_lease_has_ended_and_not_before() {
     let names = ["a", "b", "c", "d", "e"];
-    let (mut overseer, assignment) = assigned(&names);
+    let (mut lease_manager, assignment) = assigned(&names);
     let rest = candidates(&["a", "c", "d", "e"]);
     let lost = assignment.leases_of("b").len();
     assert!(lost > 0);
     let ends = SETTLED.plus_millis(LEASE_MS);
     for name in ["c", "d", "e"] {
-        overseer.renew(ends, &assignment, name);
+        lease_manager.renew(ends, &assignment, name);
     }
-    assert!(overseer.plan(ends, &assignment, &rest, "a").is_empty());
+    assert!(lease_manager.plan(ends, &assignment, &rest, "a").is_empty());
     let over = ends.plus_millis(500);
-    let changes = overseer.plan(over, &assignment, &rest, "a");
+    let changes = lease_manager.plan(over, &assignment, &rest, "a");
     assert_eq!(changes.len(), lost);
     // While that is on its way into the log, the one before gets no further lease.
-    assert!(overseer.renew(over, &assignment, "b").is_empty());
-    assert!(overseer.plan(over, &assignment, &rest, "a").is_empty(), "it is planned once");
+    assert!(lease_manager.renew(over, &assignment, "b").is_empty());
+    assert!(lease_manager.plan(over, &assignment, &rest, "a").is_empty(), "it is planned once");
 }
 
 #[test]
 fn a_new_leader_waits_for_the_leases_of_the_one_before() {
     let (_, assignment) = assigned(&["a", "b", "c", "d", "e"]);
-    let mut next = Overseer::new(SETTLED);
+    let mut next = LeaseManager::new(SETTLED);
     let rest = candidates(&["a", "c", "d", "e"]);
     let within = SETTLED.plus_millis(LEASE_MS);
     assert!(next.plan(within, &assignment, &rest, "a").is_empty());
@@ -177,9 +177,9 @@
 #[test]
 fn slots_that_were_given_back_go_to_others_at_once() {
     let names = ["a", "b", "c", "d", "e"];
-    let (mut overseer, assignment) = assigned(&names);
-    overseer.released("b");
-    let changes = overseer.plan(SETTLED, &assignment, &candidates(&names), "a");
+    let (mut lease_manager, assignment) = assigned(&names);
+    lease_manager.mark_released("b");
+    let changes = lease_manager.plan(SETTLED, &assignment, &candidates(&names), "a");
     assert_eq!(changes.len(), assignment.leases_of("b").len());
     assert!(changes.iter().all(|(_, name)| name != "b"));
 }
@@ -187,46 +187,46 @@
 #[test]
 fn a_gateway_goes_on_to_other_parts_and_tells_spent_from_unknown() {
     let (_, assignment) = assigned(&["a", "b", "c", "d"]);
-    let mut meter = Meter::new("edge-1".into());
-    assert_eq!(meter.next(START, &tenant(), &[]), NextStep::Unknown);
+    let mut meter = IssuerSelector::new("edge-1".into());
+    assert_eq!(meter.next_step(START, &tenant(), &[]), NextStep::Unknown);
     meter.set_assignment(assignment);
     let mut refused = Vec::new();
     for _ in 0..3 {
-        let NextStep::Ask { part, .. } = meter.next(START, &tenant(), &refused) else {
+        let NextStep::Ask { part, .. } = meter.next_step(START, &tenant(), &refused) else {
             panic!("three parts");
         };
-        assert!(refused.iter().all(|before: &Refused| before.part != part));
-        meter.spent(START, &tenant(), part, 100);
-        refused.push(Refused { part, wait_ms: Some(100) });
+        assert!(refused.iter().all(|before: &PartRefusal| before.part != part));
+        meter.mark_exhausted(START, &tenant(), part, 100);
+        refused.push(PartRefusal { part, wait_ms: Some(100) });
     }
     let over = NextStep::OverLimit { wait_ms: 100 };
-    assert_eq!(meter.next(START, &tenant(), &refused), over);
+    assert_eq!(meter.next_step(START, &tenant(), &refused), over);
     // Until then nobody is asked again.
-    assert_eq!(meter.next(START, &tenant(), &[]), over);
+    assert_eq!(meter.next_step(START, &tenant(), &[]), over);
     let later = START.plus_millis(100);
-    let NextStep::Ask { part, accountant } = meter.next(later, &tenant(), &[]) else {
+    let NextStep::Ask { part, token_issuer } = meter.next_step(later, &tenant(), &[]) else {
         panic!("asked again");
     };
-    meter.failed(&accountant);
-    let next = meter.next(later, &tenant(), &[Refused { part, wait_ms: None }]);
+    meter.mark_unreachable(&token_issuer);
+    let next = meter.next_step(later, &tenant(), &[PartRefusal { part, wait_ms: None }]);
     assert!(matches!(next, NextStep::Ask { part: other, .. } if other != part));
-    assert_eq!(meter.failing().len(), 1);
-    assert_eq!(meter.failing()[0], accountant);
-    meter.answered(&accountant);
-    assert!(meter.failing().is_empty());
+    assert_eq!(meter.unreachable().len(), 1);
+    assert_eq!(meter.unreachable()[0], token_issuer);
+    meter.mark_reachable(&token_issuer);
+    assert!(meter.unreachable().is_empty());
 }
 
 #[test]
 fn an_unanswered_part_is_no_spent_one() {
     let (_, assignment) = assigned(&["a", "b", "c", "d"]);
-    let mut meter = Meter::new("edge-1".into());
+    let mut meter = IssuerSelector::new("edge-1".into());
     meter.set_assignment(assignment);
     let refused = [
-        Refused { part: Part(0), wait_ms: Some(50) },
-        Refused { part: Part(1), wait_ms: None },
-        Refused { part: Part(2), wait_ms: Some(70) },
+        PartRefusal { part: Part(0), wait_ms: Some(50) },
+        PartRefusal { part: Part(1), wait_ms: None },
+        PartRefusal { part: Part(2), wait_ms: Some(70) },
     ];
-    assert_eq!(meter.next(START, &tenant(), &refused), NextStep::Unknown);
+    assert_eq!(meter.next_step(START, &tenant(), &refused), NextStep::Unknown);
 }
 
 #[test]
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -7,10 +7,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use yokefall_core::Timestamp;
-use yokefall_quota::accountant::RENEW_INTERVAL_MS;
+use yokefall_quota::token_issuer::RENEW_INTERVAL_MS;
 use yokefall_quota::{
-    Accountant, Assignment, Candidate, Meter, NextStep, Overseer, Part, QuotaBounds, Refused,
-    SlotId, SlotLease, TokenAsk, TokenGrant,
+    Assignment, Candidate, IssuerSelector, LeaseManager, NextStep, Part, PartRefusal, QuotaBounds,
+    SlotId, SlotLease, TokenGrant, TokenIssuer, TokenRequest,
 };
 use yokefall_types::{RateLimit, TenantName};
 
@@ -122,7 +122,7 @@
 struct Request {
     gateway: usize,
     sender: usize,
-    refused: Vec<Refused>,
+    refused: Vec<PartRefusal>,
     asked_at: u64,
     /// The ask that is open.
     open_ask: Option<u64>,
@@ -133,9 +133,9 @@
 enum Event {
     Arrive { sender: usize },
     Step { request: u64 },
-    AskArrives { store: usize, life: u64, request: u64, number: u64, ask: TokenAsk },
-    Answer { request: u64, number: u64, accountant: usize, grant: TokenGrant },
-    Timeout { request: u64, number: u64, accountant: usize },
+    AskArrives { store: usize, life: u64, request: u64, number: u64, ask: TokenRequest },
+    Answer { request: u64, number: u64, token_issuer: usize, grant: TokenGrant },
+    Timeout { request: u64, number: u64, token_issuer: usize },
     Send { request: u64, expires_at: u64 },
     Renew { store: usize, life: u64 },
     RenewArrives { store: usize, life: u64, asked_at: u64 },
@@ -151,7 +151,7 @@
 }
 
 struct Store {
-    accountant: Accountant,
+    token_issuer: TokenIssuer,
     life: u64,
     up: bool,
     cut_until: u64,
@@ -161,7 +161,7 @@
 }
 
 struct Gateway {
-    meter: Meter,
+    meter: IssuerSelector,
     cut_until: u64,
     frozen_until: u64,
     offset: u64,
@@ -181,7 +181,7 @@
     gateways: Vec<Gateway>,
     assignment: Assignment,
     /// The leader with the number of its lead.
-    leader: Option<(usize, u64, Overseer)>,
+    leader: Option<(usize, u64, LeaseManager)>,
     lead: u64,
     requests: HashMap<u64, Request>,
     next_request: u64,
@@ -205,7 +205,7 @@
         let mut random = StdRng::seed_from_u64(plan.seed);
         let bounds = QuotaBounds::default();
         let stores = (0..plan.stores).map(|_| Store {
-            accountant: Accountant::new(bounds),
+            token_issuer: TokenIssuer::new(bounds),
             life: 0,
             up: true,
             cut_until: 0,
@@ -215,7 +215,7 @@
         });
         let stores = stores.collect();
         let gateways = (0..plan.gateways).map(|gateway| Gateway {
-            meter: Meter::new(format!("edge-{gateway}")),
+            meter: IssuerSelector::new(format!("edge-{gateway}")),
             cut_until: 0,
             frozen_until: 0,
             offset: random.random_range(0..1_000_000),
@@ -308,11 +308,11 @@
             Event::AskArrives { store, life, request, number, ask } => {
                 self.ask_arrives(store, life, request, number, ask);
             }
-            Event::Answer { request, number, accountant, grant } => {
-                self.answer(request, number, accountant, grant);
+            Event::Answer { request, number, token_issuer, grant } => {
+                self.answer(request, number, token_issuer, grant);
             }
-            Event::Timeout { request, number, accountant } => {
-                self.timeout(request, number, accountant);
+            Event::Timeout { request, number, token_issuer } => {
+                self.timeout(request, number, token_issuer);
             }
             Event::Send { request, expires_at } => self.send(request, expires_at),
             Event::Renew { store, life } => self.renew(store, life),
@@ -320,7 +320,7 @@
                 self.renew_arrives(store, life, asked_at);
             }
             Event::Renewed { store, life, asked_at, leases } => {
-                self.renewed(store, life, asked_at, leases);
+                self.apply_leases(store, life, asked_at, leases);
             }
             Event::Oversee => self.oversee(),
             Event::Commit { lead, changes } => {
@@ -344,7 +344,7 @@
             }
             Event::Lead { store, lead } => {
                 let now = self.store_time(store);
-                self.leader = Some((store, lead, Overseer::new(now)));
+                self.leader = Some((store, lead, LeaseManager::new(now)));
             }
         }
     }
@@ -424,20 +424,20 @@
         let now = self.gateway_time(gateway);
         let tenant = self.plan.senders[sender].name.clone();
         let refused = self.requests[&request].refused.clone();
-        let step = self.gateways[gateway].meter.next(now, &tenant, &refused);
-        let (part, accountant) = match step {
-            NextStep::Ask { part, accountant } => (part, accountant),
+        let step = self.gateways[gateway].meter.next_step(now, &tenant, &refused);
+        let (part, token_issuer) = match step {
+            NextStep::Ask { part, token_issuer } => (part, token_issuer),
             NextStep::OverLimit { .. } | NextStep::Unknown => {
                 self.refuse(request);
                 return;
             }
         };
-        let store = (0..self.plan.stores).find(|store| store_name(*store) == accountant);
+        let store = (0..self.plan.stores).find(|store| store_name(*store) == token_issuer);
         let store = store.expect("a job store of the fleet");
         let percent = self.gateways[gateway].limit_percent;
         let limit = self.limit_of(sender, percent);
         let version = self.gateways[gateway].version;
-        let ask = TokenAsk { tenant, part, limit, version, tokens: 1 };
+        let ask = TokenRequest { tenant, part, limit, version, tokens: 1 };
         let number = self.next_ask;
         self.next_ask += 1;
         if let Some(held) = self.requests.get_mut(&request) {
@@ -452,10 +452,17 @@
             delay += cut - self.now;
         }
         self.after(delay, Event::AskArrives { store, life, request, number, ask });
-        self.after(ASK_TIMEOUT_MS, Event::Timeout { request, number, accountant: store });
+        self.after(ASK_TIMEOUT_MS, Event::Timeout { request, number, token_issuer: store });
     }
 
-    fn ask_arrives(&mut self, store: usize, life: u64, request: u64, number: u64, ask: TokenAsk) {
+    fn ask_arrives(
+        &mut self,
+        store: usize,
+        life: u64,
+        request: u64,
+        number: u64,
+        ask: TokenRequest,
+    ) {
         let held = &self.stores[store];
         if !held.up || held.life != life {
             return;
@@ -467,15 +474,15 @@
         }
         let now = self.store_time(store);
         self.stores[store].asks += 1;
-        let grant = self.stores[store].accountant.take(now, &ask);
+        let grant = self.stores[store].token_issuer.take(now, &ask);
         let mut delay = self.delay();
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
         }
-        self.after(delay, Event::Answer { request, number, accountant: store, grant });
+        self.after(delay, Event::Answer { request, number, token_issuer: store, grant });
     }
 
-    fn answer(&mut self, request: u64, number: u64, accountant: usize, grant: TokenGrant) {
+    fn answer(&mut self, request: u64, number: u64, token_issuer: usize, grant: TokenGrant) {
         let Some(held) = self.requests.get(&request) else { return };
         if held.open_ask != Some(number) {
             return;
@@ -483,12 +490,12 @@
         let (gateway, sender, asked_at) = (held.gateway, held.sender, held.asked_at);
         if self.gateways[gateway].frozen_until > self.now {
             let wake = self.gateways[gateway].frozen_until;
-            self.at(wake, Event::Answer { request, number, accountant, grant });
+            self.at(wake, Event::Answer { request, number, token_issuer, grant });
             return;
         }
-        self.gateways[gateway].meter.answered(&store_name(accountant));
+        self.gateways[gateway].meter.mark_reachable(&store_name(token_issuer));
         let tenant = self.plan.senders[sender].name.clone();
-        let part = part_of(&self.assignment, &tenant, accountant);
+        let part = part_of(&self.assignment, &tenant, token_issuer);
         match grant {
             TokenGrant::Granted { tokens, .. } if tokens > 0 => {
                 let expires_at = asked_at + self.bounds.token_lifetime().as_millis() as u64;
@@ -502,7 +509,7 @@
             TokenGrant::Granted { wait_ms, .. } => {
                 let now = self.gateway_time(gateway);
                 if let Some(part) = part {
-                    self.gateways[gateway].meter.spent(now, &tenant, part, wait_ms);
+                    self.gateways[gateway].meter.mark_exhausted(now, &tenant, part, wait_ms);
                 }
                 self.refused(request, part, Some(wait_ms));
             }
@@ -513,16 +520,16 @@
         }
     }
 
-    fn timeout(&mut self, request: u64, number: u64, accountant: usize) {
+    fn timeout(&mut self, request: u64, number: u64, token_issuer: usize) {
         let Some(held) = self.requests.get(&request) else { return };
         if held.open_ask != Some(number) {
             return;
         }
         let (gateway, sender) = (held.gateway, held.sender);
-        self.gateways[gateway].meter.failed(&store_name(accountant));
+        self.gateways[gateway].meter.mark_unreachable(&store_name(token_issuer));
         self.learn(gateway);
         let tenant = self.plan.senders[sender].name.clone();
-        let part = part_of(&self.assignment, &tenant, accountant);
+        let part = part_of(&self.assignment, &tenant, token_issuer);
         self.refused(request, part, None);
     }
 
@@ -533,7 +540,7 @@
             self.refuse(request);
             return;
         };
-        held.refused.push(Refused { part, wait_ms });
+        held.refused.push(PartRefusal { part, wait_ms });
         self.step(request);
     }
 
@@ -585,13 +592,13 @@
         if self.gateways[gateway].cut_until > self.now {
             return;
         }
-        for name in self.gateways[gateway].meter.failing() {
+        for name in self.gateways[gateway].meter.unreachable() {
             let is_up = |store: &Store| {
                 store.up && store.cut_until <= self.now && store.frozen_until <= self.now
             };
             let mut named = (0..self.plan.stores).filter(|store| store_name(*store) == name);
             if named.any(|store| is_up(&self.stores[store])) {
-                self.gateways[gateway].meter.answered(&name);
+                self.gateways[gateway].meter.mark_reachable(&name);
             }
         }
     }
@@ -618,8 +625,8 @@
         let Some((leader, _, _)) = &self.leader else { return };
         let leader = *leader;
         let now = self.store_time(leader);
-        let Some((_, _, overseer)) = &mut self.leader else { return };
-        let leases = overseer.renew(now, &self.assignment, &store_name(store));
+        let Some((_, _, lease_manager)) = &mut self.leader else { return };
+        let leases = lease_manager.renew(now, &self.assignment, &store_name(store));
         let mut delay = self.delay();
         if self.stores[store].cut_until > self.now {
             delay += self.stores[store].cut_until - self.now;
@@ -627,7 +634,7 @@
         self.after(delay, Event::Renewed { store, life, asked_at, leases });
     }
 
-    fn renewed(&mut self, store: usize, life: u64, asked_at: u64, leases: Vec<SlotLease>) {
+    fn apply_leases(&mut self, store: usize, life: u64, asked_at: u64, leases: Vec<SlotLease>) {
         if self.stores[store].life != life {
             return;
         }
@@ -638,7 +645,7 @@
         }
         let now = self.store_time(store);
         let asked_at = Timestamp(asked_at + self.stores[store].offset);
-        self.stores[store].accountant.renewed(now, asked_at, &leases);
+        self.stores[store].token_issuer.apply_leases(now, asked_at, &leases);
     }
 
     fn oversee(&mut self) {
@@ -654,8 +661,8 @@
             .map(|store| Candidate { name: store_name(store), zone: format!("hall-{}", store % 3) })
             .collect();
         let now = self.store_time(leader);
-        let Some((_, _, overseer)) = &mut self.leader else { return };
-        let changes = overseer.plan(now, &self.assignment, &candidates, &store_name(leader));
+        let Some((_, _, lease_manager)) = &mut self.leader else { return };
+        let changes = lease_manager.plan(now, &self.assignment, &candidates, &store_name(leader));
         if !changes.is_empty() {
             self.after(5, Event::Commit { lead, changes });
         }
@@ -667,7 +674,7 @@
                 let held = &mut self.stores[store];
                 held.up = false;
                 held.life += 1;
-                held.accountant = Accountant::new(self.bounds);
+                held.token_issuer = TokenIssuer::new(self.bounds);
                 self.after(for_ms, Event::StartStore { store });
                 if self.leader.as_ref().is_some_and(|(leader, _, _)| *leader == store) {
                     self.lose_leader(2_000);
--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -23,7 +23,7 @@
 const HOLD_SHARE: f64 = 0.35;
 /// A request that is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct QueuedRequest {
     /// Number of the request, unique in its queue.
     pub ticket: u64,
     /// Rank of its route, 0 the highest.
@@ -38,20 +38,20 @@
 
 /// What decides for how long a request may be held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct QueueLimits {
     /// Rank of its route, 0 the highest.
     pub rank: u32,
     /// Target for latency of its route.
     pub target: Duration,
     /// Time that its caller, or its route, gives it.
-    pub time: Duration,
+    pub timeout: Duration,
 }
 
-impl Held {
+impl QueuedRequest {
     /// A request that arrived now.
-    pub fn new(ticket: u64, arrived: Timestamp, terms: Terms) -> Self {
-        let after = |time: Duration| arrived.plus_millis(time.as_millis() as u64);
-        let longest = terms.target.mul_f64(HOLD_TARGETS).min(terms.time.mul_f64(HOLD_SHARE));
+    pub fn new(ticket: u64, arrived: Timestamp, terms: QueueLimits) -> Self {
+        let after = |timeout: Duration| arrived.plus_millis(timeout.as_millis() as u64);
+        let longest = terms.target.mul_f64(HOLD_TARGETS).min(terms.timeout.mul_f64(HOLD_SHARE));
         Self {
             ticket,
             rank: terms.rank,
@@ -82,31 +82,31 @@
 
 /// Requests of one service that are held.
 #[derive(Clone, Debug, Default)]
-pub struct HoldQueue {
-    held: Vec<Held>,
+pub struct AdmissionQueue {
+    held: Vec<QueuedRequest>,
 }
 
-impl HoldQueue {
+impl AdmissionQueue {
     /// Holds a request.
-    pub fn hold(&mut self, request: Held) {
+    pub fn enqueue(&mut self, request: QueuedRequest) {
         self.held.push(request);
     }
 
     /// The request that is sent next. Invariant: none of a lower rank comes before one of a higher
     /// rank.
-    pub fn next(&self, now: Timestamp) -> Option<Held> {
-        let order = |held: &&Held| (held.rank, held.urgency(now), held.ticket);
+    pub fn next(&self, now: Timestamp) -> Option<QueuedRequest> {
+        let order = |held: &&QueuedRequest| (held.rank, held.urgency(now), held.ticket);
         self.held.iter().min_by_key(order).copied()
     }
 
     /// Removes a request; `None` where it is not held.
-    pub fn remove(&mut self, ticket: u64) -> Option<Held> {
+    pub fn remove(&mut self, ticket: u64) -> Option<QueuedRequest> {
         let position = self.held.iter().position(|held| held.ticket == ticket)?;
         Some(self.held.swap_remove(position))
     }
 
     /// Removes the requests that are given up.
-    pub fn expire(&mut self, now: Timestamp) -> Vec<Held> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<QueuedRequest> {
         let (expired, held) = self.held.iter().partition(|held| held.give_up_at <= now);
         self.held = held;
         expired
--- a/crates/serving/src/ages.rs
+++ b/crates/serving/src/ages.rs
@@ -4,14 +4,14 @@
 //! another kind, makes up together what is known everywhere, since each tells the others the age of what it knows.
 
 use yokefall_clock::ElapsedClock;
-use yokefall_core::membership::NewsAges;
+use yokefall_core::membership::StateAges;
 use yokefall_core::Timestamp;
 
 use crate::eligibility::Freshness;
 
 /// A kind of object that processes follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Followed {
+pub enum ObjectKind {
     /// The configuration.
     Configuration,
     /// Back ends.
@@ -20,13 +20,13 @@
     Evacuations,
 }
 
-impl Followed {
+impl ObjectKind {
     /// Its name, for figures and lines.
     pub fn name(self) -> &'static str {
         match self {
-            Followed::Configuration => "configuration",
-            Followed::Backends => "backends",
-            Followed::Evacuations => "evacuations",
+            ObjectKind::Configuration => "configuration",
+            ObjectKind::Backends => "backends",
+            ObjectKind::Evacuations => "evacuations",
         }
     }
 }
@@ -62,13 +62,13 @@
     }
 
     /// The store held what is known of a kind this long ago.
-    pub fn note(&mut self, kind: Followed, age_ms: u64) {
+    pub fn note(&mut self, kind: ObjectKind, age_ms: u64) {
         // Before this clock began nothing was known here.
         let at = Timestamp(self.clock.now().0.saturating_sub(age_ms));
         let held = match kind {
-            Followed::Configuration => &mut self.configuration,
-            Followed::Backends => &mut self.backends,
-            Followed::Evacuations => &mut self.evacuations,
+            ObjectKind::Configuration => &mut self.configuration,
+            ObjectKind::Backends => &mut self.backends,
+            ObjectKind::Evacuations => &mut self.evacuations,
         };
         *held = (*held).max(Some(at));
         if let Some(oldest) = self.oldest() {
@@ -77,11 +77,11 @@
     }
 
     /// What peers are told.
-    pub fn told(&self) -> NewsAges {
+    pub fn told(&self) -> StateAges {
         let now = self.clock.now();
         let age =
             |at: Option<Timestamp>| at.and_then(|at| u32::try_from(now.millis_since(at)).ok());
-        NewsAges {
+        StateAges {
             configuration_ms: age(self.configuration),
             backends_ms: age(self.backends),
             evacuations_ms: age(self.evacuations),
--- a/crates/serving/src/backend_table.rs
+++ b/crates/serving/src/backend_table.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::model::Backend;
-use crate::objects::Changed;
+use crate::objects::ObjectChange;
 
 /// Parts of a table: a change copies so many pointers and those of one part, 39 at 10,000 back ends and 78 at
 /// 20,000. With fewer parts, copying one would grow with the fleet; with more, copying the list would cost more than
@@ -112,7 +112,7 @@
     pub fn changes_since<'a>(
         &'a self,
         before: &'a BackendTable,
-    ) -> impl Iterator<Item = Changed<Backend>> + 'a {
+    ) -> impl Iterator<Item = ObjectChange<Backend>> + 'a {
         let pairs = before.parts.iter().zip(&self.parts);
         pairs.filter(|(before, after)| !is_shared(before, after)).flat_map(part_changes)
     }
@@ -125,7 +125,7 @@
     }
 
     /// One of them by chance, each as likely as any other.
-    pub fn draw(&self, generator: &mut impl Rng) -> Option<&Arc<Backend>> {
+    pub fn sample(&self, generator: &mut impl Rng) -> Option<&Arc<Backend>> {
         if self.count == 0 {
             return None;
         }
@@ -213,7 +213,7 @@
 }
 
 /// What changed in one part, by a walk through both versions in the order of ids.
-fn part_changes((before, after): (&Part, &Part)) -> Vec<Changed<Backend>> {
+fn part_changes((before, after): (&Part, &Part)) -> Vec<ObjectChange<Backend>> {
     let mut before = before.iter().flat_map(|part| part.iter()).peekable();
     let mut after = after.iter().flat_map(|part| part.iter()).peekable();
     let mut changes = Vec::new();
@@ -228,7 +228,7 @@
         let come = if order.is_ge() { after.next() } else { None };
         let is_same = gone.zip(come).is_some_and(|(gone, come)| Arc::ptr_eq(gone, come));
         if !is_same {
-            changes.push(Changed { before: gone.cloned(), after: come.cloned() });
+            changes.push(ObjectChange { before: gone.cloned(), after: come.cloned() });
         }
     }
 }
--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -12,12 +12,12 @@
 use crate::arrivals::{Arrivals, ReportedRate};
 use crate::backend_record::{load, BackendRecord, LEAST_OUTCOME, LOAD_LIFETIME_MS};
 use crate::dialect::BackendLoad;
-use crate::eligibility::{Distance, Drawn, ZoneMap};
-use crate::lives::ByLife;
-use crate::model::{Backend, BackendLife};
-use crate::nearness::own_part;
+use crate::eligibility::{CandidateSample, Distance, ZoneMap};
+use crate::incarnations::ByIncarnation;
+use crate::locality::own_part;
+use crate::model::{Backend, BackendIncarnation};
 use crate::outcomes::Outcomes;
-use crate::spread::{draw, surface, Level};
+use crate::water_filling::{draw, surface, Level};
 use yokefall_types::Policy;
 
 /// Failed requests in a row after which a back end is left out.
@@ -76,7 +76,7 @@
     zone: String,
     /// Regions of zones.
     zones: Arc<ZoneMap>,
-    records: ByLife<BackendRecord>,
+    records: ByIncarnation<BackendRecord>,
     /// Processes that choose as this one does, itself included.
     choosers: usize,
     /// Pause between two tellings of what a process has in flight, in milliseconds.
@@ -98,7 +98,7 @@
             generator: SmallRng::seed_from_u64(seed),
             zone,
             zones: Arc::default(),
-            records: ByLife::default(),
+            records: ByIncarnation::default(),
             choosers: 1,
             telling_interval_ms: FIRST_TELLING_INTERVAL_MS,
             heard_at: None,
@@ -124,31 +124,31 @@
         affinity: Option<u64>,
     ) -> Option<Arc<Backend>> {
         let Open { open, ejected } = self.open(now, candidates, tried);
-        let (part, open) = self.nearby(now, open);
+        let (fraction, open) = self.nearby(now, open);
         let affinity = affinity.filter(|_| self.policy.prefix_affinity);
         if let Some(backend) = affinity.and_then(|key| preferred(&open, key)) {
             return Some(backend.clone());
         }
-        let least = self.least(now, &open, part);
+        let least = self.least(now, &open, fraction);
         least.or(ejected).cloned()
     }
 
     /// The same among back ends that were drawn out of many; `None` where all of them are left out.
-    pub fn choose_drawn(
+    pub fn choose_from_sample(
         &mut self,
         now: Timestamp,
-        drawn: &Drawn,
+        sample: &CandidateSample,
         tried: &[String],
     ) -> Option<Arc<Backend>> {
         if self.policy.prefix_affinity {
-            let Open { open, .. } = self.open(now, &drawn.preferred, tried);
+            let Open { open, .. } = self.open(now, &sample.preferred, tried);
             if let Some((_, backend)) = open.into_iter().find(|(cost, _)| has_room(*cost)) {
                 return Some(backend.clone());
             }
         }
-        let Open { open, .. } = self.open(now, &drawn.backends, tried);
-        let (part, open) = self.nearby(now, open);
-        self.least(now, &open, part * drawn.part).cloned()
+        let Open { open, .. } = self.open(now, &sample.backends, tried);
+        let (fraction, open) = self.nearby(now, open);
+        self.least(now, &open, fraction * sample.fraction).cloned()
     }
 
     /// Candidates that are not left out, each with its cost, and of the others the one that is back first.
@@ -199,14 +199,14 @@
         let (far, near): (Vec<_>, Vec<_>) =
             open.iter().copied().partition(|(_, backend)| is_far(backend));
         match own_part(&levels(&near), &levels(&far), expected) {
-            Some(part) if self.policy.zone_cost => (part, near),
+            Some(fraction) if self.policy.zone_cost => (fraction, near),
             _ => (1.0, open),
         }
     }
 
     /// How many processes choose as this one does, itself included, and how often each of them
     /// tells what it has in flight, in milliseconds.
-    pub fn set_choosers(&mut self, choosers: usize, telling_interval_ms: u64) {
+    pub fn set_balancer_count(&mut self, choosers: usize, telling_interval_ms: u64) {
         self.choosers = choosers.max(1);
         self.telling_interval_ms = telling_interval_ms;
     }
@@ -222,12 +222,12 @@
     }
 
     /// Own requests to each service in a millisecond.
-    pub fn own_arrivals(&self, now: Timestamp) -> impl Iterator<Item = (&str, f64)> {
+    pub fn own_arrival_rates(&self, now: Timestamp) -> impl Iterator<Item = (&str, f64)> {
         self.arrivals.iter().map(move |(service, own)| (service.as_str(), own.per_ms(now)))
     }
 
     /// Requests of all processes to a service in a millisecond became known.
-    pub fn set_arrivals_of_all(&mut self, now: Timestamp, service: String, per_ms: f64) {
+    pub fn set_total_arrival_rate(&mut self, now: Timestamp, service: String, per_ms: f64) {
         self.arrivals_of_all.insert(service, ReportedRate { at: now, per_ms });
     }
 
@@ -254,33 +254,37 @@
         age.min(LONGEST_BLIND_MS) as f64
     }
 
-    /// One of the cheapest: the more others choose meanwhile, the more are drawn from. `part` of all requests is
+    /// One of the cheapest: the more others choose meanwhile, the more are drawn from. `fraction` of all requests is
     /// meant for them.
     fn least<'a>(
         &mut self,
         now: Timestamp,
         open: &[(f64, &'a Arc<Backend>)],
-        part: f64,
+        fraction: f64,
     ) -> Option<&'a Arc<Backend>> {
         let service = &open.first()?.1.service;
         self.note_arrival(now, service);
         let unseen = if self.policy.poured_draw { self.unseen_arrivals(now, service) } else { 0.0 };
-        let position = draw(&mut self.generator, &levels(open), unseen * part + 1.0)?;
+        let position = draw(&mut self.generator, &levels(open), unseen * fraction + 1.0)?;
         open.get(position).map(|(_, backend)| *backend)
     }
 
     /// Load that the emptiest back ends have with one more online request, in parts of their slots;
     /// `None` where all are left out. Items do not count, since they are preempted.
-    pub fn online_level(&self, now: Timestamp, candidates: &[Arc<Backend>]) -> Option<f64> {
-        self.online_level_of_part(now, candidates, 1.0)
+    pub fn projected_online_load(
+        &self,
+        now: Timestamp,
+        candidates: &[Arc<Backend>],
+    ) -> Option<f64> {
+        self.projected_online_load_of_sample(now, candidates, 1.0)
     }
 
     /// The same by back ends that are a part of all, drawn by chance.
-    pub fn online_level_of_part(
+    pub fn projected_online_load_of_sample(
         &self,
         now: Timestamp,
         candidates: &[Arc<Backend>],
-        part: f64,
+        fraction: f64,
     ) -> Option<f64> {
         let service = &candidates.first()?.service;
         let age = self.blind_ms(now);
@@ -298,7 +302,7 @@
         let is_informed = self.heard_at.is_some_and(|at| now.millis_since(at) < LOAD_LIFETIME_MS);
         let unseen =
             if is_informed { self.others_per_ms(now, service) * age.min(service_ms) } else { 0.0 };
-        surface(&levels, unseen * part + 1.0)
+        surface(&levels, unseen * fraction + 1.0)
     }
 
     /// `remaining` is the part of others' requests that has not ended since they were told.
@@ -314,7 +318,7 @@
     }
 
     /// A request to a service was answered whole after a time in milliseconds.
-    pub fn took(&mut self, service: &str, milliseconds: f64) {
+    pub fn record_service_time(&mut self, service: &str, milliseconds: f64) {
         match self.service_ms.get_mut(service) {
             Some(mean) => *mean += (milliseconds - *mean) * SERVICE_TIME_WEIGHT,
             None => {
@@ -366,13 +370,13 @@
     }
 
     /// A request goes to a back end.
-    pub fn started(&mut self, backend: &Backend) {
-        self.records.entry(backend.life()).in_flight += 1;
+    pub fn record_start(&mut self, backend: &Backend) {
+        self.records.entry(backend.incarnation()).in_flight += 1;
     }
 
     /// A request that went to a back end has ended. It was counted at the life to which it went, and is taken
     /// off there: a later life under the same id never had it.
-    pub fn ended(&mut self, now: Timestamp, backend: &Backend, outcome: Outcome) {
+    pub fn record_end(&mut self, now: Timestamp, backend: &Backend, outcome: Outcome) {
         let Some(record) = self.records.get_mut(backend) else { return };
         record.in_flight = record.in_flight.saturating_sub(1);
         match outcome {
@@ -399,34 +403,41 @@
     }
 
     /// Requests that this process has in flight, by life of a back end.
-    pub fn all_in_flight(&self) -> impl Iterator<Item = (BackendLife, u32)> + '_ {
+    pub fn all_in_flight(&self) -> impl Iterator<Item = (BackendIncarnation, u32)> + '_ {
         let busy = self.records.iter().filter(|(_, _, record)| record.in_flight > 0);
         busy.map(|(id, started_ms, record)| {
-            (BackendLife { id: id.to_owned(), started_ms }, record.in_flight)
+            (BackendIncarnation { id: id.to_owned(), started_ms }, record.in_flight)
         })
     }
 
     /// Recent outcomes of this process's requests, by life of a back end.
-    pub fn outcomes(&self, now: Timestamp) -> impl Iterator<Item = (BackendLife, Outcomes)> + '_ {
+    pub fn outcomes(
+        &self,
+        now: Timestamp,
+    ) -> impl Iterator<Item = (BackendIncarnation, Outcomes)> + '_ {
         self.records.iter().filter_map(move |(id, started_ms, record)| {
             let sums = record.outcomes.sums(now);
             let counts = sums.failed + sums.answered >= LEAST_OUTCOME;
-            counts.then(|| (BackendLife { id: id.to_owned(), started_ms }, sums))
+            counts.then(|| (BackendIncarnation { id: id.to_owned(), started_ms }, sums))
         })
     }
 
     /// Back ends fail for all processes, as their reports say: they are left out as if this process
     /// had found it out. One that dies is else found out by each process by itself.
-    pub fn fail_for_all<'a>(&mut self, now: Timestamp, failing: impl Iterator<Item = &'a Backend>) {
+    pub fn eject_reported<'a>(
+        &mut self,
+        now: Timestamp,
+        failing: impl Iterator<Item = &'a Backend>,
+    ) {
         for backend in failing {
             if !self.is_ejected(now, backend) {
-                self.records.entry(backend.life()).eject(now);
+                self.records.entry(backend.incarnation()).eject(now);
             }
         }
     }
 
     /// Something came from a back end.
-    pub fn heard(&mut self, now: Timestamp, backend: &Backend) {
+    pub fn record_activity(&mut self, now: Timestamp, backend: &Backend) {
         if let Some(record) = self.records.get_mut(backend) {
             record.heard_at = Some(now);
         }
@@ -435,7 +446,7 @@
     /// A back end has said nothing for `silence_ms` on a request that it has. It may be dark, unless
     /// something came on another request: then the request waits there for a slot. Returns whether
     /// it is left out.
-    pub fn fell_silent(&mut self, now: Timestamp, backend: &Backend, silence_ms: u64) -> bool {
+    pub fn record_silence(&mut self, now: Timestamp, backend: &Backend, silence_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(backend).filter(|_| self.policy.silence) else {
             return false;
         };
@@ -452,11 +463,11 @@
 
     /// Everybody's requests became known; back ends that `totals` does not name have none. `own` is
     /// what this process had in them when they were added up.
-    pub fn heard_totals<'a>(
+    pub fn update_totals<'a>(
         &mut self,
         now: Timestamp,
-        totals: impl Iterator<Item = (&'a BackendLife, InFlight)>,
-        own: impl Fn(&BackendLife) -> u32,
+        totals: impl Iterator<Item = (&'a BackendIncarnation, InFlight)>,
+        own: impl Fn(&BackendIncarnation) -> u32,
     ) {
         if !self.policy.peer_loads {
             return;
@@ -467,21 +478,21 @@
             record.items = 0.0;
             record.told_at = Some(now);
         }
-        for (life, total) in totals {
+        for (incarnation, total) in totals {
             // One that this process has never used counts as well: it would look empty else.
-            let record = match self.records.of_life_mut(life) {
+            let record = match self.records.incarnation_mut(incarnation) {
                 Some(record) => record,
-                None => self.records.entry(life.clone()),
+                None => self.records.entry(incarnation.clone()),
             };
             let all = f64::from(total.online) + f64::from(total.items);
-            record.foreign = (all - f64::from(own(life))).max(0.0);
+            record.foreign = (all - f64::from(own(incarnation))).max(0.0);
             record.items = f64::from(total.items).min(record.foreign);
             record.told_at = Some(now);
         }
     }
 
     /// A back end told its load.
-    pub fn told(&mut self, now: Timestamp, backend: &Backend, load: BackendLoad) {
+    pub fn record_report(&mut self, now: Timestamp, backend: &Backend, load: BackendLoad) {
         let Some(record) = self.records.get_mut(backend) else { return };
         let all = f64::from(load.running + load.waiting);
         record.foreign = (all - f64::from(record.in_flight)).max(0.0);
@@ -490,12 +501,12 @@
     }
 
     /// Forgets lives that nobody knows any more and that have nothing in flight.
-    pub fn retain(&mut self, known: impl Fn(&BackendLife) -> bool) {
-        self.records.retain(|life, record| record.in_flight > 0 || known(life));
+    pub fn retain(&mut self, known: impl Fn(&BackendIncarnation) -> bool) {
+        self.records.retain(|incarnation, record| record.in_flight > 0 || known(incarnation));
     }
 
     /// Forgets what no choice would go by any more: each report of loads walks over all that is held.
-    pub fn forget_idle(&mut self, now: Timestamp) {
+    pub fn prune_idle(&mut self, now: Timestamp) {
         self.records.retain(|_, record| record.in_flight > 0 || record.says_something(now));
     }
 }
--- a/crates/serving/src/catalog.rs
+++ b/crates/serving/src/catalog.rs
@@ -11,8 +11,8 @@
 use crate::backend_table::BackendTable;
 use crate::catalog_lists::{Lists, TakenLists};
 use crate::eligibility::{Residency, ZoneMap};
-use crate::model::{Backend, BackendLife, BackendState, Configuration, Route};
-use crate::objects::Changed;
+use crate::model::{Backend, BackendIncarnation, BackendState, Configuration, Route};
+use crate::objects::ObjectChange;
 use crate::table::RouteTable;
 
 /// Configuration and back ends at one moment. The next version shares with it what did not change.
@@ -37,12 +37,12 @@
     /// Regions of zones.
     pub zones: Arc<ZoneMap>,
     /// Whether nobody has told yet which zones are evacuated, so that no back end may be used.
-    pub awaits_evacuations: bool,
+    pub evacuations_unknown: bool,
 }
 
 /// What is known of zones beside the back ends in them.
 #[derive(Clone, Debug, Default)]
-pub struct ZoneFacts {
+pub struct ZoneState {
     /// Zones whose back ends get nothing new.
     pub evacuated: BTreeSet<String>,
     /// Regions of zones.
@@ -55,16 +55,16 @@
         configuration: Option<Arc<Configuration>>,
         backends: impl Iterator<Item = &'a Arc<Backend>>,
     ) -> Self {
-        Self::with_zones(configuration, backends, ZoneFacts::default())
+        Self::with_zones(configuration, backends, ZoneState::default())
     }
 
     /// Builds a snapshot.
     pub fn with_zones<'a>(
         configuration: Option<Arc<Configuration>>,
         backends: impl Iterator<Item = &'a Arc<Backend>>,
-        facts: ZoneFacts,
+        facts: ZoneState,
     ) -> Self {
-        let ZoneFacts { evacuated, zones } = facts;
+        let ZoneState { evacuated, zones } = facts;
         let catalog = Self { known: backends.collect(), evacuated, zones, ..Self::default() };
         catalog.with_configuration(configuration).with_lists()
     }
@@ -77,14 +77,14 @@
     }
 
     /// The same with other facts about zones, and with each back end looked at anew.
-    pub fn with_zone_facts(self, facts: ZoneFacts) -> Self {
-        let ZoneFacts { evacuated, zones } = facts;
-        Self { evacuated, zones, awaits_evacuations: false, ..self }.with_lists()
+    pub fn with_zone_facts(self, facts: ZoneState) -> Self {
+        let ZoneState { evacuated, zones } = facts;
+        Self { evacuated, zones, evacuations_unknown: false, ..self }.with_lists()
     }
 
     /// The same after some back ends have changed. Costs as many steps as changed, and not as there are back ends:
     /// with all of them put together anew, one change took 17.7 ms of a core at 10,000 back ends, and takes 17 us.
-    pub fn with_changes(mut self, changes: &[Changed<Backend>]) -> Self {
+    pub fn with_changes(mut self, changes: &[ObjectChange<Backend>]) -> Self {
         for change in changes {
             if let Some(before) = &change.before {
                 self.known.remove(&before.id);
@@ -93,7 +93,7 @@
                 self.known.insert(after.clone());
             }
         }
-        if self.awaits_evacuations {
+        if self.evacuations_unknown {
             return self;
         }
         let is_listed = |backend: &&Arc<Backend>| takes_work(backend, &self.evacuated);
@@ -128,13 +128,13 @@
     pub fn awaiting_evacuations(mut self) -> Self {
         self.ready.clear();
         self.ready_by_region.clear();
-        self.awaits_evacuations = true;
+        self.evacuations_unknown = true;
         self
     }
 
     /// Whether requests can be served: what is needed for it has been heard.
     pub fn can_serve(&self) -> bool {
-        self.configuration.is_some() && !self.awaits_evacuations
+        self.configuration.is_some() && !self.evacuations_unknown
     }
 
     /// Back ends of a service that take work.
@@ -190,15 +190,15 @@
     /// Whether a back end takes work.
     pub fn is_ready(&self, id: &str) -> bool {
         self.known.get(id).is_some_and(|backend| {
-            let takes_work = backend.state == BackendState::Ready && !self.awaits_evacuations;
+            let takes_work = backend.state == BackendState::Ready && !self.evacuations_unknown;
             takes_work && !self.is_evacuated(&backend.zone)
         })
     }
 
     /// Whether a back end takes work in this life.
-    pub fn is_ready_life(&self, life: &BackendLife) -> bool {
-        let is_same = |known: &Arc<Backend>| known.started_ms == life.started_ms;
-        self.known.get(&life.id).is_some_and(is_same) && self.is_ready(&life.id)
+    pub fn is_ready_incarnation(&self, incarnation: &BackendIncarnation) -> bool {
+        let is_same = |known: &Arc<Backend>| known.started_ms == incarnation.started_ms;
+        self.known.get(&incarnation.id).is_some_and(is_same) && self.is_ready(&incarnation.id)
     }
 
     /// Whether the back ends of a zone get nothing new.
--- a/crates/serving/src/comparison.rs
+++ b/crates/serving/src/comparison.rs
@@ -2,7 +2,7 @@
 
 use yokefall_core::Timestamp;
 
-use crate::known::Known;
+use crate::state_digest::StateDigest;
 
 /// Time for which a peer must know more before a process asks the store again, in milliseconds:
 /// news reaches processes within this time of each other.
@@ -14,13 +14,13 @@
 #[derive(Debug, Default)]
 pub struct Comparison {
     /// Since when a peer knows more: what was known here, and what the peer knows.
-    behind_since: Option<(Timestamp, Known, Known)>,
+    behind_since: Option<(Timestamp, StateDigest, StateDigest)>,
     asked_at: Option<Timestamp>,
 }
 
 impl Comparison {
     /// A peer told what it knows. Returns whether the store should be asked again.
-    pub fn is_behind(&mut self, now: Timestamp, own: Known, peer: Known) -> bool {
+    pub fn is_behind(&mut self, now: Timestamp, own: StateDigest, peer: StateDigest) -> bool {
         if !own.lacks(peer) {
             return false;
         }
@@ -32,7 +32,7 @@
     }
 
     /// Whether the store should be asked again, by what peers told before.
-    pub fn is_due(&mut self, now: Timestamp, own: Known) -> bool {
+    pub fn is_due(&mut self, now: Timestamp, own: StateDigest) -> bool {
         let Some((since, known, peer)) = self.behind_since else { return false };
         if !own.lacks(peer) {
             self.behind_since = None;
@@ -51,7 +51,7 @@
     }
 
     /// When `is_due` should be asked; `None` while no peer knows more.
-    pub fn next_look(&self) -> Option<Timestamp> {
+    pub fn next_check(&self) -> Option<Timestamp> {
         let (since, _, _) = self.behind_since?;
         let patient = since.plus_millis(PATIENCE_MS);
         let rested = self.asked_at.map(|at| at.plus_millis(LEAST_INTERVAL_MS));
--- a/crates/serving/src/dialect.rs
+++ b/crates/serving/src/dialect.rs
@@ -109,7 +109,7 @@
     /// Names of headers.
     fn headers(&self) -> &HeaderNames;
     /// Whether back ends name the request in their answers and sign what they did.
-    fn marks_answers(&self) -> bool {
+    fn signs_responses(&self) -> bool {
         true
     }
     /// Whether this is the platform's check of readiness.
--- a/crates/serving/src/discovery.rs
+++ b/crates/serving/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Assembles what keeps a process current: members, the platform's objects, and news from peers.
 //!
-//! Members come from datagrams (`fleet`). Each process is ranked among those of its zone (`duty`); few
-//! watch the platform's store (`watch`), and the others take what these know (`news`).
+//! Members come from datagrams (`fleet`). Each process is ranked among those of its zone (`watch_role`); few
+//! watch the platform's store (`watch`), and the others take what these know (`peer_sync`).
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 use yokefall_core::Timestamp;
 use yokefall_types::PlacementBounds;
 
-use crate::duty::Roster;
 use crate::eligibility::{Freshness, ZoneMap};
 use crate::fleet::{run_membership, Identity, Membership, Notices};
-use crate::knowledge::{Following, Knowledge};
-use crate::news::News;
-use crate::news_exchange::serve;
-use crate::observer::LineObserver;
-use crate::shared_knowledge::SharedKnowledge;
+use crate::observer::LoggingObserver;
+use crate::peer_sync::PeerSync;
+use crate::platform_state::{PlatformState, StateOptions};
+use crate::shared_state::SharedPlatformState;
 use crate::source::Platform;
+use crate::state_exchange::serve;
 use crate::watch::{follow, Follow, Waits};
+use crate::watch_role::WatcherElection;
 use crate::{CatalogCell, FleetCell};
 
 /// Interval at which the age of what is known is shown.
@@ -35,7 +35,7 @@
     /// Datagrams of membership.
     pub datagrams: UdpSocket,
     /// Exchange of configuration and back ends.
-    pub news: TcpListener,
+    pub exchange: TcpListener,
 }
 
 /// What a process says of itself, and where it begins.
@@ -70,47 +70,47 @@
     leaving: channel::Receiver<bool>,
 ) {
     let follows_evacuations = options.placement.evacuation_ms.is_some();
-    let following = Following {
+    let following = StateOptions {
         evacuations: follows_evacuations,
-        ages: options.placement.needs_fresh_news(),
+        ages: options.placement.needs_fresh_state(),
         freshness: options.freshness.clone(),
     };
     let zones = options.zones.len();
-    let knowledge = Knowledge::following(catalog, options.zones, following);
-    let knowledge = Rc::new(RefCell::new(knowledge));
-    let observer = Rc::new(LineObserver::new(changed));
-    let shared = SharedKnowledge { knowledge: knowledge.clone(), observer };
-    let roster = Roster::new(Timestamp(0), options.is_first_start, rand::random());
+    let platform_state = PlatformState::with_options(catalog, options.zones, following);
+    let platform_state = Rc::new(RefCell::new(platform_state));
+    let observer = Rc::new(LoggingObserver::new(changed));
+    let shared = SharedPlatformState { platform_state: platform_state.clone(), observer };
+    let election = WatcherElection::new(Timestamp(0), options.is_first_start, rand::random());
     let take = {
         let shared = shared.clone();
-        Box::new(move |answer| shared.take_news(answer))
+        Box::new(move |answer| shared.apply_response(answer))
     };
-    let (news, duties) = News::new(knowledge.clone(), take, roster);
-    let refresh = news.refresh.clone();
-    let news_port = ports.news.local_addr().map_or(0, |address| address.port());
-    tokio::task::spawn_local(serve(ports.news, knowledge));
+    let (peer_sync, duties) = PeerSync::new(platform_state.clone(), take, election);
+    let refresh = peer_sync.refresh.clone();
+    let news_port = ports.exchange.local_addr().map_or(0, |address| address.port());
+    tokio::task::spawn_local(serve(ports.exchange, platform_state));
     tokio::task::spawn_local(run_membership(Membership {
         socket: ports.datagrams,
         identity: options.identity,
         seeds: options.seeds,
         cell: fleet,
-        news,
+        peer_sync,
         news_port,
         leaving,
         notices: options.notices,
         clock: options.clock,
     }));
     tokio::task::spawn_local(tell_freshness(options.freshness));
-    let waits = match options.placement.needs_fresh_news() {
+    let waits = match options.placement.needs_fresh_state() {
         true => Waits::Fresh { zones },
         false => Waits::Long,
     };
     let (configuration, backends) = (refresh.configuration(), refresh.backends());
     let evacuations = refresh.evacuations();
-    let following = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], duty| Follow {
+    let following = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], watch_role| Follow {
         refresh: refresh.clone(),
         others: others.into_iter().cloned().collect(),
-        duty,
+        watch_role,
         waits,
     };
     tokio::task::spawn_local(follow(
--- a/crates/serving/src/eligibility/cold_share.rs
+++ b/crates/serving/src/eligibility/cold_share.rs
@@ -9,8 +9,8 @@
 use yokefall_core::Timestamp;
 use yokefall_types::{rendezvous_score, PlacementBounds};
 
+use crate::known_processes::KnownProcesses;
 use crate::model::WarmUp;
-use crate::names::KnownNames;
 
 /// Part of what is allowed that nobody uses. It bears processes whose views differ: of 27 requests a second, five.
 /// From the model (`tests/cold.rs`).
@@ -28,7 +28,7 @@
 
 /// Who is asked about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sender {
+pub struct SenderId {
     /// Name of the process.
     pub name: String,
     /// Whether it keeps jobs.
@@ -46,10 +46,10 @@
 
 impl Allowance {
     /// What a cold back end of a service may get. Where there are no job stores, gateways have it all.
-    pub fn of(bounds: &PlacementBounds, warm_up: &WarmUp, names: &KnownNames) -> Self {
+    pub fn of(bounds: &PlacementBounds, warm_up: &WarmUp, names: &KnownProcesses) -> Self {
         let per_second = warm_up.per_1000_seconds as f64 / 1_000.0;
         let allowed = (per_second * bounds.cold_overage + bounds.cold_slack).floor();
-        let unused = (allowed * MARGIN).ceil() + (f64::from(names.lost) * OF_LOST).ceil();
+        let unused = (allowed * MARGIN).ceil() + (f64::from(names.unresponsive) * OF_LOST).ceil();
         let least = (allowed * LEAST_USED).ceil();
         let used = (allowed - unused).max(least) as u32;
         let job_stores = match !names.job_stores.is_empty() && used > 1 {
@@ -61,7 +61,12 @@
 }
 
 /// Requests that a process may send to a back end in `SHARE_INTERVAL_MS`.
-pub fn quota(allowance: Allowance, names: &KnownNames, backend: &str, sender: &Sender) -> u32 {
+pub fn quota(
+    allowance: Allowance,
+    names: &KnownProcesses,
+    backend: &str,
+    sender: &SenderId,
+) -> u32 {
     let part = match sender.job_store {
         true => allowance.job_stores,
         false => allowance.gateways,
--- a/crates/serving/src/eligibility/cold_start.rs
+++ b/crates/serving/src/eligibility/cold_start.rs
@@ -8,10 +8,10 @@
 
 use yokefall_clock::ElapsedClock;
 use yokefall_core::Timestamp;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 use yokefall_types::PlacementBounds;
 
-use super::cold_share::Sender;
+use super::cold_share::SenderId;
 use super::cold_state::{ColdState, Standing};
 use super::freshness::Freshness;
 use super::warmth::ColdCause;
@@ -25,9 +25,9 @@
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a process needs beside what it knows.
-pub struct ColdStartOptions {
+pub struct ColdStartLimiterOptions {
     /// Who sends.
-    pub sender: Sender,
+    pub sender: SenderId,
     /// What is promised.
     pub bounds: PlacementBounds,
     /// Age of news of the platform.
@@ -38,7 +38,7 @@
 
 /// What the sending thread of a process may send to back ends that are not known to be warm.
 #[derive(Debug)]
-pub struct ColdStart {
+pub struct ColdStartLimiter {
     catalog: CatalogCell,
     fleet: FleetCell,
     freshness: Freshness,
@@ -57,10 +57,14 @@
     told_old_news: bool,
 }
 
-impl ColdStart {
+impl ColdStartLimiter {
     /// Nothing known yet.
-    pub fn new(catalog: CatalogCell, fleet: FleetCell, options: ColdStartOptions) -> Rc<Self> {
-        let ColdStartOptions { sender, bounds, freshness, clock } = options;
+    pub fn new(
+        catalog: CatalogCell,
+        fleet: FleetCell,
+        options: ColdStartLimiterOptions,
+    ) -> Rc<Self> {
+        let ColdStartLimiterOptions { sender, bounds, freshness, clock } = options;
         let inner = Inner {
             state: ColdState::new(clock.now(), sender, bounds),
             catalog: None,
@@ -153,7 +157,7 @@
             None | Some(Standing::Warm) => Ok(()),
             Some(Standing::Cold { cause, wait_ms: 0 }) => {
                 metrics::counter!("cold_sends_total", "cause" => cause.name()).increment(1);
-                Line::new(EventName::ColdShareSpent)
+                LogLine::new(EventName::ColdShareSpent)
                     .id(&backend.id)
                     .field("cause", cause.name())
                     .write();
@@ -178,28 +182,30 @@
     }
 
     /// The leader gave a job store an item for a back end that is not known to be warm.
-    pub fn gave_item(&self, backend: &Backend, to: &str) {
-        self.with(|state, now, _| state.gave_item(now, &backend.id, to.to_owned()));
+    pub fn record_item_assignment(&self, backend: &Backend, to: &str) {
+        self.with(|state, now, _| state.record_item_assignment(now, &backend.id, to.to_owned()));
     }
 
     /// A back end could not be reached, broke off or fell silent here.
-    pub fn failed(&self, id: &str) {
-        self.with(|state, now, _| state.failed(now, id));
+    pub fn record_failure(&self, id: &str) {
+        self.with(|state, now, _| state.record_failure(now, id));
     }
 
     /// Something came from a back end.
-    pub fn heard(&self, id: &str) {
-        self.with(|state, now, _| state.heard(now, id));
+    pub fn record_activity(&self, id: &str) {
+        self.with(|state, now, _| state.record_activity(now, id));
     }
 
     /// Back ends fail for most, as their reports say.
-    pub fn failed_for_all<'a>(&self, ids: impl Iterator<Item = &'a str>) {
-        self.with(|state, now, _| ids.for_each(|id| state.failed_for_all(now, id)));
+    pub fn record_reported_failure<'a>(&self, ids: impl Iterator<Item = &'a str>) {
+        self.with(|state, now, _| ids.for_each(|id| state.record_reported_failure(now, id)));
     }
 
     /// A back end told in an answer for how much longer it is cold.
-    pub fn told(&self, backend: &Backend, remaining_ms: u64) {
-        self.with(|state, now, _| state.told(now, &backend.id, backend.started_ms, remaining_ms));
+    pub fn record_report(&self, backend: &Backend, remaining_ms: u64) {
+        self.with(|state, now, _| {
+            state.record_report(now, &backend.id, backend.started_ms, remaining_ms)
+        });
     }
 
     /// Takes over what changed, and tells what came of it.
@@ -222,7 +228,7 @@
 }
 
 /// Looks for ever. To be run on the thread that sends.
-pub async fn watch(cold: Rc<ColdStart>) {
+pub async fn watch(cold: Rc<ColdStartLimiter>) {
     loop {
         cold.look();
         tokio::time::sleep(LOOK_INTERVAL).await;
@@ -245,7 +251,7 @@
 
     fn tell_old_news(&mut self, old_news: bool, age_ms: Option<u64>) {
         if std::mem::replace(&mut self.told_old_news, old_news) != old_news {
-            Line::new(EventName::PlatformNewsAge)
+            LogLine::new(EventName::PlatformNewsAge)
                 .field("too_old", old_news)
                 .field("age_ms", age_ms)
                 .write();
@@ -256,7 +262,7 @@
         for (id, cause, left_ms) in doubts {
             if !self.told.contains_key(id) {
                 self.told.insert(id.clone(), now);
-                Line::new(EventName::BackendCold)
+                LogLine::new(EventName::BackendCold)
                     .id(id)
                     .field("cause", cause.name())
                     .field("left_ms", *left_ms)
@@ -267,7 +273,7 @@
             let is_cold = doubts.iter().any(|(cold, _, _)| cold == id);
             if !is_cold {
                 let cold_ms = now.millis_since(*since);
-                Line::new(EventName::BackendWarm).id(id).field("cold_ms", cold_ms).write();
+                LogLine::new(EventName::BackendWarm).id(id).field("cold_ms", cold_ms).write();
             }
             is_cold
         });
--- a/crates/serving/src/eligibility/cold_state.rs
+++ b/crates/serving/src/eligibility/cold_state.rs
@@ -6,11 +6,11 @@
 use yokefall_core::Timestamp;
 use yokefall_types::PlacementBounds;
 
-use super::cold_share::{quota, Allowance, Sender, Sends, SHARE_INTERVAL_MS};
+use super::cold_share::{quota, Allowance, SenderId, Sends, SHARE_INTERVAL_MS};
 use super::warmth::{ColdCause, Warmth};
 use crate::catalog::Catalog;
+use crate::known_processes::KnownProcesses;
 use crate::model::Backend;
-use crate::names::KnownNames;
 
 /// Time from its start in which a process uses no share, in milliseconds. Others have to know its name, so that
 /// they leave it its place, and it theirs; news reach 300 processes within 4 s of a start. What it sent before a
@@ -58,17 +58,17 @@
 /// The state of one process.
 #[derive(Debug)]
 pub struct ColdState {
-    sender: Sender,
+    sender: SenderId,
     bounds: PlacementBounds,
     began: Timestamp,
     warmth: Warmth,
-    names: Arc<KnownNames>,
+    names: Arc<KnownProcesses>,
     shares: HashMap<String, Share>,
 }
 
 impl ColdState {
     /// A process that starts now.
-    pub fn new(now: Timestamp, sender: Sender, bounds: PlacementBounds) -> Self {
+    pub fn new(now: Timestamp, sender: SenderId, bounds: PlacementBounds) -> Self {
         let (warmth, names) = (Warmth::default(), Arc::default());
         Self { sender, bounds, began: now, warmth, names, shares: HashMap::new() }
     }
@@ -85,7 +85,7 @@
     }
 
     /// Takes the names of all processes.
-    pub fn set_names(&mut self, names: Arc<KnownNames>) {
+    pub fn set_names(&mut self, names: Arc<KnownProcesses>) {
         self.names = names;
         self.forget_quotas();
     }
@@ -98,23 +98,23 @@
     }
 
     /// A back end could not be reached, broke off or fell silent.
-    pub fn failed(&mut self, now: Timestamp, id: &str) {
-        self.warmth.failed(now, id);
+    pub fn record_failure(&mut self, now: Timestamp, id: &str) {
+        self.warmth.record_failure(now, id);
     }
 
     /// Something came from a back end.
-    pub fn heard(&mut self, now: Timestamp, id: &str) {
-        self.warmth.heard(now, id);
+    pub fn record_activity(&mut self, now: Timestamp, id: &str) {
+        self.warmth.record_activity(now, id);
     }
 
     /// A back end fails for most, as their reports say.
-    pub fn failed_for_all(&mut self, now: Timestamp, id: &str) {
-        self.warmth.failed_for_all(now, id);
+    pub fn record_reported_failure(&mut self, now: Timestamp, id: &str) {
+        self.warmth.record_reported_failure(now, id);
     }
 
     /// A back end told for how much longer it is cold.
-    pub fn told(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
-        self.warmth.told(now, id, started_ms, remaining_ms);
+    pub fn record_report(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
+        self.warmth.record_report(now, id, started_ms, remaining_ms);
     }
 
     /// Whether back ends of a service need time to get warm.
@@ -248,7 +248,7 @@
         let allowance = self.allowance(&backend.service);
         let names = &self.names;
         let has_share = |name: &&String| {
-            let sender = Sender { name: (*name).clone(), job_store: true };
+            let sender = SenderId { name: (*name).clone(), job_store: true };
             quota(allowance, names, &backend.id, &sender) > 0
         };
         let worked_out = || names.job_stores.iter().filter(has_share).cloned().collect();
@@ -263,7 +263,7 @@
     }
 
     /// The leader gave a job store an item for a back end that is not known to be warm.
-    pub fn gave_item(&mut self, now: Timestamp, id: &str, to: String) {
+    pub fn record_item_assignment(&mut self, now: Timestamp, id: &str, to: String) {
         let share = self.shares.entry(id.to_owned()).or_default();
         share.given.retain(|(_, at)| now.millis_since(*at) < SHARE_INTERVAL_MS);
         share.given.push((to, now));
--- a/crates/serving/src/eligibility/mod.rs
+++ b/crates/serving/src/eligibility/mod.rs
@@ -9,9 +9,9 @@
 pub mod cold_share;
 pub mod cold_start;
 pub mod cold_state;
-pub mod drawn;
 pub mod freshness;
 pub mod residency;
+pub mod sample;
 pub mod unknown_regions;
 pub mod warmth;
 pub mod zones;
@@ -21,20 +21,20 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-pub use cold_share::Sender;
-pub use cold_start::{ColdStart, ColdStartOptions};
-pub use drawn::Drawn;
+pub use cold_share::SenderId;
+pub use cold_start::{ColdStartLimiter, ColdStartLimiterOptions};
 pub use freshness::Freshness;
 pub use residency::Residency;
+pub use sample::CandidateSample;
 pub use unknown_regions::unknown_regions;
 pub use zones::{Distance, ZoneMap};
 
 use rand::Rng;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::backend_table::BackendTable;
 use crate::catalog::{Catalog, CatalogCell};
-use crate::model::{Backend, BackendLife, BackendState};
+use crate::model::{Backend, BackendIncarnation, BackendState};
 
 /// Why a back end may not take a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -75,10 +75,10 @@
 
 impl Ineligible {
     /// Tells that a request or item, by its id, was kept from a back end that was chosen for it.
-    pub fn tell_kept_from(&self, id: &str, backend: &Backend) {
+    pub fn record_rejection(&self, id: &str, backend: &Backend) {
         metrics::counter!("permits_refused_total", "cause" => self.name()).increment(1);
         if *self == Ineligible::Evacuated {
-            Line::new(EventName::EvacuationObeyed)
+            LogLine::new(EventName::EvacuationObeyed)
                 .id(id)
                 .field("backend", backend.id.as_str())
                 .field("zone", backend.zone.as_str())
@@ -109,7 +109,7 @@
 
 /// What a request asks of a back end.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct Requirements<'a> {
     /// Service that is to run it.
     pub service: &'a str,
     /// Where it may be served.
@@ -119,13 +119,13 @@
 /// The right to send one request to a back end, right now.
 #[derive(Debug)]
 pub struct Permit {
-    life: BackendLife,
+    incarnation: BackendIncarnation,
 }
 
 impl Permit {
     /// Where the request may be sent.
-    pub fn life(&self) -> &BackendLife {
-        &self.life
+    pub fn incarnation(&self) -> &BackendIncarnation {
+        &self.incarnation
     }
 }
 
@@ -134,7 +134,7 @@
 pub struct Eligibility {
     catalog: CatalogCell,
     /// What may be sent to back ends that are not known to be warm; `None` where nobody keeps that.
-    cold: Option<Rc<ColdStart>>,
+    cold: Option<Rc<ColdStartLimiter>>,
 }
 
 impl Eligibility {
@@ -144,57 +144,65 @@
     }
 
     /// The same for a process that keeps what it sends to back ends that are not known to be warm.
-    pub fn with_cold_start(catalog: CatalogCell, cold: Rc<ColdStart>) -> Self {
+    pub fn with_cold_start(catalog: CatalogCell, cold: Rc<ColdStartLimiter>) -> Self {
         Self { catalog, cold: Some(cold) }
     }
 
     /// Back ends that may take a request of this process, by the facts of one catalog.
-    pub fn candidates<'a>(&self, catalog: &'a Catalog, need: &Need) -> Cow<'a, [Arc<Backend>]> {
-        let placed = self.placed(catalog, need);
-        let open = self.cold.as_ref().and_then(|cold| cold.open(need.service, &placed));
+    pub fn candidates<'a>(
+        &self,
+        catalog: &'a Catalog,
+        requirements: &Requirements,
+    ) -> Cow<'a, [Arc<Backend>]> {
+        let placed = self.placed(catalog, requirements);
+        let open = self.cold.as_ref().and_then(|cold| cold.open(requirements.service, &placed));
         open.map_or(placed, Cow::Owned)
     }
 
     /// The same as tables, with those that this process may not use now still in them.
-    pub fn tables<'a>(&self, catalog: &'a Catalog, need: &'a Need) -> Vec<&'a BackendTable> {
-        match need.residency {
-            Residency::Anywhere => catalog.ready_table(need.service).into_iter().collect(),
+    pub fn tables<'a>(
+        &self,
+        catalog: &'a Catalog,
+        requirements: &'a Requirements,
+    ) -> Vec<&'a BackendTable> {
+        match requirements.residency {
+            Residency::Anywhere => catalog.ready_table(requirements.service).into_iter().collect(),
             Residency::Within(regions) => {
-                catalog.ready_tables_within(need.service, regions).collect()
+                catalog.ready_tables_within(requirements.service, regions).collect()
             }
         }
     }
 
     /// Back ends out of many for one request, by chance, with those that its `affinity` prefers; `None` where there
     /// are so few that all are looked at, or where this process may use none of them.
-    pub fn draw(
+    pub fn sample(
         &self,
         catalog: &Catalog,
-        need: &Need,
+        requirements: &Requirements,
         affinity: Option<u64>,
         generator: &mut impl Rng,
-    ) -> Option<Drawn> {
-        let drawn = Drawn::of(&self.tables(catalog, need), affinity, generator)?;
-        let Some(cold) = &self.cold else { return Some(drawn) };
-        let drawn = drawn.filtered(|backends| cold.open(need.service, backends));
-        (!drawn.backends.is_empty()).then_some(drawn)
+    ) -> Option<CandidateSample> {
+        let sample = CandidateSample::of(&self.tables(catalog, requirements), affinity, generator)?;
+        let Some(cold) = &self.cold else { return Some(sample) };
+        let sample = sample.filtered(|backends| cold.open(requirements.service, backends));
+        (!sample.backends.is_empty()).then_some(sample)
     }
 
     /// The same for an item; see `item_candidates`.
-    pub fn draw_for_items(
+    pub fn sample_for_items(
         &self,
         catalog: &Catalog,
-        need: &Need,
+        requirements: &Requirements,
         usable: impl Fn(&str) -> bool,
         generator: &mut impl Rng,
-    ) -> Option<Drawn> {
-        let drawn = Drawn::of(&self.tables(catalog, need), None, generator)?;
-        let Some(cold) = &self.cold else { return Some(drawn) };
-        let drawn = drawn.filtered(|backends| {
-            cold.open(need.service, backends)?;
+    ) -> Option<CandidateSample> {
+        let sample = CandidateSample::of(&self.tables(catalog, requirements), None, generator)?;
+        let Some(cold) = &self.cold else { return Some(sample) };
+        let sample = sample.filtered(|backends| {
+            cold.open(requirements.service, backends)?;
             Some(self.usable_for_items(cold, backends, &usable))
         });
-        (!drawn.backends.is_empty()).then_some(drawn)
+        (!sample.backends.is_empty()).then_some(sample)
     }
 
     /// Back ends of a service that may not take an item now because they are not known to be warm; `None` where
@@ -212,7 +220,7 @@
 
     fn usable_for_items(
         &self,
-        cold: &ColdStart,
+        cold: &ColdStartLimiter,
         backends: &[Arc<Backend>],
         usable: impl Fn(&str) -> bool,
     ) -> Vec<Arc<Backend>> {
@@ -227,12 +235,12 @@
     pub fn item_candidates<'a>(
         &self,
         catalog: &'a Catalog,
-        need: &Need,
+        requirements: &Requirements,
         usable: impl Fn(&str) -> bool,
     ) -> Cow<'a, [Arc<Backend>]> {
-        let placed = self.placed(catalog, need);
+        let placed = self.placed(catalog, requirements);
         let Some(cold) = &self.cold else { return placed };
-        if cold.open(need.service, &placed).is_none() {
+        if cold.open(requirements.service, &placed).is_none() {
             return placed;
         }
         Cow::Owned(self.usable_for_items(cold, &placed, usable))
@@ -240,39 +248,51 @@
 
     /// Where every back end that might take a request is cold and this process has no share left: milliseconds
     /// until its next one.
-    pub fn cold_wait_ms(&self, catalog: &Catalog, need: &Need) -> Option<u64> {
+    pub fn cold_wait_ms(&self, catalog: &Catalog, requirements: &Requirements) -> Option<u64> {
         let cold = self.cold.as_ref()?;
-        cold.wait_ms(&self.placed(catalog, need))
+        cold.wait_ms(&self.placed(catalog, requirements))
     }
 
     /// Back ends that take work where the request may be served.
-    fn placed<'a>(&self, catalog: &'a Catalog, need: &Need) -> Cow<'a, [Arc<Backend>]> {
-        match need.residency {
-            Residency::Anywhere => Cow::Borrowed(catalog.ready(need.service)),
-            Residency::Within(regions) => catalog.ready_within(need.service, regions),
+    fn placed<'a>(
+        &self,
+        catalog: &'a Catalog,
+        requirements: &Requirements,
+    ) -> Cow<'a, [Arc<Backend>]> {
+        match requirements.residency {
+            Residency::Anywhere => Cow::Borrowed(catalog.ready(requirements.service)),
+            Residency::Within(regions) => catalog.ready_within(requirements.service, regions),
         }
     }
 
     /// The right to send a request to a back end now, by the newest catalog. To be asked for right before the
     /// request is written: where the back end is not known to be warm, it takes this process's share.
-    pub fn permit(&self, backend: &Backend, need: &Need) -> Result<Permit, Ineligible> {
-        self.check_placement(backend, need)?;
+    pub fn permit(
+        &self,
+        backend: &Backend,
+        requirements: &Requirements,
+    ) -> Result<Permit, Ineligible> {
+        self.check_placement(backend, requirements)?;
         if let Some(cold) = &self.cold {
             cold.spend(backend)?;
         }
-        Ok(Permit { life: backend.life() })
+        Ok(Permit { incarnation: backend.incarnation() })
     }
 
     /// Whether `permit` would be given now.
-    pub fn check(&self, backend: &Backend, need: &Need) -> Result<(), Ineligible> {
-        self.check_placement(backend, need)?;
+    pub fn check(&self, backend: &Backend, requirements: &Requirements) -> Result<(), Ineligible> {
+        self.check_placement(backend, requirements)?;
         match &self.cold {
             Some(cold) => cold.check(backend),
             None => Ok(()),
         }
     }
 
-    fn check_placement(&self, backend: &Backend, need: &Need) -> Result<(), Ineligible> {
+    fn check_placement(
+        &self,
+        backend: &Backend,
+        requirements: &Requirements,
+    ) -> Result<(), Ineligible> {
         let catalog = self.catalog.load();
         let known = catalog.known.get(&backend.id).ok_or(Ineligible::Unknown)?;
         if known.started_ms != backend.started_ms {
@@ -281,13 +301,13 @@
         if known.state != BackendState::Ready {
             return Err(Ineligible::Draining);
         }
-        if catalog.awaits_evacuations {
+        if catalog.evacuations_unknown {
             return Err(Ineligible::EvacuationsUnknown);
         }
         if catalog.is_evacuated(&known.zone) {
             return Err(Ineligible::Evacuated);
         }
-        if !need.residency.allows(catalog.zones.region_of(&known.zone)) {
+        if !requirements.residency.allows(catalog.zones.region_of(&known.zone)) {
             return Err(Ineligible::OtherRegion);
         }
         Ok(())
--- a/crates/serving/src/eligibility/drawn.rs
+++ b/crates/serving/src/eligibility/sample.rs
@@ -21,16 +21,16 @@
 
 /// Back ends that were drawn for one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drawn {
+pub struct CandidateSample {
     /// The back ends, each once.
     pub backends: Vec<Arc<Backend>>,
     /// Those that hold the request's prefix if any does, the first choice first.
     pub preferred: Vec<Arc<Backend>>,
     /// Part that the drawn ones are of all.
-    pub part: f64,
+    pub fraction: f64,
 }
 
-impl Drawn {
+impl CandidateSample {
     /// Draws from tables that have no back end in common; `None` where there are so few that all can be looked at.
     pub fn of(
         tables: &[&BackendTable],
@@ -44,14 +44,14 @@
         let mut backends: Vec<Arc<Backend>> = Vec::with_capacity(DRAWN);
         for _ in 0..DRAWN {
             let place = generator.random_range(0..count);
-            backends.extend(table_at(tables, place)?.draw(generator).cloned());
+            backends.extend(table_at(tables, place)?.sample(generator).cloned());
         }
         backends.sort_unstable_by_key(Arc::as_ptr);
         backends.dedup_by_key(|backend| Arc::as_ptr(backend));
         let largest = tables.iter().max_by_key(|table| table.len())?;
         let preferred = affinity.map(|key| largest.preferred(key, PREFERRED)).unwrap_or_default();
-        let part = backends.len() as f64 / count as f64;
-        Some(Self { backends, preferred: preferred.into_iter().cloned().collect(), part })
+        let fraction = backends.len() as f64 / count as f64;
+        Some(Self { backends, preferred: preferred.into_iter().cloned().collect(), fraction })
     }
 
     /// The same without those that `open` leaves out; it gives `None` where it leaves out none.
--- a/crates/serving/src/eligibility/warmth.rs
+++ b/crates/serving/src/eligibility/warmth.rs
@@ -284,7 +284,7 @@
     }
 
     /// Something came from a back end.
-    pub fn heard(&mut self, now: Timestamp, id: &str) {
+    pub fn record_activity(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.backends.get_mut(id) {
             known.heard_at = Some(now);
         }
@@ -292,14 +292,14 @@
 
     /// A back end fails for most, as their reports of the last seconds say. One that is heard here has too much to
     /// do: taken for cold, it would do less still, and the others more.
-    pub fn failed_for_all(&mut self, now: Timestamp, id: &str) {
+    pub fn record_reported_failure(&mut self, now: Timestamp, id: &str) {
         let Some(known) = self.backends.get_mut(id) else { return };
         if known.heard_at.is_some_and(|at| now.millis_since(at) < HEARD_MS) {
             return;
         }
         let is_new = |at: Timestamp| now.millis_since(at) < REPORTED_MS;
         if !known.appeared_at.is_some_and(is_new) {
-            return self.failed(now, id);
+            return self.record_failure(now, id);
         }
         // Probably the life before failed, and this one is cold for as long anyway. Where it is this one, that is
         // told again before this doubt ends.
@@ -309,7 +309,7 @@
     }
 
     /// A back end could not be reached, broke off or fell silent here.
-    pub fn failed(&mut self, now: Timestamp, id: &str) {
+    pub fn record_failure(&mut self, now: Timestamp, id: &str) {
         let Some(known) = self.backends.get_mut(id) else { return };
         let Some(warm_up) = self.warm_ups.get(&known.service) else { return };
         let until = start_may_be_told(now, warm_up);
@@ -318,7 +318,7 @@
     }
 
     /// A back end told in an answer for how much longer it is cold.
-    pub fn told(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
+    pub fn record_report(&mut self, now: Timestamp, id: &str, started_ms: u64, remaining_ms: u64) {
         let known = self.backends.get_mut(id);
         let Some(known) = known.filter(|known| known.record.started_ms == started_ms) else {
             return;
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -17,11 +17,11 @@
 };
 use yokefall_core::Timestamp;
 
-use crate::backlog::Backlog;
-use crate::duty::{Ranking, HEARTBEAT_INTERVAL_MS};
+use crate::known_processes::{KnownProcesses, ProcessHistory};
 use crate::lateness::Lateness;
-use crate::names::{KnownNames, NameMemory};
-use crate::news::{Known, News};
+use crate::peer_sync::{PeerSync, StateDigest};
+use crate::stall_detector::StallDetector;
+use crate::watch_role::{Ranking, HEARTBEAT_INTERVAL_MS};
 
 /// Members of the own zone, and of others, that are told at once of what this process has learnt. Each
 /// tells as many when it knows it: 300 members hear of it after four or five steps.
@@ -68,7 +68,7 @@
     /// The members.
     pub members: Vec<FleetMember>,
     /// Names of all processes that were heard of lately, those too that are lost.
-    pub names: Arc<KnownNames>,
+    pub names: Arc<KnownProcesses>,
 }
 
 impl Fleet {
@@ -110,7 +110,7 @@
 
 /// Number of a start: later starts have higher ones. One that is too low, as after a step of the
 /// time of day, is raised when others tell a higher one.
-pub fn start_number() -> u64 {
+pub fn new_incarnation() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(1, |elapsed| elapsed.as_millis() as u64)
 }
@@ -126,7 +126,7 @@
     /// The view.
     pub cell: FleetCell,
     /// What is told to peers beside it.
-    pub news: Rc<News>,
+    pub peer_sync: Rc<PeerSync>,
     /// TCP port at which peers may ask for it.
     pub news_port: u16,
     /// Turns true when a stop has begun.
@@ -168,7 +168,15 @@
 /// Keeps the view current until the process ends.
 pub async fn run_membership(parts: Membership) {
     let Membership {
-        socket, identity, mut seeds, cell, news, news_port, mut leaving, clock, ..
+        socket,
+        identity,
+        mut seeds,
+        cell,
+        peer_sync,
+        news_port,
+        mut leaving,
+        clock,
+        ..
     } = parts;
     let Notices { mut outgoing, incoming } = parts.notices;
     let (name, zone) = (identity.name.clone(), identity.zone.clone());
@@ -177,72 +185,73 @@
     let incarnation = identity.incarnation;
     let mut members = MemberList::new(record_of(identity), first_seeds, incarnation);
     members.set_news_port(news_port);
-    let mut names = NameMemory::default();
+    let mut names = ProcessHistory::default();
     let mut names_at = Timestamp(0);
     let mut view_at = Timestamp(0);
     let mut may_change = true;
     let mut buffer = vec![0; DATAGRAM_BYTES];
     let mut told_leaving = false;
-    let mut told = Known::default();
+    let mut told = StateDigest::default();
     let mut heartbeat_at = Timestamp(0);
     let mut lateness = Lateness::default();
-    let mut backlog = Backlog::default();
+    let mut stall_detector = StallDetector::default();
     loop {
         let now = clock.now();
-        backlog.woken(now);
+        stall_detector.record_wakeup(now);
         let has_changed = now >= view_at && members.take_changed();
         if has_changed || now >= names_at {
             let records = members.records();
-            names.take(now, &records);
+            names.update(now, &records);
             let has_seeds = seeds.borrow().iter().any(|seed| *seed != own_address);
-            let known = names.names(now, &name, has_seeds);
-            let interval = if known.lost > 0 { LOST_INTERVAL_MS } else { NAMES_INTERVAL_MS };
+            let known = names.known_processes(now, &name, has_seeds);
+            let interval =
+                if known.unresponsive > 0 { LOST_INTERVAL_MS } else { NAMES_INTERVAL_MS };
             names_at = now.plus_millis(interval);
             publish(records, known, &cell);
         }
         if has_changed {
             view_at = now.plus_millis(VIEW_INTERVAL_MS);
             let fleet = cell.load();
-            news.rank(now, Ranking::new(&fleet.members, &zone, &name), fleet.members.len());
+            peer_sync.rank(now, Ranking::new(&fleet.members, &zone, &name), fleet.members.len());
         }
-        news.tick(now);
-        let own = news.own();
+        peer_sync.tick(now);
+        let own = peer_sync.own();
         tell(&mut members, own);
-        members.set_news_ages(news.ages());
-        if own.is_news_after(told) {
+        members.set_state_ages(peer_sync.ages());
+        if own.differs_from(told) {
             // Those hear of it at once who tell others when they know it.
-            send(&socket, members.tell_some(NEAR_FANOUT, FAR_FANOUT)).await;
+            send(&socket, members.gossip_to_some(NEAR_FANOUT, FAR_FANOUT)).await;
             told = own;
-        } else if news.take_confirmed() {
+        } else if peer_sync.take_confirmation() {
             let (near, far) = CONFIRMATION_FANOUT;
-            send(&socket, members.tell_some(near, far)).await;
+            send(&socket, members.gossip_to_some(near, far)).await;
         }
         if now >= heartbeat_at {
-            send(&socket, members.tell_watching(&news.standbys())).await;
+            send(&socket, members.tell_watching(&peer_sync.standbys())).await;
             heartbeat_at = now.plus_millis(HEARTBEAT_INTERVAL_MS);
         }
         send(&socket, members.tick(now)).await;
-        let mut deadline = members.next_deadline(now).min(news.next_look(now));
-        if news.watches() {
+        let mut deadline = members.next_deadline(now).min(peer_sync.next_check(now));
+        if peer_sync.watches() {
             deadline = deadline.min(heartbeat_at);
         }
         if members.has_changed() {
             deadline = deadline.min(view_at);
         }
         let wait = deadline.millis_since(now).max(1);
-        backlog.waits(now, wait);
+        stall_detector.start_wait(now, wait);
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 if let Ok((length, source)) = received {
                     let now = clock.now();
                     if let Ok(datagram) = borsh::from_slice::<Datagram>(&buffer[..length]) {
-                        backlog.woken(now);
+                        stall_detector.record_wakeup(now);
                         let is_near = members.is_near(&datagram.from);
-                        hear(&news, now, &datagram, source, is_near);
+                        hear(&peer_sync, now, &datagram, source, is_near);
                         // What waited here for an unknown time says nothing of the present.
-                        let underway = members.asked_ms_ago(now, &datagram);
-                        if let Some(delay_ms) = underway.or_else(|| backlog.delay_ms()) {
-                            news.hear_ages(known(&datagram), datagram.ages, delay_ms);
+                        let underway = members.probe_age_ms(now, &datagram);
+                        if let Some(delay_ms) = underway.or_else(|| stall_detector.delay_ms()) {
+                            peer_sync.receive_ages(known(&datagram), datagram.ages, delay_ms);
                         }
                         if let DatagramKind::Notice { content } = &datagram.kind {
                             // Whoever heard notices has ended: so does this process.
@@ -254,13 +263,13 @@
             }
             () = tokio::time::sleep(Duration::from_millis(wait)) => {
                 let woken = clock.now();
-                lateness.note_and_tell(woken.millis_since(now.plus_millis(wait)));
-                backlog.woken(woken);
+                lateness.record_and_report(woken.millis_since(now.plus_millis(wait)));
+                stall_detector.record_wakeup(woken);
                 if is_empty(&socket).await {
-                    backlog.drained();
+                    stall_detector.drained();
                 }
             }
-            () = news.changed() => {}
+            () = peer_sync.changed() => {}
             Some(notice) = outgoing.recv() => send(&socket, members.notify_all(&notice)).await,
             changed = seeds.changed(), if may_change => {
                 may_change = changed.is_ok();
@@ -301,14 +310,20 @@
 }
 
 /// Takes what a datagram says beside the members.
-fn hear(news: &Rc<News>, now: Timestamp, datagram: &Datagram, source: SocketAddr, is_near: bool) {
+fn hear(
+    peer_sync: &Rc<PeerSync>,
+    now: Timestamp,
+    datagram: &Datagram,
+    source: SocketAddr,
+    is_near: bool,
+) {
     let address = SocketAddr::new(source.ip(), datagram.news_port);
     match is_near {
-        true => news.hear(now, known(datagram), address),
-        false => news.hear_far(now, known(datagram), address),
+        true => peer_sync.hear(now, known(datagram), address),
+        false => peer_sync.hear_far(now, known(datagram), address),
     }
     if datagram.kind == DatagramKind::Watching {
-        news.heard_watcher(now, datagram.from.as_str());
+        peer_sync.record_watcher_heartbeat(now, datagram.from.as_str());
     }
 }
 
@@ -316,7 +331,7 @@
     addresses.iter().map(SocketAddr::to_string).collect()
 }
 
-fn tell(membership: &mut MemberList, own: Known) {
+fn tell(membership: &mut MemberList, own: StateDigest) {
     membership.set_configuration_version(own.version);
     membership.set_backends(ObjectDigest {
         digest: own.backends_digest,
@@ -325,8 +340,8 @@
     membership.set_evacuations(own.evacuations);
 }
 
-fn known(datagram: &Datagram) -> Known {
-    Known {
+fn known(datagram: &Datagram) -> StateDigest {
+    StateDigest {
         version: datagram.configuration_version,
         backends_digest: datagram.backends.digest,
         backends_revision: datagram.backends.revision,
@@ -345,7 +360,7 @@
 }
 
 /// Puts the members into the cell where they changed.
-fn publish(records: Vec<(MemberRecord, u64)>, names: KnownNames, cell: &FleetCell) {
+fn publish(records: Vec<(MemberRecord, u64)>, names: KnownProcesses, cell: &FleetCell) {
     let member = |(record, _): (MemberRecord, u64)| {
         Some(FleetMember {
             name: record.node.to_string(),
--- a/crates/serving/src/identity.rs
+++ b/crates/serving/src/identity.rs
@@ -114,17 +114,17 @@
 
     /// Sets what a back end is told of the caller, in the headers of a request to it. `name` is the
     /// header that names the tenant.
-    pub fn mark(&self, name: &HeaderName, headers: &mut HeaderMap) {
+    pub fn set_tenant_header(&self, name: &HeaderName, headers: &mut HeaderMap) {
         if *self == Caller::Unchecked {
             return;
         }
-        mark_tenant(self.tenant().map(|tenant| &tenant.name), name, headers);
+        set_tenant_header(self.tenant().map(|tenant| &tenant.name), name, headers);
     }
 }
 
 /// Takes a key and a tenant's name that the sender gave out of the headers of a request to a back end,
 /// and names the tenant there.
-pub fn mark_tenant(tenant: Option<&TenantName>, name: &HeaderName, headers: &mut HeaderMap) {
+pub fn set_tenant_header(tenant: Option<&TenantName>, name: &HeaderName, headers: &mut HeaderMap) {
     headers.remove(header::AUTHORIZATION);
     headers.remove(name);
     if let Some(value) = tenant.and_then(|name| HeaderValue::try_from(name.as_str()).ok()) {
@@ -153,7 +153,7 @@
     }
 
     /// Whether it may read or end a job of this owner.
-    pub fn may_use(&self, owner: Option<&TenantName>) -> bool {
+    pub fn may_access(&self, owner: Option<&TenantName>) -> bool {
         match (self, owner) {
             (Requester::Unchecked, _) | (_, None) => true,
             (Requester::Anonymous, Some(_)) => false,
--- /dev/null
+++ b/crates/serving/src/incarnations.rs
@@ -0,0 +1,81 @@
+//! What is held of back ends, by life: a process that starts again under its id is another one.
+
+use std::collections::HashMap;
+
+use crate::model::{Backend, BackendIncarnation};
+
+/// Values by life of a back end. Looking one up takes no allocation: each choice of a back end looks at all
+/// of a service.
+#[derive(Clone, Debug)]
+pub struct ByIncarnation<T> {
+    /// By id, then by start. An id has one life but for moments.
+    incarnations: HashMap<String, Vec<(u64, T)>>,
+}
+
+impl<T> Default for ByIncarnation<T> {
+    fn default() -> Self {
+        Self { incarnations: HashMap::new() }
+    }
+}
+
+impl<T> ByIncarnation<T> {
+    /// The value of a back end in the life that its record is of.
+    pub fn get(&self, backend: &Backend) -> Option<&T> {
+        let incarnations = self.incarnations.get(&backend.id)?;
+        incarnations
+            .iter()
+            .find(|(started, _)| *started == backend.started_ms)
+            .map(|(_, value)| value)
+    }
+
+    /// The same, to be changed.
+    pub fn get_mut(&mut self, backend: &Backend) -> Option<&mut T> {
+        self.find_mut(&backend.id, backend.started_ms)
+    }
+
+    /// The value of a life, to be changed.
+    pub fn incarnation_mut(&mut self, incarnation: &BackendIncarnation) -> Option<&mut T> {
+        self.find_mut(&incarnation.id, incarnation.started_ms)
+    }
+
+    fn find_mut(&mut self, id: &str, started_ms: u64) -> Option<&mut T> {
+        let incarnations = self.incarnations.get_mut(id)?;
+        incarnations.iter_mut().find(|(started, _)| *started == started_ms).map(|(_, value)| value)
+    }
+
+    /// All values, each with the id and the start of its life.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, u64, &T)> {
+        self.incarnations.iter().flat_map(|(id, incarnations)| {
+            incarnations.iter().map(move |(started_ms, value)| (id.as_str(), *started_ms, value))
+        })
+    }
+
+    /// All values, to be changed.
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
+        self.incarnations.values_mut().flatten().map(|(_, value)| value)
+    }
+
+    /// Drops the values that `keeps` does not want to stay.
+    pub fn retain(&mut self, mut keeps: impl FnMut(&BackendIncarnation, &mut T) -> bool) {
+        self.incarnations.retain(|id, incarnations| {
+            incarnations.retain_mut(|(started_ms, value)| {
+                keeps(&BackendIncarnation { id: id.clone(), started_ms: *started_ms }, value)
+            });
+            !incarnations.is_empty()
+        });
+    }
+}
+
+impl<T: Default> ByIncarnation<T> {
+    /// The value of a life, a new one where there is none.
+    pub fn entry(&mut self, incarnation: BackendIncarnation) -> &mut T {
+        let incarnations = self.incarnations.entry(incarnation.id).or_default();
+        let position =
+            incarnations.iter().position(|(started, _)| *started == incarnation.started_ms);
+        let position = position.unwrap_or_else(|| {
+            incarnations.push((incarnation.started_ms, T::default()));
+            incarnations.len() - 1
+        });
+        &mut incarnations[position].1
+    }
+}
--- a/crates/serving/src/names.rs
+++ b/crates/serving/src/known_processes.rs
@@ -17,18 +17,18 @@
 
 /// Names of processes, this one's own among them once membership runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KnownNames {
+pub struct KnownProcesses {
     /// Gateways.
     pub gateways: Vec<String>,
     /// Job stores.
     pub job_stores: Vec<String>,
     /// How many of them do not answer since a while: cut off, they may not know yet what the others know.
-    pub lost: u32,
+    pub unresponsive: u32,
     /// Whether this process has met others, or knows that there are none: before, the names say nothing.
     pub joined: bool,
 }
 
-impl KnownNames {
+impl KnownProcesses {
     /// Names of job stores, or of gateways.
     pub fn of_kind(&self, job_store: bool) -> impl Iterator<Item = &str> {
         let names = if job_store { &self.job_stores } else { &self.gateways };
@@ -48,14 +48,14 @@
 
 /// Remembers names.
 #[derive(Debug, Default)]
-pub struct NameMemory {
+pub struct ProcessHistory {
     heard: BTreeMap<String, Heard>,
 }
 
-impl NameMemory {
+impl ProcessHistory {
     /// Takes the records that membership holds now. One that is dead counts from when it was last heard of alive;
     /// one that was dead from the start, from when it was heard of.
-    pub fn take(&mut self, now: Timestamp, records: &[(MemberRecord, u64)]) {
+    pub fn update(&mut self, now: Timestamp, records: &[(MemberRecord, u64)]) {
         for heard in self.heard.values_mut() {
             heard.pass(now);
         }
@@ -78,7 +78,7 @@
     }
 
     /// The names that count now. `has_seeds` is whether this process was told of others at its start.
-    pub fn names(&self, now: Timestamp, own: &str, has_seeds: bool) -> KnownNames {
+    pub fn known_processes(&self, now: Timestamp, own: &str, has_seeds: bool) -> KnownProcesses {
         let counting = |job_store: bool| {
             let heard = self.heard.iter();
             let counting =
@@ -86,9 +86,9 @@
             counting.map(|(name, _)| name.clone()).collect()
         };
         let has_met = self.heard.iter().any(|(name, heard)| heard.alive && name != own);
-        let lost = self.heard.values().filter(|heard| heard.is_lost(now)).count();
-        KnownNames {
-            lost: lost as u32,
+        let unresponsive = self.heard.values().filter(|heard| heard.is_lost(now)).count();
+        KnownProcesses {
+            unresponsive: unresponsive as u32,
             gateways: counting(false),
             job_stores: counting(true),
             joined: has_met || !has_seeds,
--- a/crates/serving/src/lateness.rs
+++ b/crates/serving/src/lateness.rs
@@ -1,6 +1,6 @@
 //! Finds out whether a process gets enough processor time: how late its timers wake it.
 
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 /// Weight of one wake-up in the mean lateness: about ten of them, some seconds at rest.
 const WEIGHT: f64 = 0.1;
@@ -40,10 +40,10 @@
     }
 
     /// The same, told as a metric, and as a line where it begins or ends.
-    pub fn note_and_tell(&mut self, late_ms: u64) {
+    pub fn record_and_report(&mut self, late_ms: u64) {
         metrics::histogram!("loop_lateness_seconds").record(late_ms as f64 / 1_000.0);
         if let Some(shortage) = self.note(late_ms) {
-            Line::new(EventName::ProcessorShort)
+            LogLine::new(EventName::ProcessorShort)
                 .field("short", shortage == Shortage::Began)
                 .field("mean_late_ms", self.mean_ms as u64)
                 .write();
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -7,57 +7,58 @@
 pub(crate) mod arrivals;
 pub(crate) mod backend_record;
 pub mod backend_table;
-pub mod backlog;
 pub mod balance;
 pub mod catalog;
 pub(crate) mod catalog_lists;
 pub(crate) mod comparison;
 pub mod dialect;
 pub mod discovery;
-pub mod duty;
 pub mod eligibility;
 pub mod fleet;
 pub mod identity;
+pub mod incarnations;
 pub mod job;
-pub mod knowledge;
-pub(crate) mod known;
+pub mod known_processes;
 pub mod lateness;
 pub mod listing;
-pub mod lives;
+pub mod locality;
 pub mod model;
-pub mod names;
-pub mod nearness;
-pub mod news;
-pub mod news_exchange;
 pub mod objects;
 pub mod observer;
 pub mod outcomes;
-pub mod shared_knowledge;
+pub mod peer_sync;
+pub mod platform_state;
+pub mod shared_state;
 pub mod source;
-pub mod spread;
+pub mod stall_detector;
+pub(crate) mod state_digest;
+pub mod state_exchange;
 pub mod table;
 pub mod watch;
+pub mod watch_role;
+pub mod water_filling;
 
 pub use balance::{Balancer, InFlight, Outcome};
-pub use catalog::{empty_catalog, Catalog, CatalogCell, ZoneFacts};
+pub use catalog::{empty_catalog, Catalog, CatalogCell, ZoneState};
 pub use dialect::{
     AddressQuery, BackendLoad, BadSubmission, Dialect, HeaderNames, JobCall, PrefixPart,
 };
 pub use eligibility::{
-    ColdStart, ColdStartOptions, Distance, Drawn, Eligibility, Freshness, Ineligible, Need, Permit,
-    Residency, Sender, ZoneMap,
+    CandidateSample, ColdStartLimiter, ColdStartLimiterOptions, Distance, Eligibility, Freshness,
+    Ineligible, Permit, Requirements, Residency, SenderId, ZoneMap,
 };
 pub use fleet::{empty_fleet, Fleet, FleetCell, FleetMember};
 pub use identity::{Caller, Requester};
+pub use incarnations::ByIncarnation;
 pub use job::{ItemHeader, ItemState, JobItem, PositionedResult, ResultPage};
-pub use lives::ByLife;
+pub use known_processes::KnownProcesses;
 pub use model::{
-    Backend, BackendLife, BackendState, BatchPolicy, Configuration, Evacuation, RequestLimits,
-    Route, RouteKind, Service, SplitPart, WarmUp,
+    Backend, BackendIncarnation, BackendState, BatchPolicy, Configuration, Evacuation,
+    RequestLimits, Route, RouteKind, Service, SplitPart, WarmUp,
 };
-pub use names::KnownNames;
 pub use outcomes::Outcomes;
 pub use source::{
-    Change, Claim, ListPage, Listing, Platform, Registry, Retirement, Source, SourceError, Watched,
+    Change, Claim, ListPage, Listing, Platform, Registry, Retirement, Source, SourceError,
+    WatchResponse,
 };
 pub use yokefall_types::{KeyDigest, PlacementBounds, Policy, RateLimit, Tenant, TenantName};
--- a/crates/serving/src/nearness.rs
+++ b/crates/serving/src/locality.rs
@@ -1,6 +1,6 @@
 //! Whether back ends of other regions are needed.
 
-use crate::spread::{surface, Level};
+use crate::water_filling::{surface, Level};
 
 /// The part of requests that is meant for the back ends of the own region, where these can take it; `None` where
 /// back ends of other regions are needed.
--- a/crates/serving/src/model.rs
+++ b/crates/serving/src/model.rs
@@ -37,7 +37,7 @@
     /// Time after the first submission at which an item may be given up, in milliseconds.
     pub max_queue_ms: u64,
     /// Most tokens of items that may wait on the route; `None` for no limit.
-    pub most_queued_tokens: Option<u64>,
+    pub max_queued_tokens: Option<u64>,
 }
 
 /// Where requests of a host and path go.
@@ -172,15 +172,15 @@
 
 impl Backend {
     /// The life of the process that this record is of.
-    pub fn life(&self) -> BackendLife {
-        BackendLife { id: self.id.clone(), started_ms: self.started_ms }
+    pub fn incarnation(&self) -> BackendIncarnation {
+        BackendIncarnation { id: self.id.clone(), started_ms: self.started_ms }
     }
 }
 
 /// One life of a back end: what is known of it (load, outcomes, connections, what it holds in memory) says
 /// nothing of a later life under the same id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
-pub struct BackendLife {
+pub struct BackendIncarnation {
     /// Identity of the back end.
     pub id: String,
     /// Its start, in milliseconds since the Unix epoch; 0 where it tells none.
--- a/crates/serving/src/objects.rs
+++ b/crates/serving/src/objects.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-use crate::news_exchange::Removal;
 use crate::source::{Change, Listing, Revision};
+use crate::state_exchange::Removal;
 
 /// Removals that are remembered for peers: some minutes of a fleet of 3,000 back ends that are
 /// replaced once a day, or one replacement of a sixth of them at once.
@@ -24,7 +24,7 @@
 
 /// An object before and after a change; `None` where it was not known, or is not any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Changed<T> {
+pub struct ObjectChange<T> {
     /// What was known.
     pub before: Option<Arc<T>>,
     /// What is known now.
@@ -60,7 +60,7 @@
 
 impl<T: Lived + PartialEq> Objects<T> {
     /// Takes a whole list, and tells what changed by it; `None` when it is older than what is held.
-    pub fn replace(&mut self, listing: Listing<T>) -> Option<Vec<Changed<T>>> {
+    pub fn replace(&mut self, listing: Listing<T>) -> Option<Vec<ObjectChange<T>>> {
         if listing.revision < self.revision {
             return None;
         }
@@ -83,10 +83,10 @@
             }
             let value = Arc::new(value);
             self.hold(item.name, item.revision, value.clone());
-            changed.push(Changed { before: held.map(|(_, held)| held), after: Some(value) });
+            changed.push(ObjectChange { before: held.map(|(_, held)| held), after: Some(value) });
         }
         let gone =
-            before.into_values().map(|(_, held)| Changed { before: Some(held), after: None });
+            before.into_values().map(|(_, held)| ObjectChange { before: Some(held), after: None });
         changed.extend(gone);
         Some(changed)
     }
@@ -142,12 +142,12 @@
 
     /// Takes removals that a peer learnt of, and tells which were not known here. An object that changed later than
     /// that is back again.
-    pub fn remove(&mut self, removals: Vec<Removal>) -> Vec<Changed<T>> {
+    pub fn remove(&mut self, removals: Vec<Removal>) -> Vec<ObjectChange<T>> {
         let mut changed = Vec::new();
         for Removal { name, revision } in removals {
             let is_older = |(held, _): &(Revision, Arc<T>)| *held <= revision;
             if self.held.get(&name).is_some_and(is_older) {
-                changed.push(Changed { before: self.drop_object(&name), after: None });
+                changed.push(ObjectChange { before: self.drop_object(&name), after: None });
             }
             self.note_removal(name, revision);
         }
@@ -155,20 +155,20 @@
     }
 
     /// Takes changes up to a revision, and tells which were new; those older than what is held are left out.
-    pub fn apply(&mut self, changes: Vec<Change<T>>, revision: Revision) -> Vec<Changed<T>> {
+    pub fn apply(&mut self, changes: Vec<Change<T>>, revision: Revision) -> Vec<ObjectChange<T>> {
         let changed =
             changes.into_iter().filter_map(|change| self.apply_one(change, revision)).collect();
         self.revision = self.revision.max(revision);
         changed
     }
 
-    fn apply_one(&mut self, change: Change<T>, revision: Revision) -> Option<Changed<T>> {
+    fn apply_one(&mut self, change: Change<T>, revision: Revision) -> Option<ObjectChange<T>> {
         match change.value {
             // The removal of an object has no revision above its last change at every store.
             None => {
                 let before = self.drop_object(&change.name)?;
                 self.note_removal(change.name, revision);
-                Some(Changed { before: Some(before), after: None })
+                Some(ObjectChange { before: Some(before), after: None })
             }
             Some(value) => {
                 let stays = |held: &(Revision, Arc<T>)| is_newer(held, change.revision, &value);
@@ -177,7 +177,7 @@
                 }
                 let value = Arc::new(value);
                 let before = self.hold(change.name, change.revision, value.clone());
-                Some(Changed { before, after: Some(value) })
+                Some(ObjectChange { before, after: Some(value) })
             }
         }
     }
--- a/crates/serving/src/observer.rs
+++ b/crates/serving/src/observer.rs
@@ -2,35 +2,35 @@
 
 use std::cell::RefCell;
 
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
-use crate::shared_knowledge::{EvacuationChange, Observer};
+use crate::shared_state::{EvacuationChange, Observer};
 use crate::source::{Revision, SourceError};
 
 /// Names in a line at most.
 const MOST_NAMES: usize = 10;
 
 /// Writes lines, and tells whoever acts on a change.
-pub struct LineObserver {
+pub struct LoggingObserver {
     failing: RefCell<Vec<&'static str>>,
     changed: Box<dyn Fn()>,
 }
 
-impl LineObserver {
+impl LoggingObserver {
     /// An observer that calls `changed` after each change.
     pub fn new(changed: impl Fn() + 'static) -> Self {
         Self { failing: RefCell::default(), changed: Box::new(changed) }
     }
 }
 
-impl Observer for LineObserver {
+impl Observer for LoggingObserver {
     fn configuration(&self, version: u64) {
-        Line::new(EventName::ConfigurationInForce).field("version", version).write();
+        LogLine::new(EventName::ConfigurationInForce).field("version", version).write();
         (self.changed)();
     }
 
     fn unknown_regions(&self, version: u64, unknown: &[String]) {
-        Line::new(EventName::RegionUnknown)
+        LogLine::new(EventName::RegionUnknown)
             .field("version", version)
             .field("count", unknown.len())
             .field("some", &unknown[..unknown.len().min(MOST_NAMES)])
@@ -38,7 +38,7 @@
     }
 
     fn backends(&self, ready: usize, revision: Revision) {
-        Line::new(EventName::BackendsChanged)
+        LogLine::new(EventName::BackendsChanged)
             .field("ready", ready)
             .field("revision", revision)
             .write();
@@ -48,7 +48,7 @@
     fn evacuations(&self, change: &EvacuationChange) {
         metrics::gauge!("evacuated_zones").set(change.evacuated as f64);
         for (zone, revision, backends) in &change.begun {
-            Line::new(EventName::ZoneEvacuated)
+            LogLine::new(EventName::ZoneEvacuated)
                 .id(zone)
                 .field("revision", *revision)
                 .field("source", change.source)
@@ -57,7 +57,7 @@
                 .write();
         }
         for zone in &change.ended {
-            Line::new(EventName::EvacuationEnded)
+            LogLine::new(EventName::EvacuationEnded)
                 .id(zone)
                 .field("revision", change.revision)
                 .field("source", change.source)
@@ -73,7 +73,7 @@
         match error {
             Some(error) if !was_failing => {
                 failing.push(kind);
-                Line::new(EventName::DependencyLost)
+                LogLine::new(EventName::DependencyLost)
                     .id("platform-store")
                     .field("kind", kind)
                     .text("cause", error)
@@ -81,7 +81,7 @@
             }
             None if was_failing => {
                 failing.retain(|other| *other != kind);
-                Line::new(EventName::DependencyRegained)
+                LogLine::new(EventName::DependencyRegained)
                     .id("platform-store")
                     .field("kind", kind)
                     .write();
--- a/crates/serving/src/news.rs
+++ b/crates/serving/src/peer_sync.rs
@@ -9,15 +9,15 @@
 
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
-use yokefall_core::membership::NewsAges;
+use yokefall_core::membership::StateAges;
 use yokefall_core::Timestamp;
-use yokefall_telemetry::{EventName, Line};
+use yokefall_telemetry::{EventName, LogLine};
 
 pub use crate::comparison::Comparison;
-use crate::duty::{Duty, Ranking, Roster};
-pub use crate::known::Known;
-use crate::news_exchange::{fetch, ExchangeError, NewsAnswer, NewsRequest};
-use crate::watch::Knowledge;
+pub use crate::state_digest::StateDigest;
+use crate::state_exchange::{fetch, ExchangeError, StateRequest, StateResponse};
+use crate::watch::PlatformState;
+use crate::watch_role::{Ranking, WatchRole, WatcherElection};
 
 /// Time from its start for which a process without back ends asks peers of its own zone alone, in milliseconds: as
 /// long as watchers need to read a list of 10,000 in 50 pages, and their first peers to take it over.
@@ -39,7 +39,7 @@
 /// A peer that knows more.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    known: Known,
+    known: StateDigest,
     /// Where it tells all of it.
     address: SocketAddr,
     /// Whether the whole list of back ends may come from it, or some of them alone.
@@ -63,23 +63,23 @@
 /// What this process reads of the platform's store.
 pub struct Duties {
     /// Configurations.
-    pub configuration: Duty,
+    pub configuration: WatchRole,
     /// Evacuated zones.
-    pub evacuations: Duty,
+    pub evacuations: WatchRole,
     /// Back ends.
-    pub backends: Duty,
+    pub backends: WatchRole,
 }
 
 /// Takes what a peer told; returns whether its whole list is needed.
-pub type TakeNews = Box<dyn Fn(NewsAnswer) -> bool>;
+pub type TakeNews = Box<dyn Fn(StateResponse) -> bool>;
 
 /// What this process tells its peers, and what it does about what they tell.
-pub struct News {
-    knowledge: Rc<RefCell<Knowledge>>,
+pub struct PeerSync {
+    platform_state: Rc<RefCell<PlatformState>>,
     take: TakeNews,
     comparison: RefCell<Comparison>,
     sources: RefCell<Sources>,
-    roster: RefCell<Roster>,
+    election: RefCell<WatcherElection>,
     /// Whether this process watches the platform's store.
     watches: watch::Sender<bool>,
     /// Whether it reads back ends there.
@@ -116,18 +116,18 @@
     }
 }
 
-impl News {
+impl PeerSync {
     /// News about what is known, with the duties that follow from it.
     pub fn new(
-        knowledge: Rc<RefCell<Knowledge>>,
+        platform_state: Rc<RefCell<PlatformState>>,
         take: TakeNews,
-        roster: Roster,
+        election: WatcherElection,
     ) -> (Rc<Self>, Duties) {
-        let changed = knowledge.borrow().changed();
-        let (watches, configuration) = Duty::told();
-        let (reads_backends, backends) = Duty::told();
+        let changed = platform_state.borrow().changed();
+        let (watches, configuration) = WatchRole::controlled();
+        let (reads_backends, backends) = WatchRole::controlled();
         let news = Self {
-            knowledge,
+            platform_state,
             take,
             comparison: RefCell::default(),
             sources: RefCell::new(Sources {
@@ -138,7 +138,7 @@
                 rest: Duration::ZERO,
             }),
             urgent: Notify::new(),
-            roster: RefCell::new(roster),
+            election: RefCell::new(election),
             watches,
             reads_backends,
             changed,
@@ -149,29 +149,29 @@
     }
 
     /// What this process knows.
-    pub fn own(&self) -> Known {
-        self.knowledge.borrow().known()
+    pub fn own(&self) -> StateDigest {
+        self.platform_state.borrow().digest()
     }
 
     /// Age of what this process knows, as peers are told.
-    pub fn ages(&self) -> NewsAges {
-        self.knowledge.borrow().told_ages()
+    pub fn ages(&self) -> StateAges {
+        self.platform_state.borrow().told_ages()
     }
 
     /// Whether the store has confirmed what this process knows since this was last asked, and peers are to be told.
-    pub fn take_confirmed(&self) -> bool {
-        self.knowledge.borrow_mut().take_confirmed()
+    pub fn take_confirmation(&self) -> bool {
+        self.platform_state.borrow_mut().take_confirmation()
     }
 
     /// A peer told how old its knowledge is, `delay_ms` ago at most.
-    pub fn hear_ages(&self, peer: Known, ages: NewsAges, delay_ms: u64) {
-        self.knowledge.borrow_mut().hear_ages(peer, ages, delay_ms);
+    pub fn receive_ages(&self, peer: StateDigest, ages: StateAges, delay_ms: u64) {
+        self.platform_state.borrow_mut().receive_ages(peer, ages, delay_ms);
     }
 
     /// A peer of another zone told what it knows. Soon after a start the whole list is wanted, and is taken from a peer
     /// of the own zone: each zone has watchers that read it, and bytes between zones are paid for. What is short, or
     /// can't wait, is taken from any.
-    pub fn hear_far(self: &Rc<Self>, now: Timestamp, peer: Known, address: SocketAddr) {
+    pub fn hear_far(self: &Rc<Self>, now: Timestamp, peer: StateDigest, address: SocketAddr) {
         let whole_list = self.knows_backends() || now >= Timestamp(NEAR_PATIENCE_MS);
         let own = self.own();
         if whole_list || own.lacks_any_backend(peer) || own.lacks_urgently(peer) {
@@ -180,16 +180,16 @@
     }
 
     /// A peer told what it knows; `address` is where it tells the whole of it.
-    pub fn hear(self: &Rc<Self>, now: Timestamp, peer: Known, address: SocketAddr) {
+    pub fn hear(self: &Rc<Self>, now: Timestamp, peer: StateDigest, address: SocketAddr) {
         self.hear_peer(now, Peer { known: peer, address, whole_list: true });
     }
 
     fn hear_peer(self: &Rc<Self>, now: Timestamp, peer: Peer) {
         let known = peer.known;
-        self.knowledge.borrow_mut().confirm_evacuations(known);
+        self.platform_state.borrow_mut().confirm_evacuations(known);
         let own = self.own();
         if own.backends_revision == 0 && known.backends_revision > 0 {
-            self.roster.borrow_mut().heard_of_backends(now);
+            self.election.borrow_mut().record_peer_with_backends(now);
         }
         if !own.wants_of(known) {
             return;
@@ -251,10 +251,10 @@
         let knows_none = own.backends_revision == 0 && own.backends_digest == 0;
         let wants_part = own.backends_revision == 0 && (knows_none || !whole_list);
         let known = if wants_part { own.asking_for_part() } else { own };
-        let answer = fetch(address, NewsRequest { known, whole: false }).await;
+        let answer = fetch(address, StateRequest { known, whole: false }).await;
         count_exchange(&answer);
         if (self.take)(answer?) {
-            let request = NewsRequest { known: self.own(), whole: true };
+            let request = StateRequest { known: self.own(), whole: true };
             let answer = fetch(address, request).await;
             count_exchange(&answer);
             (self.take)(answer?);
@@ -263,13 +263,13 @@
     }
 
     /// A member of this zone watches, and the store answers it.
-    pub fn heard_watcher(&self, now: Timestamp, name: &str) {
-        self.roster.borrow_mut().heard_watcher(now, name);
+    pub fn record_watcher_heartbeat(&self, now: Timestamp, name: &str) {
+        self.election.borrow_mut().record_watcher_heartbeat(now, name);
     }
 
     /// The live members changed.
     pub fn rank(&self, now: Timestamp, ranking: Ranking, members: usize) {
-        self.roster.borrow_mut().rank(now, ranking);
+        self.election.borrow_mut().rank(now, ranking);
         self.sources.borrow_mut().rest = exchange_rest(members);
     }
 
@@ -280,38 +280,38 @@
             self.ask_store(now);
         }
         let knows = self.knows_what_serving_needs();
-        let watches = self.roster.borrow_mut().watches(now, knows);
-        let reads = self.roster.borrow_mut().reads_backends(now, self.knows_backends());
+        let watches = self.election.borrow_mut().watches(now, knows);
+        let reads = self.election.borrow_mut().reads_backends(now, self.knows_backends());
         self.reads_backends.send_if_modified(|held| std::mem::replace(held, reads) != reads);
         let changed =
             self.watches.send_if_modified(|held| std::mem::replace(held, watches) != watches);
         if changed {
             metrics::gauge!("platform_watcher").set(if watches { 1.0 } else { 0.0 });
-            Line::new(EventName::WatchDutyChanged)
+            LogLine::new(EventName::WatchDutyChanged)
                 .field("watches", watches)
                 .field("knows_configuration", knows)
-                .field("rank", self.roster.borrow().rank_of_this())
+                .field("rank", self.election.borrow().own_rank())
                 .write();
         }
     }
 
     /// Whether the configuration is known, and which zones are evacuated where that is followed.
     fn knows_what_serving_needs(&self) -> bool {
-        let knowledge = self.knowledge.borrow();
-        knowledge.configuration().is_some() && !knowledge.awaits_evacuations()
+        let platform_state = self.platform_state.borrow();
+        platform_state.configuration().is_some() && !platform_state.evacuations_unknown()
     }
 
     fn knows_backends(&self) -> bool {
-        self.knowledge.borrow().known().backends_revision > 0
+        self.platform_state.borrow().digest().backends_revision > 0
     }
 
     /// Members to which it is to be said now that this process watches; none where it does not, or
     /// where the store does not answer it.
     pub fn standbys(&self) -> Vec<String> {
-        if !*self.watches.borrow() || !self.knowledge.borrow().is_in_touch() {
+        if !*self.watches.borrow() || !self.platform_state.borrow().is_in_touch() {
             return Vec::new();
         }
-        self.roster.borrow().standbys().to_vec()
+        self.election.borrow().standbys().to_vec()
     }
 
     /// Whether this process watches.
@@ -320,10 +320,10 @@
     }
 
     /// When `tick` has something to do.
-    pub fn next_look(&self, now: Timestamp) -> Timestamp {
+    pub fn next_check(&self, now: Timestamp) -> Timestamp {
         let (configuration, backends) = (self.knows_what_serving_needs(), self.knows_backends());
-        let look = self.roster.borrow().next_look(now, configuration, backends);
-        self.comparison.borrow().next_look().map_or(look, |comparison| comparison.min(look))
+        let look = self.election.borrow().next_check(now, configuration, backends);
+        self.comparison.borrow().next_check().map_or(look, |comparison| comparison.min(look))
     }
 
     /// Waits until what this process knows has changed.
@@ -338,13 +338,13 @@
             self.refresh.backends.notify_one();
             self.refresh.evacuations.notify_one();
         } else if self.sources.borrow().failed {
-            self.roster.borrow_mut().catch_up(now);
+            self.election.borrow_mut().catch_up(now);
         }
     }
 }
 
 /// Counts an exchange with a peer by its outcome.
-fn count_exchange(answer: &Result<NewsAnswer, ExchangeError>) {
+fn count_exchange(answer: &Result<StateResponse, ExchangeError>) {
     let outcome = if answer.is_ok() { "ok" } else { "failed" };
     metrics::counter!("news_exchanges_total", "outcome" => outcome).increment(1);
 }
--- a/crates/serving/src/knowledge.rs
+++ b/crates/serving/src/platform_state.rs
@@ -13,19 +13,19 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 use yokefall_clock::SuspensionSource;
-use yokefall_core::membership::{NewsAges, ObjectDigest};
+use yokefall_core::membership::{ObjectDigest, StateAges};
 use yokefall_core::Timestamp;
 
-use crate::ages::{Ages, Followed};
-use crate::catalog::{Catalog, CatalogCell, ZoneFacts};
+use crate::ages::{Ages, ObjectKind};
+use crate::catalog::{Catalog, CatalogCell, ZoneState};
 use crate::eligibility::{Freshness, ZoneMap};
 use crate::model::{Backend, BackendState, Configuration, Evacuation};
-use crate::news::Known;
-use crate::news_exchange::{
-    BackendNews, NamedBackend, NamedEvacuation, NewsAnswer, NewsRequest, Teller,
-};
-use crate::objects::{Changed, Objects};
+use crate::objects::{ObjectChange, Objects};
+use crate::peer_sync::StateDigest;
 use crate::source::{Change, Listing, Revision, SourceError};
+use crate::state_exchange::{
+    BackendNews, NamedBackend, NamedEvacuation, StateRequest, StateResponse, Teller,
+};
 
 /// Back ends that a process is told first which knows none: enough to serve with until it knows all, and 60 kB, which a
 /// link of 30 Mbit/s takes 16 ms for. A list of 10,000 takes it 0.3 s, and as long at each peer that tells it.
@@ -33,7 +33,7 @@
 
 /// All that is known, and the cell that others read it from.
 #[derive(Debug)]
-pub struct Knowledge {
+pub struct PlatformState {
     configuration: Option<Arc<Configuration>>,
     pub(crate) backends: Objects<Backend>,
     /// Zones that operators have evacuated, by the name of each request.
@@ -48,7 +48,7 @@
     /// Woken when what is known has changed.
     changed: Rc<Notify>,
     /// Kinds of objects that the store gave when it was last asked.
-    answered: BTreeSet<Followed>,
+    answered: BTreeSet<ObjectKind>,
     pub(crate) ages: Ages,
     /// Whether peers are told each time that the store confirms what is known.
     tells_confirmations: bool,
@@ -58,7 +58,7 @@
 
 /// What a process follows beside configuration and back ends.
 #[derive(Debug)]
-pub struct Following {
+pub struct StateOptions {
     /// Whether it follows requests to evacuate zones. It serves nobody then before it has heard of them.
     pub evacuations: bool,
     /// Whether decisions rest on how old what is known is, so that peers are told whenever the store confirms it.
@@ -67,7 +67,7 @@
     pub freshness: Freshness,
 }
 
-impl Default for Following {
+impl Default for StateOptions {
     fn default() -> Self {
         Self {
             evacuations: false,
@@ -77,15 +77,15 @@
     }
 }
 
-impl Knowledge {
+impl PlatformState {
     /// Nothing known yet, and requests to evacuate zones not followed.
     pub fn new(cell: CatalogCell, zones: Arc<ZoneMap>) -> Self {
-        Self::following(cell, zones, Following::default())
+        Self::with_options(cell, zones, StateOptions::default())
     }
 
     /// Nothing known yet.
-    pub fn following(cell: CatalogCell, zones: Arc<ZoneMap>, following: Following) -> Self {
-        let mut knowledge = Self {
+    pub fn with_options(cell: CatalogCell, zones: Arc<ZoneMap>, following: StateOptions) -> Self {
+        let mut platform_state = Self {
             configuration: None,
             backends: Objects::default(),
             evacuations: Objects::default(),
@@ -99,8 +99,8 @@
             tells_confirmations: following.ages,
             confirmed: false,
         };
-        knowledge.publish_zones();
-        knowledge
+        platform_state.publish_zones();
+        platform_state
     }
 
     /// Whether the store answers this process, by the last calls of each kind.
@@ -109,7 +109,7 @@
         self.answered.len() == kinds
     }
 
-    pub(crate) fn note_ended(&mut self, kind: Followed, error: Option<&SourceError>) {
+    pub(crate) fn note_ended(&mut self, kind: ObjectKind, error: Option<&SourceError>) {
         match error {
             None => self.answered.insert(kind),
             Some(_) => self.answered.remove(&kind),
@@ -118,7 +118,7 @@
 
     /// The store answered a call of a kind that was made at a moment, and that it may have held back for a time
     /// because nothing changed: what it told held at the end of that time.
-    pub(crate) fn note_answered(&mut self, kind: Followed, asked: Timestamp, held_back_ms: u64) {
+    pub(crate) fn note_answered(&mut self, kind: ObjectKind, asked: Timestamp, held_back_ms: u64) {
         let since_asked = self.ages.now().millis_since(asked);
         // An answer that came sooner than it was to come tells less.
         let age_ms = since_asked.checked_sub(held_back_ms).unwrap_or(since_asked);
@@ -130,31 +130,31 @@
     }
 
     /// Whether the store has confirmed something since this was last asked, which peers are to be told.
-    pub fn take_confirmed(&mut self) -> bool {
+    pub fn take_confirmation(&mut self) -> bool {
         std::mem::take(&mut self.confirmed)
     }
 
     /// How long ago the store confirmed what is known, by kind.
-    pub fn ages(&self) -> NewsAges {
+    pub fn ages(&self) -> StateAges {
         self.ages.told()
     }
 
     /// The same as peers are told; nothing where no decision rests on it.
-    pub fn told_ages(&self) -> NewsAges {
+    pub fn told_ages(&self) -> StateAges {
         match self.tells_confirmations {
             true => self.ages(),
-            false => NewsAges::default(),
+            false => StateAges::default(),
         }
     }
 
     /// A peer told how old what it knows is, `delay_ms` ago at most. Where it knows no more of a kind, what is
     /// known here is as new.
-    pub fn hear_ages(&mut self, peer: Known, ages: NewsAges, delay_ms: u64) {
-        let own = self.known();
+    pub fn receive_ages(&mut self, peer: StateDigest, ages: StateAges, delay_ms: u64) {
+        let own = self.digest();
         let told = [
-            (Followed::Configuration, ages.configuration_ms, own.version < peer.version),
-            (Followed::Backends, ages.backends_ms, own.lacks_backends(peer)),
-            (Followed::Evacuations, ages.evacuations_ms, own.lacks_evacuations(peer)),
+            (ObjectKind::Configuration, ages.configuration_ms, own.version < peer.version),
+            (ObjectKind::Backends, ages.backends_ms, own.lacks_backends(peer)),
+            (ObjectKind::Evacuations, ages.evacuations_ms, own.lacks_evacuations(peer)),
         ];
         for (kind, age_ms, lacks) in told {
             if let Some(age_ms) = age_ms.filter(|_| !lacks) {
@@ -196,7 +196,7 @@
     }
 
     /// Whether nobody has told yet which zones are evacuated.
-    pub fn awaits_evacuations(&self) -> bool {
+    pub fn evacuations_unknown(&self) -> bool {
         self.follows_evacuations && self.evacuations.revision() == 0
     }
 
@@ -206,12 +206,12 @@
     }
 
     /// What is known, to be told to peers.
-    pub fn known(&self) -> Known {
+    pub fn digest(&self) -> StateDigest {
         // With the revision of each: equal digests are equal lists, of which the higher revision is true of both.
         let hash = |(name, revision, _): (&String, Revision, &Arc<Evacuation>)| {
             xxh3_64_with_seed(name.as_bytes(), revision)
         };
-        Known {
+        StateDigest {
             version: self.configuration.as_ref().map_or(0, |held| held.version),
             backends_digest: self.digest,
             backends_revision: self.backends.revision(),
@@ -223,17 +223,17 @@
     }
 
     /// What a peer that knows less is told.
-    pub fn answer(&self, request: &NewsRequest) -> NewsAnswer {
+    pub fn answer(&self, request: &StateRequest) -> StateResponse {
         let held = self.configuration.as_ref();
         let configuration = held.filter(|held| held.version > request.known.version);
-        let own = self.known();
+        let own = self.digest();
         let (backends, backends_revision) = match self.tells_part(request) {
             // Of a part nobody may take that it is all.
             true => (self.part(), 0),
             false => (self.backend_news(request), own.backends_revision),
         };
-        NewsAnswer {
-            known: Known { backends_revision, ..own },
+        StateResponse {
+            known: StateDigest { backends_revision, ..own },
             configuration: configuration.map(|held| Configuration::clone(held)),
             backends,
             evacuations: request.known.lacks_evacuations(own).then(|| self.evacuation_news()),
@@ -241,13 +241,13 @@
     }
 
     /// Revision after which a peer is told what changed; `None` where it is told all.
-    fn told_since(&self, request: &NewsRequest) -> Option<Revision> {
+    fn told_since(&self, request: &StateRequest) -> Option<Revision> {
         let known = request.known.backends_revision;
         (!request.whole && self.backends.covers(known)).then_some(known)
     }
 
     /// How many back ends a peer that knows less is told.
-    pub fn backends_to_tell(&self, request: &NewsRequest) -> usize {
+    pub fn backends_to_tell(&self, request: &StateRequest) -> usize {
         if self.tells_part(request) {
             return self.backends.len().min(PART_BACKENDS);
         }
@@ -258,7 +258,7 @@
     }
 
     /// Whether a peer is told some of the back ends: it wants no more, or no more is known here.
-    fn tells_part(&self, request: &NewsRequest) -> bool {
+    fn tells_part(&self, request: &StateRequest) -> bool {
         let is_many = self.backends.len() > PART_BACKENDS;
         self.backends.revision() == 0 || (request.known.wants_part() && is_many)
     }
@@ -275,7 +275,7 @@
         BackendNews { since: None, changed: named.collect(), removed: Vec::new() }
     }
 
-    fn backend_news(&self, request: &NewsRequest) -> BackendNews {
+    fn backend_news(&self, request: &StateRequest) -> BackendNews {
         let since = self.told_since(request);
         let after = since.unwrap_or(0);
         let changed = |(name, revision, backend): (&String, Revision, &Arc<Backend>)| {
@@ -298,9 +298,9 @@
 
     /// Takes what a peer told of back ends. Returns whether the same is known here now; where it is
     /// not, the whole list is to be asked for.
-    pub fn take_backend_news(&mut self, peer: Known, news: BackendNews) -> bool {
+    pub fn take_backend_news(&mut self, peer: StateDigest, peer_sync: BackendNews) -> bool {
         let revision = peer.backends_revision;
-        let BackendNews { since, changed, removed } = news;
+        let BackendNews { since, changed, removed } = peer_sync;
         let changes = changed.into_iter().map(Change::from);
         let changed = match since {
             None => {
@@ -333,15 +333,15 @@
 
     /// A peer that knows the same evacuated zones at a higher revision: so does this process. An older peer could
     /// else tell what was true before them.
-    pub fn confirm_evacuations(&mut self, peer: Known) {
-        let own = self.known().evacuations;
+    pub fn confirm_evacuations(&mut self, peer: StateDigest) {
+        let own = self.digest().evacuations;
         if own.revision > 0 && own.digest == peer.evacuations.digest {
             self.evacuations.confirm(peer.evacuations.revision);
         }
     }
 
     /// Puts changes of back ends, which `backends` holds already, into force.
-    pub(crate) fn publish_backends(&mut self, changes: &[Changed<Backend>]) {
+    pub(crate) fn publish_backends(&mut self, changes: &[ObjectChange<Backend>]) {
         let sum = |backends: &mut dyn Iterator<Item = &Arc<Backend>>| {
             backends.map(digest_of).fold(0, u64::wrapping_add)
         };
@@ -356,9 +356,9 @@
     /// Puts what is known of zones into force.
     pub(crate) fn publish_zones(&mut self) {
         let evacuated = self.evacuations.values().map(|evacuation| evacuation.zone.clone());
-        let facts = ZoneFacts { evacuated: evacuated.collect(), zones: self.zones.clone() };
+        let facts = ZoneState { evacuated: evacuated.collect(), zones: self.zones.clone() };
         let catalog = Catalog::clone(&self.cell.load()).with_zone_facts(facts);
-        let catalog = match self.awaits_evacuations() {
+        let catalog = match self.evacuations_unknown() {
             true => catalog.awaiting_evacuations(),
             false => catalog,
         };
@@ -371,12 +371,12 @@
     }
 }
 
-impl Teller for RefCell<Knowledge> {
-    fn backends_to_tell(&self, request: &NewsRequest) -> usize {
+impl Teller for RefCell<PlatformState> {
+    fn backends_to_tell(&self, request: &StateRequest) -> usize {
         self.borrow().backends_to_tell(request)
     }
 
-    fn answer(&self, request: &NewsRequest) -> NewsAnswer {
+    fn answer(&self, request: &StateRequest) -> StateResponse {
         self.borrow().answer(request)
     }
 }
--- a/crates/serving/src/shared_knowledge.rs
+++ b/crates/serving/src/shared_state.rs
@@ -5,13 +5,13 @@
 
 use yokefall_core::Timestamp;
 
-use crate::ages::Followed;
+use crate::ages::ObjectKind;
 use crate::eligibility::unknown_regions;
-use crate::knowledge::Knowledge;
 use crate::model::{Backend, Configuration, Evacuation};
-use crate::news_exchange::{NamedEvacuation, NewsAnswer};
-use crate::objects::{Changed, Objects};
+use crate::objects::{ObjectChange, Objects};
+use crate::platform_state::PlatformState;
 use crate::source::{Change, Listing, Revision, SourceError};
+use crate::state_exchange::{NamedEvacuation, StateResponse};
 use crate::watch::Sink;
 
 /// Told of each change of what a process believes.
@@ -47,22 +47,22 @@
 }
 
 /// The knowledge of one process as a sink of all kinds.
-pub struct SharedKnowledge<O> {
+pub struct SharedPlatformState<O> {
     /// What is known.
-    pub knowledge: Rc<RefCell<Knowledge>>,
+    pub platform_state: Rc<RefCell<PlatformState>>,
     /// Who is told.
     pub observer: Rc<O>,
 }
 
-impl<O> Clone for SharedKnowledge<O> {
+impl<O> Clone for SharedPlatformState<O> {
     fn clone(&self) -> Self {
-        Self { knowledge: self.knowledge.clone(), observer: self.observer.clone() }
+        Self { platform_state: self.platform_state.clone(), observer: self.observer.clone() }
     }
 }
 
-impl<O: Observer> SharedKnowledge<O> {
+impl<O: Observer> SharedPlatformState<O> {
     /// Takes what a peer told. Returns whether its whole list of back ends is needed.
-    pub fn take_news(&self, answer: NewsAnswer) -> bool {
+    pub fn apply_response(&self, answer: StateResponse) -> bool {
         if let Some(configuration) = answer.configuration {
             self.take_configuration(configuration);
         }
@@ -83,15 +83,15 @@
             self.take_part(answer.backends.changed.into_iter().map(Change::from).collect());
             return false;
         }
-        let own = self.knowledge.borrow().known();
+        let own = self.platform_state.borrow().digest();
         let is_same = own.backends_digest == answer.known.backends_digest;
         let (held, told) = (own.backends_revision, answer.known.backends_revision);
         if held > told || (held == told && is_same) {
             return false;
         }
         let is_same = {
-            let mut knowledge = self.knowledge.borrow_mut();
-            knowledge.take_backend_news(answer.known, answer.backends)
+            let mut platform_state = self.platform_state.borrow_mut();
+            platform_state.take_backend_news(answer.known, answer.backends)
         };
         self.tell_backends();
         !is_same
@@ -99,7 +99,7 @@
 
     /// Takes some back ends before all are known, and tells of it where any was new.
     fn take_part(&self, changes: Vec<Change<Backend>>) {
-        let any = self.knowledge.borrow_mut().take_part(changes);
+        let any = self.platform_state.borrow_mut().take_part(changes);
         if any {
             self.tell_backends();
         }
@@ -107,8 +107,8 @@
 
     fn take_configuration(&self, configuration: Configuration) {
         let version = configuration.version;
-        let unknown = unknown_regions(&configuration, self.knowledge.borrow().zones());
-        if self.knowledge.borrow_mut().take_configuration(configuration) {
+        let unknown = unknown_regions(&configuration, self.platform_state.borrow().zones());
+        if self.platform_state.borrow_mut().take_configuration(configuration) {
             self.observer.configuration(version);
             if !unknown.is_empty() {
                 self.observer.unknown_regions(version, &unknown);
@@ -122,19 +122,20 @@
         source: &'static str,
         change: impl FnOnce(&mut Objects<Evacuation>),
     ) {
-        let mut knowledge = self.knowledge.borrow_mut();
-        let (known, awaited) = (knowledge.known().evacuations, knowledge.awaits_evacuations());
-        let before = knowledge.cell.load_full();
-        let age_ms = knowledge.ages().evacuations_ms;
-        change(&mut knowledge.evacuations);
-        if knowledge.known().evacuations.digest == known.digest
-            && knowledge.awaits_evacuations() == awaited
+        let mut platform_state = self.platform_state.borrow_mut();
+        let (known, awaited) =
+            (platform_state.digest().evacuations, platform_state.evacuations_unknown());
+        let before = platform_state.cell.load_full();
+        let age_ms = platform_state.ages().evacuations_ms;
+        change(&mut platform_state.evacuations);
+        if platform_state.digest().evacuations.digest == known.digest
+            && platform_state.evacuations_unknown() == awaited
         {
             return;
         }
-        knowledge.publish_zones();
-        let after = knowledge.cell.load_full();
-        let named = knowledge.evacuations.named();
+        platform_state.publish_zones();
+        let after = platform_state.cell.load_full();
+        let named = platform_state.evacuations.named();
         let begun = named.filter(|(_, _, evacuation)| !before.is_evacuated(&evacuation.zone)).map(
             |(_, revision, evacuation)| {
                 let zone = &evacuation.zone;
@@ -146,23 +147,23 @@
             begun: begun.collect(),
             ended: before.evacuated.difference(&after.evacuated).cloned().collect(),
             evacuated: after.evacuated.len(),
-            revision: knowledge.evacuations.revision(),
+            revision: platform_state.evacuations.revision(),
             source,
             age_ms,
         };
-        drop(knowledge);
+        drop(platform_state);
         self.observer.evacuations(&change);
     }
 
     /// Changes what is known of back ends, and tells of it where anything did; `None` where nothing was to change.
     fn change_backends(
         &self,
-        change: impl FnOnce(&mut Objects<Backend>) -> Option<Vec<Changed<Backend>>>,
+        change: impl FnOnce(&mut Objects<Backend>) -> Option<Vec<ObjectChange<Backend>>>,
     ) {
         let changed = {
-            let mut knowledge = self.knowledge.borrow_mut();
-            let changed = change(&mut knowledge.backends);
-            changed.map(|changed| knowledge.publish_backends(&changed))
+            let mut platform_state = self.platform_state.borrow_mut();
+            let changed = change(&mut platform_state.backends);
+            changed.map(|changed| platform_state.publish_backends(&changed))
         };
         if changed.is_some() {
             self.tell_backends();
@@ -170,26 +171,26 @@
     }
 
     fn tell_backends(&self) {
-        let knowledge = self.knowledge.borrow();
-        let ready = knowledge.cell.load().ready_count();
-        self.observer.backends(ready, knowledge.backends.revision());
+        let platform_state = self.platform_state.borrow();
+        let ready = platform_state.cell.load().ready_count();
+        self.observer.backends(ready, platform_state.backends.revision());
     }
 
     fn now(&self) -> Timestamp {
-        self.knowledge.borrow().ages.now()
+        self.platform_state.borrow().ages.now()
     }
 
-    fn note_answered(&self, kind: Followed, asked: Timestamp, held_back_ms: u64) {
-        self.knowledge.borrow_mut().note_answered(kind, asked, held_back_ms);
+    fn note_answered(&self, kind: ObjectKind, asked: Timestamp, held_back_ms: u64) {
+        self.platform_state.borrow_mut().note_answered(kind, asked, held_back_ms);
     }
 
-    fn note_ended(&self, kind: Followed, error: Option<&SourceError>) {
-        self.knowledge.borrow_mut().note_ended(kind, error);
+    fn note_ended(&self, kind: ObjectKind, error: Option<&SourceError>) {
+        self.platform_state.borrow_mut().note_ended(kind, error);
         self.observer.reachable(kind.name(), error);
     }
 }
 
-impl<O: Observer> Sink<Configuration> for SharedKnowledge<O> {
+impl<O: Observer> Sink<Configuration> for SharedPlatformState<O> {
     fn replace(&self, listing: Listing<Configuration>) {
         self.apply(listing.items, listing.revision);
     }
@@ -201,7 +202,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(Followed::Configuration, error);
+        self.note_ended(ObjectKind::Configuration, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -209,11 +210,11 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(Followed::Configuration, asked, held_back_ms);
+        self.note_answered(ObjectKind::Configuration, asked, held_back_ms);
     }
 }
 
-impl<O: Observer> Sink<Backend> for SharedKnowledge<O> {
+impl<O: Observer> Sink<Backend> for SharedPlatformState<O> {
     fn replace(&self, listing: Listing<Backend>) {
         self.change_backends(|held| held.replace(listing));
     }
@@ -231,7 +232,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(Followed::Backends, error);
+        self.note_ended(ObjectKind::Backends, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -239,11 +240,11 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(Followed::Backends, asked, held_back_ms);
+        self.note_answered(ObjectKind::Backends, asked, held_back_ms);
     }
 }
 
-impl<O: Observer> Sink<Evacuation> for SharedKnowledge<O> {
+impl<O: Observer> Sink<Evacuation> for SharedPlatformState<O> {
     fn replace(&self, mut listing: Listing<Evacuation>) {
         // Revision 0 is for whoever has heard nothing yet.
         listing.revision = listing.revision.max(1);
@@ -259,7 +260,7 @@
     }
 
     fn ended(&self, error: Option<&SourceError>) {
-        self.note_ended(Followed::Evacuations, error);
+        self.note_ended(ObjectKind::Evacuations, error);
     }
 
     fn now(&self) -> Timestamp {
@@ -267,6 +268,6 @@
     }
 
     fn answered(&self, asked: Timestamp, held_back_ms: u64) {
-        self.note_answered(Followed::Evacuations, asked, held_back_ms);
+        self.note_answered(ObjectKind::Evacuations, asked, held_back_ms);
     }
 }
--- a/crates/serving/src/source.rs
+++ b/crates/serving/src/source.rs
@@ -40,7 +40,7 @@
 
 /// The answer to a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched<T> {
+pub enum WatchResponse<T> {
     /// What changed, oldest first, and the revision to go on from.
     Changes {
         /// The changes; none when the wait ended first.
@@ -100,7 +100,7 @@
         &mut self,
         revision: Revision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Watched<T>, SourceError>>;
+    ) -> impl Future<Output = Result<WatchResponse<T>, SourceError>>;
 
     /// Drops the connection: the next call makes a new one.
     fn reset(&mut self);
--- a/crates/serving/src/backlog.rs
+++ b/crates/serving/src/stall_detector.rs
@@ -13,21 +13,21 @@
 
 /// Watches over the loop that reads datagrams.
 #[derive(Debug, Default)]
-pub struct Backlog {
+pub struct StallDetector {
     /// When the loop is next to run, at the latest.
     due: Option<Timestamp>,
     /// Whether it was held up, and has not read all that came meanwhile.
     may_be_old: bool,
 }
 
-impl Backlog {
+impl StallDetector {
     /// The loop waits from now on, for so many milliseconds at most.
-    pub fn waits(&mut self, now: Timestamp, wait_ms: u64) {
+    pub fn start_wait(&mut self, now: Timestamp, wait_ms: u64) {
         self.due = Some(now.plus_millis(wait_ms));
     }
 
     /// The loop runs.
-    pub fn woken(&mut self, now: Timestamp) {
+    pub fn record_wakeup(&mut self, now: Timestamp) {
         let late_ms = self.due.map_or(0, |due| now.millis_since(due));
         self.may_be_old |= late_ms > STALL_MS;
         // Work that takes long between two waits holds it up as well.
--- a/crates/serving/src/known.rs
+++ b/crates/serving/src/state_digest.rs
@@ -8,7 +8,7 @@
 
 /// What one process knows, in numbers that fit a datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Known {
+pub struct StateDigest {
     /// Version of the configuration.
     pub version: u64,
     /// Digest of the back ends and their states.
@@ -19,9 +19,9 @@
     pub evacuations: ObjectDigest,
 }
 
-impl Known {
+impl StateDigest {
     /// Whether this says more than what was told before.
-    pub fn is_news_after(self, told: Known) -> bool {
+    pub fn differs_from(self, told: StateDigest) -> bool {
         self.version > told.version
             || self.backends_digest != told.backends_digest
             || self.evacuations.digest != told.evacuations.digest
@@ -29,17 +29,17 @@
     }
 
     /// Whether a peer is to be asked.
-    pub(crate) fn wants_of(self, peer: Known) -> bool {
+    pub(crate) fn wants_of(self, peer: StateDigest) -> bool {
         self.lacks(peer) || self.lacks_any_backend(peer)
     }
 
     /// Whether a peer knows more.
-    pub(crate) fn lacks(self, peer: Known) -> bool {
+    pub(crate) fn lacks(self, peer: StateDigest) -> bool {
         self.version < peer.version || self.lacks_backends(peer) || self.lacks_evacuations(peer)
     }
 
     /// Whether nothing is known of back ends, and a peer knows some.
-    pub(crate) fn lacks_any_backend(self, peer: Known) -> bool {
+    pub(crate) fn lacks_any_backend(self, peer: StateDigest) -> bool {
         self.backends_revision == 0 && self.backends_digest == 0 && peer.backends_digest != 0
     }
 
@@ -54,18 +54,18 @@
     }
 
     /// Whether a peer knows more beside back ends, which nothing is to wait for.
-    pub(crate) fn lacks_urgently(self, peer: Known) -> bool {
+    pub(crate) fn lacks_urgently(self, peer: StateDigest) -> bool {
         self.version < peer.version || self.lacks_evacuations(peer)
     }
 
     /// Whether a peer knows more of back ends.
-    pub fn lacks_backends(self, peer: Known) -> bool {
+    pub fn lacks_backends(self, peer: StateDigest) -> bool {
         self.backends_digest != peer.backends_digest
             && self.backends_revision < peer.backends_revision
     }
 
     /// Whether a peer knows more of evacuated zones. Whoever has heard of none yet lacks also that there is none.
-    pub fn lacks_evacuations(self, peer: Known) -> bool {
+    pub fn lacks_evacuations(self, peer: StateDigest) -> bool {
         let (own, peer) = (self.evacuations, peer.evacuations);
         own.revision < peer.revision && (own.digest != peer.digest || own.revision == 0)
     }
--- a/crates/serving/src/news_exchange.rs
+++ b/crates/serving/src/state_exchange.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Semaphore;
 
 use crate::model::{Backend, Configuration, Evacuation};
-use crate::news::Known;
+use crate::peer_sync::StateDigest;
 use crate::source::{Change, Revision};
 
 /// Longest time for an exchange, twice what the largest answers at once need on a link of 30 Mbit/s.
@@ -35,18 +35,18 @@
 
 /// Asks a peer for what it knows beyond this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct NewsRequest {
+pub struct StateRequest {
     /// What is known already.
-    pub known: Known,
+    pub known: StateDigest,
     /// Whether every back end is wanted, and not only those that changed.
     pub whole: bool,
 }
 
 /// What a peer knows beyond what was asked.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct NewsAnswer {
+pub struct StateResponse {
     /// What the peer knows.
-    pub known: Known,
+    pub known: StateDigest,
     /// Its configuration, where it is newer.
     pub configuration: Option<Configuration>,
     /// Its back ends.
@@ -122,7 +122,10 @@
 impl std::error::Error for ExchangeError {}
 
 /// Asks a peer.
-pub async fn fetch(peer: SocketAddr, request: NewsRequest) -> Result<NewsAnswer, ExchangeError> {
+pub async fn fetch(
+    peer: SocketAddr,
+    request: StateRequest,
+) -> Result<StateResponse, ExchangeError> {
     let failed = |step: &'static str| {
         move |cause: std::io::Error| ExchangeError { step, peer, cause: cause.to_string() }
     };
@@ -176,9 +179,9 @@
 /// What a process tells its peers.
 pub trait Teller {
     /// How many back ends an answer would tell.
-    fn backends_to_tell(&self, request: &NewsRequest) -> usize;
+    fn backends_to_tell(&self, request: &StateRequest) -> usize;
     /// The answer.
-    fn answer(&self, request: &NewsRequest) -> NewsAnswer;
+    fn answer(&self, request: &StateRequest) -> StateResponse;
 }
 
 /// Answers peers for ever.
@@ -202,7 +205,7 @@
 
 async fn serve_one(mut stream: TcpStream, teller: Rc<dyn Teller>, bytes: Rc<AnswerBytes>) {
     let exchange = async {
-        let request: NewsRequest = receive(&mut stream).await?;
+        let request: StateRequest = receive(&mut stream).await?;
         let Some(room) = bytes.take(teller.backends_to_tell(&request)) else { return Ok(()) };
         let sent = send(&mut stream, &teller.answer(&request)).await;
         // Answers wait in the system's buffers: that the peer has this one shows when it closes.
