--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -6,11 +6,11 @@
 use tokio::sync::Notify;
 use yokefall_core::Timestamp;
 
-use crate::duty::Duty;
-pub use crate::knowledge::{Following, Knowledge};
 use crate::listing::PartialList;
-pub use crate::shared_knowledge::{EvacuationChange, Observer, SharedKnowledge};
-use crate::source::{Change, Listing, Revision, Source, SourceError, Watched};
+pub use crate::platform_state::{PlatformState, StateOptions};
+pub use crate::shared_state::{EvacuationChange, Observer, SharedPlatformState};
+use crate::source::{Change, Listing, Revision, Source, SourceError, WatchResponse};
+use crate::watch_role::WatchRole;
 
 /// Longest time for which one watch waits.
 pub const WATCH_WAIT: Duration = Duration::from_millis(12_000);
@@ -105,7 +105,7 @@
     /// End the watches of other kinds.
     pub others: Vec<Rc<Notify>>,
     /// Whether the store is to be asked.
-    pub duty: Duty,
+    pub watch_role: WatchRole,
     /// For how long watches wait.
     pub waits: Waits,
 }
@@ -118,7 +118,7 @@
     let mut failed = false;
     let mut list = PartialList::default();
     loop {
-        follow.duty.begun().await;
+        follow.watch_role.started().await;
         let once =
             follow_once(&mut source, &mut list, &sink, &mut follow, &mut failed, &mut pause).await;
         if let Err(error) = once {
@@ -142,7 +142,7 @@
 ) -> Result<(), SourceError> {
     while !list.is_complete() {
         // What a peer has told meanwhile is not read as well.
-        if !follow.duty.holds() {
+        if !follow.watch_role.is_active() {
             return Ok(());
         }
         let asked = sink.now();
@@ -173,7 +173,7 @@
                 Some(watched)
             }
             () = follow.refresh.notified() => None,
-            () = follow.duty.ended() => None,
+            () = follow.watch_role.ended() => None,
         };
         let Some(watched) = watched else {
             source.reset();
@@ -181,7 +181,7 @@
         };
         count(source.kind(), "watch", &watched);
         match watched? {
-            Watched::Changes { changes, revision: next } => {
+            WatchResponse::Changes { changes, revision: next } => {
                 revision = revision.max(next);
                 let changed = !changes.is_empty();
                 sink.apply(changes, revision);
@@ -192,7 +192,7 @@
                     tokio::time::sleep(GATHER_PAUSE).await;
                 }
             }
-            Watched::HistoryLost => return Ok(()),
+            WatchResponse::HistoryLost => return Ok(()),
         }
     }
 }
--- a/crates/serving/src/duty.rs
+++ b/crates/serving/src/watch_role.rs
@@ -54,30 +54,30 @@
 
 /// Whether this process watches, as the watching tasks see it.
 #[derive(Clone, Debug)]
-pub struct Duty {
+pub struct WatchRole {
     /// `None` for a process that always watches.
     receiver: Option<watch::Receiver<bool>>,
 }
 
-impl Duty {
+impl WatchRole {
     /// The duty of a process that always watches.
     pub fn always() -> Self {
         Self { receiver: None }
     }
 
     /// A duty that begins and ends as its sender says.
-    pub fn told() -> (watch::Sender<bool>, Self) {
+    pub fn controlled() -> (watch::Sender<bool>, Self) {
         let (sender, receiver) = watch::channel(false);
         (sender, Self { receiver: Some(receiver) })
     }
 
     /// Waits until the duty has begun.
-    pub async fn begun(&mut self) {
+    pub async fn started(&mut self) {
         self.becomes(true).await;
     }
 
     /// Whether it has begun and not ended.
-    pub fn holds(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.receiver.as_ref().is_none_or(|receiver| *receiver.borrow())
     }
 
@@ -92,7 +92,7 @@
     async fn becomes(&mut self, wanted: bool) {
         let Some(receiver) = &mut self.receiver else { return };
         // A sender that is gone belongs to a process that ends.
-        if receiver.wait_for(|duty| *duty == wanted).await.is_err() {
+        if receiver.wait_for(|watch_role| *watch_role == wanted).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -127,7 +127,7 @@
 /// `WATCHERS + STANDBYS` members of a zone, the zone has a watcher within a second of the loss of the
 /// one before; otherwise its members hear of changes from other zones alone.
 #[derive(Debug)]
-pub struct Roster {
+pub struct WatcherElection {
     started: Timestamp,
     /// When this process asks the store itself if it knows no configuration until then.
     ask_at: Timestamp,
@@ -144,7 +144,7 @@
     catch_up_until: Option<Timestamp>,
 }
 
-impl Roster {
+impl WatcherElection {
     /// The roster of a process that starts now. `spread` is drawn from 0 to 1 for each start.
     pub fn new(now: Timestamp, is_first_start: bool, spread: f64) -> Self {
         let (patience, range) = match is_first_start {
@@ -175,12 +175,12 @@
     }
 
     /// A watcher says that the store answers it.
-    pub fn heard_watcher(&mut self, now: Timestamp, name: &str) {
+    pub fn record_watcher_heartbeat(&mut self, now: Timestamp, name: &str) {
         self.heard.insert(name.to_owned(), now);
     }
 
     /// A peer knows back ends, so that they come from there.
-    pub fn heard_of_backends(&mut self, now: Timestamp) {
+    pub fn record_peer_with_backends(&mut self, now: Timestamp) {
         let since = *self.backends_heard_at.get_or_insert(now);
         let latest = since.plus_millis(LONGEST_BACKENDS_PATIENCE_MS + self.backends_spread_ms);
         let put_off = now.plus_millis(BACKENDS_PATIENCE_MS).min(latest);
@@ -233,7 +233,7 @@
     }
 
     /// Position of this process among the members of its zone, 0 the first.
-    pub fn rank_of_this(&self) -> usize {
+    pub fn own_rank(&self) -> usize {
         self.ranking.rank
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// When `watches` may change without news.
-    pub fn next_look(
+    pub fn next_check(
         &self,
         now: Timestamp,
         knows_configuration: bool,
--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -4,23 +4,23 @@
 
 use quickcheck::{quickcheck, TestResult};
 use yokefall_core::Timestamp;
-use yokefall_serving::admission::{load_limit, Held, HoldQueue, Terms};
+use yokefall_serving::admission::{load_limit, AdmissionQueue, QueueLimits, QueuedRequest};
 
 const NOW: Timestamp = Timestamp(10_000);
 
-fn terms(rank: u32) -> Terms {
-    Terms { rank, target: Duration::from_millis(300), time: Duration::from_millis(5_000) }
+fn terms(rank: u32) -> QueueLimits {
+    QueueLimits { rank, target: Duration::from_millis(300), timeout: Duration::from_millis(5_000) }
 }
 
-fn queue(arrivals: &[(u64, u32)]) -> HoldQueue {
-    let mut queue = HoldQueue::default();
+fn queue(arrivals: &[(u64, u32)]) -> AdmissionQueue {
+    let mut queue = AdmissionQueue::default();
     for (ticket, (arrived, rank)) in (0..).zip(arrivals) {
-        queue.hold(Held::new(ticket, Timestamp(*arrived), terms(*rank)));
+        queue.enqueue(QueuedRequest::new(ticket, Timestamp(*arrived), terms(*rank)));
     }
     queue
 }
 
-fn drain(queue: &mut HoldQueue, now: Timestamp) -> Vec<u64> {
+fn drain(queue: &mut AdmissionQueue, now: Timestamp) -> Vec<u64> {
     let mut order = Vec::new();
     while let Some(next) = queue.next(now) {
         queue.remove(next.ticket);
@@ -94,7 +94,7 @@
 }
 
 /// Whether a request of a higher rank than `next` is held.
-fn queue_has_higher(queue: &mut HoldQueue, now: Timestamp, next: Held) -> bool {
+fn queue_has_higher(queue: &mut AdmissionQueue, now: Timestamp, next: QueuedRequest) -> bool {
     while let Some(held) = queue.next(now) {
         queue.remove(held.ticket);
         if held.rank < next.rank {
--- a/crates/serving/tests/backend_table.rs
+++ b/crates/serving/tests/backend_table.rs
@@ -7,18 +7,18 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use yokefall_serving::backend_table::BackendTable;
-use yokefall_serving::objects::Changed;
-use yokefall_serving::{Backend, BackendState, Catalog, ZoneFacts, ZoneMap};
+use yokefall_serving::objects::ObjectChange;
+use yokefall_serving::{Backend, BackendState, Catalog, ZoneMap, ZoneState};
 
-fn backend(index: usize, life: u64) -> Arc<Backend> {
+fn backend(index: usize, incarnation: u64) -> Arc<Backend> {
     Arc::new(Backend {
         id: format!("i-{index:06x}"),
-        started_ms: life,
+        started_ms: incarnation,
         service: format!("service-{}", index % 3),
         address: "127.0.0.1:1".parse().expect("an address"),
         zone: format!("zone-{}", index % 4),
         slots: 1 + index as u32 % 8,
-        state: if life % 5 == 4 { BackendState::Draining } else { BackendState::Ready },
+        state: if incarnation % 5 == 4 { BackendState::Draining } else { BackendState::Ready },
         cold_remaining_ms: 0,
     })
 }
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Insert { index: u8, life: u8 },
+    Insert { index: u8, incarnation: u8 },
     Remove { index: u8 },
 }
 
@@ -38,7 +38,7 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         let index = u8::arbitrary(generator) % 40;
         match bool::arbitrary(generator) {
-            true => Step::Insert { index, life: u8::arbitrary(generator) % 10 },
+            true => Step::Insert { index, incarnation: u8::arbitrary(generator) % 10 },
             false => Step::Remove { index },
         }
     }
@@ -47,10 +47,14 @@
 type Oracle = BTreeMap<String, Arc<Backend>>;
 
 /// Takes a step in the table and in a map; returns what it changed.
-fn take(table: &mut BackendTable, oracle: &mut Oracle, step: &Step) -> Option<Changed<Backend>> {
+fn take(
+    table: &mut BackendTable,
+    oracle: &mut Oracle,
+    step: &Step,
+) -> Option<ObjectChange<Backend>> {
     let (before, after) = match step {
-        Step::Insert { index, life } => {
-            let backend = backend(usize::from(*index), u64::from(*life));
+        Step::Insert { index, incarnation } => {
+            let backend = backend(usize::from(*index), u64::from(*incarnation));
             table.insert(backend.clone());
             (oracle.insert(backend.id.clone(), backend.clone()), Some(backend))
         }
@@ -60,7 +64,7 @@
             (oracle.remove(&id), None)
         }
     };
-    (before.is_some() || after.is_some()).then_some(Changed { before, after })
+    (before.is_some() || after.is_some()).then_some(ObjectChange { before, after })
 }
 
 fn holds(table: &BackendTable, oracle: &Oracle) -> bool {
@@ -88,7 +92,7 @@
         let (older, mut followed) = (table.clone(), oracle.clone());
         then.iter().for_each(|step| drop(take(&mut table, &mut oracle, step)));
         let stayed = holds(&older, &followed);
-        for Changed { before, after } in table.changes_since(&older) {
+        for ObjectChange { before, after } in table.changes_since(&older) {
             let id = before.as_ref().or(after.as_ref()).expect("one of them").id.clone();
             let held = match after {
                 Some(after) => followed.insert(id, after),
@@ -107,11 +111,11 @@
         let region = |zone: usize| (format!("zone-{zone}"), format!("region-{}", zone / 2));
         let zones = Arc::new(ZoneMap::new((0..3).map(region).collect::<BTreeMap<_, _>>()));
         let evacuated = BTreeSet::from([format!("zone-{}", evacuated % 6)]);
-        let facts = ZoneFacts { evacuated, zones };
+        let facts = ZoneState { evacuated, zones };
         let (mut table, mut oracle) = (BackendTable::default(), Oracle::new());
         let mut followed = Catalog::with_zones(None, std::iter::empty(), facts.clone());
         steps.chunks(3).all(|batch| {
-            let changes: Vec<Changed<Backend>> =
+            let changes: Vec<ObjectChange<Backend>> =
                 batch.iter().filter_map(|step| take(&mut table, &mut oracle, step)).collect();
             followed = followed.clone().with_changes(&changes);
             let built = Catalog::with_zones(None, oracle.values(), facts.clone());
@@ -165,7 +169,7 @@
     let mut generator = SmallRng::seed_from_u64(1);
     let mut drawn: HashMap<String, usize> = HashMap::new();
     for _ in 0..300 * DRAWS_FOR_EACH {
-        let backend = table.draw(&mut generator).expect("a back end");
+        let backend = table.sample(&mut generator).expect("a back end");
         *drawn.entry(backend.id.clone()).or_default() += 1;
     }
     assert_eq!(drawn.len(), 300);
@@ -173,7 +177,7 @@
     let spread = 5.0 * (DRAWS_FOR_EACH as f64).sqrt();
     let is_even = |count: &usize| (*count as f64 - DRAWS_FOR_EACH as f64).abs() < spread;
     assert!(drawn.values().all(is_even), "{drawn:?}");
-    assert!(BackendTable::default().draw(&mut generator).is_none());
+    assert!(BackendTable::default().sample(&mut generator).is_none());
 }
 
 #[test]
--- a/crates/serving/tests/balance.rs
+++ b/crates/serving/tests/balance.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::{Backend, BackendLife, BackendState, Balancer, InFlight, Outcome, Policy};
+use yokefall_serving::{
+    Backend, BackendIncarnation, BackendState, Balancer, InFlight, Outcome, Policy,
+};
 
 const NOW: Timestamp = Timestamp(10_000);
 
@@ -30,8 +32,8 @@
 }
 
 /// The life of a back end that tells no start.
-fn life(id: &str) -> BackendLife {
-    BackendLife { id: id.into(), started_ms: 0 }
+fn incarnation(id: &str) -> BackendIncarnation {
+    BackendIncarnation { id: id.into(), started_ms: 0 }
 }
 
 /// What a job store tells of all processes, by id.
@@ -40,8 +42,12 @@
     now: Timestamp,
     totals: [(&str, InFlight); COUNT],
 ) {
-    let totals = totals.map(|(id, total)| (life(id), total));
-    balancer.heard_totals(now, totals.iter().map(|(life, total)| (life, *total)), |_| 0);
+    let totals = totals.map(|(id, total)| (incarnation(id), total));
+    balancer.update_totals(
+        now,
+        totals.iter().map(|(incarnation, total)| (incarnation, *total)),
+        |_| 0,
+    );
 }
 
 fn choose(balancer: &mut Balancer, now: Timestamp, all: &[Arc<Backend>]) -> String {
@@ -57,7 +63,7 @@
     let (mut balancer, all) = (balancer(), backends(4));
     for _ in 0..20 {
         let backend = chosen(&mut balancer, NOW, &all);
-        balancer.started(&backend);
+        balancer.record_start(&backend);
     }
     for backend in &all {
         assert_eq!(balancer.in_flight(backend), 5);
@@ -68,7 +74,7 @@
 fn what_others_have_in_flight_counts() {
     let (mut balancer, all) = (balancer(), backends(2));
     for backend in &all {
-        balancer.started(backend);
+        balancer.record_start(backend);
     }
     hear(&mut balancer, NOW, [("i-0", online(9)), ("i-1", online(1))]);
     for _ in 0..5 {
@@ -79,8 +85,8 @@
 #[test]
 fn tried_and_unreachable_ones_are_left_out_while_others_remain() {
     let (mut balancer, all) = (balancer(), backends(2));
-    balancer.started(&all[0]);
-    balancer.ended(NOW, &all[0], Outcome::Unreachable);
+    balancer.record_start(&all[0]);
+    balancer.record_end(NOW, &all[0], Outcome::Unreachable);
     for _ in 0..10 {
         assert_eq!(choose(&mut balancer, NOW, &all), "i-1");
     }
@@ -93,8 +99,8 @@
 fn one_failure_is_borne_and_three_in_a_row_are_not() {
     let (mut balancer, all) = (balancer(), backends(1));
     for failures in 1..=3 {
-        balancer.started(&all[0]);
-        balancer.ended(NOW, &all[0], Outcome::Failed);
+        balancer.record_start(&all[0]);
+        balancer.record_end(NOW, &all[0], Outcome::Failed);
         assert_eq!(balancer.is_ejected(NOW, &all[0]), failures == 3);
     }
     assert!(!balancer.is_ejected(NOW.plus_millis(5_000), &all[0]));
@@ -103,10 +109,10 @@
 #[test]
 fn a_silent_back_end_gets_nothing_until_it_speaks() {
     let (mut balancer, all) = (balancer(), backends(2));
-    balancer.started(&all[0]);
-    assert!(balancer.fell_silent(NOW, &all[0], 450));
+    balancer.record_start(&all[0]);
+    assert!(balancer.record_silence(NOW, &all[0], 450));
     assert_eq!(choose(&mut balancer, NOW, &all), "i-1");
-    balancer.ended(NOW, &all[0], Outcome::Answered);
+    balancer.record_end(NOW, &all[0], Outcome::Answered);
     assert!(!balancer.is_ejected(NOW, &all[0]));
 }
 
@@ -115,11 +121,11 @@
 #[test]
 fn a_back_end_that_speaks_on_another_request_is_not_silent() {
     let (mut balancer, all) = (balancer(), backends(1));
-    balancer.started(&all[0]);
-    balancer.heard(NOW.plus_millis(100), &all[0]);
-    assert!(!balancer.fell_silent(NOW.plus_millis(500), &all[0], 450));
+    balancer.record_start(&all[0]);
+    balancer.record_activity(NOW.plus_millis(100), &all[0]);
+    assert!(!balancer.record_silence(NOW.plus_millis(500), &all[0], 450));
     assert!(!balancer.is_ejected(NOW.plus_millis(500), &all[0]));
-    assert!(balancer.fell_silent(NOW.plus_millis(550), &all[0], 450));
+    assert!(balancer.record_silence(NOW.plus_millis(550), &all[0], 450));
 }
 
 #[test]
@@ -128,8 +134,8 @@
     let totals = InFlight { online: 4, items: 6 };
     hear(&mut balancer, NOW, [("i-0", totals)]);
     assert!((balancer.load(NOW, &all[0]) - 1.0).abs() < 1e-9);
-    balancer.took("models", 1e9);
-    let level = balancer.online_level(NOW, &all).expect("a back end");
+    balancer.record_service_time("models", 1e9);
+    let level = balancer.projected_online_load(NOW, &all).expect("a back end");
     assert!((level - 0.5).abs() < 1e-3, "4 of 10 slots and one more: {level}");
 }
 
@@ -138,8 +144,8 @@
 #[test]
 fn requests_that_end_before_they_are_told_do_not_fill_slots() {
     let (mut balancer, all) = (balancer(), backends(2));
-    balancer.set_choosers(50, 100);
-    balancer.took("models", 15.0);
+    balancer.set_balancer_count(50, 100);
+    balancer.record_service_time("models", 15.0);
     hear(&mut balancer, NOW, [("i-0", online(2)), ("i-1", online(2))]);
     // 4 requests a second here and at 49 others, 15 ms each: 3 in flight for 20 slots.
     for step in 0..40 {
@@ -147,7 +153,7 @@
     }
     let now = NOW.plus_millis(39 * 250);
     hear(&mut balancer, now, [("i-0", online(2)), ("i-1", online(1))]);
-    let level = balancer.online_level(now, &all).expect("back ends");
+    let level = balancer.projected_online_load(now, &all).expect("back ends");
     assert!(level < 0.3, "{level}");
 }
 
@@ -155,9 +161,9 @@
 fn own_requests_are_taken_out_of_totals_as_they_were_told() {
     let (mut balancer, all) = (balancer(), backends(1));
     // Told with one request; a second one started before the answer came.
-    balancer.started(&all[0]);
-    balancer.started(&all[0]);
-    balancer.heard_totals(NOW, [(&life("i-0"), online(3))].into_iter(), |_| 1);
+    balancer.record_start(&all[0]);
+    balancer.record_start(&all[0]);
+    balancer.update_totals(NOW, [(&incarnation("i-0"), online(3))].into_iter(), |_| 1);
     assert!((balancer.load(NOW, &all[0]) - 0.4).abs() < 1e-9);
 }
 
@@ -183,9 +189,9 @@
     let policy = Policy { ejection: false, silence: false, peer_loads: false, ..Policy::default() };
     let mut balancer = Balancer::new("hall-1".into(), 1, policy);
     let all = backends(1);
-    balancer.started(&all[0]);
-    assert!(!balancer.fell_silent(NOW, &all[0], 450));
-    balancer.ended(NOW, &all[0], Outcome::Unreachable);
+    balancer.record_start(&all[0]);
+    assert!(!balancer.record_silence(NOW, &all[0], 450));
+    balancer.record_end(NOW, &all[0], Outcome::Unreachable);
     assert!(!balancer.is_ejected(NOW, &all[0]));
     hear(&mut balancer, NOW, [("i-0", online(9))]);
     assert_eq!(balancer.load(NOW, &all[0]), 0.0);
@@ -199,7 +205,7 @@
         let id = balancer.choose(NOW, &all, &[], Some(42)).expect("a back end").id.clone();
         assert_eq!(id, first.id);
     }
-    (0..10).for_each(|_| balancer.started(&first));
+    (0..10).for_each(|_| balancer.record_start(&first));
     let second = balancer.choose(NOW, &all, &[], Some(42)).expect("a back end").id.clone();
     assert_ne!(second, first.id);
 }
@@ -210,29 +216,29 @@
 #[test]
 fn a_gateway_that_gets_no_reports_infers_no_wave_from_its_own_requests() {
     let (mut balancer, all) = (balancer(), backends(100));
-    balancer.set_choosers(250, 100);
-    balancer.took("models", 700.0);
+    balancer.set_balancer_count(250, 100);
+    balancer.record_service_time("models", 700.0);
     hear(&mut balancer, NOW, [("i-0", online(1))]);
     let later = NOW.plus_millis(3_000);
     for step in 0..100 {
         let backend = chosen(&mut balancer, later.plus_millis(step * 20), &all);
-        balancer.started(&backend);
-        balancer.ended(later.plus_millis(step * 20 + 10), &backend, Outcome::Answered);
+        balancer.record_start(&backend);
+        balancer.record_end(later.plus_millis(step * 20 + 10), &backend, Outcome::Answered);
     }
-    let level = balancer.online_level(later.plus_millis(2_000), &all).expect("a back end");
+    let level = balancer.projected_online_load(later.plus_millis(2_000), &all).expect("a back end");
     assert!(level < 0.5, "{level}");
 }
 
 #[test]
 fn a_back_end_that_fails_for_all_is_left_out_for_longer_each_time_until_it_answers() {
     let (mut balancer, all) = (balancer(), backends(2));
-    balancer.fail_for_all(NOW, [all[0].as_ref()].into_iter());
+    balancer.eject_reported(NOW, [all[0].as_ref()].into_iter());
     assert_eq!(choose(&mut balancer, NOW, &all), "i-1");
     assert!(!balancer.is_ejected(NOW.plus_millis(600), &all[0]));
-    balancer.fail_for_all(NOW.plus_millis(600), [all[0].as_ref()].into_iter());
+    balancer.eject_reported(NOW.plus_millis(600), [all[0].as_ref()].into_iter());
     assert!(balancer.is_ejected(NOW.plus_millis(1_500), &all[0]));
-    balancer.started(&all[0]);
-    balancer.ended(NOW.plus_millis(1_500), &all[0], Outcome::Answered);
+    balancer.record_start(&all[0]);
+    balancer.record_end(NOW.plus_millis(1_500), &all[0], Outcome::Answered);
     assert!(!balancer.is_ejected(NOW.plus_millis(1_500), &all[0]));
 }
 
@@ -240,8 +246,8 @@
 fn outcomes_are_reported_while_they_are_recent() {
     let (mut balancer, all) = (balancer(), backends(1));
     for outcome in [Outcome::Failed, Outcome::Unreachable, Outcome::Answered, Outcome::Full] {
-        balancer.started(&all[0]);
-        balancer.ended(NOW, &all[0], outcome);
+        balancer.record_start(&all[0]);
+        balancer.record_end(NOW, &all[0], outcome);
     }
     let sums = balancer.outcomes(NOW).next().expect("outcomes").1;
     assert_eq!((sums.failed, sums.answered), (2.0, 1.0));
@@ -263,7 +269,7 @@
 fn a_life_has_no_requests_of_the_one_before() {
     let (mut balancer, before) = (balancer(), backends(1));
     let after = restarted(&before);
-    (0..4).for_each(|_| balancer.started(&before[0]));
+    (0..4).for_each(|_| balancer.record_start(&before[0]));
     hear(&mut balancer, NOW, [("i-0", online(9))]);
     assert_eq!((balancer.in_flight(&after[0]), balancer.load(NOW, &after[0])), (0, 0.0));
     assert_eq!(balancer.in_flight(&before[0]), 4);
@@ -275,9 +281,9 @@
 fn requests_of_an_earlier_life_that_end_late_are_not_taken_off_the_new_one() {
     let (mut balancer, before) = (balancer(), backends(1));
     let after = restarted(&before);
-    (0..3).for_each(|_| balancer.started(&before[0]));
-    (0..2).for_each(|_| balancer.started(&after[0]));
-    (0..3).for_each(|_| balancer.ended(NOW, &before[0], Outcome::Failed));
+    (0..3).for_each(|_| balancer.record_start(&before[0]));
+    (0..2).for_each(|_| balancer.record_start(&after[0]));
+    (0..3).for_each(|_| balancer.record_end(NOW, &before[0], Outcome::Failed));
     assert_eq!((balancer.in_flight(&after[0]), balancer.in_flight(&before[0])), (2, 0));
 }
 
@@ -287,17 +293,18 @@
 fn the_health_of_a_life_is_its_own() {
     let (mut balancer, before) = (balancer(), backends(1));
     let after = restarted(&before);
-    balancer.started(&before[0]);
-    balancer.started(&after[0]);
-    balancer.ended(NOW, &before[0], Outcome::Unreachable);
-    balancer.fail_for_all(NOW, [before[0].as_ref()].into_iter());
-    assert!(balancer.fell_silent(NOW, &before[0], 450));
+    balancer.record_start(&before[0]);
+    balancer.record_start(&after[0]);
+    balancer.record_end(NOW, &before[0], Outcome::Unreachable);
+    balancer.eject_reported(NOW, [before[0].as_ref()].into_iter());
+    assert!(balancer.record_silence(NOW, &before[0], 450));
     assert!(!balancer.is_ejected(NOW, &after[0]));
-    balancer.ended(NOW, &after[0], Outcome::Unreachable);
-    balancer.started(&before[0]);
-    balancer.ended(NOW, &before[0], Outcome::Answered);
+    balancer.record_end(NOW, &after[0], Outcome::Unreachable);
+    balancer.record_start(&before[0]);
+    balancer.record_end(NOW, &before[0], Outcome::Answered);
     assert!(balancer.is_ejected(NOW, &after[0]));
-    let told: Vec<u64> = balancer.outcomes(NOW).map(|(life, _)| life.started_ms).collect();
+    let told: Vec<u64> =
+        balancer.outcomes(NOW).map(|(incarnation, _)| incarnation.started_ms).collect();
     assert_eq!(told.len(), 2, "outcomes are told by life: {told:?}");
 }
 
@@ -305,13 +312,13 @@
 fn a_life_that_nobody_knows_any_more_is_forgotten_once_nothing_is_in_flight_there() {
     let (mut balancer, before) = (balancer(), backends(1));
     let after = restarted(&before);
-    balancer.started(&before[0]);
-    balancer.started(&after[0]);
-    let known = after[0].life();
-    balancer.retain(|life| *life == known);
+    balancer.record_start(&before[0]);
+    balancer.record_start(&after[0]);
+    let known = after[0].incarnation();
+    balancer.retain(|incarnation| *incarnation == known);
     assert_eq!(balancer.in_flight(&before[0]), 1);
-    balancer.ended(NOW, &before[0], Outcome::Answered);
-    balancer.retain(|life| *life == known);
+    balancer.record_end(NOW, &before[0], Outcome::Answered);
+    balancer.retain(|incarnation| *incarnation == known);
     assert_eq!(balancer.outcomes(NOW).count(), 0);
     assert_eq!(balancer.in_flight(&after[0]), 1);
 }
--- a/crates/serving/tests/catalog.rs
+++ b/crates/serving/tests/catalog.rs
@@ -5,7 +5,7 @@
 use yokefall_serving::catalog::empty_catalog;
 use yokefall_serving::objects::{Lived, Objects};
 use yokefall_serving::table::{RouteTable, Splitter};
-use yokefall_serving::watch::Knowledge;
+use yokefall_serving::watch::PlatformState;
 use yokefall_serving::{Change, Configuration, Listing, Route, RouteKind, SplitPart};
 
 fn route(name: &str, host: &str, prefix: &str, split: &[(&str, u32)]) -> Route {
@@ -67,10 +67,10 @@
 #[test]
 fn an_older_configuration_does_not_come_into_force() {
     let cell = empty_catalog();
-    let mut knowledge = Knowledge::new(cell.clone(), Default::default());
-    assert!(knowledge.take_configuration(configuration(5, Vec::new())));
-    assert!(!knowledge.take_configuration(configuration(4, Vec::new())));
-    assert!(!knowledge.take_configuration(configuration(5, Vec::new())));
+    let mut platform_state = PlatformState::new(cell.clone(), Default::default());
+    assert!(platform_state.take_configuration(configuration(5, Vec::new())));
+    assert!(!platform_state.take_configuration(configuration(4, Vec::new())));
+    assert!(!platform_state.take_configuration(configuration(5, Vec::new())));
     assert_eq!(cell.load().version(), 5);
 }
 
--- a/crates/serving/tests/cold_parts.rs
+++ b/crates/serving/tests/cold_parts.rs
@@ -8,10 +8,10 @@
 use yokefall_serving::eligibility::cold_share::{quota, Allowance, Sends, SHARE_INTERVAL_MS};
 use yokefall_serving::eligibility::cold_state::{ColdState, Standing, ENTRY_MS};
 use yokefall_serving::eligibility::warmth::{ColdCause, Warmth, RECORD_DELAY_MS};
-use yokefall_serving::names::NameMemory;
+use yokefall_serving::known_processes::ProcessHistory;
 use yokefall_serving::{
-    Backend, BackendState, Catalog, Configuration, KnownNames, PlacementBounds, Sender, Service,
-    WarmUp, ZoneFacts, ZoneMap,
+    Backend, BackendState, Catalog, Configuration, KnownProcesses, PlacementBounds, SenderId,
+    Service, WarmUp, ZoneMap, ZoneState,
 };
 
 const BOUNDS: PlacementBounds =
@@ -19,17 +19,17 @@
 const WARM_UP: WarmUp = WarmUp { duration_ms: 3_000, per_1000_seconds: 15_000 };
 const START: Timestamp = Timestamp(100_000);
 
-fn names(gateways: usize, job_stores: usize) -> KnownNames {
+fn known_processes(gateways: usize, job_stores: usize) -> KnownProcesses {
     let all = |kind: &str, count: usize| (0..count).map(|n| format!("{kind}-{n}")).collect();
     let (gateways, job_stores) = (all("edge", gateways), all("store", job_stores));
-    KnownNames { gateways, job_stores, lost: 0, joined: true }
+    KnownProcesses { gateways, job_stores, unresponsive: 0, joined: true }
 }
 
-fn sum(names: &KnownNames, backend: &str) -> u32 {
+fn sum(names: &KnownProcesses, backend: &str) -> u32 {
     let allowance = Allowance::of(&BOUNDS, &WARM_UP, names);
     let of_kind = |job_store: bool| {
         let senders = names.of_kind(job_store);
-        let senders = senders.map(|name| Sender { name: name.to_owned(), job_store });
+        let senders = senders.map(|name| SenderId { name: name.to_owned(), job_store });
         senders.map(|sender| quota(allowance, names, backend, &sender)).sum::<u32>()
     };
     of_kind(false) + of_kind(true)
@@ -39,19 +39,23 @@
 #[test]
 fn shares_of_all_processes_stay_below_what_is_allowed_in_fleets_of_any_size() {
     for (gateways, job_stores) in [(1, 0), (1, 1), (2, 1), (3, 3), (17, 5), (23, 0), (75, 14)] {
-        let names = names(gateways, job_stores);
+        let names = known_processes(gateways, job_stores);
         for backend in ["a", "b", "c"] {
             let sum = sum(&names, backend);
             assert!((1..=22).contains(&sum), "{gateways} and {job_stores}: {sum}");
         }
     }
-    assert_eq!(sum(&names(75, 14), "a"), 22);
+    assert_eq!(sum(&known_processes(75, 14), "a"), 22);
 }
 
 #[test]
 fn lost_processes_take_from_what_the_others_use_down_to_a_part() {
-    let used = |lost: u32| {
-        let allowance = Allowance::of(&BOUNDS, &WARM_UP, &KnownNames { lost, ..names(75, 14) });
+    let used = |unresponsive: u32| {
+        let allowance = Allowance::of(
+            &BOUNDS,
+            &WARM_UP,
+            &KnownProcesses { unresponsive, ..known_processes(75, 14) },
+        );
         allowance.gateways + allowance.job_stores
     };
     assert_eq!((used(0), used(1), used(4), used(8), used(80)), (22, 21, 21, 20, 11));
@@ -61,7 +65,8 @@
 fn a_back_end_that_bears_less_than_one_request_gets_none_and_one_that_bears_one_gets_it() {
     let used = |per_1000_seconds: u64| {
         let warm_up = WarmUp { per_1000_seconds, ..WARM_UP };
-        let allowance = Allowance::of(&PlacementBounds::default(), &warm_up, &names(3, 3));
+        let allowance =
+            Allowance::of(&PlacementBounds::default(), &warm_up, &known_processes(3, 3));
         (allowance.gateways, allowance.job_stores)
     };
     assert_eq!((used(500), used(1_000)), ((0, 0), (1, 0)));
@@ -95,21 +100,21 @@
 /// What would fail: a process that is cut off goes on, and whoever forgets its name takes its share as well.
 #[test]
 fn names_of_lost_processes_count_for_minutes() {
-    let mut memory = NameMemory::default();
+    let mut memory = ProcessHistory::default();
     let own = record("own", MemberState::Alive);
-    memory.take(START, &[own.clone(), record("other", MemberState::Alive)]);
-    assert!(!NameMemory::default().names(START, "own", true).joined);
-    assert!(memory.names(START, "own", true).joined);
+    memory.update(START, &[own.clone(), record("other", MemberState::Alive)]);
+    assert!(!ProcessHistory::default().known_processes(START, "own", true).joined);
+    assert!(memory.known_processes(START, "own", true).joined);
     let lost_at = START.plus_millis(60_000);
-    memory.take(lost_at, &[own.clone(), record("other", MemberState::Suspect)]);
-    let known = memory.names(lost_at.plus_millis(2_000), "own", true);
-    assert_eq!((known.gateways.len(), known.lost), (2, 1));
+    memory.update(lost_at, &[own.clone(), record("other", MemberState::Suspect)]);
+    let known = memory.known_processes(lost_at.plus_millis(2_000), "own", true);
+    assert_eq!((known.gateways.len(), known.unresponsive), (2, 1));
     // Membership forgets it sooner or later; the name counts on.
-    memory.take(lost_at.plus_millis(20_000), std::slice::from_ref(&own));
-    let known = memory.names(lost_at.plus_millis(20_000), "own", true);
-    assert_eq!((known.gateways.len(), known.lost), (2, 0));
-    memory.take(lost_at.plus_millis(700_000), &[own]);
-    assert_eq!(memory.names(lost_at.plus_millis(700_000), "own", true).gateways, ["own"]);
+    memory.update(lost_at.plus_millis(20_000), std::slice::from_ref(&own));
+    let known = memory.known_processes(lost_at.plus_millis(20_000), "own", true);
+    assert_eq!((known.gateways.len(), known.unresponsive), (2, 0));
+    memory.update(lost_at.plus_millis(700_000), &[own]);
+    assert_eq!(memory.known_processes(lost_at.plus_millis(700_000), "own", true).gateways, ["own"]);
 }
 
 fn backend(started_ms: u64, cold_remaining_ms: u64) -> Arc<Backend> {
@@ -134,7 +139,7 @@
     };
     let configuration = Configuration { services: vec![service], ..Configuration::default() };
     let evacuated: BTreeSet<String> = evacuated.iter().map(|zone| (*zone).to_owned()).collect();
-    let facts = ZoneFacts { evacuated, zones: Arc::new(ZoneMap::default()) };
+    let facts = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
     Catalog::with_zones(Some(Arc::new(configuration)), backends.iter(), facts)
 }
 
@@ -183,16 +188,16 @@
 fn a_failure_is_outweighed_by_time_or_by_the_word_of_the_same_life() {
     let mut warmth = Warmth::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
-    warmth.told(START, "i-0", 1, 0);
-    warmth.failed(START, "i-0");
+    warmth.record_report(START, "i-0", 1, 0);
+    warmth.record_failure(START, "i-0");
     let until = WARM_UP.duration_ms + RECORD_DELAY_MS;
     assert_eq!(doubt(&warmth, START), Some((ColdCause::Failed, until)));
-    warmth.told(START, "i-0", 2, 0);
+    warmth.record_report(START, "i-0", 2, 0);
     assert_eq!(doubt(&warmth, START), Some((ColdCause::Failed, until)));
     assert_eq!(doubt(&warmth, START.plus_millis(until)), None);
-    warmth.told(START, "i-0", 1, 0);
+    warmth.record_report(START, "i-0", 1, 0);
     assert_eq!(doubt(&warmth, START), None);
-    warmth.told(START, "i-0", 1, 700);
+    warmth.record_report(START, "i-0", 1, 700);
     assert_eq!(doubt(&warmth, START), Some((ColdCause::Told, 700)));
 }
 
@@ -217,8 +222,8 @@
     assert_eq!(doubt(&warmth, START), Some((ColdCause::Appeared, 3_000)));
 }
 
-fn state(remaining_ms: u64, names: KnownNames) -> ColdState {
-    let sender = Sender { name: "edge-0".into(), job_store: false };
+fn state(remaining_ms: u64, names: KnownProcesses) -> ColdState {
+    let sender = SenderId { name: "edge-0".into(), job_store: false };
     let mut state = ColdState::new(START, sender, BOUNDS);
     state.observe(START, &catalog(&[backend(1, remaining_ms)], &[]));
     state.set_names(Arc::new(names));
@@ -230,11 +235,11 @@
 #[test]
 fn a_process_uses_its_share_some_seconds_after_its_start_and_once_it_has_met_others() {
     let backend = backend(1, 60_000);
-    let mut met = state(60_000, names(3, 0));
+    let mut met = state(60_000, known_processes(3, 0));
     assert!(!met.standing(START.plus_millis(ENTRY_MS - 1), None, &backend).may_send());
     let entered = START.plus_millis(ENTRY_MS);
     assert!(met.standing(entered, None, &backend).may_send());
-    let mut alone = state(60_000, KnownNames { joined: false, ..names(1, 0) });
+    let mut alone = state(60_000, KnownProcesses { joined: false, ..known_processes(1, 0) });
     assert!(!alone.standing(entered.plus_millis(10_000), None, &backend).may_send());
 }
 
@@ -242,7 +247,7 @@
 #[test]
 fn nothing_is_known_to_be_warm_by_old_news() {
     let (backend, now) = (backend(1, 0), START.plus_millis(ENTRY_MS));
-    let mut state = state(0, names(75, 14));
+    let mut state = state(0, known_processes(75, 14));
     assert_eq!(state.standing(now, Some(5_000), &backend), Standing::Warm);
     let standing = state.standing(now, Some(5_001), &backend);
     assert!(matches!(standing, Standing::Cold { cause: ColdCause::OldNews, .. }), "{standing:?}");
@@ -252,10 +257,10 @@
 #[test]
 fn a_leader_gives_each_job_store_with_a_share_one_item_in_an_interval() {
     let backend = backend(1, 60_000);
-    let mut state = state(60_000, names(75, 14));
+    let mut state = state(60_000, known_processes(75, 14));
     let mut given = BTreeSet::new();
     while let Some(name) = state.item_sender(START, &backend, |_| true) {
-        state.gave_item(START, &backend.id, name.clone());
+        state.record_item_assignment(START, &backend.id, name.clone());
         assert!(given.insert(name), "one got two");
     }
     assert_eq!(given.len(), 4);
@@ -269,10 +274,10 @@
 fn a_back_end_that_is_heard_here_is_not_cold_for_what_others_report() {
     let mut warmth = Warmth::default();
     warmth.observe(START, &catalog(&[backend(1, 0)], &[]));
-    warmth.heard(START, "i-0");
-    warmth.failed_for_all(START.plus_millis(400), "i-0");
+    warmth.record_activity(START, "i-0");
+    warmth.record_reported_failure(START.plus_millis(400), "i-0");
     assert_eq!(doubt(&warmth, START.plus_millis(400)), None);
     let later = START.plus_millis(500);
-    warmth.failed_for_all(later, "i-0");
+    warmth.record_reported_failure(later, "i-0");
     assert_eq!(doubt(&warmth, later).map(|(cause, _)| cause), Some(ColdCause::Failed));
 }
--- a/crates/serving/tests/cold_world/facts.rs
+++ b/crates/serving/tests/cold_world/facts.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use yokefall_serving::{
-    Backend, BackendState, Catalog, Configuration, Service, WarmUp, ZoneFacts, ZoneMap,
+    Backend, BackendState, Catalog, Configuration, Service, WarmUp, ZoneMap, ZoneState,
 };
 
 use super::{BackEnd, Seen};
@@ -35,7 +35,7 @@
     fn write(&mut self, now: u64, back_end: &BackEnd) {
         let record = Backend {
             id: back_end.id(),
-            started_ms: back_end.life,
+            started_ms: back_end.incarnation,
             service: SERVICE.into(),
             address: "127.0.0.1:1".parse().expect("an address"),
             zone: back_end.zone.to_string(),
@@ -56,7 +56,7 @@
         let services = vec![service];
         let configuration = Configuration { version: 1, services, ..Configuration::default() };
         let evacuated: BTreeSet<String> = self.evacuated.keys().map(usize::to_string).collect();
-        let facts = ZoneFacts { evacuated, zones: Arc::new(ZoneMap::default()) };
+        let facts = ZoneState { evacuated, zones: Arc::new(ZoneMap::default()) };
         let catalog =
             Catalog::with_zones(Some(Arc::new(configuration)), self.records.values(), facts);
         self.history.push((now, Arc::new(catalog)));
--- a/crates/serving/tests/cold_world/mod.rs
+++ b/crates/serving/tests/cold_world/mod.rs
@@ -60,7 +60,7 @@
 /// A back end as it truly is.
 pub struct BackEnd {
     pub number: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub keeps_id: bool,
     pub zone: usize,
     pub down_until: u64,
@@ -79,7 +79,7 @@
         if self.keeps_id {
             return format!("b{}", self.number);
         }
-        format!("b{}-{}", self.number, self.life)
+        format!("b{}-{}", self.number, self.incarnation)
     }
 
     pub fn is_up(&self, now: u64) -> bool {
@@ -110,7 +110,7 @@
         let stores = rng.random_range(1..=14.min(gateways));
         let back_ends = (0..BACK_ENDS).map(|number| BackEnd {
             number,
-            life: 1,
+            incarnation: 1,
             keeps_id: rng.random_bool(0.5),
             zone: number % 3,
             down_until: 0,
@@ -221,7 +221,7 @@
         if !back_end.is_up(now) {
             return;
         }
-        back_end.life += 1;
+        back_end.incarnation += 1;
         back_end.down_until = now + down;
         back_end.cold_until = back_end.down_until + DURATION_MS;
         back_end.counted_from = back_end.down_until;
@@ -300,7 +300,7 @@
             }
             let id = back_end.id();
             for process in self.processes.iter_mut().filter(|process| process.is_in_touch(now)) {
-                process.state.failed_for_all(Timestamp(now), &id);
+                process.state.record_reported_failure(Timestamp(now), &id);
             }
         }
     }
@@ -324,11 +324,11 @@
                 };
                 process.state.sent(Timestamp(now), &record);
                 if !back_end.is_up(now) {
-                    process.state.failed(Timestamp(now), &record);
+                    process.state.record_failure(Timestamp(now), &record);
                     back_end.failures.push(now);
                     continue;
                 }
-                process.state.heard(Timestamp(now), &record);
+                process.state.record_activity(Timestamp(now), &record);
                 // One short of processor time writes late what it was permitted to.
                 let sent = now + self.rng.random_range(0..80);
                 let arrived = sent + self.rng.random_range(1..5);
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::eligibility::cold_share::Sender;
+use yokefall_serving::eligibility::cold_share::SenderId;
 use yokefall_serving::eligibility::cold_state::{ColdState, Standing};
-use yokefall_serving::{Backend, KnownNames};
+use yokefall_serving::{Backend, KnownProcesses};
 
 use super::{BackEnd, Seen, Way, BACK_ENDS, BOUNDS};
 
@@ -37,12 +37,12 @@
     /// Records by number of the back end, as seen.
     records: Vec<Option<Arc<Backend>>>,
     names: BTreeMap<String, bool>,
-    lost: u32,
+    unresponsive: u32,
 }
 
 impl Process {
     pub fn start(now: u64, name: String, job_store: bool) -> Self {
-        let sender = Sender { name: name.clone(), job_store };
+        let sender = SenderId { name: name.clone(), job_store };
         // Below the second that the code reckons with, together with the write of a record.
         let delay_ms = name.bytes().fold(now, |sum, byte| sum * 31 + u64::from(byte)) % 600;
         Self {
@@ -59,7 +59,7 @@
             seen: None,
             records: Vec::new(),
             names: BTreeMap::new(),
-            lost: 0,
+            unresponsive: 0,
         }
     }
 
@@ -118,7 +118,13 @@
         (NOTICED_MS..LOST_MS).contains(&(now - since))
     }
 
-    pub fn refresh(&mut self, now: u64, catalog: Seen, heard: Vec<(String, bool)>, lost: u32) {
+    pub fn refresh(
+        &mut self,
+        now: u64,
+        catalog: Seen,
+        heard: Vec<(String, bool)>,
+        unresponsive: u32,
+    ) {
         if !self.is_in_touch(now) {
             return;
         }
@@ -133,19 +139,24 @@
         }
         let before = self.names.len();
         self.names.extend(heard);
-        if self.names.len() > before || self.lost != lost {
-            self.lost = lost;
+        if self.names.len() > before || self.unresponsive != unresponsive {
+            self.unresponsive = unresponsive;
             self.state.set_names(Arc::new(self.known_names()));
         }
     }
 
-    fn known_names(&self) -> KnownNames {
+    fn known_names(&self) -> KnownProcesses {
         let of_kind = |kind: bool| {
             let names = self.names.iter().filter(|(_, job_store)| **job_store == kind);
             names.map(|(name, _)| name.clone()).collect()
         };
         let (gateways, job_stores) = (of_kind(false), of_kind(true));
-        KnownNames { gateways, job_stores, lost: self.lost, joined: self.names.len() > 1 }
+        KnownProcesses {
+            gateways,
+            job_stores,
+            unresponsive: self.unresponsive,
+            joined: self.names.len() > 1,
+        }
     }
 
     fn news_age_ms(&self, now: u64) -> u64 {
--- a/crates/serving/tests/distance.rs
+++ b/crates/serving/tests/distance.rs
@@ -8,7 +8,7 @@
 
 use yokefall_core::Timestamp;
 use yokefall_serving::{
-    Backend, BackendLife, BackendState, Balancer, Distance, InFlight, Policy, ZoneMap,
+    Backend, BackendIncarnation, BackendState, Balancer, Distance, InFlight, Policy, ZoneMap,
 };
 
 const NOW: Timestamp = Timestamp(10_000);
@@ -40,11 +40,11 @@
     let balancer = Balancer::new("north-a".into(), 1, Policy::default());
     let mut balancer = balancer.with_zones(Arc::new(zones()));
     let total = |requests: u32| InFlight { online: requests, items: 0 };
-    let life = |id: &str| BackendLife { id: id.into(), started_ms: 0 };
-    let loads: Vec<(BackendLife, u32)> =
-        loads.iter().map(|(id, requests)| (life(id), *requests)).collect();
-    let totals = loads.iter().map(|(life, requests)| (life, total(*requests)));
-    balancer.heard_totals(NOW, totals, |_| 0);
+    let incarnation = |id: &str| BackendIncarnation { id: id.into(), started_ms: 0 };
+    let loads: Vec<(BackendIncarnation, u32)> =
+        loads.iter().map(|(id, requests)| (incarnation(id), *requests)).collect();
+    let totals = loads.iter().map(|(incarnation, requests)| (incarnation, total(*requests)));
+    balancer.update_totals(NOW, totals, |_| 0);
     balancer
 }
 
--- a/crates/serving/tests/drawn.rs
+++ b/crates/serving/tests/drawn.rs
@@ -7,8 +7,8 @@
 use yokefall_core::Timestamp;
 use yokefall_serving::backend_table::BackendTable;
 use yokefall_serving::{
-    empty_catalog, Backend, BackendState, Balancer, Catalog, Drawn, Eligibility, InFlight, Need,
-    Outcome, Policy, Residency,
+    empty_catalog, Backend, BackendState, Balancer, CandidateSample, Catalog, Eligibility,
+    InFlight, Outcome, Policy, Requirements, Residency,
 };
 
 const NOW: Timestamp = Timestamp(10_000);
@@ -37,7 +37,7 @@
     let all = backends(200);
     let table: BackendTable = all.iter().collect();
     let mut generator = SmallRng::seed_from_u64(1);
-    assert_eq!(Drawn::of(&[&table], None, &mut generator), None);
+    assert_eq!(CandidateSample::of(&[&table], None, &mut generator), None);
 }
 
 /// A choice out of 10,000 takes 1 ms of a core where it looks at all of them, with nothing known of any.
@@ -47,10 +47,10 @@
     for count in [1_000, 10_000, 20_000] {
         let all = backends(count);
         let table: BackendTable = all.iter().collect();
-        let drawn = Drawn::of(&[&table], Some(7), &mut generator).expect("out of many");
-        assert!((100..=128).contains(&drawn.backends.len()), "{}", drawn.backends.len());
-        assert_eq!(drawn.preferred.len(), 2);
-        assert!((drawn.part * count as f64 - drawn.backends.len() as f64).abs() < 1e-6);
+        let sample = CandidateSample::of(&[&table], Some(7), &mut generator).expect("out of many");
+        assert!((100..=128).contains(&sample.backends.len()), "{}", sample.backends.len());
+        assert_eq!(sample.preferred.len(), 2);
+        assert!((sample.fraction * count as f64 - sample.backends.len() as f64).abs() < 1e-6);
     }
 }
 
@@ -62,8 +62,9 @@
     let mut generator = SmallRng::seed_from_u64(1);
     let mut of_small = 0;
     for _ in 0..100 {
-        let drawn = Drawn::of(&[&small, &large], None, &mut generator).expect("out of many");
-        of_small += drawn.backends.iter().filter(|backend| small.contains(&backend.id)).count();
+        let sample =
+            CandidateSample::of(&[&small, &large], None, &mut generator).expect("out of many");
+        of_small += sample.backends.iter().filter(|backend| small.contains(&backend.id)).count();
     }
     // A tenth of 12,800, with five times the spread of so many draws.
     assert!((1_110..=1_450).contains(&of_small), "{of_small}");
@@ -78,9 +79,10 @@
     let mut balancer = balancer(1);
     let requests = 1_000 * SLOTS * 9 / 10;
     for _ in 0..requests {
-        let drawn = Drawn::of(&[&table], None, balancer.generator()).expect("out of many");
-        let chosen = balancer.choose_drawn(NOW, &drawn, &[]).expect("a back end");
-        balancer.started(&chosen);
+        let sample =
+            CandidateSample::of(&[&table], None, balancer.generator()).expect("out of many");
+        let chosen = balancer.choose_from_sample(NOW, &sample, &[]).expect("a back end");
+        balancer.record_start(&chosen);
     }
     let most = all.iter().map(|backend| balancer.in_flight(backend)).max();
     assert!(most <= Some(SLOTS), "{most:?} requests at a back end with {SLOTS} slots");
@@ -92,13 +94,14 @@
     let table: BackendTable = all.iter().collect();
     let (mut one, mut other) = (balancer(1), balancer(2));
     let choose = |balancer: &mut Balancer| {
-        let drawn = Drawn::of(&[&table], Some(7), balancer.generator()).expect("out of many");
-        balancer.choose_drawn(NOW, &drawn, &[]).expect("a back end")
+        let sample =
+            CandidateSample::of(&[&table], Some(7), balancer.generator()).expect("out of many");
+        balancer.choose_from_sample(NOW, &sample, &[]).expect("a back end")
     };
     let first = choose(&mut one);
     assert_eq!(first, choose(&mut other), "two processes send a prefix to the same one");
     let full = InFlight { online: SLOTS, items: 0 };
-    one.heard_totals(NOW, std::iter::once((&first.life(), full)), |_| 0);
+    one.update_totals(NOW, std::iter::once((&first.incarnation(), full)), |_| 0);
     let second = choose(&mut one);
     assert_ne!(first, second);
     assert_eq!(second, choose(&mut one));
@@ -113,17 +116,18 @@
     cell.store(Arc::new(Catalog::new(None, all.iter())));
     let catalog = cell.load_full();
     let eligibility = Eligibility::new(cell.clone());
-    let need = Need { service: "models", residency: &Residency::Anywhere };
+    let requirements = Requirements { service: "models", residency: &Residency::Anywhere };
     let mut balancer = balancer(1);
     for backend in &all[1..] {
-        balancer.started(backend);
-        balancer.ended(NOW, backend, Outcome::Unreachable);
+        balancer.record_start(backend);
+        balancer.record_end(NOW, backend, Outcome::Unreachable);
     }
-    let drawn = eligibility.draw(&catalog, &need, None, balancer.generator()).expect("of many");
-    if !drawn.backends.contains(&all[0]) {
-        assert_eq!(balancer.choose_drawn(NOW, &drawn, &[]), None);
+    let sample =
+        eligibility.sample(&catalog, &requirements, None, balancer.generator()).expect("of many");
+    if !sample.backends.contains(&all[0]) {
+        assert_eq!(balancer.choose_from_sample(NOW, &sample, &[]), None);
     }
-    let candidates = eligibility.candidates(&catalog, &need);
+    let candidates = eligibility.candidates(&catalog, &requirements);
     let chosen = balancer.choose(NOW, &candidates, &[], None);
     assert_eq!(chosen.as_ref(), Some(&all[0]));
 }
--- a/crates/serving/tests/duty.rs
+++ b/crates/serving/tests/duty.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use yokefall_core::Timestamp;
-use yokefall_serving::duty::{Ranking, Roster, HEARTBEAT_INTERVAL_MS, STANDBYS, WATCHERS};
+use yokefall_serving::watch_role::{
+    Ranking, WatcherElection, HEARTBEAT_INTERVAL_MS, STANDBYS, WATCHERS,
+};
 use yokefall_serving::FleetMember;
 
 const STEP_MS: u64 = 50;
@@ -23,7 +25,7 @@
     now: u64,
     zones: usize,
     members: Vec<FleetMember>,
-    rosters: Vec<Roster>,
+    rosters: Vec<WatcherElection>,
     /// Members that neither run nor are seen to.
     gone: BTreeMap<usize, u64>,
     /// Members that the store turns away.
@@ -37,8 +39,9 @@
 impl Model {
     fn new(count: usize, zones: usize) -> Self {
         let members: Vec<FleetMember> = (0..count).map(|index| member(index, zones)).collect();
-        let roster = |index: usize| Roster::new(Timestamp(0), false, index as f64 / count as f64);
-        let rosters = (0..count).map(roster).collect();
+        let election =
+            |index: usize| WatcherElection::new(Timestamp(0), false, index as f64 / count as f64);
+        let rosters = (0..count).map(election).collect();
         let (gone, refused, watching) = Default::default();
         Self { now: 0, zones, members, rosters, gone, refused, watching }
     }
@@ -67,20 +70,20 @@
             if self.gone.contains_key(&index) {
                 continue;
             }
-            let roster = &mut self.rosters[index];
-            roster.rank(now, Ranking::new(&seen, &member.zone, &member.name));
-            if !roster.watches(now, true) {
+            let election = &mut self.rosters[index];
+            election.rank(now, Ranking::new(&seen, &member.zone, &member.name));
+            if !election.watches(now, true) {
                 continue;
             }
             self.watching.insert(index);
             if beats && !self.refused.contains(&index) {
-                heartbeats.push((member.name.clone(), roster.standbys().to_vec()));
+                heartbeats.push((member.name.clone(), election.standbys().to_vec()));
             }
         }
         for (watcher, standbys) in heartbeats {
             for (index, member) in self.members.iter().enumerate() {
                 if standbys.contains(&member.name) && !self.gone.contains_key(&index) {
-                    self.rosters[index].heard_watcher(now, &watcher);
+                    self.rosters[index].record_watcher_heartbeat(now, &watcher);
                 }
             }
         }
@@ -167,27 +170,27 @@
 
 #[test]
 fn a_process_that_nobody_tells_a_configuration_reads_it_itself() {
-    let mut roster = Roster::new(Timestamp(0), false, 1.0);
-    assert!(!roster.watches(Timestamp(50), false));
-    assert!(roster.watches(Timestamp(500), false));
-    let mut first = Roster::new(Timestamp(0), true, 0.0);
+    let mut election = WatcherElection::new(Timestamp(0), false, 1.0);
+    assert!(!election.watches(Timestamp(50), false));
+    assert!(election.watches(Timestamp(500), false));
+    let mut first = WatcherElection::new(Timestamp(0), true, 0.0);
     assert!(!first.watches(Timestamp(500), false));
     assert!(first.watches(Timestamp(2_000), false));
 }
 
 #[test]
 fn a_process_whose_peers_do_not_answer_reads_the_store_for_a_while() {
-    let mut roster = Roster::new(Timestamp(0), false, 0.0);
+    let mut election = WatcherElection::new(Timestamp(0), false, 0.0);
     let members: Vec<FleetMember> = (0..20).map(|index| member(index, 1)).collect();
     let last = (0..20)
         .map(|index| Ranking::new(&members, "zone-0", &format!("node-{index}")))
         .max_by_key(|ranking| ranking.rank)
         .expect("a ranking");
-    roster.rank(Timestamp(0), last);
-    assert!(!roster.watches(Timestamp(5_000), true));
-    roster.catch_up(Timestamp(5_000));
-    assert!(roster.watches(Timestamp(5_100), true));
-    assert!(!roster.watches(Timestamp(8_000), true));
+    election.rank(Timestamp(0), last);
+    assert!(!election.watches(Timestamp(5_000), true));
+    election.catch_up(Timestamp(5_000));
+    assert!(election.watches(Timestamp(5_100), true));
+    assert!(!election.watches(Timestamp(8_000), true));
 }
 
 /// After a start of all nobody knows back ends. A list of 3,000 takes 61 calls: few read it.
@@ -195,14 +198,15 @@
 fn after_a_start_of_all_few_read_back_ends_and_each_does_in_the_end() {
     let (count, zones) = (300, 3);
     let members: Vec<FleetMember> = (0..count).map(|index| member(index, zones)).collect();
-    let roster = |index: usize| Roster::new(Timestamp(0), false, index as f64 / count as f64);
-    let mut rosters: Vec<Roster> = (0..count).map(roster).collect();
+    let election =
+        |index: usize| WatcherElection::new(Timestamp(0), false, index as f64 / count as f64);
+    let mut rosters: Vec<WatcherElection> = (0..count).map(election).collect();
     let mut readers: BTreeSet<usize> = BTreeSet::new();
     for now in (0..6_000).step_by(STEP_MS as usize) {
         for (index, member) in members.iter().enumerate() {
-            let roster = &mut rosters[index];
-            roster.rank(Timestamp(now), Ranking::new(&members, &member.zone, &member.name));
-            if roster.reads_backends(Timestamp(now), false) {
+            let election = &mut rosters[index];
+            election.rank(Timestamp(now), Ranking::new(&members, &member.zone, &member.name));
+            if election.reads_backends(Timestamp(now), false) {
                 readers.insert(index);
             }
         }
@@ -216,9 +220,9 @@
     assert_eq!(readers.len(), count, "whom no peer tells reads for itself");
     // Who knows back ends reads only where it watches.
     let mut idle = 0;
-    for (member, roster) in members.iter().zip(&mut rosters) {
-        roster.rank(Timestamp(6_000), Ranking::new(&members, &member.zone, &member.name));
-        if !roster.reads_backends(Timestamp(6_000), true) {
+    for (member, election) in members.iter().zip(&mut rosters) {
+        election.rank(Timestamp(6_000), Ranking::new(&members, &member.zone, &member.name));
+        if !election.reads_backends(Timestamp(6_000), true) {
             idle += 1;
         }
     }
@@ -233,13 +237,13 @@
     let rankings = (0..20).map(|index| Ranking::new(&members, "zone-0", &format!("node-{index}")));
     let last = rankings.max_by_key(|ranking| ranking.rank).expect("a ranking");
     let reads_after = |spread: f64, heard_from: u64, heard_until: u64| {
-        let mut roster = Roster::new(Timestamp(0), heard_from > 0, spread);
-        roster.rank(Timestamp(0), last.clone());
+        let mut election = WatcherElection::new(Timestamp(0), heard_from > 0, spread);
+        election.rank(Timestamp(0), last.clone());
         let reads = |now: &u64| {
             if (heard_from..heard_until).contains(now) {
-                roster.heard_of_backends(Timestamp(*now));
+                election.record_peer_with_backends(Timestamp(*now));
             }
-            roster.reads_backends(Timestamp(*now), false)
+            election.reads_backends(Timestamp(*now), false)
         };
         (0..20_000).step_by(STEP_MS as usize).find(reads)
     };
@@ -263,14 +267,14 @@
     let members: Vec<FleetMember> = (0..60).map(|index| member(index, 1)).collect();
     let mut readers = 0;
     for me in &members {
-        let mut roster = Roster::new(Timestamp(0), false, 0.0);
+        let mut election = WatcherElection::new(Timestamp(0), false, 0.0);
         let reads = |now: u64| {
             // Members that are known double every 100 ms, this process among them.
             let known = (2_usize << (now / 100).min(10)).min(60);
             let mut seen: Vec<FleetMember> = members.iter().take(known).cloned().collect();
             seen.push(me.clone());
-            roster.rank(Timestamp(now), Ranking::new(&seen, &me.zone, &me.name));
-            roster.reads_backends(Timestamp(now), false)
+            election.rank(Timestamp(now), Ranking::new(&seen, &me.zone, &me.name));
+            election.reads_backends(Timestamp(now), false)
         };
         readers += usize::from((0..2_000).step_by(STEP_MS as usize).any(reads));
     }
--- a/crates/serving/tests/eligibility.rs
+++ b/crates/serving/tests/eligibility.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use yokefall_serving::{
-    empty_catalog, Backend, BackendState, Catalog, CatalogCell, Eligibility, Ineligible, Need,
-    Residency, ZoneFacts, ZoneMap,
+    empty_catalog, Backend, BackendState, Catalog, CatalogCell, Eligibility, Ineligible,
+    Requirements, Residency, ZoneMap, ZoneState,
 };
 
 const SERVICE: &str = "models";
@@ -32,7 +32,7 @@
 fn publish(cell: &CatalogCell, backends: &[Backend], evacuated: &[&str]) {
     let backends: Vec<Arc<Backend>> = backends.iter().cloned().map(Arc::new).collect();
     let evacuated = evacuated.iter().map(|zone| (*zone).to_owned()).collect();
-    let facts = ZoneFacts { evacuated, zones: zones() };
+    let facts = ZoneState { evacuated, zones: zones() };
     cell.store(Arc::new(Catalog::with_zones(None, backends.iter(), facts)));
 }
 
@@ -42,15 +42,15 @@
 
 fn candidates(cell: &CatalogCell, residency: &Residency) -> BTreeSet<String> {
     let eligibility = Eligibility::new(cell.clone());
-    let need = Need { service: SERVICE, residency };
+    let requirements = Requirements { service: SERVICE, residency };
     let catalog = cell.load_full();
-    let candidates = eligibility.candidates(&catalog, &need);
+    let candidates = eligibility.candidates(&catalog, &requirements);
     candidates.iter().map(|backend| backend.id.clone()).collect()
 }
 
 fn refusal(cell: &CatalogCell, backend: &Backend, residency: &Residency) -> Option<Ineligible> {
-    let need = Need { service: SERVICE, residency };
-    Eligibility::new(cell.clone()).permit(backend, &need).err()
+    let requirements = Requirements { service: SERVICE, residency };
+    Eligibility::new(cell.clone()).permit(backend, &requirements).err()
 }
 
 fn names(of: &[&str]) -> BTreeSet<String> {
--- a/crates/serving/tests/eligibility_cost.rs
+++ b/crates/serving/tests/eligibility_cost.rs
@@ -7,7 +7,8 @@
 use std::time::Instant;
 
 use yokefall_serving::{
-    empty_catalog, Backend, BackendState, Catalog, Eligibility, Need, Residency, ZoneFacts, ZoneMap,
+    empty_catalog, Backend, BackendState, Catalog, Eligibility, Requirements, Residency, ZoneMap,
+    ZoneState,
 };
 
 const ROUNDS: u32 = 2_000;
@@ -31,7 +32,7 @@
     let region =
         |zone: usize| (format!("zone-{zone}"), format!("region-{}", zone / ZONES_OF_A_REGION));
     let zones = Arc::new(ZoneMap::new((0..ZONES).map(region).collect::<BTreeMap<_, _>>()));
-    let facts = ZoneFacts { evacuated: BTreeSet::new(), zones };
+    let facts = ZoneState { evacuated: BTreeSet::new(), zones };
     Catalog::with_zones(None, backends.iter(), facts)
 }
 
@@ -56,13 +57,13 @@
         let held = catalog.ready("models")[count / 2].clone();
         let mut figures = Vec::new();
         for residency in [Residency::Anywhere, within(1), within(2)] {
-            let need = Need { service: "models", residency: &residency };
+            let requirements = Requirements { service: "models", residency: &residency };
             figures.push(nanoseconds(|| {
-                black_box(eligibility.candidates(&catalog, &need).len());
+                black_box(eligibility.candidates(&catalog, &requirements).len());
             }));
         }
-        let need = Need { service: "models", residency: &Residency::Anywhere };
-        let permit = nanoseconds(|| drop(black_box(eligibility.permit(&held, &need))));
+        let requirements = Requirements { service: "models", residency: &Residency::Anywhere };
+        let permit = nanoseconds(|| drop(black_box(eligibility.permit(&held, &requirements))));
         let ready = nanoseconds(|| {
             black_box(catalog.is_ready(&held.id));
         });
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -15,14 +15,14 @@
 use yokefall_clock::SuspensionSource;
 use yokefall_core::membership::{Datagram, MemberRecord, MemberState, Membership, Outgoing};
 use yokefall_core::Timestamp;
-use yokefall_serving::ages::Followed;
-use yokefall_serving::backlog::Backlog;
-use yokefall_serving::duty::{Ranking, STANDBYS, WATCHERS};
+use yokefall_serving::ages::ObjectKind;
 use yokefall_serving::fleet::CONFIRMATION_FANOUT;
-use yokefall_serving::news::Known;
-use yokefall_serving::news_exchange::NewsRequest;
-use yokefall_serving::observer::LineObserver;
-use yokefall_serving::watch::{Following, Knowledge, SharedKnowledge, Sink};
+use yokefall_serving::observer::LoggingObserver;
+use yokefall_serving::peer_sync::StateDigest;
+use yokefall_serving::stall_detector::StallDetector;
+use yokefall_serving::state_exchange::StateRequest;
+use yokefall_serving::watch::{PlatformState, SharedPlatformState, Sink, StateOptions};
+use yokefall_serving::watch_role::{Ranking, STANDBYS, WATCHERS};
 use yokefall_serving::{
     empty_catalog, Backend, Change, Configuration, Evacuation, FleetMember, Freshness, Listing,
 };
@@ -36,13 +36,14 @@
 const BOUND_MS: u64 = 4_500;
 /// Waits of watches, as `watch` draws them.
 const WAIT_MS: std::ops::Range<u64> = 1_500..6_000;
-const KINDS: [Followed; 3] = [Followed::Configuration, Followed::Backends, Followed::Evacuations];
+const KINDS: [ObjectKind; 3] =
+    [ObjectKind::Configuration, ObjectKind::Backends, ObjectKind::Evacuations];
 
 struct Process {
     members: Membership,
-    shared: SharedKnowledge<LineObserver>,
+    shared: SharedPlatformState<LoggingObserver>,
     freshness: Freshness,
-    told: Known,
+    told: StateDigest,
     /// When the watch of each kind began, and when it ends.
     watches: [(Timestamp, u64); 3],
 }
@@ -108,18 +109,20 @@
             state: MemberState::Alive,
         };
         let seeds = (0..SEEDS).map(address).collect();
-        let freshness = Freshness::new(SuspensionSource::Told(self.clock.clone()));
-        let following = Following { evacuations: true, ages: true, freshness: freshness.clone() };
-        let knowledge = Knowledge::following(empty_catalog(), Default::default(), following);
-        let shared = SharedKnowledge {
-            knowledge: Rc::new(RefCell::new(knowledge)),
-            observer: Rc::new(LineObserver::new(|| {})),
+        let freshness = Freshness::new(SuspensionSource::Simulated(self.clock.clone()));
+        let following =
+            StateOptions { evacuations: true, ages: true, freshness: freshness.clone() };
+        let platform_state =
+            PlatformState::with_options(empty_catalog(), Default::default(), following);
+        let shared = SharedPlatformState {
+            platform_state: Rc::new(RefCell::new(platform_state)),
+            observer: Rc::new(LoggingObserver::new(|| {})),
         };
         self.processes[index] = Some(Process {
             members: Membership::new(record, seeds, index as u64 + 1),
             shared,
             freshness,
-            told: Known::default(),
+            told: StateDigest::default(),
             watches: [(Timestamp(0), 0); 3],
         });
     }
@@ -160,28 +163,28 @@
             return;
         }
         for (number, kind) in KINDS.into_iter().enumerate() {
-            let known = process.shared.knowledge.borrow().known();
+            let known = process.shared.platform_state.borrow().digest();
             let (asked, ends) = process.watches[number];
             let behind =
-                kind == Followed::Evacuations && known.evacuations.revision < self.revision;
+                kind == ObjectKind::Evacuations && known.evacuations.revision < self.revision;
             if !behind && self.now < ends {
                 continue;
             }
             let wait = ends.saturating_sub(asked.0);
             match kind {
-                Followed::Configuration => {
+                ObjectKind::Configuration => {
                     let configuration = Configuration { version: 1, ..Configuration::default() };
                     let change =
                         Change { name: "main".into(), revision: 1, value: Some(configuration) };
                     Sink::<Configuration>::apply(&process.shared, vec![change], 1);
                     Sink::<Configuration>::answered(&process.shared, asked, wait);
                 }
-                Followed::Backends => {
+                ObjectKind::Backends => {
                     let listing = Listing { items: Vec::new(), revision: self.revision };
                     Sink::<Backend>::replace(&process.shared, listing);
                     Sink::<Backend>::answered(&process.shared, asked, wait);
                 }
-                Followed::Evacuations => {
+                ObjectKind::Evacuations => {
                     let item = |zone: &String| Change {
                         name: zone.clone(),
                         revision: self.revision,
@@ -206,19 +209,19 @@
     fn act(&mut self, index: usize) -> Vec<Outgoing> {
         let Some(process) = &mut self.processes[index] else { return Vec::new() };
         let (own, ages) = {
-            let knowledge = process.shared.knowledge.borrow();
-            (knowledge.known(), knowledge.ages())
+            let platform_state = process.shared.platform_state.borrow();
+            (platform_state.digest(), platform_state.ages())
         };
         process.members.set_configuration_version(own.version);
         process.members.set_evacuations(own.evacuations);
-        process.members.set_news_ages(ages);
+        process.members.set_state_ages(ages);
         let mut outgoing = Vec::new();
-        if own.is_news_after(process.told) {
+        if own.differs_from(process.told) {
             process.told = own;
-            outgoing.extend(process.members.tell_some(3, 1));
-        } else if process.shared.knowledge.borrow_mut().take_confirmed() {
+            outgoing.extend(process.members.gossip_to_some(3, 1));
+        } else if process.shared.platform_state.borrow_mut().take_confirmation() {
             let (near, far) = CONFIRMATION_FANOUT;
-            outgoing.extend(process.members.tell_some(near, far));
+            outgoing.extend(process.members.gossip_to_some(near, far));
         }
         outgoing.extend(process.members.tick(Timestamp(self.now)));
         outgoing
@@ -226,19 +229,19 @@
 
     fn hear(&mut self, to: usize, from: usize, datagram: Datagram) -> Vec<Outgoing> {
         let Some(told) = self.processes[from].as_ref() else { return Vec::new() };
-        let told = told.shared.knowledge.clone();
+        let told = told.shared.platform_state.clone();
         let Some(process) = &mut self.processes[to] else { return Vec::new() };
-        let peer = told.borrow().known();
-        process.shared.knowledge.borrow_mut().confirm_evacuations(peer);
-        let own = process.shared.knowledge.borrow().known();
+        let peer = told.borrow().digest();
+        process.shared.platform_state.borrow_mut().confirm_evacuations(peer);
+        let own = process.shared.platform_state.borrow().digest();
         if own.version < peer.version || own.lacks_evacuations(peer) || own.lacks_backends(peer) {
-            let answer = told.borrow().answer(&NewsRequest { known: own, whole: false });
-            process.shared.take_news(answer);
+            let answer = told.borrow().answer(&StateRequest { known: own, whole: false });
+            process.shared.apply_response(answer);
         }
         let now = Timestamp(self.now);
-        let way_ms = Backlog::default().delay_ms().expect("nobody is held up");
-        let delay_ms = process.members.asked_ms_ago(now, &datagram).unwrap_or(way_ms);
-        process.shared.knowledge.borrow_mut().hear_ages(peer, datagram.ages, delay_ms);
+        let way_ms = StallDetector::default().delay_ms().expect("nobody is held up");
+        let delay_ms = process.members.probe_age_ms(now, &datagram).unwrap_or(way_ms);
+        process.shared.platform_state.borrow_mut().receive_ages(peer, datagram.ages, delay_ms);
         let mut outgoing = process.members.receive(now, datagram, &address(from));
         outgoing.extend(self.act_on_news(to));
         outgoing
@@ -247,14 +250,14 @@
     /// Whoever has learnt something tells others at once.
     fn act_on_news(&mut self, index: usize) -> Vec<Outgoing> {
         let Some(process) = &mut self.processes[index] else { return Vec::new() };
-        let own = process.shared.knowledge.borrow().known();
-        if !own.is_news_after(process.told) {
+        let own = process.shared.platform_state.borrow().digest();
+        if !own.differs_from(process.told) {
             return Vec::new();
         }
         process.told = own;
         process.members.set_configuration_version(own.version);
         process.members.set_evacuations(own.evacuations);
-        process.members.tell_some(3, 1)
+        process.members.gossip_to_some(3, 1)
     }
 
     fn evacuate(&mut self, zone: &str) {
@@ -269,10 +272,10 @@
 
     fn obeys(&self, index: usize) -> bool {
         let process = self.processes[index].as_ref().expect("it runs");
-        let knowledge = process.shared.knowledge.borrow();
+        let platform_state = process.shared.platform_state.borrow();
         let believed: BTreeSet<String> =
-            knowledge.evacuations().values().map(|held| held.zone.clone()).collect();
-        !knowledge.awaits_evacuations() && believed == self.evacuated
+            platform_state.evacuations().values().map(|held| held.zone.clone()).collect();
+        !platform_state.evacuations_unknown() && believed == self.evacuated
     }
 
     /// All that run obey.
@@ -333,7 +336,7 @@
     for _ in 0..BOUND_MS / STEP_MS {
         fleet.run(STEP_MS);
         let process = fleet.processes[new].as_ref().expect("it runs");
-        let awaits = process.shared.knowledge.borrow().awaits_evacuations();
+        let awaits = process.shared.platform_state.borrow().evacuations_unknown();
         assert!(awaits || fleet.obeys(new), "it serves without knowing");
     }
     assert!(fleet.obeys(new));
--- a/crates/serving/tests/fleet_cost.rs
+++ b/crates/serving/tests/fleet_cost.rs
@@ -1,6 +1,6 @@
 //! What it costs a process to learn of one change, and a request to choose, as the fleet grows. Prints times and asserts
 //! none: `cargo test --release -p yokefall-serving --test fleet_cost -- --nocapture`. What is asserted is counted work
-//! (`backend_table.rs`, `drawn.rs`).
+//! (`backend_table.rs`, `sample.rs`).
 
 use std::cell::RefCell;
 use std::hint::black_box;
@@ -10,14 +10,14 @@
 
 use yokefall_core::membership::{MemberRecord, MemberState, Membership};
 use yokefall_core::Timestamp;
-use yokefall_serving::duty::Ranking;
 use yokefall_serving::fleet::FleetMember;
-use yokefall_serving::news_exchange::NewsRequest;
-use yokefall_serving::observer::LineObserver;
-use yokefall_serving::watch::{Knowledge, SharedKnowledge, Sink};
+use yokefall_serving::observer::LoggingObserver;
+use yokefall_serving::state_exchange::StateRequest;
+use yokefall_serving::watch::{PlatformState, SharedPlatformState, Sink};
+use yokefall_serving::watch_role::Ranking;
 use yokefall_serving::{
     empty_catalog, Backend, BackendState, Balancer, CatalogCell, Change, Eligibility, Listing,
-    Need, Policy, Residency,
+    Policy, Requirements, Residency,
 };
 
 const NOW: Timestamp = Timestamp(10_000);
@@ -43,16 +43,16 @@
 }
 
 struct Process {
-    shared: SharedKnowledge<LineObserver>,
+    shared: SharedPlatformState<LoggingObserver>,
     cell: CatalogCell,
 }
 
 fn process(count: usize) -> Process {
     let cell = empty_catalog();
-    let knowledge = Knowledge::new(cell.clone(), Arc::default());
-    let shared = SharedKnowledge {
-        knowledge: Rc::new(RefCell::new(knowledge)),
-        observer: Rc::new(LineObserver::new(|| {})),
+    let platform_state = PlatformState::new(cell.clone(), Arc::default());
+    let shared = SharedPlatformState {
+        platform_state: Rc::new(RefCell::new(platform_state)),
+        observer: Rc::new(LoggingObserver::new(|| {})),
     };
     let items = (0..count).map(|index| change(index, 1, BackendState::Ready)).collect();
     Sink::<Backend>::replace(&shared, Listing { items, revision: 1 });
@@ -78,11 +78,11 @@
             let changes = vec![change(count / 2, revision, state(round))];
             Sink::<Backend>::apply(&process.shared, changes, revision);
         });
-        let mut known = process.shared.knowledge.borrow().known();
+        let mut known = process.shared.platform_state.borrow().digest();
         known.backends_revision -= 1;
         let told = mean(|_| {
-            let request = NewsRequest { known, whole: false };
-            black_box(process.shared.knowledge.borrow().answer(&request));
+            let request = StateRequest { known, whole: false };
+            black_box(process.shared.platform_state.borrow().answer(&request));
         });
         let catalog = process.cell.load_full();
         let mut balancer = Balancer::new("zone-1".into(), 1, Policy::default());
@@ -91,10 +91,10 @@
             black_box(balancer.choose(NOW, all, &[], None));
         });
         let eligibility = Eligibility::new(process.cell.clone());
-        let need = Need { service: "models", residency: &Residency::Anywhere };
+        let requirements = Requirements { service: "models", residency: &Residency::Anywhere };
         let chosen_of_drawn = mean(|_| {
-            let drawn = eligibility.draw(&catalog, &need, Some(7), balancer.generator());
-            black_box(drawn.and_then(|drawn| balancer.choose_drawn(NOW, &drawn, &[])));
+            let sample = eligibility.sample(&catalog, &requirements, Some(7), balancer.generator());
+            black_box(sample.and_then(|sample| balancer.choose_from_sample(NOW, &sample, &[])));
         });
         println!(
             "{count} back ends: a change learnt {learnt:?}, told {told:?}; chosen of all {chosen_of_all:?}, of those drawn {chosen_of_drawn:?}"
--- a/crates/serving/tests/follow.rs
+++ b/crates/serving/tests/follow.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use tokio::sync::Notify;
-use yokefall_serving::duty::Duty;
-use yokefall_serving::source::{Revision, Source, SourceError, Watched};
+use yokefall_serving::source::{Revision, Source, SourceError, WatchResponse};
 use yokefall_serving::watch::{follow, Follow, Sink, Waits};
+use yokefall_serving::watch_role::WatchRole;
 use yokefall_serving::{Change, ListPage, Listing};
 
 /// What a watch does next; without one it waits for as long as it was asked to, and tells no change.
@@ -35,17 +35,21 @@
         Ok(ListPage { items: Vec::new(), revision: 1, next: None })
     }
 
-    async fn watch(&mut self, from: Revision, wait: Duration) -> Result<Watched<u64>, SourceError> {
+    async fn watch(
+        &mut self,
+        from: Revision,
+        wait: Duration,
+    ) -> Result<WatchResponse<u64>, SourceError> {
         self.watches.borrow_mut().push(tokio::time::Instant::now());
         match self.steps.pop_front() {
             Some(Step::Changes(revision)) => {
                 let change = Change { name: "a".into(), revision, value: Some(revision) };
-                Ok(Watched::Changes { changes: vec![change], revision })
+                Ok(WatchResponse::Changes { changes: vec![change], revision })
             }
             Some(Step::Fail) => Err(failed()),
             None => {
                 tokio::time::sleep(wait).await;
-                Ok(Watched::Changes { changes: Vec::new(), revision: from })
+                Ok(WatchResponse::Changes { changes: Vec::new(), revision: from })
             }
         }
     }
@@ -55,8 +59,8 @@
 
 struct Nobody;
 
-fn told(duty: Duty) -> Follow {
-    Follow { refresh: Rc::default(), others: Vec::new(), duty, waits: Waits::Long }
+fn controlled(watch_role: WatchRole) -> Follow {
+    Follow { refresh: Rc::default(), others: Vec::new(), watch_role, waits: Waits::Long }
 }
 
 /// Only few processes watch the store: it is paid for each call.
@@ -64,8 +68,8 @@
 async fn the_store_is_asked_only_while_the_duty_lasts() {
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = Script { steps: VecDeque::new(), watches: watches.clone() };
-    let (sender, duty) = Duty::told();
-    let following = follow(script, Nobody, told(duty));
+    let (sender, watch_role) = WatchRole::controlled();
+    let following = follow(script, Nobody, controlled(watch_role));
     let steps = async {
         let pause = || tokio::time::sleep(Duration::from_secs(1));
         pause().await;
@@ -96,8 +100,11 @@
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = Script { steps: steps.into(), watches: watches.clone() };
     let other = Rc::new(Notify::new());
-    let following =
-        follow(script, Nobody, Follow { others: vec![other.clone()], ..told(Duty::always()) });
+    let following = follow(
+        script,
+        Nobody,
+        Follow { others: vec![other.clone()], ..controlled(WatchRole::always()) },
+    );
     let _ = tokio::time::timeout(Duration::from_secs(5), following).await;
     let ended = tokio::time::timeout(Duration::from_millis(1), other.notified()).await.is_ok();
     let watches = watches.borrow().clone();
@@ -151,9 +158,13 @@
         Ok(ListPage { items: vec![item], revision: 100 + number, next })
     }
 
-    async fn watch(&mut self, from: Revision, wait: Duration) -> Result<Watched<u64>, SourceError> {
+    async fn watch(
+        &mut self,
+        from: Revision,
+        wait: Duration,
+    ) -> Result<WatchResponse<u64>, SourceError> {
         tokio::time::sleep(wait).await;
-        Ok(Watched::Changes { changes: Vec::new(), revision: from })
+        Ok(WatchResponse::Changes { changes: Vec::new(), revision: from })
     }
 
     fn reset(&mut self) {}
@@ -179,7 +190,7 @@
     let asked: Rc<RefCell<Vec<Option<String>>>> = Rc::default();
     let kept = Kept::default();
     let source = Paged { calls: 0, asked: asked.clone() };
-    let following = follow(source, kept.clone(), told(Duty::always()));
+    let following = follow(source, kept.clone(), controlled(WatchRole::always()));
     tokio::select! {
         () = following => {}
         () = tokio::time::sleep(Duration::from_secs(5)) => {}
@@ -212,12 +223,12 @@
         &mut self,
         _from: Revision,
         _wait: Duration,
-    ) -> Result<Watched<u64>, SourceError> {
+    ) -> Result<WatchResponse<u64>, SourceError> {
         if std::mem::replace(&mut self.told, true) {
             return std::future::pending().await;
         }
         let change = Change { name: "a".into(), revision: 2, value: Some(2) };
-        Ok(Watched::Changes { changes: vec![change], revision: 2 })
+        Ok(WatchResponse::Changes { changes: vec![change], revision: 2 })
     }
 
     fn reset(&mut self) {}
@@ -229,7 +240,7 @@
 async fn a_watch_that_was_lost_after_a_change_is_found_out_soon() {
     let lists: Rc<RefCell<u32>> = Rc::default();
     let source = Silent { lists: lists.clone(), told: false };
-    let following = follow(source, Nobody, told(Duty::always()));
+    let following = follow(source, Nobody, controlled(WatchRole::always()));
     tokio::select! {
         () = following => {}
         () = tokio::time::sleep(Duration::from_millis(7_200)) => {}
@@ -242,7 +253,7 @@
 async fn where_news_is_to_be_fresh_each_watch_ends_within_seconds() {
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = Script { steps: VecDeque::new(), watches: watches.clone() };
-    let waits = Follow { waits: Waits::Fresh { zones: 3 }, ..told(Duty::always()) };
+    let waits = Follow { waits: Waits::Fresh { zones: 3 }, ..controlled(WatchRole::always()) };
     let following = follow(script, Nobody, waits);
     let _ = tokio::time::timeout(Duration::from_secs(60), following).await;
     let watches = watches.borrow();
--- a/crates/serving/tests/identity.rs
+++ b/crates/serving/tests/identity.rs
@@ -95,17 +95,17 @@
         headers
     };
     let mut marked = sent();
-    Caller::Tenant(tenant("huka270", &[KEY])).mark(&TENANT_HEADER, &mut marked);
+    Caller::Tenant(tenant("huka270", &[KEY])).set_tenant_header(&TENANT_HEADER, &mut marked);
     let names: Vec<&HeaderValue> = marked.get_all(&TENANT_HEADER).iter().collect();
     assert_eq!(names, ["huka270"]);
     assert!(!marked.contains_key(header::AUTHORIZATION));
 
     let mut marked = sent();
-    Caller::Anonymous.mark(&TENANT_HEADER, &mut marked);
+    Caller::Anonymous.set_tenant_header(&TENANT_HEADER, &mut marked);
     assert!(marked.is_empty(), "nobody's request names no tenant");
 
     let mut marked = sent();
-    Caller::Unchecked.mark(&TENANT_HEADER, &mut marked);
+    Caller::Unchecked.set_tenant_header(&TENANT_HEADER, &mut marked);
     assert_eq!(marked, sent(), "without tenants these are headers like others");
 }
 
@@ -121,11 +121,11 @@
 fn jobs_are_their_tenants() {
     let (mine, other) = (TenantName::new("mine"), TenantName::new("other"));
     let tenant = Requester::Tenant(mine.clone());
-    assert!(tenant.may_use(Some(&mine)));
-    assert!(!tenant.may_use(Some(&other)));
-    assert!(tenant.may_use(None), "a job of nobody is open to all");
-    assert!(!Requester::Anonymous.may_use(Some(&mine)));
-    assert!(Requester::Unchecked.may_use(Some(&mine)));
+    assert!(tenant.may_access(Some(&mine)));
+    assert!(!tenant.may_access(Some(&other)));
+    assert!(tenant.may_access(None), "a job of nobody is open to all");
+    assert!(!Requester::Anonymous.may_access(Some(&mine)));
+    assert!(Requester::Unchecked.may_access(Some(&mine)));
     assert_eq!(tenant.owner(), Some(mine));
     assert_eq!(Requester::Anonymous.owner(), None);
 }
--- a/crates/serving/tests/news.rs
+++ b/crates/serving/tests/lag.rs
@@ -1,10 +1,15 @@
 //! What peers tell of their knowledge, and when a process asks the store again.
 
 use yokefall_core::Timestamp;
-use yokefall_serving::news::{Comparison, Known};
+use yokefall_serving::peer_sync::{Comparison, StateDigest};
 
-fn known(version: u64, digest: u64, revision: u64) -> Known {
-    Known { version, backends_digest: digest, backends_revision: revision, ..Known::default() }
+fn known(version: u64, digest: u64, revision: u64) -> StateDigest {
+    StateDigest {
+        version,
+        backends_digest: digest,
+        backends_revision: revision,
+        ..StateDigest::default()
+    }
 }
 
 #[test]
@@ -50,10 +55,10 @@
     let mut comparison = Comparison::default();
     let (own, peer) = (known(1, 7, 10), known(2, 7, 10));
     assert!(!comparison.is_behind(Timestamp(100), own, peer));
-    let look = comparison.next_look().expect("a time to look again");
+    let look = comparison.next_check().expect("a time to look again");
     assert!(look > Timestamp(100) && look <= Timestamp(600));
     assert!(comparison.is_due(look, own));
     // Once it is known there is nothing to look for.
     assert!(!comparison.is_due(Timestamp(5_000), known(2, 7, 11)));
-    assert_eq!(comparison.next_look(), None);
+    assert_eq!(comparison.next_check(), None);
 }
--- a/crates/serving/tests/nearness.rs
+++ b/crates/serving/tests/nearness.rs
@@ -4,9 +4,11 @@
 use std::sync::Arc;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::nearness::own_part;
-use yokefall_serving::spread::Level;
-use yokefall_serving::{Backend, BackendLife, BackendState, Balancer, InFlight, Policy, ZoneMap};
+use yokefall_serving::locality::own_part;
+use yokefall_serving::water_filling::Level;
+use yokefall_serving::{
+    Backend, BackendIncarnation, BackendState, Balancer, InFlight, Policy, ZoneMap,
+};
 
 const SERVICE: &str = "pages";
 const REGIONS: [&str; 3] = ["north", "south", "west"];
@@ -47,12 +49,13 @@
     let zones = Arc::new(ZoneMap::new(BTreeMap::from(zones)));
     let balancer = Balancer::new("north-hall".into(), seed, Policy::default());
     let mut balancer = balancer.with_zones(zones);
-    balancer.set_choosers(77, 100);
-    balancer.took(SERVICE, 60.0);
-    balancer.set_arrivals_of_all(NOW, SERVICE.into(), per_ms);
+    balancer.set_balancer_count(77, 100);
+    balancer.record_service_time(SERVICE, 60.0);
+    balancer.set_total_arrival_rate(NOW, SERVICE.into(), per_ms);
     let total = InFlight { online: requests, items: 0 };
-    let lives: Vec<BackendLife> = backends().iter().map(|backend| backend.life()).collect();
-    balancer.heard_totals(NOW, lives.iter().map(|life| (life, total)), |_| 0);
+    let lives: Vec<BackendIncarnation> =
+        backends().iter().map(|backend| backend.incarnation()).collect();
+    balancer.update_totals(NOW, lives.iter().map(|incarnation| (incarnation, total)), |_| 0);
     balancer
 }
 
--- a/crates/serving/tests/spread.rs
+++ b/crates/serving/tests/spread.rs
@@ -3,8 +3,8 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use yokefall_core::Timestamp;
-use yokefall_serving::spread::{draw, Level};
-use yokefall_serving::{Backend, BackendLife, BackendState, Balancer, InFlight, Policy};
+use yokefall_serving::water_filling::{draw, Level};
+use yokefall_serving::{Backend, BackendIncarnation, BackendState, Balancer, InFlight, Policy};
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -72,16 +72,16 @@
         1..=35 => 4,
         _ => SLOTS,
     };
-    let totals: Vec<(BackendLife, u32)> =
-        all.iter().enumerate().map(|(index, one)| (one.life(), load(index))).collect();
+    let totals: Vec<(BackendIncarnation, u32)> =
+        all.iter().enumerate().map(|(index, one)| (one.incarnation(), load(index))).collect();
     let mut chosen: HashMap<String, u32> = HashMap::new();
     for round in 0..40 {
         let now = Timestamp(10_000 + round * 250);
         for balancer in &mut balancers {
-            balancer.set_choosers(GATEWAYS as usize, TELLING_INTERVAL_MS);
-            balancer.heard_totals(
+            balancer.set_balancer_count(GATEWAYS as usize, TELLING_INTERVAL_MS);
+            balancer.update_totals(
                 now,
-                totals.iter().map(|(life, count)| (life, online(*count))),
+                totals.iter().map(|(incarnation, count)| (incarnation, online(*count))),
                 |_| 0,
             );
             let back_end = balancer.choose(now, &all, &[], None).expect("a back end");
--- a/crates/serving/tests/news_exchange.rs
+++ b/crates/serving/tests/state_exchange.rs
@@ -8,17 +8,17 @@
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use yokefall_clock::SuspensionSource;
 use yokefall_core::Timestamp;
-use yokefall_serving::duty::{Ranking, Roster};
-use yokefall_serving::knowledge::PART_BACKENDS;
-use yokefall_serving::news::{exchange_rest, Known, News};
-use yokefall_serving::news_exchange::{fetch, serve, AnswerBytes, NewsAnswer, NewsRequest};
-use yokefall_serving::observer::LineObserver;
-use yokefall_serving::watch::{Following, Knowledge, SharedKnowledge, Sink};
+use yokefall_serving::observer::LoggingObserver;
+use yokefall_serving::peer_sync::{exchange_rest, PeerSync, StateDigest};
+use yokefall_serving::platform_state::PART_BACKENDS;
+use yokefall_serving::state_exchange::{fetch, serve, AnswerBytes, StateRequest, StateResponse};
+use yokefall_serving::watch::{PlatformState, SharedPlatformState, Sink, StateOptions};
+use yokefall_serving::watch_role::{Ranking, WatcherElection};
 use yokefall_serving::{
     empty_catalog, Backend, BackendState, Change, Configuration, Evacuation, Freshness, Listing,
 };
 
-type Process = SharedKnowledge<LineObserver>;
+type Process = SharedPlatformState<LoggingObserver>;
 
 fn process() -> Process {
     process_on(SuspensionSource::Machine).0
@@ -27,11 +27,12 @@
 /// A process that follows evacuations, and what it knows of the age of its news.
 fn process_on(suspension: SuspensionSource) -> (Process, Freshness) {
     let freshness = Freshness::new(suspension);
-    let following = Following { evacuations: true, ages: true, freshness: freshness.clone() };
-    let knowledge = Knowledge::following(empty_catalog(), Default::default(), following);
-    let process = SharedKnowledge {
-        knowledge: Rc::new(RefCell::new(knowledge)),
-        observer: Rc::new(LineObserver::new(|| {})),
+    let following = StateOptions { evacuations: true, ages: true, freshness: freshness.clone() };
+    let platform_state =
+        PlatformState::with_options(empty_catalog(), Default::default(), following);
+    let process = SharedPlatformState {
+        platform_state: Rc::new(RefCell::new(platform_state)),
+        observer: Rc::new(LoggingObserver::new(|| {})),
     };
     (process, freshness)
 }
@@ -51,11 +52,11 @@
 
 /// Zones that are known to be evacuated, in order; `None` where none was heard of.
 fn evacuated(process: &Process) -> Option<Vec<String>> {
-    let knowledge = process.knowledge.borrow();
-    let zones = knowledge.evacuations().values().map(|evacuation| evacuation.zone.clone());
+    let platform_state = process.platform_state.borrow();
+    let zones = platform_state.evacuations().values().map(|evacuation| evacuation.zone.clone());
     let mut zones: Vec<String> = zones.collect();
     zones.sort_unstable();
-    (!knowledge.awaits_evacuations()).then_some(zones)
+    (!platform_state.evacuations_unknown()).then_some(zones)
 }
 
 fn backend(id: &str, state: BackendState) -> Backend {
@@ -86,7 +87,7 @@
 
 fn configure(process: &Process, version: u64) {
     let configuration = Configuration { version, ..Configuration::default() };
-    process.knowledge.borrow_mut().take_configuration(configuration);
+    process.platform_state.borrow_mut().take_configuration(configuration);
 }
 
 /// One exchange, as the tasks make it. Returns how many back ends were sent.
@@ -94,12 +95,12 @@
     let mut sent = 0;
     let mut whole = false;
     // Each datagram tells what its sender knows.
-    to.knowledge.borrow_mut().confirm_evacuations(from.knowledge.borrow().known());
+    to.platform_state.borrow_mut().confirm_evacuations(from.platform_state.borrow().digest());
     for _ in 0..2 {
-        let request = NewsRequest { known: to.knowledge.borrow().known(), whole };
-        let answer = from.knowledge.borrow().answer(&request);
+        let request = StateRequest { known: to.platform_state.borrow().digest(), whole };
+        let answer = from.platform_state.borrow().answer(&request);
         sent += answer.backends.changed.len();
-        whole = to.take_news(answer);
+        whole = to.apply_response(answer);
         if !whole {
             break;
         }
@@ -109,9 +110,9 @@
 
 /// Back ends with their states, in order.
 fn held(process: &Process) -> Vec<(String, BackendState)> {
-    let knowledge = process.knowledge.borrow();
+    let platform_state = process.platform_state.borrow();
     let mut all: Vec<_> =
-        knowledge.backends().values().map(|held| (held.id.clone(), held.state)).collect();
+        platform_state.backends().values().map(|held| (held.id.clone(), held.state)).collect();
     all.sort_by(|left, right| left.0.cmp(&right.0));
     all
 }
@@ -123,7 +124,7 @@
     list(&watcher, 10, (0..100).map(|id| change(id, 5, Some(BackendState::Ready))).collect());
     exchange(&new, &watcher);
     assert_eq!(held(&new), held(&watcher));
-    assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
+    assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
 }
 
 #[test]
@@ -134,7 +135,7 @@
     apply(&watcher, vec![change(3, 11, Some(BackendState::Draining)), change(4, 5, None)], 12);
     assert_eq!(exchange(&other, &watcher), 1);
     assert_eq!(held(&other), held(&watcher));
-    assert!(!other.knowledge.borrow().backends().values().any(|held| held.id == "i-4"));
+    assert!(!other.platform_state.borrow().backends().values().any(|held| held.id == "i-4"));
 }
 
 #[test]
@@ -147,7 +148,7 @@
     apply(&new, vec![change(1, 11, Some(BackendState::Draining))], 11);
     exchange(&new, &old);
     assert_eq!(held(&new), [("i-1".to_owned(), BackendState::Draining)]);
-    assert_eq!(new.knowledge.borrow().known().version, 2);
+    assert_eq!(new.platform_state.borrow().digest().version, 2);
 }
 
 /// Steps of two watchers and a process that hears now of one and now of the other.
@@ -325,7 +326,7 @@
             }
             store.note();
             for (index, process) in processes.iter().enumerate() {
-                let revision = process.knowledge.borrow().known().evacuations.revision;
+                let revision = process.platform_state.borrow().digest().evacuations.revision;
                 let believed = evacuated(process);
                 let held = store.history.get(&revision).cloned();
                 if revision < revisions[index] || (revision > 0 && believed != held) {
@@ -369,12 +370,12 @@
 fn the_age_of_news_is_that_of_the_oldest_kind_and_of_what_is_known_here() {
     let passed = Arc::new(AtomicU64::new(0));
     let pass = |ms: u64| passed.fetch_add(ms, Ordering::Relaxed);
-    let of = || process_on(SuspensionSource::Told(passed.clone()));
+    let of = || process_on(SuspensionSource::Simulated(passed.clone()));
     let ((watcher, _), (other, freshness)) = (of(), of());
-    let ages = |process: &Process| process.knowledge.borrow().ages();
+    let ages = |process: &Process| process.platform_state.borrow().ages();
     let hear = || {
-        let known = watcher.knowledge.borrow().known();
-        other.knowledge.borrow_mut().hear_ages(known, ages(&watcher), 100);
+        let known = watcher.platform_state.borrow().digest();
+        other.platform_state.borrow_mut().receive_ages(known, ages(&watcher), 100);
     };
     // Both have run for a while: nothing is older than they are.
     pass(10_000);
@@ -411,7 +412,7 @@
 /// watch, list, and tell each other.
 #[derive(Clone, Debug)]
 enum LifeStep {
-    Beat { life: u64, ready: bool },
+    Beat { incarnation: u64, ready: bool },
     Watch { process: usize },
     List { process: usize },
     Exchange { to: usize, from: usize },
@@ -422,7 +423,7 @@
         let process = usize::arbitrary(generator) % 3;
         match u8::arbitrary(generator) % 4 {
             0 => LifeStep::Beat {
-                life: u64::arbitrary(generator) % 4 + 1,
+                incarnation: u64::arbitrary(generator) % 4 + 1,
                 ready: bool::arbitrary(generator),
             },
             1 => LifeStep::Watch { process },
@@ -437,10 +438,10 @@
     /// later life to one before, and no neighbour is lost.
     fn nobody_goes_back_to_an_older_life(steps: Vec<LifeStep>) -> bool {
         let mut events: Vec<Change<Backend>> = Vec::new();
-        let beat = |life: u64, revision: u64, state: BackendState| {
+        let beat = |incarnation: u64, revision: u64, state: BackendState| {
             let mut change = change(1, revision, Some(state));
             if let Some(backend) = &mut change.value {
-                backend.started_ms = life;
+                backend.started_ms = incarnation;
             }
             change
         };
@@ -452,12 +453,12 @@
         list(&processes[0], 1, vec![entry.clone(), neighbour()]);
         for step in steps {
             match step {
-                LifeStep::Beat { life, ready } => {
+                LifeStep::Beat { incarnation, ready } => {
                     let state = if ready { BackendState::Ready } else { BackendState::Draining };
-                    entry = beat(life, events.len() as u64 + 2, state);
+                    entry = beat(incarnation, events.len() as u64 + 2, state);
                     events.push(entry.clone());
                 }
-                LifeStep::Watch { process } if processes[process].knowledge.borrow().backends().revision() > 0 => {
+                LifeStep::Watch { process } if processes[process].platform_state.borrow().backends().revision() > 0 => {
                     let new = events[watched[process]..].to_vec();
                     watched[process] = events.len();
                     apply(&processes[process], new, events.len() as u64 + 1);
@@ -473,13 +474,13 @@
                 LifeStep::Exchange { .. } => {}
             }
             for (index, process) in processes.iter().enumerate() {
-                let knowledge = process.knowledge.borrow();
-                let held: Vec<_> = knowledge.backends().values().collect();
-                let life = held.iter().find(|held| held.id == "i-1").map_or(0, |held| held.started_ms);
-                if life < lives[index] || (knowledge.backends().revision() > 0 && held.len() != 2) {
+                let platform_state = process.platform_state.borrow();
+                let held: Vec<_> = platform_state.backends().values().collect();
+                let incarnation = held.iter().find(|held| held.id == "i-1").map_or(0, |held| held.started_ms);
+                if incarnation < lives[index] || (platform_state.backends().revision() > 0 && held.len() != 2) {
                     return false;
                 }
-                lives[index] = life;
+                lives[index] = incarnation;
             }
         }
         true
@@ -490,7 +491,7 @@
 async fn start_answering(process: &Process) -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    tokio::task::spawn_local(serve(listener, process.knowledge.clone()));
+    tokio::task::spawn_local(serve(listener, process.platform_state.clone()));
     address
 }
 
@@ -504,10 +505,14 @@
             list(&watcher, 4, vec![change(1, 2, Some(BackendState::Ready))]);
             let address = start_answering(&watcher).await;
             let new = process();
-            let request = NewsRequest { known: new.knowledge.borrow().known(), whole: false };
+            let request =
+                StateRequest { known: new.platform_state.borrow().digest(), whole: false };
             let answer = fetch(address, request).await.expect("an answer");
-            assert!(!new.take_news(answer));
-            assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
+            assert!(!new.apply_response(answer));
+            assert_eq!(
+                new.platform_state.borrow().digest(),
+                watcher.platform_state.borrow().digest()
+            );
         })
         .await;
 }
@@ -517,7 +522,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let request = NewsRequest { known: Default::default(), whole: false };
+    let request = StateRequest { known: Default::default(), whole: false };
     let error = fetch(address, request).await.expect_err("an error");
     assert_eq!((error.step, error.peer), ("connect", address));
 }
@@ -536,7 +541,7 @@
             for _ in 0..8 {
                 silent.push(tokio::net::TcpStream::connect(address).await.expect("a connection"));
             }
-            let request = NewsRequest { known: Default::default(), whole: false };
+            let request = StateRequest { known: Default::default(), whole: false };
             let error = fetch(address, request).await.expect_err("turned away");
             assert_ne!(error.step, "await answer");
             drop(silent);
@@ -563,16 +568,16 @@
             let (older, newer, asking) = (process(), process(), process());
             configure(&older, 2);
             configure(&newer, 3);
-            let known = |process: &Process| process.knowledge.borrow().known();
+            let known = |process: &Process| process.platform_state.borrow().digest();
             let addresses = (start_answering(&older).await, start_answering(&newer).await);
             let take = {
                 let asking = asking.clone();
-                Box::new(move |answer| asking.take_news(answer))
+                Box::new(move |answer| asking.apply_response(answer))
             };
-            let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), take, roster);
-            news.hear(Timestamp(1), known(&older), addresses.0);
-            news.hear(Timestamp(1), known(&newer), addresses.1);
+            let election = WatcherElection::new(Timestamp(0), false, 1.0);
+            let (peer_sync, _duty) = PeerSync::new(asking.platform_state.clone(), take, election);
+            peer_sync.hear(Timestamp(1), known(&older), addresses.0);
+            peer_sync.hear(Timestamp(1), known(&newer), addresses.1);
             for _ in 0..200 {
                 if known(&asking).version == 3 {
                     return;
@@ -618,18 +623,18 @@
                 let (asking, exchanges) = (asking.clone(), exchanges.clone());
                 Box::new(move |answer| {
                     exchanges.set(exchanges.get() + 1);
-                    asking.take_news(answer)
+                    asking.apply_response(answer)
                 })
             };
-            let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), take, roster);
-            news.rank(Timestamp(0), Ranking::default(), 1_000);
-            let known = |process: &Process| process.knowledge.borrow().known();
+            let election = WatcherElection::new(Timestamp(0), false, 1.0);
+            let (peer_sync, _duty) = PeerSync::new(asking.platform_state.clone(), take, election);
+            peer_sync.rank(Timestamp(0), Ranking::default(), 1_000);
+            let known = |process: &Process| process.platform_state.borrow().digest();
             let began = std::time::Instant::now();
             for revision in 1..=50_u64 {
                 let ready = Some(BackendState::Ready);
                 apply(&told, vec![change(revision as u8, revision, ready)], revision);
-                news.hear(Timestamp(1), known(&told), address);
+                peer_sync.hear(Timestamp(1), known(&told), address);
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
             while known(&asking) != known(&told) {
@@ -656,25 +661,25 @@
             let order = Rc::new(RefCell::new(Vec::new()));
             let take = {
                 let (asking, order) = (asking.clone(), order.clone());
-                Box::new(move |answer: NewsAnswer| {
+                Box::new(move |answer: StateResponse| {
                     order.borrow_mut().push(answer.known.version);
-                    asking.take_news(answer)
+                    asking.apply_response(answer)
                 })
             };
-            let roster = Roster::new(Timestamp(0), false, 1.0);
-            let (news, _duty) = News::new(asking.knowledge.clone(), take, roster);
-            news.rank(Timestamp(0), Ranking::default(), 1_000);
-            let known = |process: &Process| process.knowledge.borrow().known();
+            let election = WatcherElection::new(Timestamp(0), false, 1.0);
+            let (peer_sync, _duty) = PeerSync::new(asking.platform_state.clone(), take, election);
+            peer_sync.rank(Timestamp(0), Ranking::default(), 1_000);
+            let known = |process: &Process| process.platform_state.borrow().digest();
             for step in 1..=3_u64 {
                 apply(&told, vec![change(step as u8, step, Some(BackendState::Ready))], step);
-                news.hear(Timestamp(1), known(&told), address);
+                peer_sync.hear(Timestamp(1), known(&told), address);
                 tokio::task::yield_now().await;
             }
             // One that knows less is heard after it, and must not take its place.
             let before = known(&told);
             configure(&told, 7);
-            news.hear(Timestamp(1), known(&told), address);
-            news.hear(Timestamp(1), before, address);
+            peer_sync.hear(Timestamp(1), known(&told), address);
+            peer_sync.hear(Timestamp(1), before, address);
             while known(&asking).version != 7 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
@@ -694,37 +699,39 @@
         value: Some(backend(&format!("i-{index}"), BackendState::Ready)),
     };
     list(&watcher, 20_000, (1..=10_000).map(many).collect());
-    let ask = |known: Known| {
-        let request = NewsRequest { known, whole: false };
+    let ask = |known: StateDigest| {
+        let request = StateRequest { known, whole: false };
         (
-            watcher.knowledge.borrow().backends_to_tell(&request),
-            watcher.knowledge.borrow().answer(&request),
+            watcher.platform_state.borrow().backends_to_tell(&request),
+            watcher.platform_state.borrow().answer(&request),
         )
     };
-    let none = new.knowledge.borrow().known();
+    let none = new.platform_state.borrow().digest();
     let (reckoned, part) = ask(none.asking_for_part());
     assert_eq!((reckoned, part.backends.changed.len()), (PART_BACKENDS, PART_BACKENDS));
-    assert!(!new.take_news(part));
+    assert!(!new.apply_response(part));
     assert_eq!(held(&new).len(), PART_BACKENDS);
-    let knows_some = new.knowledge.borrow().known();
+    let knows_some = new.platform_state.borrow().digest();
     assert_eq!(knows_some.backends_revision, 0, "nobody takes it for the whole");
     // Others learn the part from this process, and lose nothing by it.
     let third = process();
     apply(&third, Vec::new(), 0);
-    let request =
-        NewsRequest { known: third.knowledge.borrow().known().asking_for_part(), whole: false };
-    let answer = new.knowledge.borrow().answer(&request);
-    third.take_news(answer);
+    let request = StateRequest {
+        known: third.platform_state.borrow().digest().asking_for_part(),
+        whole: false,
+    };
+    let answer = new.platform_state.borrow().answer(&request);
+    third.apply_response(answer);
     assert_eq!(held(&third).len(), PART_BACKENDS);
     assert_eq!(exchange(&third, &process()), 0);
     assert_eq!(held(&third).len(), PART_BACKENDS, "one that knows none takes none away");
     // Then all come.
     let (_, whole) = ask(knows_some);
-    assert!(!new.take_news(whole));
-    assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
+    assert!(!new.apply_response(whole));
+    assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
     // And no part takes any away after that.
     let (_, late) = ask(none.asking_for_part());
-    new.take_news(late);
+    new.apply_response(late);
     assert_eq!(held(&new).len(), 10_000);
 }
 
@@ -732,11 +739,13 @@
 fn few_back_ends_are_told_at_once() {
     let (watcher, new) = (process(), process());
     list(&watcher, 4, vec![change(1, 2, Some(BackendState::Ready))]);
-    let request =
-        NewsRequest { known: new.knowledge.borrow().known().asking_for_part(), whole: false };
-    let answer = watcher.knowledge.borrow().answer(&request);
-    assert!(!new.take_news(answer));
-    assert_eq!(new.knowledge.borrow().known(), watcher.knowledge.borrow().known());
+    let request = StateRequest {
+        known: new.platform_state.borrow().digest().asking_for_part(),
+        whole: false,
+    };
+    let answer = watcher.platform_state.borrow().answer(&request);
+    assert!(!new.apply_response(answer));
+    assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
 }
 
 /// Pages of a list that is being read are used before it has been read to its end.
@@ -745,7 +754,7 @@
     let process = process();
     Sink::<Backend>::part(&process, &[change(1, 2, Some(BackendState::Ready))]);
     assert_eq!(held(&process).len(), 1);
-    assert_eq!(process.knowledge.borrow().known().backends_revision, 0);
+    assert_eq!(process.platform_state.borrow().digest().backends_revision, 0);
     list(&process, 9, vec![change(2, 3, Some(BackendState::Ready))]);
     assert_eq!(held(&process), [("i-2".to_owned(), BackendState::Ready)]);
     Sink::<Backend>::part(&process, &[change(1, 2, Some(BackendState::Ready))]);
@@ -769,24 +778,27 @@
             let address = start_answering(&told).await;
             let take = {
                 let asking = asking.clone();
-                Box::new(move |answer| asking.take_news(answer))
+                Box::new(move |answer| asking.apply_response(answer))
             };
-            let (news, _duty) =
-                News::new(asking.knowledge.clone(), take, Roster::new(Timestamp(0), false, 1.0));
-            let known = |process: &Process| process.knowledge.borrow().known();
-            news.hear_far(Timestamp(1), known(&told), address);
+            let (peer_sync, _duty) = PeerSync::new(
+                asking.platform_state.clone(),
+                take,
+                WatcherElection::new(Timestamp(0), false, 1.0),
+            );
+            let known = |process: &Process| process.platform_state.borrow().digest();
+            peer_sync.hear_far(Timestamp(1), known(&told), address);
             while known(&asking).version != 7 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
             assert_eq!((held(&asking).len(), known(&asking).backends_revision), (PART_BACKENDS, 0));
             // Another one is known there before the list is.
             configure(&told, 8);
-            news.hear_far(Timestamp(2), known(&told), address);
+            peer_sync.hear_far(Timestamp(2), known(&told), address);
             while known(&asking).version != 8 {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
             assert_eq!(known(&asking).backends_revision, 0);
-            news.hear(Timestamp(3), known(&told), address);
+            peer_sync.hear(Timestamp(3), known(&told), address);
             while known(&asking) != known(&told) {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
--- a/crates/settings/src/serving.rs
+++ b/crates/settings/src/serving.rs
@@ -57,7 +57,7 @@
 
 impl ServingListen {
     /// Address of the port for news.
-    pub fn news(&self) -> SocketAddr {
+    pub fn exchange_address(&self) -> SocketAddr {
         self.news.unwrap_or(SocketAddr::new(self.peer.ip(), 0))
     }
 }
--- a/crates/standalone/src/catalog.rs
+++ b/crates/standalone/src/catalog.rs
@@ -10,7 +10,7 @@
 use yokefall_serving::{
     Backend, BackendState, BatchPolicy, Change, Configuration, Evacuation, KeyDigest, ListPage,
     RateLimit, RequestLimits, Retirement, Route, RouteKind, Service, Source, SourceError,
-    SplitPart, Tenant, TenantName, Watched,
+    SplitPart, Tenant, TenantName, WatchResponse,
 };
 
 /// Interval at which the file is looked at.
@@ -181,7 +181,7 @@
     let policy = BatchPolicy {
         completion_target_ms: MAX_QUEUE_MS,
         max_queue_ms: MAX_QUEUE_MS,
-        most_queued_tokens: None,
+        max_queued_tokens: None,
     };
     Route {
         name: entry.name.clone(),
@@ -326,16 +326,16 @@
         &mut self,
         revision: Revision,
         wait: Duration,
-    ) -> Result<Watched<T>, SourceError> {
+    ) -> Result<WatchResponse<T>, SourceError> {
         let end = tokio::time::Instant::now() + wait;
         while tokio::time::Instant::now() < end {
             tokio::time::sleep(LOOK_INTERVAL.min(wait)).await;
             if Some(self.modified()?) != self.seen {
                 // The file is read whole: what is gone from it is gone.
-                return Ok(Watched::HistoryLost);
+                return Ok(WatchResponse::HistoryLost);
             }
         }
-        Ok(Watched::Changes { changes: Vec::new(), revision })
+        Ok(WatchResponse::Changes { changes: Vec::new(), revision })
     }
 
     fn reset(&mut self) {
--- a/crates/standalone/src/dialect.rs
+++ b/crates/standalone/src/dialect.rs
@@ -80,7 +80,7 @@
         &self.names
     }
 
-    fn marks_answers(&self) -> bool {
+    fn signs_responses(&self) -> bool {
         false
     }
 
--- a/crates/suspects/src/background.rs
+++ b/crates/suspects/src/background.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 use crate::message::EndedBackend;
 
@@ -34,7 +34,10 @@
 
 /// Whether two ends are one. Those of two lives are two, however close; and two of one life, seconds apart, are
 /// so as well: until a process hears of a new life, it knows what it sends there by the record of the one before.
-pub fn is_same_end(left: (&BackendLife, Timestamp), right: (&BackendLife, Timestamp)) -> bool {
+pub fn is_same_end(
+    left: (&BackendIncarnation, Timestamp),
+    right: (&BackendIncarnation, Timestamp),
+) -> bool {
     left.0 == right.0 && left.1 .0.abs_diff(right.1 .0) <= SAME_END_MS
 }
 
@@ -59,12 +62,12 @@
 /// Back ends that ended lately.
 #[derive(Debug, Default)]
 pub struct Background {
-    ended: VecDeque<(BackendLife, Timestamp)>,
+    ended: VecDeque<(BackendIncarnation, Timestamp)>,
 }
 
 impl Background {
     /// A back end ended. Returns whether that is new.
-    pub fn note(&mut self, backend: &BackendLife, at: Timestamp) -> bool {
+    pub fn note(&mut self, backend: &BackendIncarnation, at: Timestamp) -> bool {
         if self.ended.iter().any(|(known, then)| is_same_end((known, *then), (backend, at))) {
             return false;
         }
@@ -76,26 +79,30 @@
     }
 
     /// Back ends that ended at about the same moment, without those that `own` names.
-    pub fn simultaneous(&self, moment: Timestamp, own: impl Fn(&BackendLife) -> bool) -> usize {
+    pub fn simultaneous(
+        &self,
+        moment: Timestamp,
+        own: impl Fn(&BackendIncarnation) -> bool,
+    ) -> usize {
         let others = self.ended.iter().filter(|(backend, _)| !own(backend));
         others.filter(|(_, at)| are_simultaneous(*at, moment)).count()
     }
 
     /// Ends of one back end by chance, in a million seconds: as often as others of the `population` of its
     /// service ended lately, whatever they ran.
-    pub fn rate(&self, now: Timestamp, backend: &BackendLife, population: usize) -> u32 {
+    pub fn rate(&self, now: Timestamp, backend: &BackendIncarnation, population: usize) -> u32 {
         let others = self.recent(now).filter(|(ended, _)| ended != backend).count();
         let back_end_seconds = population.max(1) as f64 * WINDOW_MS as f64 / 1_000.0;
         ((others as f64 / back_end_seconds).max(LEAST_RATE) * MILLIONTHS) as u32
     }
 
-    fn recent(&self, now: Timestamp) -> impl Iterator<Item = &(BackendLife, Timestamp)> {
+    fn recent(&self, now: Timestamp) -> impl Iterator<Item = &(BackendIncarnation, Timestamp)> {
         self.ended.iter().filter(move |(_, at)| now.millis_since(*at) < WINDOW_MS)
     }
 
     /// Those that others should know of, the newest first.
     pub fn told(&self, now: Timestamp) -> Vec<EndedBackend> {
-        let told = |(backend, at): &(BackendLife, Timestamp)| EndedBackend {
+        let told = |(backend, at): &(BackendIncarnation, Timestamp)| EndedBackend {
             backend: backend.clone(),
             ended_ago_ms: now.millis_since(*at),
         };
--- a/crates/suspects/src/ended.rs
+++ b/crates/suspects/src/ended.rs
@@ -10,7 +10,7 @@
 
 use tokio::net::TcpStream;
 use tokio::sync::OnceCell;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 /// Longest time for the check: many round trips between regions, and below the least patience with a
 /// request that may go to another back end.
@@ -19,7 +19,7 @@
 /// Checks under way, by life of the back end: what refuses connections to one says nothing of the next.
 #[derive(Debug, Default)]
 pub struct EndChecks {
-    checks: RefCell<HashMap<BackendLife, Rc<OnceCell<bool>>>>,
+    checks: RefCell<HashMap<BackendIncarnation, Rc<OnceCell<bool>>>>,
 }
 
 impl EndChecks {
@@ -27,7 +27,7 @@
     ///
     /// Only a refused connection proves it. A back end that lives takes one, or resets it later; one behind
     /// a cut says nothing.
-    pub async fn has_ended(&self, backend: &BackendLife, address: SocketAddr) -> bool {
+    pub async fn has_ended(&self, backend: &BackendIncarnation, address: SocketAddr) -> bool {
         let check = self.checks.borrow_mut().entry(backend.clone()).or_default().clone();
         let has_ended = *check.get_or_init(|| refuses(address)).await;
         // One that lives may end later; one that tells no start and has ended may be back.
--- a/crates/suspects/src/entry.rs
+++ b/crates/suspects/src/entry.rs
@@ -2,11 +2,11 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 use yokefall_core::Timestamp;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 use crate::background::{are_simultaneous, is_same_end, surprise, Background, CERTAIN};
 use crate::digest::RequestDigest;
-use crate::message::{EndNews, SuspectNews};
+use crate::message::{EndNews, SuspectUpdate};
 
 /// Ends, one after the other, from which a request runs alone: one may be chance.
 pub(crate) const ENDS_TO_RUN_ALONE: usize = 2;
@@ -51,7 +51,7 @@
 /// A back end that ended under a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct End {
-    pub(crate) backend: BackendLife,
+    pub(crate) backend: BackendIncarnation,
     /// When the request was sent there; the earliest, where it was sent more than once.
     pub(crate) started: Timestamp,
     pub(crate) ended: Timestamp,
@@ -108,11 +108,11 @@
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SuspectStatus {
     /// It may be sent.
     Free,
     /// It may be sent where the leader of the job stores grants it.
-    Alone,
+    Isolated,
     /// It may not be sent.
     HeldBack {
         /// Time until it may run alone once, in milliseconds.
@@ -122,7 +122,7 @@
 
 /// Who sends a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sender {
+pub enum RequestSource {
     /// A client, which comes again as it is told.
     Client,
     /// A job, of which it is an item.
@@ -156,10 +156,10 @@
     }
 
     /// When it may run alone, after ends that chance may explain.
-    pub(crate) fn alone_due(&self, series: Series, sender: Sender) -> Timestamp {
+    pub(crate) fn alone_due(&self, series: Series, sender: RequestSource) -> Timestamp {
         let longest = match sender {
-            Sender::Client => LONGEST_ALONE_WAIT_MS,
-            Sender::Job => LONGEST_ITEM_WAIT_MS,
+            RequestSource::Client => LONGEST_ALONE_WAIT_MS,
+            RequestSource::Job => LONGEST_ITEM_WAIT_MS,
         };
         let further = series.count.saturating_sub(ENDS_TO_RUN_ALONE) as u32;
         let wait = FIRST_ALONE_WAIT_MS.saturating_mul(ALONE_WAIT_GROWTH.saturating_pow(further));
@@ -174,18 +174,18 @@
         last.plus_millis(wait.min(LONGEST_PROBE_WAIT_MS))
     }
 
-    pub(crate) fn standing(&self, now: Timestamp, sender: Sender) -> Standing {
+    pub(crate) fn status(&self, now: Timestamp, sender: RequestSource) -> SuspectStatus {
         let series = self.series();
         if !series.is_alone() {
-            return Standing::Free;
+            return SuspectStatus::Free;
         }
         let due = match series.is_held_back() {
             true => self.probe_due(),
             false => self.alone_due(series, sender),
         };
         match due.millis_since(now) {
-            0 => Standing::Alone,
-            wait_ms => Standing::HeldBack { wait_ms },
+            0 => SuspectStatus::Isolated,
+            wait_ms => SuspectStatus::HeldBack { wait_ms },
         }
     }
 
@@ -221,8 +221,9 @@
 
     /// Ends at about a moment at which others ended that this request did not run on prove nothing.
     pub(crate) fn discount_simultaneous(&mut self, background: &Background, at: Timestamp) {
-        let own: Vec<BackendLife> = self.ends.iter().map(|end| end.backend.clone()).collect();
-        let is_own = |backend: &BackendLife| own.contains(backend);
+        let own: Vec<BackendIncarnation> =
+            self.ends.iter().map(|end| end.backend.clone()).collect();
+        let is_own = |backend: &BackendIncarnation| own.contains(backend);
         let is_near = |end: &&mut End| are_simultaneous(end.ended, at);
         for end in self.ends.iter_mut().filter(is_near) {
             if background.simultaneous(end.ended, is_own) >= SIMULTANEOUS_ENDS {
@@ -256,7 +257,7 @@
         now.millis_since(self.changed) >= lifetime
     }
 
-    pub(crate) fn news(&self, now: Timestamp, digest: RequestDigest) -> SuspectNews {
+    pub(crate) fn news(&self, now: Timestamp, digest: RequestDigest) -> SuspectUpdate {
         let age = |at: Timestamp| now.millis_since(at);
         let end = |end: &End| EndNews {
             backend: end.backend.clone(),
@@ -264,7 +265,7 @@
             ended_ago_ms: age(end.ended),
             rate: end.rate,
         };
-        SuspectNews {
+        SuspectUpdate {
             digest,
             ends: self.ends.iter().map(end).collect(),
             answered_ago_ms: self.answered.map(age),
@@ -278,7 +279,7 @@
     /// What it stands for beside its moments.
     pub(crate) fn fingerprint(&self, digest: &RequestDigest) -> u64 {
         let mut bytes = digest.bytes().to_vec();
-        let mut ends: Vec<(&BackendLife, u32)> =
+        let mut ends: Vec<(&BackendIncarnation, u32)> =
             self.ends.iter().map(|end| (&end.backend, end.rate)).collect();
         ends.sort_unstable();
         for (backend, rate) in ends {
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod table;
 
 pub use digest::{RequestDigest, RequestIdentity};
-pub use entry::{Sender, Standing};
-pub use message::{EndNews, EndedBackend, Grant, SuspectNews, SuspectReport};
-pub use registry::{AloneRun, Conclusion, Registry};
+pub use entry::{RequestSource, SuspectStatus};
+pub use message::{EndNews, EndedBackend, Grant, SuspectReport, SuspectUpdate};
+pub use registry::{Conclusion, IsolatedRun, Registry};
 pub use table::Table;
--- a/crates/suspects/src/message.rs
+++ b/crates/suspects/src/message.rs
@@ -2,7 +2,7 @@
 //! sender when it sends: clocks of processes have no common origin.
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 use crate::digest::RequestDigest;
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct EndNews {
     /// The back end, in the life that ended.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// How long ago the request was sent there, in milliseconds.
     pub started_ago_ms: u64,
     /// How long ago the back end ended, in milliseconds.
@@ -30,14 +30,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct EndedBackend {
     /// The back end, in the life that ended.
-    pub backend: BackendLife,
+    pub backend: BackendIncarnation,
     /// How long ago it ended, in milliseconds.
     pub ended_ago_ms: u64,
 }
 
 /// What a process knows of one request.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct SuspectNews {
+pub struct SuspectUpdate {
     /// The request.
     pub digest: RequestDigest,
     /// Back ends that ended under it since it was last answered.
@@ -58,9 +58,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspectReport {
     /// Requests.
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectUpdate>,
     /// Back ends that ended lately: how often they do decides what an end proves.
-    pub ended: Vec<EndedBackend>,
+    pub crashed_backends: Vec<EndedBackend>,
 }
 
 /// The answer to the question whether a suspect may run alone.
@@ -69,7 +69,7 @@
     /// It may run now, at the back end named.
     Granted,
     /// Another suspect runs alone at that back end.
-    OtherBackend,
+    BackendBusy,
     /// It may not run now.
     Wait {
         /// When to ask again, in milliseconds.
--- a/crates/suspects/src/notices.rs
+++ b/crates/suspects/src/notices.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use yokefall_serving::FleetCell;
 
-use crate::message::{SuspectNews, SuspectReport};
+use crate::message::{SuspectReport, SuspectUpdate};
 use crate::registry::Registry;
 
 /// Requests in one notice, which is one datagram of about 1 KB.
@@ -20,7 +20,7 @@
 const PAUSE_PER_PROCESS: Duration = Duration::from_millis(2);
 
 /// Tells other processes for ever what this one learns. `outgoing` carries encoded notices to them.
-pub async fn tell(registry: Rc<Registry>, fleet: FleetCell, outgoing: UnboundedSender<Vec<u8>>) {
+pub async fn publish(registry: Rc<Registry>, fleet: FleetCell, outgoing: UnboundedSender<Vec<u8>>) {
     loop {
         if registry.untold.borrow().is_empty() {
             registry.has_untold.notified().await;
@@ -39,15 +39,15 @@
 }
 
 /// News of the requests with the most ends.
-fn next_news(registry: &Registry) -> Vec<SuspectNews> {
+fn next_news(registry: &Registry) -> Vec<SuspectUpdate> {
     let mut untold = registry.untold.borrow_mut();
     untold.sort_by_key(|digest| Reverse(registry.repeats(digest)));
     let count = untold.len().min(NEWS_IN_NOTICE);
-    untold.drain(..count).filter_map(|digest| registry.news_of(&digest)).collect()
+    untold.drain(..count).filter_map(|digest| registry.update_for(&digest)).collect()
 }
 
 /// Takes the notices of other processes for ever.
-pub async fn hear(registry: Rc<Registry>, mut incoming: UnboundedReceiver<Vec<u8>>) {
+pub async fn receive(registry: Rc<Registry>, mut incoming: UnboundedReceiver<Vec<u8>>) {
     while let Some(notice) = incoming.recv().await {
         match borsh::from_slice::<SuspectReport>(&notice) {
             Ok(report) => registry.take(report),
--- a/crates/suspects/src/registry.rs
+++ b/crates/suspects/src/registry.rs
@@ -9,14 +9,14 @@
 use tokio::time::Instant;
 use yokefall_clock::ElapsedClock;
 use yokefall_core::Timestamp;
-use yokefall_serving::{Backend, BackendLife, CatalogCell};
-use yokefall_telemetry::{EventName, Line};
+use yokefall_serving::{Backend, BackendIncarnation, CatalogCell};
+use yokefall_telemetry::{EventName, LogLine};
 
 use crate::background::is_same_end;
 use crate::digest::RequestDigest;
 use crate::ended::EndChecks;
-use crate::entry::{Sender, Standing};
-use crate::message::{Grant, SuspectNews, SuspectReport};
+use crate::entry::{RequestSource, SuspectStatus};
+use crate::message::{Grant, SuspectReport, SuspectUpdate};
 use crate::table::Table;
 
 /// Time of this process's table before its start, in milliseconds: a day, which is longer than anything is kept.
@@ -38,15 +38,15 @@
 /// A suspect that runs alone, as long as this lives. A run that ends without an answer and without the end
 /// of its back end (its client left, it was preempted) must not bar the next one.
 #[derive(Debug)]
-pub struct AloneRun {
+pub struct IsolatedRun {
     registry: Rc<Registry>,
     digest: RequestDigest,
 }
 
-impl Drop for AloneRun {
+impl Drop for IsolatedRun {
     fn drop(&mut self) {
         // Whether its back end had begun with it is not known here.
-        self.registry.note_concluded(&self.digest, Duration::ZERO);
+        self.registry.record_inconclusive_run(&self.digest, Duration::ZERO);
     }
 }
 
@@ -58,7 +58,7 @@
     checks: EndChecks,
     clock: ElapsedClock,
     /// Lives whose end has been told, and when.
-    told: RefCell<Vec<(BackendLife, Timestamp)>>,
+    told: RefCell<Vec<(BackendIncarnation, Timestamp)>>,
     /// Requests of which this process learnt something by itself that others are to be told.
     pub(crate) untold: RefCell<Vec<RequestDigest>>,
     /// Woken when there is something to tell others.
@@ -97,8 +97,8 @@
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, digest: &RequestDigest) -> Standing {
-        self.table.borrow().standing(self.now(), digest)
+    pub fn status(&self, digest: &RequestDigest) -> SuspectStatus {
+        self.table.borrow().status(self.now(), digest)
     }
 
     /// Ends, one after the other, under a request since it was last answered.
@@ -110,27 +110,27 @@
     /// whether the back end has ended, and notes that. The end of one that was about to leave is no
     /// evidence, nor is that of an earlier life of one that is back: it may have drained, and whoever takes or
     /// refuses connections at its address now is another process.
-    pub async fn note_break(
+    pub async fn record_disconnect(
         &self,
         backend: &Backend,
         sent: Instant,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Conclusion {
-        let life = backend.life();
-        let is_leaving = !self.catalog.load().is_ready_life(&life);
-        if is_leaving || !self.checks.has_ended(&life, backend.address).await {
+        let incarnation = backend.incarnation();
+        let is_leaving = !self.catalog.load().is_ready_incarnation(&incarnation);
+        if is_leaving || !self.checks.has_ended(&incarnation, backend.address).await {
             return Conclusion::Unproven;
         }
         let digest = digest();
         let before = self.is_held_back(&digest);
         let population =
             self.catalog.load().ready_table(&backend.service).map_or(0, |table| table.len());
-        let ended = (&life, population);
+        let ended = (&incarnation, population);
         let sent_at = self.clock.at(sent).plus_millis(TIME_BEFORE_START_MS);
         self.table.borrow_mut().note_end(self.now(), digest, ended, sent_at);
         let repeats = self.repeats(&digest);
         self.tell_end(backend);
-        Line::new(EventName::BackendEndedUnder)
+        LogLine::new(EventName::BackendEndedUnder)
             .id(digest)
             .text("backend", &backend.id)
             .field("started_ms", backend.started_ms)
@@ -144,17 +144,18 @@
 
     /// A line for the first request that found a back end ended.
     fn tell_end(&self, backend: &Backend) {
-        let (mut told, now, life) = (self.told.borrow_mut(), self.now(), backend.life());
-        if told.iter().any(|(known, at)| is_same_end((known, *at), (&life, now))) {
+        let (mut told, now, incarnation) =
+            (self.told.borrow_mut(), self.now(), backend.incarnation());
+        if told.iter().any(|(known, at)| is_same_end((known, *at), (&incarnation, now))) {
             return;
         }
         if told.len() >= TOLD_ENDS {
             told.remove(0);
         }
-        told.push((life, now));
+        told.push((incarnation, now));
         metrics::counter!("backends_ended_total", "service" => backend.service.clone())
             .increment(1);
-        Line::new(EventName::BackendEnded)
+        LogLine::new(EventName::BackendEnded)
             .id(&backend.id)
             .field("started_ms", backend.started_ms)
             .text("address", backend.address)
@@ -169,11 +170,11 @@
         }
         self.tell_gauge();
         metrics::counter!("suspects_held_back_total").increment(1);
-        let wait_ms = match self.standing(digest) {
-            Standing::HeldBack { wait_ms } => wait_ms,
-            Standing::Free | Standing::Alone => 0,
+        let wait_ms = match self.status(digest) {
+            SuspectStatus::HeldBack { wait_ms } => wait_ms,
+            SuspectStatus::Free | SuspectStatus::Isolated => 0,
         };
-        Line::new(EventName::SuspectHeldBack)
+        LogLine::new(EventName::SuspectHeldBack)
             .id(digest)
             .field("ends", self.repeats(digest))
             .field("wait_ms", wait_ms)
@@ -189,9 +190,9 @@
     }
 
     /// A back end answered a request whole.
-    pub fn note_answer(&self, digest: &RequestDigest) {
+    pub fn record_answer(&self, digest: &RequestDigest) {
         let was_held_back = self.is_held_back(digest);
-        let cleared = self.table.borrow_mut().note_answer(self.now(), digest);
+        let cleared = self.table.borrow_mut().record_answer(self.now(), digest);
         if cleared < ENDS_WORTH_TELLING {
             return;
         }
@@ -200,7 +201,7 @@
             metrics::counter!("suspects_wrongly_held_back_total").increment(1);
         }
         self.tell_gauge();
-        Line::new(EventName::SuspectCleared)
+        LogLine::new(EventName::SuspectCleared)
             .id(digest)
             .field("ends", cleared)
             .field("was_held_back", was_held_back)
@@ -209,13 +210,13 @@
     }
 
     /// Whether a request may run at a back end now; to be asked at the leader of the job stores.
-    pub fn grant(&self, digest: &RequestDigest, backend: &str, sender: Sender) -> Grant {
-        if self.standing(digest) == Standing::Free {
+    pub fn grant(&self, digest: &RequestDigest, backend: &str, sender: RequestSource) -> Grant {
+        if self.status(digest) == SuspectStatus::Free {
             return Grant::Granted;
         }
         let grant = self.table.borrow_mut().grant(self.now(), digest, backend, sender);
         if grant == Grant::Granted {
-            Line::new(EventName::SuspectTried)
+            LogLine::new(EventName::SuspectTried)
                 .id(digest)
                 .text("backend", backend)
                 .field("ends", self.repeats(digest))
@@ -226,22 +227,22 @@
     }
 
     /// A request runs alone, as the leader granted, until the guard is dropped.
-    pub fn run_alone(self: &Rc<Self>, digest: RequestDigest) -> AloneRun {
-        AloneRun { registry: self.clone(), digest }
+    pub fn run_isolated(self: &Rc<Self>, digest: RequestDigest) -> IsolatedRun {
+        IsolatedRun { registry: self.clone(), digest }
     }
 
     /// A run is over without an answer and without the end of its back end, which had `worked` on it for some
     /// time. Where it ran alone, the next may follow.
-    pub fn note_concluded(&self, digest: &RequestDigest, worked: Duration) {
+    pub fn record_inconclusive_run(&self, digest: &RequestDigest, worked: Duration) {
         let outlived_ms = worked.as_millis() as u64;
-        if self.table.borrow_mut().note_concluded(self.now(), digest, outlived_ms) {
+        if self.table.borrow_mut().record_inconclusive_run(self.now(), digest, outlived_ms) {
             self.observe(*digest);
         }
     }
 
     /// What is known of one request.
-    pub fn news_of(&self, digest: &RequestDigest) -> Option<SuspectNews> {
-        self.table.borrow().news_of(self.now(), digest)
+    pub fn update_for(&self, digest: &RequestDigest) -> Option<SuspectUpdate> {
+        self.table.borrow().update_for(self.now(), digest)
     }
 
     /// What is known, as far as one message holds it.
@@ -249,14 +250,14 @@
         self.report_of(self.table.borrow().news(self.now()))
     }
 
-    pub(crate) fn report_of(&self, suspects: Vec<SuspectNews>) -> SuspectReport {
-        SuspectReport { suspects, ended: self.table.borrow().ended(self.now()) }
+    pub(crate) fn report_of(&self, suspects: Vec<SuspectUpdate>) -> SuspectReport {
+        SuspectReport { suspects, crashed_backends: self.table.borrow().ended(self.now()) }
     }
 
     /// What must outlive the loss of all processes: requests that do not run freely.
-    pub fn report_to_keep(&self) -> SuspectReport {
+    pub fn persistent_report(&self) -> SuspectReport {
         let mut report = self.report();
-        report.suspects.retain(|news| self.standing(&news.digest) != Standing::Free);
+        report.suspects.retain(|news| self.status(&news.digest) != SuspectStatus::Free);
         report
     }
 
@@ -269,7 +270,7 @@
     pub fn take(&self, report: SuspectReport) {
         let now = self.now();
         let mut is_new = false;
-        self.table.borrow_mut().take_ended(now, &report.ended);
+        self.table.borrow_mut().take_ended(now, &report.crashed_backends);
         for news in report.suspects {
             let digest = news.digest;
             let before = self.is_held_back(&digest);
@@ -294,7 +295,7 @@
     }
 
     /// Drops what is over.
-    pub fn forget(&self) {
+    pub fn expire(&self) {
         self.table.borrow_mut().expire(self.now());
         self.tell_gauge();
     }
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -17,12 +17,12 @@
 use std::collections::HashMap;
 
 use yokefall_core::Timestamp;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 
 use crate::background::Background;
 use crate::digest::RequestDigest;
-use crate::entry::{End, Entry, Sender, Standing, ASK_AGAIN_MS, ENDS_TO_RUN_ALONE};
-use crate::message::{EndNews, EndedBackend, Grant, SuspectNews};
+use crate::entry::{End, Entry, RequestSource, SuspectStatus, ASK_AGAIN_MS, ENDS_TO_RUN_ALONE};
+use crate::message::{EndNews, EndedBackend, Grant, SuspectUpdate};
 
 /// Requests that are kept at most, about 250 bytes each. Those with the fewest ends go first.
 const CAPACITY: usize = 1_024;
@@ -60,8 +60,10 @@
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, now: Timestamp, digest: &RequestDigest) -> Standing {
-        self.entries.get(digest).map_or(Standing::Free, |entry| entry.standing(now, Sender::Client))
+    pub fn status(&self, now: Timestamp, digest: &RequestDigest) -> SuspectStatus {
+        self.entries
+            .get(digest)
+            .map_or(SuspectStatus::Free, |entry| entry.status(now, RequestSource::Client))
     }
 
     /// Ends, one after the other, under a request since it was last answered.
@@ -71,7 +73,7 @@
 
     /// A back end ended. What ended with others at once proves nothing against requests that ran there and
     /// not on the others: a rack failed, or a network did.
-    fn note_ended(&mut self, backend: &BackendLife, at: Timestamp) {
+    fn note_ended(&mut self, backend: &BackendIncarnation, at: Timestamp) {
         if !self.background.note(backend, at) {
             return;
         }
@@ -86,7 +88,7 @@
         &mut self,
         now: Timestamp,
         digest: RequestDigest,
-        (backend, population): (&BackendLife, usize),
+        (backend, population): (&BackendIncarnation, usize),
         started: Timestamp,
     ) {
         let rate = self.background.rate(now, backend, population);
@@ -101,7 +103,7 @@
 
     /// A run was over without an answer and without an end, after the back end had worked on it for some
     /// time. Where it ran alone, the next may follow. Returns whether others should know.
-    pub fn note_concluded(
+    pub fn record_inconclusive_run(
         &mut self,
         now: Timestamp,
         digest: &RequestDigest,
@@ -118,7 +120,7 @@
     }
 
     /// A back end answered a request whole. Returns the ends that it is cleared of.
-    pub fn note_answer(&mut self, now: Timestamp, digest: &RequestDigest) -> usize {
+    pub fn record_answer(&mut self, now: Timestamp, digest: &RequestDigest) -> usize {
         let repeats = self.repeats(digest);
         if self.entries.contains_key(digest) {
             self.change(now, *digest, |entry| entry.clear(now));
@@ -134,21 +136,23 @@
         now: Timestamp,
         digest: &RequestDigest,
         backend: &str,
-        sender: Sender,
+        sender: RequestSource,
     ) -> Grant {
         let Some(entry) = self.entries.get(digest) else { return Grant::Granted };
-        match entry.standing(now, sender) {
-            Standing::Free => return Grant::Granted,
-            Standing::HeldBack { wait_ms } => return Grant::Wait { ms: wait_ms },
-            Standing::Alone if entry.runs_alone(now) => return Grant::Wait { ms: ASK_AGAIN_MS },
-            Standing::Alone => {}
+        match entry.status(now, sender) {
+            SuspectStatus::Free => return Grant::Granted,
+            SuspectStatus::HeldBack { wait_ms } => return Grant::Wait { ms: wait_ms },
+            SuspectStatus::Isolated if entry.runs_alone(now) => {
+                return Grant::Wait { ms: ASK_AGAIN_MS }
+            }
+            SuspectStatus::Isolated => {}
         }
         let entries = &self.entries;
         self.granted.retain(|digest, _| {
             entries.get(digest).is_some_and(|e| !e.ends.is_empty() && e.runs_alone(now))
         });
         if self.granted.values().any(|(taken, _)| taken == backend) {
-            return Grant::OtherBackend;
+            return Grant::BackendBusy;
         }
         self.granted.insert(*digest, (backend.to_owned(), now));
         self.change(now, *digest, |entry| {
@@ -162,9 +166,9 @@
     }
 
     /// Takes what another process knows. Returns whether anything of it was new.
-    pub fn take(&mut self, now: Timestamp, news: SuspectNews) -> bool {
+    pub fn take(&mut self, now: Timestamp, news: SuspectUpdate) -> bool {
         let at = |age_ms: u64| Timestamp(now.0.saturating_sub(age_ms));
-        let SuspectNews { digest, ends, answered_ago_ms, outlived_ms, probes, .. } = news;
+        let SuspectUpdate { digest, ends, answered_ago_ms, outlived_ms, probes, .. } = news;
         let (tried_ago_ms, concluded_ago_ms) = (news.tried_ago_ms, news.concluded_ago_ms);
         let ended: Vec<EndedBackend> = ends.iter().map(EndNews::ended).collect();
         if ends.is_empty() && !self.entries.contains_key(&digest) {
@@ -246,12 +250,12 @@
     }
 
     /// What is known of one request.
-    pub fn news_of(&self, now: Timestamp, digest: &RequestDigest) -> Option<SuspectNews> {
+    pub fn update_for(&self, now: Timestamp, digest: &RequestDigest) -> Option<SuspectUpdate> {
         self.entries.get(digest).map(|entry| entry.news(now, *digest))
     }
 
     /// What is known, of the requests with the most ends first and `MOST_NEWS` at most.
-    pub fn news(&self, now: Timestamp) -> Vec<SuspectNews> {
+    pub fn news(&self, now: Timestamp) -> Vec<SuspectUpdate> {
         let ranked = self.ranked().into_iter();
         ranked.map(|(digest, entry)| entry.news(now, *digest)).collect()
     }
--- a/crates/suspects/tests/registry.rs
+++ b/crates/suspects/tests/registry.rs
@@ -6,10 +6,12 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 use yokefall_clock::{ElapsedClock, SuspensionSource};
-use yokefall_serving::{empty_catalog, Backend, BackendLife, BackendState, Catalog, CatalogCell};
+use yokefall_serving::{
+    empty_catalog, Backend, BackendIncarnation, BackendState, Catalog, CatalogCell,
+};
 use yokefall_suspects::{
-    Conclusion, EndNews, Registry, RequestDigest, RequestIdentity, Standing, SuspectNews,
-    SuspectReport,
+    Conclusion, EndNews, Registry, RequestDigest, RequestIdentity, SuspectReport, SuspectStatus,
+    SuspectUpdate,
 };
 
 fn digest() -> RequestDigest {
@@ -50,14 +52,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let lives = backend("lives", listener.local_addr().expect("an address"));
     let registry = registry(catalog_of(std::slice::from_ref(&lives)));
-    let conclusion = registry.note_break(&lives, Instant::now(), digest).await;
+    let conclusion = registry.record_disconnect(&lives, Instant::now(), digest).await;
     assert_eq!(conclusion, Conclusion::Unproven);
     assert!(registry.is_empty());
     // It ends later, and is asked again.
     drop(listener);
-    assert_eq!(registry.note_break(&lives, Instant::now(), digest).await, Conclusion::Ended);
+    assert_eq!(registry.record_disconnect(&lives, Instant::now(), digest).await, Conclusion::Ended);
     assert!(!registry.is_empty());
-    assert_eq!(registry.standing(&digest()), Standing::Free);
+    assert_eq!(registry.status(&digest()), SuspectStatus::Free);
 }
 
 #[tokio::test]
@@ -66,7 +68,10 @@
     let left = backend("left", listener.local_addr().expect("an address"));
     drop(listener);
     let registry = registry(catalog_of(&[]));
-    assert_eq!(registry.note_break(&left, Instant::now(), digest).await, Conclusion::Unproven);
+    assert_eq!(
+        registry.record_disconnect(&left, Instant::now(), digest).await,
+        Conclusion::Unproven
+    );
     assert!(registry.is_empty());
 }
 
@@ -76,12 +81,12 @@
 async fn a_process_that_has_just_started_holds_back_what_the_others_do() {
     let news = |path: &str, offset: u64| {
         let end = |number: u64| EndNews {
-            backend: BackendLife { id: format!("{path}-{number}"), started_ms: 0 },
+            backend: BackendIncarnation { id: format!("{path}-{number}"), started_ms: 0 },
             started_ago_ms: 50_000 - number * 2_000 + offset,
             ended_ago_ms: 49_900 - number * 2_000 + offset,
             rate: 1_000,
         };
-        SuspectNews {
+        SuspectUpdate {
             digest: digest_of(path),
             ends: (0..3).map(end).collect(),
             answered_ago_ms: None,
@@ -93,10 +98,10 @@
     };
     let suspects = vec![news("/one", 0), news("/two", 300), news("/three", 700)];
     let registry = registry(catalog_of(&[]));
-    registry.take(SuspectReport { suspects, ended: Vec::new() });
+    registry.take(SuspectReport { suspects, crashed_backends: Vec::new() });
     for path in ["/one", "/two", "/three"] {
-        let standing = registry.standing(&digest_of(path));
-        let Standing::HeldBack { wait_ms } = standing else { panic!("{path}: {standing:?}") };
+        let standing = registry.status(&digest_of(path));
+        let SuspectStatus::HeldBack { wait_ms } = standing else { panic!("{path}: {standing:?}") };
         // The second probe comes two minutes after the last end.
         assert!((70_000..80_000).contains(&wait_ms), "{path}: {wait_ms}");
     }
@@ -112,6 +117,9 @@
     drop(listener);
     let after = Backend { started_ms: 2, ..before.clone() };
     let registry = registry(catalog_of(&[after]));
-    assert_eq!(registry.note_break(&before, Instant::now(), digest).await, Conclusion::Unproven);
+    assert_eq!(
+        registry.record_disconnect(&before, Instant::now(), digest).await,
+        Conclusion::Unproven
+    );
     assert!(registry.is_empty());
 }
--- a/crates/suspects/tests/table.rs
+++ b/crates/suspects/tests/table.rs
@@ -8,17 +8,19 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use yokefall_core::Timestamp;
-use yokefall_serving::BackendLife;
+use yokefall_serving::BackendIncarnation;
 use yokefall_suspects::table::MOST_NEWS;
-use yokefall_suspects::{Grant, RequestDigest, RequestIdentity, Sender, Standing, Table};
+use yokefall_suspects::{
+    Grant, RequestDigest, RequestIdentity, RequestSource, SuspectStatus, Table,
+};
 
 /// Back ends of the service, and slots of all of them.
 const POPULATION: usize = 12;
 const SLOTS: usize = 60;
 
 /// The life of a back end that tells no start.
-fn life(id: &str) -> BackendLife {
-    BackendLife { id: id.into(), started_ms: 0 }
+fn incarnation(id: &str) -> BackendIncarnation {
+    BackendIncarnation { id: id.into(), started_ms: 0 }
 }
 
 fn digest(body: &str) -> RequestDigest {
@@ -40,7 +42,12 @@
     for number in 0..count {
         let sent = first_ms + number * 500;
         let backend = format!("{body}-{first_ms}-{number}");
-        table.note_end(at(sent + 100), digest(body), (&life(&backend), POPULATION), at(sent));
+        table.note_end(
+            at(sent + 100),
+            digest(body),
+            (&incarnation(&backend), POPULATION),
+            at(sent),
+        );
     }
 }
 
@@ -72,18 +79,18 @@
 #[test]
 fn a_request_runs_freely_after_one_end_alone_after_two_and_not_after_three() {
     let mut table = Table::default();
-    assert_eq!(table.standing(at(0), &digest("a")), Standing::Free);
+    assert_eq!(table.status(at(0), &digest("a")), SuspectStatus::Free);
     end_in_turn(&mut table, "a", 0, 1);
-    assert_eq!(table.standing(at(400), &digest("a")), Standing::Free);
+    assert_eq!(table.status(at(400), &digest("a")), SuspectStatus::Free);
     end_in_turn(&mut table, "a", 1_000, 1);
-    assert_eq!(table.standing(at(1_200), &digest("a")), Standing::HeldBack { wait_ms: 400 });
-    assert_eq!(table.standing(at(1_600), &digest("a")), Standing::Alone);
+    assert_eq!(table.status(at(1_200), &digest("a")), SuspectStatus::HeldBack { wait_ms: 400 });
+    assert_eq!(table.status(at(1_600), &digest("a")), SuspectStatus::Isolated);
     end_in_turn(&mut table, "a", 2_000, 1);
-    let Standing::HeldBack { wait_ms } = table.standing(at(2_200), &digest("a")) else {
+    let SuspectStatus::HeldBack { wait_ms } = table.status(at(2_200), &digest("a")) else {
         panic!("it runs after three ends");
     };
     assert_eq!(wait_ms, 29_900);
-    assert_eq!(table.standing(at(2_200), &digest("b")), Standing::Free);
+    assert_eq!(table.status(at(2_200), &digest("b")), SuspectStatus::Free);
 }
 
 #[test]
@@ -92,21 +99,26 @@
     // A popular request runs on all of a rack that loses power.
     for number in 0..20 {
         let (sent, ended) = (900 + number, 1_000 + number);
-        table.note_end(at(ended), digest("popular"), (&life(&format!("s-{number}")), 40), at(sent));
+        table.note_end(
+            at(ended),
+            digest("popular"),
+            (&incarnation(&format!("s-{number}")), 40),
+            at(sent),
+        );
     }
     assert_eq!(table.repeats(&digest("popular")), 1);
-    assert_eq!(table.standing(at(1_100), &digest("popular")), Standing::Free);
+    assert_eq!(table.status(at(1_100), &digest("popular")), SuspectStatus::Free);
 }
 
 #[test]
 fn a_whole_answer_clears_what_came_before_it_and_nothing_else() {
     let mut table = Table::default();
     end_in_turn(&mut table, "a", 0, 3);
-    assert_eq!(table.note_answer(at(5_000), &digest("a")), 3);
-    assert_eq!(table.standing(at(5_000), &digest("a")), Standing::Free);
+    assert_eq!(table.record_answer(at(5_000), &digest("a")), 3);
+    assert_eq!(table.status(at(5_000), &digest("a")), SuspectStatus::Free);
     end_in_turn(&mut table, "a", 6_000, 2);
-    assert_eq!(table.standing(at(8_000), &digest("a")), Standing::Alone);
-    assert_eq!(table.note_answer(at(9_000), &digest("b")), 0);
+    assert_eq!(table.status(at(8_000), &digest("a")), SuspectStatus::Isolated);
+    assert_eq!(table.record_answer(at(9_000), &digest("b")), 0);
 }
 
 #[test]
@@ -117,17 +129,17 @@
     for news in observer.news(at(2_000)) {
         assert!(table.take(at(2_000), news));
     }
-    table.note_answer(at(3_000), &digest("a"));
+    table.record_answer(at(3_000), &digest("a"));
     // The observer was cut off meanwhile and tells the same again.
     for news in observer.news(at(9_000)) {
         assert!(!table.take(at(9_000), news));
     }
-    assert_eq!(table.standing(at(9_000), &digest("a")), Standing::Free);
+    assert_eq!(table.status(at(9_000), &digest("a")), SuspectStatus::Free);
     // It hears of the answer in turn.
     for news in table.news(at(9_000)) {
         observer.take(at(9_000), news);
     }
-    assert_eq!(observer.standing(at(9_000), &digest("a")), Standing::Free);
+    assert_eq!(observer.status(at(9_000), &digest("a")), SuspectStatus::Free);
 }
 
 #[test]
@@ -136,30 +148,33 @@
     end_in_turn(&mut table, "a", 0, 2);
     end_in_turn(&mut table, "b", 0, 2);
     let now = at(2_000);
-    assert_eq!(table.grant(now, &digest("free"), "s-1", Sender::Client), Grant::Granted);
-    assert_eq!(table.grant(now, &digest("a"), "s-1", Sender::Client), Grant::Granted);
-    assert_eq!(table.grant(now, &digest("a"), "s-2", Sender::Client), Grant::Wait { ms: 500 });
-    assert_eq!(table.grant(now, &digest("b"), "s-1", Sender::Client), Grant::OtherBackend);
-    assert_eq!(table.grant(now, &digest("b"), "s-2", Sender::Client), Grant::Granted);
+    assert_eq!(table.grant(now, &digest("free"), "s-1", RequestSource::Client), Grant::Granted);
+    assert_eq!(table.grant(now, &digest("a"), "s-1", RequestSource::Client), Grant::Granted);
+    assert_eq!(
+        table.grant(now, &digest("a"), "s-2", RequestSource::Client),
+        Grant::Wait { ms: 500 }
+    );
+    assert_eq!(table.grant(now, &digest("b"), "s-1", RequestSource::Client), Grant::BackendBusy);
+    assert_eq!(table.grant(now, &digest("b"), "s-2", RequestSource::Client), Grant::Granted);
     // What runs alone ends its back end: only that one is held back.
-    table.note_end(at(2_100), digest("a"), (&life("s-1"), POPULATION), now);
+    table.note_end(at(2_100), digest("a"), (&incarnation("s-1"), POPULATION), now);
     assert!(
-        matches!(table.grant(at(2_200), &digest("a"), "s-3", Sender::Client), Grant::Wait { ms } if ms > 500)
+        matches!(table.grant(at(2_200), &digest("a"), "s-3", RequestSource::Client), Grant::Wait { ms } if ms > 500)
     );
-    table.note_answer(at(2_300), &digest("b"));
-    assert_eq!(table.grant(at(2_400), &digest("b"), "s-3", Sender::Client), Grant::Granted);
+    table.record_answer(at(2_300), &digest("b"));
+    assert_eq!(table.grant(at(2_400), &digest("b"), "s-3", RequestSource::Client), Grant::Granted);
 }
 
 #[test]
 fn a_run_of_which_nothing_is_heard_does_not_bar_the_next_for_ever() {
     let mut table = Table::default();
     end_in_turn(&mut table, "a", 0, 2);
-    assert_eq!(table.grant(at(2_000), &digest("a"), "s-1", Sender::Client), Grant::Granted);
+    assert_eq!(table.grant(at(2_000), &digest("a"), "s-1", RequestSource::Client), Grant::Granted);
     assert_eq!(
-        table.grant(at(11_900), &digest("a"), "s-2", Sender::Client),
+        table.grant(at(11_900), &digest("a"), "s-2", RequestSource::Client),
         Grant::Wait { ms: 500 }
     );
-    assert_eq!(table.grant(at(12_000), &digest("a"), "s-2", Sender::Client), Grant::Granted);
+    assert_eq!(table.grant(at(12_000), &digest("a"), "s-2", RequestSource::Client), Grant::Granted);
 }
 
 /// What happened: on days on which many back ends ended, items were at series of ends that chance explains. Each
@@ -169,34 +184,44 @@
     let mut table = Table::default();
     for number in 0..40 {
         let now = at(10_000 + number * 120);
-        table.note_end(now, digest("other"), (&life(&format!("o-{number}")), POPULATION), now);
+        table.note_end(
+            now,
+            digest("other"),
+            (&incarnation(&format!("o-{number}")), POPULATION),
+            now,
+        );
     }
     for number in 0..8 {
         let sent = 12_000 + number * 1_600;
         let backend = format!("s-{number}");
-        table.note_end(at(sent + 1_500), digest("item"), (&life(&backend), POPULATION), at(sent));
+        table.note_end(
+            at(sent + 1_500),
+            digest("item"),
+            (&incarnation(&backend), POPULATION),
+            at(sent),
+        );
         for other in 0..15 {
             let now = at(sent + 1_500 + other);
             table.note_end(
                 now,
                 digest("other"),
-                (&life(&format!("p-{sent}-{other}")), POPULATION),
+                (&incarnation(&format!("p-{sent}-{other}")), POPULATION),
                 now,
             );
         }
     }
     assert!(!table.is_held_back(&digest("item")));
     let now = at(12_000 + 7 * 1_600 + 1_501);
-    let Grant::Wait { ms } = table.grant(now, &digest("item"), "s", Sender::Job) else {
+    let Grant::Wait { ms } = table.grant(now, &digest("item"), "s", RequestSource::Job) else {
         panic!("it does not wait at all");
     };
     assert!(ms <= 4_000, "{ms}");
-    let Grant::Wait { ms } = table.grant(now, &digest("item"), "s", Sender::Client) else {
+    let Grant::Wait { ms } = table.grant(now, &digest("item"), "s", RequestSource::Client) else {
         panic!("it does not wait at all");
     };
     assert!(ms > 20_000, "{ms}");
     assert_eq!(
-        table.grant(now.plus_millis(4_000), &digest("item"), "s", Sender::Job),
+        table.grant(now.plus_millis(4_000), &digest("item"), "s", RequestSource::Job),
         Grant::Granted
     );
 }
@@ -208,15 +233,20 @@
     let mut now = 1_200;
     let mut probes = Vec::new();
     while now < 3_600_000 {
-        match table.grant(at(now), &digest("a"), "s", Sender::Client) {
+        match table.grant(at(now), &digest("a"), "s", RequestSource::Client) {
             Grant::Granted => {
                 probes.push(now / 1_000);
                 let backend = format!("p-{now}");
-                table.note_end(at(now + 100), digest("a"), (&life(&backend), POPULATION), at(now));
+                table.note_end(
+                    at(now + 100),
+                    digest("a"),
+                    (&incarnation(&backend), POPULATION),
+                    at(now),
+                );
                 now += 200;
             }
             Grant::Wait { ms } => now += ms,
-            Grant::OtherBackend => panic!("nothing else runs"),
+            Grant::BackendBusy => panic!("nothing else runs"),
         }
     }
     assert_eq!(probes, [31, 151, 631, 2_551]);
@@ -292,7 +322,7 @@
             std::mem::take(&mut self.running).into_iter().partition(|(name, ..)| hit(name));
         self.running = kept;
         for (name, started, body) in ended {
-            let (digest, backend) = (digest(&body), (&life(&name), POPULATION));
+            let (digest, backend) = (digest(&body), (&incarnation(&name), POPULATION));
             self.table.note_end(at(self.now), digest, backend, at(started));
             self.start(body);
         }
@@ -320,7 +350,7 @@
             .partition(|(_, started, _)| now - started >= ms);
         self.running = kept;
         for (_, _, body) in &done {
-            self.table.note_answer(at(now), &digest(body));
+            self.table.record_answer(at(now), &digest(body));
         }
         done.len()
     }
@@ -361,7 +391,7 @@
                 let position = storm.generator.random_range(0..storm.running.len());
                 let (_, started, body) = storm.running.swap_remove(position);
                 let worked = storm.now - started;
-                storm.table.note_concluded(at(storm.now), &digest(&body), worked);
+                storm.table.record_inconclusive_run(at(storm.now), &digest(&body), worked);
                 storm.start(body);
             }
             storm.answer_those_after(4_000);
@@ -392,13 +422,13 @@
             }
             // The culprit comes every half second and ends its back end 100 ms later.
             let held = matches!(
-                storm.table.standing(at(storm.now), &digest("fatal")),
-                Standing::HeldBack { .. }
+                storm.table.status(at(storm.now), &digest("fatal")),
+                SuspectStatus::HeldBack { .. }
             );
             if step >= 30 && step % 5 == 0 && !held {
                 ended += 1;
                 let (backend, sent) = (format!("f-{step}"), storm.now - 100);
-                let backend = (&life(&backend), POPULATION);
+                let backend = (&incarnation(&backend), POPULATION);
                 storm.table.note_end(at(storm.now), digest("fatal"), backend, at(sent));
             }
         }
@@ -414,12 +444,12 @@
         let body = (step % 4) as usize;
         let now = 10_000 + step * 120;
         let request = digest(&format!("fatal-{body}"));
-        if matches!(table.standing(at(now), &request), Standing::HeldBack { .. }) {
+        if matches!(table.status(at(now), &request), SuspectStatus::HeldBack { .. }) {
             continue;
         }
         ended[body] += 1;
         let backend = format!("s-{step}");
-        table.note_end(at(now + 100), request, (&life(&backend), POPULATION), at(now));
+        table.note_end(at(now + 100), request, (&incarnation(&backend), POPULATION), at(now));
     }
     assert!(ended.iter().all(|ended| *ended <= 5), "{ended:?}");
 }
@@ -459,8 +489,8 @@
     /// A client sends a request again.
     fn come(&mut self, now: u64, request: usize) {
         let name = format!("any-{now}");
-        if self.table.standing(at(now), &Self::body(request)) != Standing::Free
-            && self.table.grant(at(now), &Self::body(request), &name, Sender::Client)
+        if self.table.status(at(now), &Self::body(request)) != SuspectStatus::Free
+            && self.table.grant(at(now), &Self::body(request), &name, RequestSource::Client)
                 != Grant::Granted
         {
             return;
@@ -489,7 +519,7 @@
             self.away_until[number] = ends_at + BACK_AFTER_MS;
             self.ends[request].push(ends_at);
             let name = format!("s-{number}-{ends_at}");
-            let backend = (&life(&name), POPULATION);
+            let backend = (&incarnation(&name), POPULATION);
             self.table.note_end(at(ends_at), Self::body(request), backend, at(sent));
         }
     }
@@ -544,9 +574,9 @@
             let table = &mut tables[usize::from(process % 3)];
             let request = digest(&(request % 4).to_string());
             if process % 5 == 0 {
-                table.note_answer(at(now), &request);
+                table.record_answer(at(now), &request);
             } else {
-                table.note_end(at(now), request, (&life(&format!("s-{number}")), 12), at(now - 9));
+                table.note_end(at(now), request, (&incarnation(&format!("s-{number}")), 12), at(now - 9));
             }
         }
         // Some news goes round by chance, then all of it, twice.
@@ -575,7 +605,7 @@
 fn ends_of_two_lives_under_one_id_are_two_ends() {
     let mut table = Table::default();
     for started_ms in 1..=3 {
-        let backend = BackendLife { id: "s-1".into(), started_ms };
+        let backend = BackendIncarnation { id: "s-1".into(), started_ms };
         let sent = 1_000 + started_ms * 400;
         table.note_end(at(sent + 100), digest("a"), (&backend, POPULATION), at(sent));
     }
@@ -588,7 +618,7 @@
 #[test]
 fn a_run_that_began_after_the_end_of_its_life_ran_at_a_later_one() {
     let mut table = Table::default();
-    let backend = BackendLife { id: "s-1".into(), started_ms: 7 };
+    let backend = BackendIncarnation { id: "s-1".into(), started_ms: 7 };
     table.note_end(at(2_000), digest("a"), (&backend, POPULATION), at(1_900));
     table.note_end(at(4_600), digest("a"), (&backend, POPULATION), at(4_500));
     assert_eq!(table.repeats(&digest("a")), 2);
@@ -598,7 +628,7 @@
 #[test]
 fn an_end_that_is_found_out_late_counts_once() {
     let mut table = Table::default();
-    let backend = BackendLife { id: "s-1".into(), started_ms: 7 };
+    let backend = BackendIncarnation { id: "s-1".into(), started_ms: 7 };
     table.note_end(at(2_000), digest("a"), (&backend, POPULATION), at(1_900));
     table.note_end(at(9_000), digest("a"), (&backend, POPULATION), at(1_950));
     assert_eq!(table.repeats(&digest("a")), 1);
--- a/crates/telemetry/src/http.rs
+++ b/crates/telemetry/src/http.rs
@@ -78,7 +78,7 @@
     loop {
         tokio::time::sleep(UPKEEP_INTERVAL).await;
         recorder().run_upkeep();
-        metrics::gauge!("lines_dropped").set(crate::line::dropped_lines() as f64);
+        metrics::gauge!("lines_dropped").set(crate::line::dropped_log_lines() as f64);
     }
 }
 
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -6,5 +6,5 @@
 pub mod version;
 
 pub use http::{HealthState, MetricsServer};
-pub use line::{dropped_lines, init_lines, EventName, Line};
+pub use line::{dropped_log_lines, init_log_lines, EventName, LogLine};
 pub use log::{init_logs, Event, Format, Level};
--- a/crates/telemetry/src/line.rs
+++ b/crates/telemetry/src/line.rs
@@ -212,7 +212,7 @@
 static WRITER: OnceLock<Writer> = OnceLock::new();
 
 /// Sets up lines on standard output for this process.
-pub fn init_lines(role: &str, process: &str, level: Level) {
+pub fn init_log_lines(role: &str, process: &str, level: Level) {
     let formatter = PatternFormatter::new(pattern!("{payload}{eol}"));
     let stream = StdStreamSink::builder().std_stream(StdStream::Stdout).formatter(formatter);
     let Ok(stream) = stream.build() else { return };
@@ -246,19 +246,19 @@
 }
 
 /// Lines that were dropped because the reader of standard output was too slow.
-pub fn dropped_lines() -> u64 {
+pub fn dropped_log_lines() -> u64 {
     WRITER.get().map_or(0, |writer| writer.dropped.load(Ordering::Relaxed))
 }
 
 /// A line being put together.
 #[derive(Debug)]
 #[must_use = "a line that is not written tells nothing"]
-pub struct Line {
+pub struct LogLine {
     event: EventName,
     fields: Map<String, Value>,
 }
 
-impl Line {
+impl LogLine {
     /// A line of this event.
     pub fn new(event: EventName) -> Self {
         Self { event, fields: Map::new() }
@@ -291,7 +291,7 @@
 }
 
 impl Writer {
-    fn write(&self, line: Line) {
+    fn write(&self, line: LogLine) {
         let second = self.origin.elapsed().as_secs();
         if !self.is_within_budget(line.event, second) {
             self.omitted.fetch_add(1, Ordering::Relaxed);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -6,9 +6,9 @@
 pub mod job;
 pub mod key;
 pub mod limits;
-pub mod place;
 pub mod placement;
 pub mod policy;
+pub mod rendezvous;
 pub mod tenant;
 
 pub use call::{Answer, CallHeader, Outcome, Priority, Refusal, RefusalReason, RepeatPolicy};
@@ -21,7 +21,7 @@
 };
 pub use job::{ItemOutcome, ItemResult, JobProgress, JobState};
 pub use key::{KeyDigest, KeyIndex};
-pub use place::{rendezvous_order, rendezvous_score};
 pub use placement::PlacementBounds;
 pub use policy::Policy;
+pub use rendezvous::{rendezvous_order, rendezvous_score};
 pub use tenant::{RateLimit, Tenant};
--- a/crates/types/src/placement.rs
+++ b/crates/types/src/placement.rs
@@ -25,7 +25,7 @@
 impl PlacementBounds {
     /// Whether decisions rest on what the platform's store told lately: on a zone that is not evacuated, or on a
     /// back end that is not cold.
-    pub fn needs_fresh_news(&self) -> bool {
+    pub fn needs_fresh_state(&self) -> bool {
         *self != Self::default()
     }
 
--- a/crates/upstream/src/exchange.rs
+++ b/crates/upstream/src/exchange.rs
@@ -44,7 +44,7 @@
     id_header: Option<&HeaderName>,
     permit: Permit,
 ) -> Result<Response<Incoming>, SendFailure> {
-    if *permit.life() != connection.life {
+    if *permit.incarnation() != connection.incarnation {
         let cause = "the connection is to another life of the back end".to_owned();
         return Err(SendFailure::NotSent { cause });
     }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod pool;
 
 pub use exchange::{exchange, SendFailure};
-pub use place::{Place, Places};
+pub use place::{BackendSlot, SharedBalancer};
 pub use pool::{ConnectFailure, Connection, Pool};
--- a/crates/upstream/src/place.rs
+++ b/crates/upstream/src/place.rs
@@ -10,14 +10,14 @@
 use tokio::time::Instant;
 use yokefall_clock::ElapsedClock;
 use yokefall_core::Timestamp;
-use yokefall_serving::{Backend, BackendLoad, Balancer, ColdStart, Outcome};
+use yokefall_serving::{Backend, BackendLoad, Balancer, ColdStartLimiter, Outcome};
 
 /// Load and health of back ends as seen by one thread.
 #[derive(Debug)]
-pub struct Places {
+pub struct SharedBalancer {
     balancer: RefCell<Balancer>,
     /// Notified of back ends that failed, since they may have restarted.
-    cold: Option<Rc<ColdStart>>,
+    cold: Option<Rc<ColdStartLimiter>>,
     clock: ElapsedClock,
     /// Notified when a slot is acquired or released.
     pub changed: Notify,
@@ -25,7 +25,7 @@
     pub capacity_freed: Notify,
 }
 
-impl Places {
+impl SharedBalancer {
     /// Starts with nothing in flight.
     pub fn new(balancer: Balancer, clock: ElapsedClock) -> Rc<Self> {
         Self::build(balancer, clock, None)
@@ -35,12 +35,16 @@
     pub fn with_cold_start(
         balancer: Balancer,
         clock: ElapsedClock,
-        cold: Rc<ColdStart>,
+        cold: Rc<ColdStartLimiter>,
     ) -> Rc<Self> {
         Self::build(balancer, clock, Some(cold))
     }
 
-    fn build(balancer: Balancer, clock: ElapsedClock, cold: Option<Rc<ColdStart>>) -> Rc<Self> {
+    fn build(
+        balancer: Balancer,
+        clock: ElapsedClock,
+        cold: Option<Rc<ColdStartLimiter>>,
+    ) -> Rc<Self> {
         let balancer = RefCell::new(balancer);
         Rc::new(Self {
             balancer,
@@ -58,18 +62,18 @@
     }
 
     /// Acquires a slot at a back end.
-    pub fn take(self: &Rc<Self>, backend: Arc<Backend>) -> Place {
-        self.with(|balancer, _| balancer.started(&backend));
+    pub fn take(self: &Rc<Self>, backend: Arc<Backend>) -> BackendSlot {
+        self.with(|balancer, _| balancer.record_start(&backend));
         self.changed.notify_one();
         let taken = Instant::now();
-        Place { places: self.clone(), backend, taken, outcome: Outcome::Abandoned }
+        BackendSlot { balancer: self.clone(), backend, taken, outcome: Outcome::Abandoned }
     }
 }
 
 /// One request in flight at a back end; released on drop.
 #[derive(Debug)]
-pub struct Place {
-    places: Rc<Places>,
+pub struct BackendSlot {
+    balancer: Rc<SharedBalancer>,
     /// The back end.
     pub backend: Arc<Backend>,
     taken: Instant,
@@ -77,63 +81,63 @@
     pub outcome: Outcome,
 }
 
-impl Place {
+impl BackendSlot {
     /// When the slot was acquired, immediately before the request was sent.
-    pub fn taken(&self) -> Instant {
+    pub fn acquired_at(&self) -> Instant {
         self.taken
     }
 
     /// Records that data was received from the back end.
-    pub fn heard(&self) {
-        self.places.with(|balancer, now| balancer.heard(now, &self.backend));
-        if let Some(cold) = &self.places.cold {
-            cold.heard(&self.backend.id);
+    pub fn record_activity(&self) {
+        self.balancer.with(|balancer, now| balancer.record_activity(now, &self.backend));
+        if let Some(cold) = &self.balancer.cold {
+            cold.record_activity(&self.backend.id);
         }
     }
 
     /// Records that the back end has sent nothing on this request for `silence`. Returns whether it
     /// is now excluded from selection.
-    pub fn fell_silent(&self, silence: Duration) -> bool {
+    pub fn record_silence(&self, silence: Duration) -> bool {
         let silence_ms = silence.as_millis() as u64;
         // Silence is not reported as a restart: an overloaded back end is silent as well, and the
         // connection is still open.
-        self.places.with(|balancer, now| balancer.fell_silent(now, &self.backend, silence_ms))
+        self.balancer.with(|balancer, now| balancer.record_silence(now, &self.backend, silence_ms))
     }
 
     /// Records that the connection broke or that the back end did not respond in time.
-    pub fn broke(&self) {
-        if let Some(cold) = &self.places.cold {
-            cold.failed(&self.backend.id);
+    pub fn record_failure(&self) {
+        if let Some(cold) = &self.balancer.cold {
+            cold.record_failure(&self.backend.id);
         }
     }
 
     /// Records the remaining cold time that the back end reported.
-    pub fn told_cold(&self, remaining_ms: u64) {
-        if let Some(cold) = &self.places.cold {
-            cold.told(&self.backend, remaining_ms);
+    pub fn record_cold_remaining(&self, remaining_ms: u64) {
+        if let Some(cold) = &self.balancer.cold {
+            cold.record_report(&self.backend, remaining_ms);
         }
     }
 
     /// Records the load that the back end reported.
-    pub fn told(&self, load: BackendLoad) {
-        self.places.with(|balancer, now| balancer.told(now, &self.backend, load));
+    pub fn record_report(&self, load: BackendLoad) {
+        self.balancer.with(|balancer, now| balancer.record_report(now, &self.backend, load));
     }
 }
 
-impl Drop for Place {
+impl Drop for BackendSlot {
     fn drop(&mut self) {
         let outcome = self.outcome;
         if outcome == Outcome::Unreachable {
-            self.broke();
+            self.record_failure();
         }
         let took = self.taken.elapsed().as_secs_f64() * 1_000.0;
-        self.places.with(|balancer, now| {
-            balancer.ended(now, &self.backend, outcome);
+        self.balancer.with(|balancer, now| {
+            balancer.record_end(now, &self.backend, outcome);
             if outcome == Outcome::Answered {
-                balancer.took(&self.backend.service, took);
+                balancer.record_service_time(&self.backend.service, took);
             }
         });
-        self.places.changed.notify_one();
-        self.places.capacity_freed.notify_one();
+        self.balancer.changed.notify_one();
+        self.balancer.capacity_freed.notify_one();
     }
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
-use yokefall_serving::{Backend, BackendLife, ByLife};
+use yokefall_serving::{Backend, BackendIncarnation, ByIncarnation};
 
 /// How long an idle connection is kept when the back end announces no timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    pub(crate) life: BackendLife,
+    pub(crate) incarnation: BackendIncarnation,
     idle: Duration,
 }
 
@@ -73,7 +73,7 @@
     }
 
     /// Whether response headers announce that the connection closes after the response.
-    pub fn is_last(headers: &HeaderMap) -> bool {
+    pub fn closes_after(headers: &HeaderMap) -> bool {
         let value = headers.get(header::CONNECTION).and_then(|value| value.to_str().ok());
         value.is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
@@ -94,7 +94,7 @@
 /// Connections of one process to all back ends.
 #[derive(Debug, Default)]
 pub struct Pool {
-    backends: RefCell<ByLife<BackendConnections>>,
+    backends: RefCell<ByIncarnation<BackendConnections>>,
 }
 
 impl Pool {
@@ -130,12 +130,12 @@
             let _ = driver.await;
             drop(open);
         });
-        Ok(Connection { sender, life: backend.life(), idle: DEFAULT_IDLE_TIMEOUT })
+        Ok(Connection { sender, incarnation: backend.incarnation(), idle: DEFAULT_IDLE_TIMEOUT })
     }
 
     fn reserve(&self, backend: &Backend, max_connections: usize) -> Option<Rc<()>> {
         let mut backends = self.backends.borrow_mut();
-        let connections = backends.entry(backend.life());
+        let connections = backends.entry(backend.incarnation());
         (Rc::strong_count(&connections.open) <= max_connections).then(|| connections.open.clone())
     }
 
@@ -158,7 +158,7 @@
             return;
         }
         let mut backends = self.backends.borrow_mut();
-        let Some(connections) = backends.of_life_mut(&connection.life) else { return };
+        let Some(connections) = backends.incarnation_mut(&connection.incarnation) else { return };
         let now = Instant::now();
         connections
             .idle
@@ -170,16 +170,16 @@
     /// Closes the idle connections to a back end that does not respond to a request. They may all
     /// have died silently together while the back end accepts new ones, and each reuse would cost a
     /// request.
-    pub fn forget_kept(&self, backend: &Backend) {
+    pub fn close_idle(&self, backend: &Backend) {
         if let Some(connections) = self.backends.borrow_mut().get_mut(backend) {
             connections.idle.clear();
         }
     }
 
     /// Closes idle connections to incarnations that are no longer known.
-    pub fn retain(&self, known: impl Fn(&BackendLife) -> bool) {
-        self.backends.borrow_mut().retain(|life, connections| {
-            if known(life) {
+    pub fn retain(&self, known: impl Fn(&BackendIncarnation) -> bool) {
+        self.backends.borrow_mut().retain(|incarnation, connections| {
+            if known(incarnation) {
                 return true;
             }
             connections.idle.clear();
