--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -107,13 +107,13 @@
     }
     let ticket = admission.next_ticket.get();
     admission.next_ticket.set(ticket + 1);
-    let terms = QueueLimits {
+    let limits = QueueLimits {
         rank: context.rank,
         target,
         timeout: context.deadline.duration_since(context.arrived),
     };
     let (grant, granted) = oneshot::channel();
-    let queued = shared.balancer.with(|_, now| QueuedRequest::new(ticket, now, terms));
+    let queued = shared.balancer.with(|_, now| QueuedRequest::new(ticket, now, limits));
     let (host, path) = (context.route.host.clone(), context.parts.uri.path().to_owned());
     let tenant = context.caller.tenant().map(|tenant| tenant.name.clone());
     admission.enqueue(key, queued, Waiter { grant, affinity, target, host, path, tenant });
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -47,7 +47,7 @@
     /// Digest of the request, computed on first use: most requests never need it.
     pub digest: OnceCell<RequestDigest>,
     /// Held while the request runs exclusively, as granted by the leader of the job stores.
-    pub alone: Option<IsolatedRun>,
+    pub isolated_run: Option<IsolatedRun>,
 }
 
 impl RequestContext {
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -265,7 +265,7 @@
         id,
         end_logged: Cell::new(false),
         digest: OnceCell::new(),
-        alone: None,
+        isolated_run: None,
     };
     forward(shared, context).await
 }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,9 +1,9 @@
 //! Tokens of tenants' rate limits: a request of a limited tenant is sent only with a token.
-//! `yokefall_quota::IssuerSelector` decides which accountant to ask; concurrent asks are batched.
+//! `yokefall_quota::IssuerSelector` decides which token issuer to ask; concurrent requests are batched.
 
-pub mod asks;
 pub mod assignment;
 pub mod relays;
+pub mod token_requests;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,17 +20,17 @@
 };
 use yokefall_serving::{Caller, RateLimit, Route, TenantName};
 
-use self::asks::{ask_accountant, AskOutcome, QueuedAsk};
 use self::relays::take_by_relay;
+use self::token_requests::{request_token, QueuedRequest, RequestOutcome};
 use crate::shared::Shared;
 
-/// Fraction of its latency target for which a request waits until an accountant is known: a request
+/// Fraction of its latency target for which a request waits until a token issuer is known: a request
 /// rejected within a quarter of its target can be served elsewhere in time.
-const ACCOUNTANT_WAIT_FRACTION: f64 = 0.2;
+const ISSUER_WAIT_FRACTION: f64 = 0.2;
 /// Retry delay while no gateway can check limits: when all processes have been lost, the job stores
 /// elect a leader 1.2 s after their start. Randomized, so that callers do not return together.
-const NO_ACCOUNTANT_RETRY_AFTER: Duration = Duration::from_millis(800);
-const NO_ACCOUNTANT_RETRY_SPREAD: f64 = 1.5;
+const NO_ISSUER_RETRY_AFTER: Duration = Duration::from_millis(800);
+const NO_ISSUER_RETRY_SPREAD: f64 = 1.5;
 
 /// Permission to send one request of a tenant, valid for a limited time.
 #[derive(Clone, Copy, Debug)]
@@ -46,23 +46,23 @@
         /// When a token may be available again.
         wait: Duration,
     },
-    /// No accountant could be asked in time.
+    /// No token issuer could be asked in time.
     Unknown {
-        /// Retry delay: zero where other gateways may reach an accountant.
+        /// Retry delay: zero where other gateways may reach a token issuer.
         wait: Duration,
     },
 }
 
 /// Rate limits as known by this gateway.
 pub struct Quota {
-    meter: RefCell<IssuerSelector>,
-    queues: RefCell<HashMap<String, UnboundedSender<QueuedAsk>>>,
+    selector: RefCell<IssuerSelector>,
+    queues: RefCell<HashMap<String, UnboundedSender<QueuedRequest>>>,
     /// Notified when the assignment should be fetched again.
     refresh: Notify,
-    /// Notified when an accountant did not answer.
-    accountant_failed: Notify,
-    /// Notified when accountants become known or answer again.
-    accountant_found: Notify,
+    /// Notified when a token issuer did not answer.
+    issuer_failed: Notify,
+    /// Notified when token issuers become known or answer again.
+    issuer_found: Notify,
     lifetime: Duration,
     clock: ElapsedClock,
 }
@@ -71,11 +71,11 @@
     /// Starts without any assignment.
     pub fn new(gateway: String, bounds: QuotaBounds, clock: ElapsedClock) -> Self {
         Self {
-            meter: RefCell::new(IssuerSelector::new(gateway)),
+            selector: RefCell::new(IssuerSelector::new(gateway)),
             queues: RefCell::default(),
             refresh: Notify::new(),
-            accountant_failed: Notify::new(),
-            accountant_found: Notify::new(),
+            issuer_failed: Notify::new(),
+            issuer_found: Notify::new(),
             lifetime: bounds.token_lifetime(),
             clock,
         }
@@ -91,7 +91,7 @@
         Token { expires_at: asked_at + self.lifetime }
     }
 
-    /// Whether a token may still be used: its accountant counts it for its lifetime, even if this
+    /// Whether a token may still be used: its token issuer counts it for its lifetime, even if this
     /// machine is suspended meanwhile.
     pub fn is_valid(&self, token: Token) -> bool {
         self.now() < token.expires_at
@@ -99,12 +99,12 @@
 
     /// Describes the state of each part of a tenant's limit, for a log line.
     pub fn describe(&self, tenant: &TenantName) -> String {
-        self.meter.borrow().describe(self.now(), tenant)
+        self.selector.borrow().describe(self.now(), tenant)
     }
 
-    /// The current assignment of accountants, for another gateway.
+    /// The current assignment of token issuers, for another gateway.
     pub fn assignment(&self) -> Assignment {
-        self.meter.borrow().assignment().clone()
+        self.selector.borrow().assignment().clone()
     }
 }
 
@@ -129,21 +129,21 @@
         Some(Self { tenant: &tenant.name, limit: tenant.limit?, version, target })
     }
 
-    fn ask(&self, part: Part) -> TokenRequest {
+    fn token_request(&self, part: Part) -> TokenRequest {
         let tenant = self.tenant.clone();
         TokenRequest { tenant, part, limit: self.limit, version: self.version, tokens: 1 }
     }
 }
 
-/// Takes a token for a request of a rate-limited tenant. Waits briefly if no accountant is known,
+/// Takes a token for a request of a rate-limited tenant. Waits briefly if no token issuer is known,
 /// as after a start of all processes.
 pub async fn take(shared: &Rc<Shared>, check: QuotaCheck<'_>) -> Result<Token, TokenError> {
-    let until = Instant::now() + check.target.mul_f64(ACCOUNTANT_WAIT_FRACTION);
+    let until = Instant::now() + check.target.mul_f64(ISSUER_WAIT_FRACTION);
     loop {
-        let accountant_found = shared.quota.accountant_found.notified();
+        let issuer_found = shared.quota.issuer_found.notified();
         let taken = try_take(shared, check).await;
         let is_unknown = matches!(taken, Err(TokenError::Unknown { .. }));
-        if !is_unknown || tokio::time::timeout_at(until, accountant_found).await.is_err() {
+        if !is_unknown || tokio::time::timeout_at(until, issuer_found).await.is_err() {
             return taken;
         }
     }
@@ -151,9 +151,9 @@
 
 async fn try_take(shared: &Rc<Shared>, check: QuotaCheck<'_>) -> Result<Token, TokenError> {
     let quota = &shared.quota;
-    let mut refused: Vec<PartRefusal> = Vec::new();
+    let mut refusals: Vec<PartRefusal> = Vec::new();
     loop {
-        let step = quota.meter.borrow().next_step(quota.now(), check.tenant, &refused);
+        let step = quota.selector.borrow().next_step(quota.now(), check.tenant, &refusals);
         let (part, token_issuer) = match step {
             NextStep::Ask { part, token_issuer } => (part, token_issuer),
             NextStep::OverLimit { wait_ms } => {
@@ -161,26 +161,31 @@
             }
             NextStep::Unknown => {
                 quota.refresh.notify_one();
-                if quota.meter.borrow().assignment().version == 0 {
-                    let spread = rand::random_range(1.0..NO_ACCOUNTANT_RETRY_SPREAD);
+                if quota.selector.borrow().assignment().version == 0 {
+                    let spread = rand::random_range(1.0..NO_ISSUER_RETRY_SPREAD);
                     return Err(TokenError::Unknown {
-                        wait: NO_ACCOUNTANT_RETRY_AFTER.mul_f64(spread),
+                        wait: NO_ISSUER_RETRY_AFTER.mul_f64(spread),
                     });
                 }
                 return take_by_relay(shared, check).await;
             }
         };
-        let wait_ms = match ask_accountant(shared, &token_issuer, check.ask(part)).await {
-            AskOutcome::Token { asked_at } => return Ok(quota.token(asked_at)),
-            AskOutcome::Spent { wait_ms } => {
-                quota.meter.borrow_mut().mark_exhausted(quota.now(), check.tenant, part, wait_ms);
+        let wait_ms = match request_token(shared, &token_issuer, check.token_request(part)).await {
+            RequestOutcome::Token { asked_at } => return Ok(quota.token(asked_at)),
+            RequestOutcome::Exhausted { wait_ms } => {
+                quota.selector.borrow_mut().mark_exhausted(
+                    quota.now(),
+                    check.tenant,
+                    part,
+                    wait_ms,
+                );
                 Some(wait_ms)
             }
-            AskOutcome::NotHeld | AskOutcome::None => {
+            RequestOutcome::NotHeld | RequestOutcome::None => {
                 quota.refresh.notify_one();
                 None
             }
         };
-        refused.push(PartRefusal { part, wait_ms });
+        refusals.push(PartRefusal { part, wait_ms });
     }
 }
--- a/crates/gateway/src/quota/assignment.rs
+++ b/crates/gateway/src/quota/assignment.rs
@@ -1,4 +1,4 @@
-//! Keeps the assignment of accountants current: fetched from the leader or from other gateways when
+//! Keeps the assignment of token issuers current: fetched from the leader or from other gateways when
 //! it may have changed.
 
 use std::rc::Rc;
@@ -7,11 +7,11 @@
 use tokio::time::Instant;
 use yokefall_jobstore::{CallOutcome, Reply, Request};
 
-use super::asks::{call, ASK_TIMEOUT};
 use super::relays::relay_gateways;
+use super::token_requests::{call, REQUEST_TIMEOUT};
 use crate::shared::Shared;
 
-/// Delay before the first probe of an accountant that did not answer: one that only lost a frame,
+/// Delay before the first probe of a token issuer that did not answer: one that only lost a frame,
 /// or was paused for a tenth of a second, has recovered by then.
 const FIRST_PROBE_DELAY: Duration = Duration::from_millis(150);
 /// Interval between later probes.
@@ -40,13 +40,13 @@
 
 async fn maintain_once(shared: &Shared) {
     if refresh(shared).await {
-        shared.quota.accountant_found.notify_waiters();
-        // One that did not answer before may be an accountant again.
-        shared.quota.accountant_failed.notify_one();
+        shared.quota.issuer_found.notify_waiters();
+        // One that did not answer before may be a token issuer again.
+        shared.quota.issuer_failed.notify_one();
     }
     let now = shared.quota.now();
-    shared.quota.meter.borrow_mut().expire(now);
-    if shared.quota.meter.borrow().assignment().version == 0 {
+    shared.quota.selector.borrow_mut().expire(now);
+    if shared.quota.selector.borrow().assignment().version == 0 {
         tokio::time::sleep(START_INTERVAL).await;
         return;
     }
@@ -56,13 +56,13 @@
     let _ = tokio::time::timeout(ASSIGNMENT_INTERVAL, refresh_requested).await;
 }
 
-/// Probes accountants that did not answer until they do, forever. It runs on its own schedule: if
+/// Probes token issuers that did not answer until they do, forever. It runs on its own schedule: if
 /// each rejected request postponed the probe, rejections would last as long as callers keep asking.
 pub async fn probe_failing(shared: Rc<Shared>) {
     loop {
-        shared.quota.accountant_failed.notified().await;
+        shared.quota.issuer_failed.notified().await;
         tokio::time::sleep(FIRST_PROBE_DELAY).await;
-        while !shared.quota.meter.borrow().unreachable().is_empty() {
+        while !shared.quota.selector.borrow().unreachable().is_empty() {
             probe(&shared).await;
             tokio::time::sleep(PROBE_INTERVAL).await;
         }
@@ -81,27 +81,27 @@
     if let CallOutcome::Answered(Reply::Accountants(assignment)) =
         shared.jobs.call(Request::Accountants, deadline).await
     {
-        shared.quota.meter.borrow_mut().set_assignment(assignment);
+        shared.quota.selector.borrow_mut().set_assignment(assignment);
         return true;
     }
     for address in relay_gateways(shared) {
-        let limit = Instant::now() + ASK_TIMEOUT;
+        let limit = Instant::now() + REQUEST_TIMEOUT;
         let reply = shared.jobs.call_member(address, Request::Accountants, limit).await;
         if let Some(Reply::Accountants(assignment)) = reply {
-            shared.quota.meter.borrow_mut().set_assignment(assignment);
+            shared.quota.selector.borrow_mut().set_assignment(assignment);
             return true;
         }
     }
     false
 }
 
-/// Probes all failing accountants at once with an empty call.
+/// Probes all failing token issuers at once with an empty call.
 async fn probe(shared: &Shared) {
-    let failing = shared.quota.meter.borrow().unreachable();
+    let failing = shared.quota.selector.borrow().unreachable();
     let tries = failing.iter().map(|token_issuer| async move {
         if call(shared, token_issuer, Vec::new()).await.is_some() {
-            shared.quota.meter.borrow_mut().mark_reachable(token_issuer);
-            shared.quota.accountant_found.notify_waiters();
+            shared.quota.selector.borrow_mut().mark_reachable(token_issuer);
+            shared.quota.issuer_found.notify_waiters();
         }
     });
     futures::future::join_all(tries).await;
--- a/crates/gateway/src/quota/relays.rs
+++ b/crates/gateway/src/quota/relays.rs
@@ -9,11 +9,11 @@
 use yokefall_jobstore::{Reply, Request};
 use yokefall_quota::{TokenGrant, TokenRequest};
 
-use super::asks::{ask_accountant, AskOutcome, ASK_TIMEOUT};
+use super::token_requests::{request_token, RequestOutcome, REQUEST_TIMEOUT};
 use super::{QuotaCheck, Token, TokenError};
 use crate::shared::Shared;
 
-/// Number of other gateways asked to relay a request when no accountant can be reached.
+/// Number of other gateways asked to relay a request when no token issuer can be reached.
 const MAX_RELAYS: usize = 2;
 
 /// Requests a token through other gateways, since only this one may be cut off from the job stores.
@@ -23,12 +23,15 @@
 ) -> Result<Token, TokenError> {
     for address in relay_gateways(shared) {
         let mut shortest_wait: Option<u64> = None;
-        let order = shared.quota.meter.borrow().order(check.tenant);
+        let order = shared.quota.selector.borrow().order(check.tenant);
         for part in order {
             let asked_at = shared.quota.now();
-            let asks = vec![check.ask(part)];
-            let deadline = Instant::now() + ASK_TIMEOUT;
-            let reply = shared.jobs.call_member(address, Request::TakeTokens(asks), deadline).await;
+            let token_requests = vec![check.token_request(part)];
+            let deadline = Instant::now() + REQUEST_TIMEOUT;
+            let reply = shared
+                .jobs
+                .call_member(address, Request::TakeTokens(token_requests), deadline)
+                .await;
             let grant = match reply {
                 Some(Reply::Tokens(grants)) => grants.first().copied(),
                 Some(_) | None => break,
@@ -63,19 +66,20 @@
     drawn.into_iter().map(|index| others[index]).collect()
 }
 
-/// Obtains tokens for another gateway that cannot reach the accountants itself.
-pub async fn relay(shared: &Rc<Shared>, asks: Vec<TokenRequest>) -> Vec<TokenGrant> {
-    let mut grants = Vec::with_capacity(asks.len());
-    for ask in asks {
-        let token_issuer = shared.quota.meter.borrow().token_issuer(&ask.tenant, ask.part);
+/// Obtains tokens for another gateway that cannot reach the token issuers itself.
+pub async fn relay(shared: &Rc<Shared>, token_requests: Vec<TokenRequest>) -> Vec<TokenGrant> {
+    let mut grants = Vec::with_capacity(token_requests.len());
+    for token_request in token_requests {
+        let token_issuer =
+            shared.quota.selector.borrow().token_issuer(&token_request.tenant, token_request.part);
         let answer = match token_issuer {
-            Some(token_issuer) => ask_accountant(shared, &token_issuer, ask).await,
-            None => AskOutcome::NotHeld,
+            Some(token_issuer) => request_token(shared, &token_issuer, token_request).await,
+            None => RequestOutcome::NotHeld,
         };
         grants.push(match answer {
-            AskOutcome::Token { .. } => TokenGrant::Granted { tokens: 1, wait_ms: 0 },
-            AskOutcome::Spent { wait_ms } => TokenGrant::Granted { tokens: 0, wait_ms },
-            AskOutcome::NotHeld | AskOutcome::None => TokenGrant::NotHeld,
+            RequestOutcome::Token { .. } => TokenGrant::Granted { tokens: 1, wait_ms: 0 },
+            RequestOutcome::Exhausted { wait_ms } => TokenGrant::Granted { tokens: 0, wait_ms },
+            RequestOutcome::NotHeld | RequestOutcome::None => TokenGrant::NotHeld,
         });
     }
     grants
--- a/crates/gateway/src/suspect.rs
+++ b/crates/gateway/src/suspect.rs
@@ -62,7 +62,7 @@
     let deadline = context.deadline.min(Instant::now() + GRANT_TIMEOUT);
     match shared.jobs.call(request, deadline).await {
         CallOutcome::Answered(Reply::TrialGrant(Grant::Granted)) => {
-            context.alone = Some(shared.suspects.run_isolated(digest));
+            context.isolated_run = Some(shared.suspects.run_isolated(digest));
             Clearance::Clear
         }
         CallOutcome::Answered(Reply::TrialGrant(Grant::BackendBusy)) => Clearance::BackendBusy,
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -9,7 +9,7 @@
 use yokefall_quota::QuotaBounds;
 
 /// Guards against a gateway that requests a token, is suspended for 5 s and then sends a request
-/// with it, in a window in which the accountant has granted the same capacity to another.
+/// with it, in a window in which the token issuer has granted the same capacity to another.
 #[tokio::test(start_paused = true)]
 async fn a_token_expires_while_its_gateway_is_suspended() {
     let suspended_ms = Arc::new(AtomicU64::new(0));
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -4,9 +4,9 @@
 //! have been executed.
 
 pub mod exchange;
-pub mod place;
 pub mod pool;
+pub mod slot;
 
 pub use exchange::{exchange, SendFailure};
-pub use place::{BackendSlot, SharedBalancer};
 pub use pool::{ConnectFailure, Connection, Pool};
+pub use slot::{BackendSlot, SharedBalancer};
--- a/crates/upstream/src/place.rs
+++ b/crates/upstream/src/slot.rs
@@ -65,8 +65,8 @@
     pub fn take(self: &Rc<Self>, backend: Arc<Backend>) -> BackendSlot {
         self.with(|balancer, _| balancer.record_start(&backend));
         self.changed.notify_one();
-        let taken = Instant::now();
-        BackendSlot { balancer: self.clone(), backend, taken, outcome: Outcome::Abandoned }
+        let acquired_at = Instant::now();
+        BackendSlot { balancer: self.clone(), backend, acquired_at, outcome: Outcome::Abandoned }
     }
 }
 
@@ -76,7 +76,7 @@
     balancer: Rc<SharedBalancer>,
     /// The back end.
     pub backend: Arc<Backend>,
-    taken: Instant,
+    acquired_at: Instant,
     /// How the request ended; counts as abandoned until it is set.
     pub outcome: Outcome,
 }
@@ -84,7 +84,7 @@
 impl BackendSlot {
     /// When the slot was acquired, immediately before the request was sent.
     pub fn acquired_at(&self) -> Instant {
-        self.taken
+        self.acquired_at
     }
 
     /// Records that data was received from the back end.
@@ -130,11 +130,11 @@
         if outcome == Outcome::Unreachable {
             self.record_failure();
         }
-        let took = self.taken.elapsed().as_secs_f64() * 1_000.0;
+        let service_ms = self.acquired_at.elapsed().as_secs_f64() * 1_000.0;
         self.balancer.with(|balancer, now| {
             balancer.record_end(now, &self.backend, outcome);
             if outcome == Outcome::Answered {
-                balancer.record_service_time(&self.backend.service, took);
+                balancer.record_service_time(&self.backend.service, service_ms);
             }
         });
         self.balancer.changed.notify_one();
