--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -152,10 +152,10 @@
 /// Logs a client error that the gateway itself returned without forwarding the request.
 fn log_rejection(shared: &Shared, id: Option<&HeaderValue>, response: &ClientResponse) {
     let status = response.status();
-    let own = !response.headers().contains_key(&shared.dialect.headers().signature);
+    let is_generated = !response.headers().contains_key(&shared.dialect.headers().signature);
     metrics::counter!("gateway_requests_total", "status" => status.as_str().to_owned())
         .increment(1);
-    if status.is_client_error() && own {
+    if status.is_client_error() && is_generated {
         LogLine::new(EventName::RequestRejected)
             .id(id.and_then(|value| value.to_str().ok()).unwrap_or_default())
             .field("status", status.as_u16())
