--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueTimeout;
 
-/// Receiver of a queued request's slot, and the inputs for selecting a back end.
+/// Channel to the task of a queued request, and the inputs for selecting a back end.
 struct Waiter {
-    grant: oneshot::Sender<Result<Option<BackendSlot>, QueueTimeout>>,
+    slot_sender: oneshot::Sender<Result<Option<BackendSlot>, QueueTimeout>>,
     affinity: Option<u64>,
     target: Duration,
     host: String,
@@ -112,16 +112,16 @@
         target,
         timeout: context.deadline.duration_since(context.arrived),
     };
-    let (grant, granted) = oneshot::channel();
+    let (slot_sender, slot_receiver) = oneshot::channel();
     let queued = shared.balancer.with(|_, now| QueuedRequest::new(ticket, now, limits));
     let (host, path) = (context.route.host.clone(), context.parts.uri.path().to_owned());
     let tenant = context.caller.tenant().map(|tenant| tenant.name.clone());
-    admission.enqueue(key, queued, Waiter { grant, affinity, target, host, path, tenant });
-    // Wakes the dispatcher for the new request, which may have to expire first.
+    admission.enqueue(key, queued, Waiter { slot_sender, affinity, target, host, path, tenant });
+    // Wakes the dispatcher, since the new request may be the next to expire.
     shared.balancer.capacity_freed.notify_one();
     let began = Instant::now();
     let remove_on_drop = RemoveOnDrop { shared, ticket };
-    let outcome = granted.await.unwrap_or(Err(QueueTimeout));
+    let outcome = slot_receiver.await.unwrap_or(Err(QueueTimeout));
     drop(remove_on_drop);
     let queued_for = began.elapsed();
     metrics::histogram!("gateway_held_seconds").record(queued_for.as_secs_f64());
@@ -154,8 +154,9 @@
         for (key, ServiceQueue { mut queue, waiters }) in before {
             for (ticket, waiter) in waiters {
                 let Some(queued) = queue.remove(ticket) else { continue };
-                let now = catalog.residency_at(&waiter.host, &waiter.path, waiter.tenant.as_ref());
-                let residency = Reverse(now.unwrap_or_else(|| key.residency.0.clone()));
+                let allowed =
+                    catalog.residency_at(&waiter.host, &waiter.path, waiter.tenant.as_ref());
+                let residency = Reverse(allowed.unwrap_or_else(|| key.residency.0.clone()));
                 self.enqueue(QueueKey { residency, service: key.service.clone() }, queued, waiter);
             }
         }
@@ -247,7 +248,7 @@
     let expired = shared.balancer.with(|_, now| service_queue.queue.expire(now));
     for queued in expired {
         if let Some(waiter) = service_queue.waiters.remove(&queued.ticket) {
-            let _ = waiter.grant.send(Err(QueueTimeout));
+            let _ = waiter.slot_sender.send(Err(QueueTimeout));
         }
     }
 }
@@ -274,6 +275,6 @@
         None if key.residency.0 != Residency::Anywhere => Ok(None),
         slot => slot.map(Some).ok_or(QueueTimeout),
     };
-    let _ = waiter.grant.send(slot);
+    let _ = waiter.slot_sender.send(slot);
     true
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -91,7 +91,9 @@
             }
         };
         match &mut self.timer {
-            Some((of, sleep)) if *of == phase => sleep.as_mut().poll(context).is_ready(),
+            Some((timer_phase, sleep)) if *timer_phase == phase => {
+                sleep.as_mut().poll(context).is_ready()
+            }
             timer => {
                 let mut sleep = Box::pin(tokio::time::sleep_until(Instant::now() + limit));
                 let elapsed = sleep.as_mut().poll(context).is_ready();
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -36,8 +36,8 @@
 use crate::relay_port;
 use crate::shared::Shared;
 
-/// Divides the memory for request bodies to get the memory for responses that slow clients have not
-/// read. Both are used at the same time, and requests take precedence.
+/// Memory for request bodies divided by the memory for responses that slow clients have not read.
+/// Both are used at the same time, and requests take precedence.
 const READ_AHEAD_DIVISOR: usize = 2;
 /// Fraction of the shutdown time in which new requests are still served, since clients cache
 /// gateway addresses. Later requests might not complete in time and are rejected.
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -42,7 +42,7 @@
 const ATTEMPT_TIMEOUT_TARGETS: u32 = 3;
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Sent to the caller of a request during which back ends terminated.
-const BACKENDS_ENDED_TEXT: &str = "back ends ended while they ran this request";
+const BACKENDS_TERMINATED_TEXT: &str = "back ends ended while they ran this request";
 /// Sent to the caller of a request for which all back ends are cold.
 const ALL_COLD_TEXT: &str = "back ends are not warm yet and have had what they bear";
 /// Connections to one back end that are always allowed.
@@ -151,7 +151,7 @@
         ForwardError::AllCold(_) => ALL_COLD_TEXT,
         ForwardError::DeadlineExceeded => "its time ended",
         ForwardError::TokenError(_) => "the tenant's limit does not allow another run",
-        ForwardError::HeldBack(_) => BACKENDS_ENDED_TEXT,
+        ForwardError::HeldBack(_) => BACKENDS_TERMINATED_TEXT,
         ForwardError::NoRegion(_) => "no back end takes work where it may be served",
     };
     context.final_log_line(event).text("regions", &context.residency).field("cause", text).write();
@@ -171,9 +171,9 @@
         }
         ForwardError::AllCold(_) => bad_gateway(ALL_COLD_TEXT),
         ForwardError::HeldBack(wait) if context.may_have_run == 0 => {
-            rejection(&shared.dialect.headers().retry_after, wait, BACKENDS_ENDED_TEXT)
+            rejection(&shared.dialect.headers().retry_after, wait, BACKENDS_TERMINATED_TEXT)
         }
-        ForwardError::HeldBack(_) => bad_gateway(BACKENDS_ENDED_TEXT),
+        ForwardError::HeldBack(_) => bad_gateway(BACKENDS_TERMINATED_TEXT),
         ForwardError::NoRegion(residency) if context.may_have_run == 0 => {
             regions::reject(&shared.dialect.headers().retry_after, &residency)
         }
@@ -274,8 +274,8 @@
                 log_failed_attempt(context, &backend.id, &last);
                 cause.record_rejection(&context.id, &backend);
                 if matches!(cause, Ineligible::Cold { .. }) {
-                    // Another request has used up the share meanwhile: nothing was tried, and this
-                    // back end is no longer a candidate.
+                    // Another request has used up the share meanwhile: this does not count as an
+                    // attempt, and the back end is no longer a candidate.
                     context.tried.pop();
                     tries -= 1;
                 }
@@ -348,7 +348,7 @@
     Err(ForwardError::NotRun(last))
 }
 
-/// Rejects instead of queueing: another gateway may have some of its share left.
+/// The request is rejected instead of queued: another gateway may not have used up its share.
 fn all_cold(context: &RequestContext, wait_ms: u64) -> ForwardError {
     if context.may_have_run > 0 {
         return ForwardError::MayHaveRun(ALL_COLD_TEXT.to_owned());
--- a/crates/gateway/src/gateway_ranking.rs
+++ b/crates/gateway/src/gateway_ranking.rs
@@ -1,8 +1,9 @@
-//! Selects the gateways announced to clients when there are more than one response may name.
+//! Ranks gateways for the clients of a zone, for fleets with more gateways than one response may
+//! name.
 //!
-//! All processes announce the same gateways to the clients of a zone, so that a client that asks
-//! another process keeps its connections. Clients of other zones get other gateways. Names start
-//! with their zone, so that sorting by name would put all clients on the gateways of one zone, and
+//! All processes announce the same gateways to the clients of a zone, so that a client that
+//! queries another process keeps its connections. Clients of other zones get other gateways. Names
+//! start with the zone, so sorting by name would put all clients on the gateways of one zone, and
 //! the loss of that zone would affect all of them.
 
 use std::cmp::Reverse;
--- a/crates/gateway/src/gateway_selection.rs
+++ b/crates/gateway/src/gateway_selection.rs
@@ -13,11 +13,11 @@
 /// Maximum number of gateways in a response.
 pub const MAX_GATEWAYS: usize = 64;
 /// Minimum share of gateways, relative to an even distribution over regions, from which a region's
-/// clients are sent to its own gateways only. With fewer, as after the loss of more than a zone,
-/// these would get more than twice the requests they are sized for.
+/// clients get only its own gateways. With fewer, as after the loss of more than one zone, these
+/// would receive more than twice the requests they are sized for.
 const MIN_REGION_SHARE: f64 = 0.5;
 
-/// Location of the client that asks for gateways.
+/// Location of the client that queries gateway addresses.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLocation<'a> {
     /// Region of the client, if announced.
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -26,7 +26,7 @@
 use crate::shared::Shared;
 use crate::{body, directory, jobs, regions};
 
-/// Delay after a failed accept, for example when file descriptors are exhausted.
+/// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Retry delay for clients of a gateway that has no configuration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -270,7 +270,8 @@
     forward(shared, context).await
 }
 
-/// Identifies the caller by the newest configuration; a reused connection proves nothing.
+/// Identifies the caller of each request by the newest configuration. An earlier request on the
+/// same connection proves nothing: its key may have been revoked since.
 fn caller_of(
     shared: &Shared,
     catalog: &Catalog,
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -25,7 +25,8 @@
 const MAX_RESULT_WAIT: Duration = Duration::from_millis(1_000);
 /// Retry delay for callers that got no definite answer.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Retry delay for callers whose job exceeds the tokens that may be queued: items take seconds.
+/// Retry delay for callers whose job exceeds the queued tokens that the route allows: items take
+/// seconds.
 const QUOTA_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// Queue timeout of items on routes without limits.
 const DEFAULT_MAX_QUEUE_MS: u64 = 3_600_000;
@@ -158,16 +159,16 @@
     rejection(name, RETRY_AFTER, "no job store answers now")
 }
 
-/// A rejection would promise that no part of the job runs.
+/// Not a rejection, since that would guarantee that no part of the job runs.
 fn submission_outcome_unknown() -> ClientResponse {
     plain(StatusCode::GATEWAY_TIMEOUT, "the job may have been taken; send it again")
 }
 
 /// Removes API keys and tenant headers from items: they must not be written to the replicated log.
-fn strip_credentials(items: &mut [JobItem], tenant: &HeaderName) {
+fn strip_credentials(items: &mut [JobItem], tenant_header: &HeaderName) {
     let is_credential = |name: &str| {
         name.eq_ignore_ascii_case(header::AUTHORIZATION.as_str())
-            || name.eq_ignore_ascii_case(tenant.as_str())
+            || name.eq_ignore_ascii_case(tenant_header.as_str())
     };
     for item in items {
         item.headers.retain(|header| !is_credential(&header.name));
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -82,7 +82,7 @@
             .field("leader", state.target.leader())
             .write();
         let before = std::mem::replace(&mut state.aggregator, aggregator.name.clone());
-        // A job store that never accepted a report holds nothing to discard.
+        // A job store that never accepted a report has no state of this gateway to discard.
         let accepted_by = state.previous_aggregator.take().unwrap_or(before);
         state.previous_aggregator =
             (!accepted_by.is_empty() && accepted_by != aggregator.name).then_some(accepted_by);
@@ -158,8 +158,8 @@
     })
 }
 
-/// Ejects back ends that fail for all gateways. If they are more than half of a service, the
-/// network of the reporting processes may be at fault, and each gateway decides on its own.
+/// Ejects back ends that fail for all gateways. If they are more than half of a service, a network
+/// fault at the reporting processes may be the cause, and each gateway decides on its own.
 fn eject_failing(shared: &Shared, failing: &[BackendIncarnation]) {
     if failing.is_empty() {
         return;
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,5 +1,6 @@
 //! Tokens of tenants' rate limits: a request of a limited tenant is sent only with a token.
-//! `yokefall_quota::IssuerSelector` decides which token issuer to ask; concurrent requests are batched.
+//! `yokefall_quota::IssuerSelector` decides which token issuer to call; concurrent token requests
+//! are batched.
 
 pub mod assignment;
 pub mod relays;
@@ -24,8 +25,8 @@
 use self::token_requests::{request_token, QueuedRequest, RequestOutcome};
 use crate::shared::Shared;
 
-/// Fraction of its latency target for which a request waits until a token issuer is known: a request
-/// rejected within a quarter of its target can be served elsewhere in time.
+/// Fraction of its latency target for which a request waits until a token issuer is known: a
+/// request rejected within a quarter of its target can be served elsewhere in time.
 const ISSUER_WAIT_FRACTION: f64 = 0.2;
 /// Retry delay while no gateway can check limits: when all processes have been lost, the job stores
 /// elect a leader 1.2 s after their start. Randomized, so that callers do not return together.
@@ -46,7 +47,7 @@
         /// When a token may be available again.
         wait: Duration,
     },
-    /// No token issuer could be asked in time.
+    /// No token issuer could be reached in time.
     Unknown {
         /// Retry delay: zero where other gateways may reach a token issuer.
         wait: Duration,
--- a/crates/gateway/src/quota/assignment.rs
+++ b/crates/gateway/src/quota/assignment.rs
@@ -1,5 +1,5 @@
-//! Keeps the assignment of token issuers current: fetched from the leader or from other gateways when
-//! it may have changed.
+//! Keeps the assignment of token issuers current: it is fetched from the leader or from other
+//! gateways when it may have changed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(700);
 /// Timeout for the leader to return the assignment.
 const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Interval at which the assignment is fetched without a reason.
+/// Interval at which the assignment is fetched when nothing requests it.
 const ASSIGNMENT_INTERVAL: Duration = Duration::from_secs(30);
 /// Minimum interval between two fetches once an assignment is known.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
@@ -41,7 +41,7 @@
 async fn maintain_once(shared: &Shared) {
     if refresh(shared).await {
         shared.quota.issuer_found.notify_waiters();
-        // One that did not answer before may be a token issuer again.
+        // A job store that did not answer before may be a token issuer again.
         shared.quota.issuer_failed.notify_one();
     }
     let now = shared.quota.now();
@@ -57,7 +57,8 @@
 }
 
 /// Probes token issuers that did not answer until they do, forever. It runs on its own schedule: if
-/// each rejected request postponed the probe, rejections would last as long as callers keep asking.
+/// each rejected request postponed the probe, rejections would last as long as callers keep
+/// retrying.
 pub async fn probe_failing(shared: Rc<Shared>) {
     loop {
         shared.quota.issuer_failed.notified().await;
@@ -98,11 +99,11 @@
 /// Probes all failing token issuers at once with an empty call.
 async fn probe(shared: &Shared) {
     let failing = shared.quota.selector.borrow().unreachable();
-    let tries = failing.iter().map(|token_issuer| async move {
+    let probes = failing.iter().map(|token_issuer| async move {
         if call(shared, token_issuer, Vec::new()).await.is_some() {
             shared.quota.selector.borrow_mut().mark_reachable(token_issuer);
             shared.quota.issuer_found.notify_waiters();
         }
     });
-    futures::future::join_all(tries).await;
+    futures::future::join_all(probes).await;
 }
--- a/crates/gateway/src/quota/relays.rs
+++ b/crates/gateway/src/quota/relays.rs
@@ -1,4 +1,4 @@
-//! Token requests relayed by other gateways, for when only this gateway is cut off from the job
+//! Token requests relayed between gateways, for a gateway that alone is cut off from the job
 //! stores.
 
 use std::net::SocketAddr;
@@ -13,7 +13,8 @@
 use super::{QuotaCheck, Token, TokenError};
 use crate::shared::Shared;
 
-/// Number of other gateways asked to relay a request when no token issuer can be reached.
+/// Maximum number of other gateways that are asked to relay a request when no token issuer can be
+/// reached.
 const MAX_RELAYS: usize = 2;
 
 /// Requests a token through other gateways, since only this one may be cut off from the job stores.
@@ -41,7 +42,8 @@
                     return Ok(shared.quota.token(asked_at));
                 }
                 Some(TokenGrant::Granted { wait_ms, .. }) => {
-                    shortest_wait = Some(shortest_wait.map_or(wait_ms, |held| held.min(wait_ms)));
+                    shortest_wait =
+                        Some(shortest_wait.map_or(wait_ms, |shortest| shortest.min(wait_ms)));
                 }
                 Some(TokenGrant::NotHeld) | None => {}
             }
@@ -61,9 +63,9 @@
         .map(|member| member.address)
         .filter(|address| *address != shared.peer)
         .collect();
-    let drawn =
+    let indices =
         rand::seq::index::sample(&mut rand::rng(), others.len(), MAX_RELAYS.min(others.len()));
-    drawn.into_iter().map(|index| others[index]).collect()
+    indices.into_iter().map(|index| others[index]).collect()
 }
 
 /// Obtains tokens for another gateway that cannot reach the token issuers itself.
@@ -72,11 +74,11 @@
     for token_request in token_requests {
         let token_issuer =
             shared.quota.selector.borrow().token_issuer(&token_request.tenant, token_request.part);
-        let answer = match token_issuer {
+        let outcome = match token_issuer {
             Some(token_issuer) => request_token(shared, &token_issuer, token_request).await,
             None => RequestOutcome::NotHeld,
         };
-        grants.push(match answer {
+        grants.push(match outcome {
             RequestOutcome::Token { .. } => TokenGrant::Granted { tokens: 1, wait_ms: 0 },
             RequestOutcome::Exhausted { wait_ms } => TokenGrant::Granted { tokens: 0, wait_ms },
             RequestOutcome::NotHeld | RequestOutcome::None => TokenGrant::NotHeld,
--- a/crates/gateway/src/quota/token_requests.rs
+++ b/crates/gateway/src/quota/token_requests.rs
@@ -1,4 +1,4 @@
-//! Requests for tokens to token issuers. Requests that arrive while an answer is pending are batched, so
+//! Token requests to token issuers. Those that arrive while an answer is pending are batched, so
 //! that a gateway has one call in flight to each token issuer regardless of the number of requests.
 
 use std::rc::Rc;
@@ -13,8 +13,8 @@
 
 use crate::shared::Shared;
 
-/// Timeout for a token issuer's answer: a round trip between zones, and one pause of a process whose
-/// CPU quota is used up (a tenth of a second).
+/// Timeout for a token issuer's answer: a round trip between zones, and one pause of a process
+/// whose CPU quota is used up (a tenth of a second).
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(120);
 /// Maximum number of requests sent in one call.
 const MAX_BATCHED_REQUESTS: usize = 256;
--- a/crates/gateway/src/read_ahead.rs
+++ b/crates/gateway/src/read_ahead.rs
@@ -45,7 +45,7 @@
 
 /// One response.
 struct Reader {
-    ahead: Rc<ReadAhead>,
+    read_ahead: Rc<ReadAhead>,
     /// The response; `None` once it has ended.
     source: Option<ChunkStream>,
     /// Chunks that were read and not yet taken by the client.
@@ -61,7 +61,7 @@
 
 impl std::fmt::Debug for Reader {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Reader").field("buffered_bytes", &self.buffered_bytes).finish()
+        formatter.debug_struct("Reader").field("held_bytes", &self.buffered_bytes).finish()
     }
 }
 
@@ -86,7 +86,7 @@
     /// Relays a response.
     pub fn relay(self: &Rc<Self>, source: ChunkStream) -> ChunkStream {
         let reader = Rc::new(RefCell::new(Reader {
-            ahead: self.clone(),
+            read_ahead: self.clone(),
             source: Some(source),
             buffered: VecDeque::new(),
             buffered_bytes: 0,
@@ -124,13 +124,13 @@
 }
 
 /// Checks for slow clients forever, while any response is being relayed.
-pub async fn watch(ahead: Rc<ReadAhead>) {
+pub async fn watch(read_ahead: Rc<ReadAhead>) {
     loop {
-        if ahead.open.borrow().is_empty() {
-            ahead.opened.notified().await;
+        if read_ahead.open.borrow().is_empty() {
+            read_ahead.opened.notified().await;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
-        ahead.check_clients();
+        read_ahead.check_clients();
     }
 }
 
@@ -158,14 +158,14 @@
 async fn wait_for_capacity(reader: &Weak<RefCell<Reader>>) {
     loop {
         let Some(upgraded) = reader.upgrade() else { return };
-        let ahead = upgraded.borrow().ahead.clone();
+        let read_ahead = upgraded.borrow().read_ahead.clone();
         let has_capacity =
-            upgraded.borrow().buffered.is_empty() || ahead.bytes.get() < ahead.max_bytes;
+            upgraded.borrow().buffered.is_empty() || read_ahead.bytes.get() < read_ahead.max_bytes;
         drop(upgraded);
         if has_capacity {
             return;
         }
-        ahead.capacity_freed.notified().await;
+        read_ahead.capacity_freed.notified().await;
     }
 }
 
@@ -189,7 +189,7 @@
         if let Some(chunk) = chunk {
             let bytes = chunk.as_ref().map_or(0, Bytes::len);
             self.buffered_bytes += bytes;
-            self.ahead.bytes.set(self.ahead.bytes.get() + bytes);
+            self.read_ahead.bytes.set(self.read_ahead.bytes.get() + bytes);
             self.buffered.push_back(chunk);
         }
         if let Some(waker) = self.waker.take() {
@@ -199,8 +199,8 @@
 
     fn release(&mut self, bytes: usize) {
         self.buffered_bytes -= bytes;
-        self.ahead.bytes.set(self.ahead.bytes.get() - bytes);
-        self.ahead.capacity_freed.notify_waiters();
+        self.read_ahead.bytes.set(self.read_ahead.bytes.get() - bytes);
+        self.read_ahead.capacity_freed.notify_waiters();
     }
 
     fn take(&mut self, context: &mut Context<'_>) -> Poll<Option<Chunk>> {
--- a/crates/gateway/src/regions.rs
+++ b/crates/gateway/src/regions.rs
@@ -9,8 +9,8 @@
 use crate::response::{rejection, ClientResponse};
 use crate::shared::Shared;
 
-/// Retry delay when no back end accepts requests in the allowed regions: back ends that start or
-/// are readmitted are known to all gateways about a second later.
+/// Retry delay when no back end accepts requests in the allowed regions: all gateways learn of back
+/// ends that start or are readmitted within about a second.
 const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// Retry delay when route and tenant have no region in common, or when a job may not be stored at
 /// all job stores: this lasts until a configuration or the set of job stores has changed, which
@@ -52,7 +52,8 @@
 }
 
 /// Job stores that may not store data with this residency: every running one is a member of the
-/// group or may become one. The leader, which also knows the members that have ended, checks again.
+/// group or may become one. The leader, which also knows the members that are not running, checks
+/// again.
 pub fn forbidden_job_stores(shared: &Shared, residency: &Residency) -> Vec<String> {
     if *residency == Residency::Anywhere {
         return Vec::new();
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -73,7 +73,7 @@
     Ok(respond(head.status, &head.headers, body))
 }
 
-/// The event after which the client itself asks to continue.
+/// Id of the event after which the client requests to resume the stream; 0 for none.
 fn requested_event(shared: &Shared, context: &RequestContext) -> u64 {
     let requested = context.parts.headers.get(&shared.dialect.headers().resume_after);
     requested.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0)
--- a/crates/gateway/src/relay_port.rs
+++ b/crates/gateway/src/relay_port.rs
@@ -33,7 +33,9 @@
     while let Some(Ok(bytes)) = frames.next().await {
         let Ok(Frame::Request { call, request }) = decode(&bytes) else { return };
         let reply = match request {
-            Request::TakeTokens(asks) => Reply::Tokens(quota::relays::relay(&shared, asks).await),
+            Request::TakeTokens(token_requests) => {
+                Reply::Tokens(quota::relays::relay(&shared, token_requests).await)
+            }
             Request::Accountants => Reply::Accountants(shared.quota.assignment()),
             _ => return,
         };
--- a/crates/gateway/src/suspect.rs
+++ b/crates/gateway/src/suspect.rs
@@ -14,8 +14,8 @@
 use crate::context::RequestContext;
 use crate::shared::Shared;
 
-/// Timeout for the leader's answer: several round trips and a short election. Few requests ask, and
-/// their callers retry.
+/// Timeout for the leader's answer: several round trips and a short election. Few requests need a
+/// grant, and their callers retry.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Retry delay for requests that could not be granted because no leader answered.
 const NO_LEADER_WAIT: Duration = Duration::from_millis(1_000);
@@ -43,8 +43,8 @@
 }
 
 /// Checks whether a request may be sent to a back end now. A request that must run exclusively
-/// needs a grant from the leader of the job stores, which all gateways ask: nobody else knows where
-/// it is running.
+/// needs a grant from the leader of the job stores. All gateways request it there, since only the
+/// leader knows where it is running.
 pub async fn clear(shared: &Shared, context: &mut RequestContext, backend: &str) -> Clearance {
     if shared.suspects.is_empty() {
         return Clearance::Clear;
@@ -73,8 +73,8 @@
     }
 }
 
-/// Records that a back end completed a request: if terminations are attributed to it, they had
-/// another cause.
+/// Records that a back end completed a request: terminations that were attributed to the request
+/// had another cause.
 pub fn record_answer(shared: &Shared, context: &RequestContext) {
     if !shared.suspects.is_empty() {
         shared.suspects.record_answer(&context.digest());
--- a/crates/gateway/tests/read_ahead.rs
+++ b/crates/gateway/tests/read_ahead.rs
@@ -69,23 +69,23 @@
 }
 
 fn start_read_ahead(max_bytes: usize) -> Rc<ReadAhead> {
-    let ahead = ReadAhead::new(max_bytes);
-    tokio::task::spawn_local(watch(ahead.clone()));
-    ahead
+    let read_ahead = ReadAhead::new(max_bytes);
+    tokio::task::spawn_local(watch(read_ahead.clone()));
+    read_ahead
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_response_is_read_to_its_end_for_a_client_that_reads_nothing() {
     run_local(async {
-        let (ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
-        let mut chunks = ahead.relay(response(&source, 20, false));
+        let (read_ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
+        let mut chunks = read_ahead.relay(response(&source, 20, false));
         chunks.next().await.expect("a first chunk").expect("not aborted");
         tokio::time::sleep(SLOW_CLIENT_PAUSE).await;
         assert_eq!(source.read.get(), 20, "chunks read");
         assert!(source.closed.get(), "the connection to the back end is still open");
-        assert_eq!(ahead.buffered_bytes(), 19 * CHUNK_BYTES);
+        assert_eq!(read_ahead.buffered_bytes(), 19 * CHUNK_BYTES);
         assert_eq!(rest(chunks).await, ((1..20).collect(), false));
-        assert_eq!(ahead.buffered_bytes(), 0);
+        assert_eq!(read_ahead.buffered_bytes(), 0);
     })
     .await;
 }
@@ -93,8 +93,8 @@
 #[tokio::test(start_paused = true)]
 async fn an_aborted_response_is_aborted_for_a_slow_client_too() {
     run_local(async {
-        let (ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
-        let mut chunks = ahead.relay(response(&source, 5, true));
+        let (read_ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
+        let mut chunks = read_ahead.relay(response(&source, 5, true));
         chunks.next().await.expect("a first chunk").expect("not aborted");
         tokio::time::sleep(SLOW_CLIENT_PAUSE).await;
         assert_eq!(rest(chunks).await, ((1..5).collect(), true));
@@ -105,13 +105,13 @@
 #[tokio::test(start_paused = true)]
 async fn nothing_is_read_ahead_for_a_client_that_keeps_reading() {
     run_local(async {
-        let (ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
-        let mut chunks = ahead.relay(response(&source, 50, false));
+        let (read_ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
+        let mut chunks = read_ahead.relay(response(&source, 50, false));
         for index in 0..50 {
             tokio::time::sleep(Duration::from_millis(100)).await;
             assert_eq!(chunks.next().await.expect("a chunk").expect("not aborted")[0], index);
             assert!(source.read.get() <= usize::from(index) + 1);
-            assert_eq!(ahead.buffered_bytes(), 0);
+            assert_eq!(read_ahead.buffered_bytes(), 0);
         }
     })
     .await;
@@ -121,14 +121,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_client_that_waits_for_the_back_end_is_not_slow() {
     run_local(async {
-        let ahead = start_read_ahead(1_000_000);
+        let read_ahead = start_read_ahead(1_000_000);
         let silent = futures::stream::once(async {
             tokio::time::sleep(SLOW_CLIENT_PAUSE).await;
             Ok(Bytes::from_static(b"late"))
         });
-        let chunks = ahead.relay(Box::pin(silent));
+        let chunks = read_ahead.relay(Box::pin(silent));
         assert_eq!(rest(chunks).await, (vec![b'l'], false));
-        assert_eq!(ahead.buffered_bytes(), 0);
+        assert_eq!(read_ahead.buffered_bytes(), 0);
     })
     .await;
 }
@@ -139,10 +139,10 @@
 async fn buffered_bytes_of_all_clients_are_bounded() {
     const MAX_BYTES: usize = 100_000;
     run_local(async {
-        let ahead = start_read_ahead(MAX_BYTES);
+        let read_ahead = start_read_ahead(MAX_BYTES);
         let mut slow = Vec::new();
         for _ in 0..300 {
-            let mut chunks = ahead.relay(response(&Rc::default(), 20, false));
+            let mut chunks = read_ahead.relay(response(&Rc::default(), 20, false));
             chunks.next().await.expect("a first chunk").expect("not aborted");
             slow.push(chunks);
         }
@@ -150,15 +150,15 @@
             tokio::time::sleep(Duration::from_millis(500)).await;
             // One more chunk for each client, since its response must make progress.
             assert!(
-                ahead.buffered_bytes() <= MAX_BYTES + 300 * CHUNK_BYTES,
+                read_ahead.buffered_bytes() <= MAX_BYTES + 300 * CHUNK_BYTES,
                 "{}",
-                ahead.buffered_bytes()
+                read_ahead.buffered_bytes()
             );
         }
         for chunks in slow {
             assert_eq!(rest(chunks).await, ((1..20).collect(), false));
         }
-        assert_eq!(ahead.buffered_bytes(), 0);
+        assert_eq!(read_ahead.buffered_bytes(), 0);
     })
     .await;
 }
@@ -166,15 +166,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_slow_client_that_disconnects_closes_its_response() {
     run_local(async {
-        let (ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
-        let mut chunks = ahead.relay(response(&source, 1_000, false));
+        let (read_ahead, source) = (start_read_ahead(1_000_000), Rc::new(UpstreamState::default()));
+        let mut chunks = read_ahead.relay(response(&source, 1_000, false));
         chunks.next().await.expect("a first chunk").expect("not aborted");
         tokio::time::sleep(SLOW_CLIENT_PAUSE).await;
         let read = source.read.get();
         assert!(!source.closed.get() && read > 20 && read < 1_000, "{read} chunks read");
         drop(chunks);
         assert!(source.closed.get(), "the connection to the back end is still open");
-        assert_eq!(ahead.buffered_bytes(), 0);
+        assert_eq!(read_ahead.buffered_bytes(), 0);
     })
     .await;
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -168,8 +168,8 @@
     }
 
     /// Closes the idle connections to a back end that does not respond to a request. They may all
-    /// have died silently together while the back end accepts new ones, and each reuse would cost a
-    /// request.
+    /// have gone silent permanently at the same time while the back end accepts new ones; each
+    /// reuse would then cost a request.
     pub fn close_idle(&self, backend: &Backend) {
         if let Some(connections) = self.backends.borrow_mut().get_mut(backend) {
             connections.idle.clear();
--- a/crates/upstream/src/slot.rs
+++ b/crates/upstream/src/slot.rs
@@ -55,10 +55,10 @@
         })
     }
 
-    /// Runs `look` on the balancer with the current time.
-    pub fn with<R>(&self, look: impl FnOnce(&mut Balancer, Timestamp) -> R) -> R {
+    /// Calls `access` with the balancer and the current time.
+    pub fn with<R>(&self, access: impl FnOnce(&mut Balancer, Timestamp) -> R) -> R {
         let now = self.clock.now();
-        look(&mut self.balancer.borrow_mut(), now)
+        access(&mut self.balancer.borrow_mut(), now)
     }
 
     /// Acquires a slot at a back end.
