--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -87,9 +87,9 @@
         self.clock.now()
     }
 
-    /// A token that was requested at `asked_at`.
-    pub fn token(&self, asked_at: Timestamp) -> Token {
-        Token { expires_at: asked_at + self.lifetime }
+    /// A token that was requested at `requested_at`.
+    pub fn token(&self, requested_at: Timestamp) -> Token {
+        Token { expires_at: requested_at + self.lifetime }
     }
 
     /// Whether a token may still be used: its token issuer counts it for its lifetime, even if this
@@ -172,7 +172,7 @@
             }
         };
         let wait_ms = match request_token(shared, &token_issuer, check.token_request(part)).await {
-            RequestOutcome::Token { asked_at } => return Ok(quota.token(asked_at)),
+            RequestOutcome::Token { requested_at } => return Ok(quota.token(requested_at)),
             RequestOutcome::Exhausted { wait_ms } => {
                 quota.selector.borrow_mut().mark_exhausted(
                     quota.now(),
--- a/crates/gateway/src/quota/relays.rs
+++ b/crates/gateway/src/quota/relays.rs
@@ -26,7 +26,7 @@
         let mut shortest_wait: Option<u64> = None;
         let order = shared.quota.selector.borrow().order(check.tenant);
         for part in order {
-            let asked_at = shared.quota.now();
+            let requested_at = shared.quota.now();
             let token_requests = vec![check.token_request(part)];
             let deadline = Instant::now() + REQUEST_TIMEOUT;
             let reply = shared
@@ -39,7 +39,7 @@
             };
             match grant {
                 Some(TokenGrant::Granted { tokens, .. }) if tokens > 0 => {
-                    return Ok(shared.quota.token(asked_at));
+                    return Ok(shared.quota.token(requested_at));
                 }
                 Some(TokenGrant::Granted { wait_ms, .. }) => {
                     shortest_wait =
--- a/crates/gateway/src/quota/token_requests.rs
+++ b/crates/gateway/src/quota/token_requests.rs
@@ -22,7 +22,7 @@
 /// Outcome of a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestOutcome {
-    Token { asked_at: Timestamp },
+    Token { requested_at: Timestamp },
     Exhausted { wait_ms: u64 },
     NotHeld,
     None,
@@ -68,7 +68,7 @@
 ) {
     let mut waiting = Vec::new();
     while queue.recv_many(&mut waiting, MAX_BATCHED_REQUESTS).await > 0 {
-        let asked_at = shared.quota.now();
+        let requested_at = shared.quota.now();
         let groups = group(std::mem::take(&mut waiting));
         let token_requests = groups.iter().map(|group| group.token_request.clone()).collect();
         let grants = call(&shared, &token_issuer, token_requests).await;
@@ -85,7 +85,7 @@
         let grants = grants.unwrap_or_default();
         let mut grants = grants.into_iter();
         for group in groups {
-            group.answer(grants.next(), asked_at);
+            group.answer(grants.next(), requested_at);
         }
     }
 }
@@ -118,11 +118,11 @@
 impl Group {
     /// Distributes the tokens in order of arrival. The token of a caller that no longer waits is
     /// lost.
-    fn answer(self, grant: Option<TokenGrant>, asked_at: Timestamp) {
+    fn answer(self, grant: Option<TokenGrant>, requested_at: Timestamp) {
         for (number, answer) in (0..).zip(self.answers) {
             let outcome = match grant {
                 Some(TokenGrant::Granted { tokens, .. }) if number < tokens => {
-                    RequestOutcome::Token { asked_at }
+                    RequestOutcome::Token { requested_at }
                 }
                 Some(TokenGrant::Granted { wait_ms, .. }) => RequestOutcome::Exhausted { wait_ms },
                 Some(TokenGrant::NotHeld) => RequestOutcome::NotHeld,
