--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,6 +1,6 @@
-//! Holds requests for which back ends have no room, and sends them in the order of
-//! `yokefall_serving::admission`, those of each pool of back ends by themselves: one that waits for a region
-//! must not keep others waiting that may go elsewhere.
+//! Queues requests while back ends have no capacity and dispatches them in the order of
+//! `yokefall_serving::admission`. There is one queue per service and set of regions: a request that
+//! waits for one region must not delay those that may be served elsewhere.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -15,19 +15,20 @@
 use yokefall_telemetry::EventName;
 use yokefall_upstream::BackendSlot;
 
-use crate::order::Order;
+use crate::context::RequestContext;
 use crate::shared::Shared;
 
-/// Longest pause between two looks at what is held: back ends may come, and loads grow old.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Upper bound for the time between two checks of the queues: back ends may appear, and load
+/// reports age.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a held request was not sent.
+/// A queued request expired before a back end had capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GivenUp;
+pub struct QueueTimeout;
 
-/// Where a held request hears of its place, and what its choice needs.
+/// Channel to the task of a queued request, and the inputs for selecting a back end.
 struct Waiter {
-    grant: oneshot::Sender<Result<Option<BackendSlot>, GivenUp>>,
+    slot_sender: oneshot::Sender<Result<Option<BackendSlot>, QueueTimeout>>,
     affinity: Option<u64>,
     target: Duration,
     host: String,
@@ -35,15 +36,15 @@
     tenant: Option<TenantName>,
 }
 
-/// Back ends for which a request may wait: those of a service where it may be served.
+/// Identifies a queue: a service, and the regions in which its requests may be served.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Pool {
-    /// Those that may go anywhere come last: others have nowhere else to go.
+struct QueueKey {
+    /// Unrestricted requests sort last: the others can be served nowhere else.
     residency: Reverse<Residency>,
     service: String,
 }
 
-impl Pool {
+impl QueueKey {
     fn of(requirements: &Requirements) -> Self {
         Self {
             residency: Reverse(requirements.residency.clone()),
@@ -57,118 +58,124 @@
 }
 
 #[derive(Default)]
-struct Holding {
+struct ServiceQueue {
     queue: AdmissionQueue,
     waiters: HashMap<u64, Waiter>,
 }
 
-/// Requests that this gateway holds, by pool.
+/// Queued requests of this gateway.
 #[derive(Default)]
 pub struct Admission {
-    pools: RefCell<BTreeMap<Pool, Holding>>,
+    queues: RefCell<BTreeMap<QueueKey, ServiceQueue>>,
     next_ticket: Cell<u64>,
-    /// Version of the configuration by whose regions requests are held.
+    /// Version of the configuration that the regions of queued requests are based on.
     version: Cell<u64>,
 }
 
-/// Takes a held request out when its caller leaves.
-struct Leave<'a> {
+/// Removes a queued request when its caller disconnects.
+struct RemoveOnDrop<'a> {
     shared: &'a Shared,
     ticket: u64,
 }
 
-impl Drop for Leave<'_> {
+impl Drop for RemoveOnDrop<'_> {
     fn drop(&mut self) {
-        let mut pools = self.shared.admission.pools.borrow_mut();
-        for holding in pools.values_mut() {
-            holding.queue.remove(self.ticket);
-            holding.waiters.remove(&self.ticket);
+        let mut queues = self.shared.admission.queues.borrow_mut();
+        for service_queue in queues.values_mut() {
+            service_queue.queue.remove(self.ticket);
+            service_queue.waiters.remove(&self.ticket);
         }
-        pools.retain(|_, holding| !holding.queue.is_empty());
+        queues.retain(|_, service_queue| !service_queue.queue.is_empty());
     }
 }
 
-/// Waits for a place at a back end; `None` where no back end takes work at all.
+/// Waits for a slot at a back end; `None` if no back end accepts requests at all.
 pub async fn admit(
     shared: &Shared,
-    order: &Order,
+    context: &RequestContext,
     affinity: Option<u64>,
-) -> Result<Option<BackendSlot>, GivenUp> {
+) -> Result<Option<BackendSlot>, QueueTimeout> {
     let admission = &shared.admission;
-    let target = Duration::from_millis(order.route.target_latency_ms);
-    let pool = Pool::of(&order.requirements());
-    let is_first = admission.is_empty(&pool);
+    let target = Duration::from_millis(context.route.target_latency_ms);
+    let key = QueueKey::of(&context.requirements());
+    let is_first = admission.is_empty(&key);
     if !shared.policy.hold_requests
         || target.is_zero()
-        || (is_first && has_room(shared, &order.requirements(), target))
+        || (is_first && has_capacity(shared, &context.requirements(), target))
     {
-        return Ok(choose(shared, &order.requirements(), &[], affinity));
+        return Ok(choose(shared, &context.requirements(), &[], affinity));
     }
     let ticket = admission.next_ticket.get();
     admission.next_ticket.set(ticket + 1);
-    let terms = QueueLimits {
-        rank: order.rank,
+    let limits = QueueLimits {
+        rank: context.rank,
         target,
-        timeout: order.deadline.duration_since(order.arrived),
+        timeout: context.deadline.duration_since(context.arrived),
     };
-    let (grant, granted) = oneshot::channel();
-    let held = shared.balancer.with(|_, now| QueuedRequest::new(ticket, now, terms));
-    let (host, path) = (order.route.host.clone(), order.parts.uri.path().to_owned());
-    let tenant = order.caller.tenant().map(|tenant| tenant.name.clone());
-    admission.enqueue(pool, held, Waiter { grant, affinity, target, host, path, tenant });
-    // Whoever waits for room must hear of the new one, which may have to be given up first.
-    shared.balancer.room.notify_one();
+    let (slot_sender, slot_receiver) = oneshot::channel();
+    let queued = shared.balancer.with(|_, now| QueuedRequest::new(ticket, now, limits));
+    let (host, path) = (context.route.host.clone(), context.parts.uri.path().to_owned());
+    let tenant = context.caller.tenant().map(|tenant| tenant.name.clone());
+    admission.enqueue(key, queued, Waiter { slot_sender, affinity, target, host, path, tenant });
+    // Wakes the dispatcher, since the new request may be the next to expire.
+    shared.balancer.capacity_freed.notify_one();
     let began = Instant::now();
-    let leave = Leave { shared, ticket };
-    let outcome = granted.await.unwrap_or(Err(GivenUp));
-    drop(leave);
-    let held_for = began.elapsed();
-    metrics::histogram!("gateway_held_seconds").record(held_for.as_secs_f64());
-    order
-        .line(EventName::RequestHeld)
-        .field("held_ms", held_for.as_millis() as u64)
+    let remove_on_drop = RemoveOnDrop { shared, ticket };
+    let outcome = slot_receiver.await.unwrap_or(Err(QueueTimeout));
+    drop(remove_on_drop);
+    let queued_for = began.elapsed();
+    metrics::histogram!("gateway_held_seconds").record(queued_for.as_secs_f64());
+    context
+        .log_line(EventName::RequestHeld)
+        .field("held_ms", queued_for.as_millis() as u64)
         .field("sent", outcome.is_ok())
         .write();
     outcome
 }
 
 impl Admission {
-    fn is_empty(&self, pool: &Pool) -> bool {
-        self.pools.borrow().get(pool).is_none_or(|holding| holding.queue.is_empty())
+    fn is_empty(&self, key: &QueueKey) -> bool {
+        self.queues.borrow().get(key).is_none_or(|service_queue| service_queue.queue.is_empty())
     }
 
-    fn enqueue(&self, pool: Pool, held: QueuedRequest, waiter: Waiter) {
-        let mut pools = self.pools.borrow_mut();
-        let holding = pools.entry(pool).or_default();
-        holding.queue.enqueue(held);
-        holding.waiters.insert(held.ticket, waiter);
+    fn enqueue(&self, key: QueueKey, queued: QueuedRequest, waiter: Waiter) {
+        let mut queues = self.queues.borrow_mut();
+        let service_queue = queues.entry(key).or_default();
+        service_queue.queue.enqueue(queued);
+        service_queue.waiters.insert(queued.ticket, waiter);
     }
 
-    /// Moves what is held to the pools that a new configuration lets it use.
-    fn follow_regions(&self, catalog: &Catalog) {
+    /// Moves queued requests to the queues of the regions that a new configuration allows.
+    fn update_regions(&self, catalog: &Catalog) {
         if self.version.replace(catalog.version()) == catalog.version() {
             return;
         }
-        let before = self.pools.take();
-        for (pool, Holding { mut queue, waiters }) in before {
+        let before = self.queues.take();
+        for (key, ServiceQueue { mut queue, waiters }) in before {
             for (ticket, waiter) in waiters {
-                let Some(held) = queue.remove(ticket) else { continue };
-                let now = catalog.residency_at(&waiter.host, &waiter.path, waiter.tenant.as_ref());
-                let residency = Reverse(now.unwrap_or_else(|| pool.residency.0.clone()));
-                self.enqueue(Pool { residency, service: pool.service.clone() }, held, waiter);
+                let Some(queued) = queue.remove(ticket) else { continue };
+                let allowed =
+                    catalog.residency_at(&waiter.host, &waiter.path, waiter.tenant.as_ref());
+                let residency = Reverse(allowed.unwrap_or_else(|| key.residency.0.clone()));
+                self.enqueue(QueueKey { residency, service: key.service.clone() }, queued, waiter);
             }
         }
     }
 
-    /// When a request is given up next.
+    /// When the next queued request expires.
     fn next_expiry(&self) -> Option<yokefall_core::Timestamp> {
-        self.pools.borrow().values().filter_map(|holding| holding.queue.next_expiry()).min()
+        self.queues
+            .borrow()
+            .values()
+            .filter_map(|service_queue| service_queue.queue.next_expiry())
+            .min()
     }
 }
 
-/// Whether the emptiest back ends of a service are below the load up to which requests with a target
-/// are sent. Where none is known to live, requests are not held: the choice says what is wrong.
-fn has_room(shared: &Shared, requirements: &Requirements, target: Duration) -> bool {
+/// Whether the least loaded back ends of a service are below the load limit for requests with a
+/// latency target. Returns true if no back end is known, so that selection reports the cause
+/// instead of queueing.
+fn has_capacity(shared: &Shared, requirements: &Requirements, target: Duration) -> bool {
     let catalog = shared.catalog.load();
     shared.balancer.with(|balancer, now| {
         let Some(service_ms) = balancer.service_ms(requirements.service) else { return true };
@@ -184,7 +191,7 @@
     })
 }
 
-/// A place at a back end of a service that is not in `tried`; `None` where there is none.
+/// Selects a back end that is not in `tried` and acquires a slot there; `None` if there is none.
 pub fn choose(
     shared: &Shared,
     requirements: &Requirements,
@@ -197,7 +204,7 @@
             shared.eligibility.sample(&catalog, requirements, affinity, balancer.generator());
         let chosen = sample.and_then(|sample| balancer.choose_from_sample(now, &sample, tried));
         chosen.or_else(|| {
-            // There are few of them, or all that were drawn are left out for failures.
+            // There are few back ends, or all sampled ones are excluded because of failures.
             let candidates = shared.eligibility.candidates(&catalog, requirements);
             balancer.choose(now, &candidates, tried, affinity)
         })
@@ -205,68 +212,69 @@
     Some(shared.balancer.take(backend))
 }
 
-/// Sends what is held, for ever: whenever there may be room, and when a request is given up.
+/// Dispatches queued requests forever, whenever there may be capacity or a request expires.
 pub async fn run(shared: Rc<Shared>) {
     loop {
         let wait = match shared.admission.next_expiry() {
             None => None,
             Some(at) => {
                 let wait = shared.balancer.with(|_, now| at.millis_since(now).max(1));
-                Some(Duration::from_millis(wait).min(LOOK_INTERVAL))
+                Some(Duration::from_millis(wait).min(POLL_INTERVAL))
             }
         };
-        let room = shared.balancer.room.notified();
+        let capacity_freed = shared.balancer.capacity_freed.notified();
         match wait {
-            None => room.await,
+            None => capacity_freed.await,
             Some(wait) => {
-                let _ = tokio::time::timeout(wait, room).await;
+                let _ = tokio::time::timeout(wait, capacity_freed).await;
             }
         }
-        send_held(&shared);
+        dispatch_queued(&shared);
     }
 }
 
-fn send_held(shared: &Shared) {
-    shared.admission.follow_regions(&shared.catalog.load());
-    let held: Vec<Pool> = shared.admission.pools.borrow().keys().cloned().collect();
-    for pool in held {
-        give_up(shared, &pool);
-        while send_next(shared, &pool) {}
+fn dispatch_queued(shared: &Shared) {
+    shared.admission.update_regions(&shared.catalog.load());
+    let queued: Vec<QueueKey> = shared.admission.queues.borrow().keys().cloned().collect();
+    for key in queued {
+        expire_queued(shared, &key);
+        while dispatch_next(shared, &key) {}
     }
 }
 
-fn give_up(shared: &Shared, pool: &Pool) {
-    let mut pools = shared.admission.pools.borrow_mut();
-    let Some(holding) = pools.get_mut(pool) else { return };
-    let expired = shared.balancer.with(|_, now| holding.queue.expire(now));
-    for held in expired {
-        if let Some(waiter) = holding.waiters.remove(&held.ticket) {
-            let _ = waiter.grant.send(Err(GivenUp));
+fn expire_queued(shared: &Shared, key: &QueueKey) {
+    let mut queues = shared.admission.queues.borrow_mut();
+    let Some(service_queue) = queues.get_mut(key) else { return };
+    let expired = shared.balancer.with(|_, now| service_queue.queue.expire(now));
+    for queued in expired {
+        if let Some(waiter) = service_queue.waiters.remove(&queued.ticket) {
+            let _ = waiter.slot_sender.send(Err(QueueTimeout));
         }
     }
 }
 
-/// Sends the next held request of a pool. Returns whether there was room.
-fn send_next(shared: &Shared, pool: &Pool) -> bool {
+/// Dispatches the next request of a queue. Returns whether there was capacity.
+fn dispatch_next(shared: &Shared, key: &QueueKey) -> bool {
     let waiter = {
-        let mut pools = shared.admission.pools.borrow_mut();
-        let Some(holding) = pools.get_mut(pool) else { return false };
-        let next = shared.balancer.with(|_, now| holding.queue.next(now));
-        let Some(held) = next else { return false };
-        let target = holding.waiters.get(&held.ticket).map(|waiter| waiter.target);
-        if target.is_some_and(|target| !has_room(shared, &pool.requirements(), target)) {
+        let mut queues = shared.admission.queues.borrow_mut();
+        let Some(service_queue) = queues.get_mut(key) else { return false };
+        let next = shared.balancer.with(|_, now| service_queue.queue.next(now));
+        let Some(queued) = next else { return false };
+        let target = service_queue.waiters.get(&queued.ticket).map(|waiter| waiter.target);
+        if target.is_some_and(|target| !has_capacity(shared, &key.requirements(), target)) {
             return false;
         }
-        holding.queue.remove(held.ticket);
-        holding.waiters.remove(&held.ticket)
+        service_queue.queue.remove(queued.ticket);
+        service_queue.waiters.remove(&queued.ticket)
     };
-    // One whose caller has just left has no waiter any more.
+    // The caller has just disconnected.
     let Some(waiter) = waiter else { return true };
-    let slot = match choose(shared, &pool.requirements(), &[], waiter.affinity) {
-        // No back end takes work in its regions any more: it is to be told that.
-        None if pool.residency.0 != Residency::Anywhere => Ok(None),
-        slot => slot.map(Some).ok_or(GivenUp),
+    let slot = match choose(shared, &key.requirements(), &[], waiter.affinity) {
+        // No back end in the regions of the request accepts requests any more; `None` reports that
+        // to the caller.
+        None if key.residency.0 != Residency::Anywhere => Ok(None),
+        slot => slot.map(Some).ok_or(QueueTimeout),
     };
-    let _ = waiter.grant.send(slot);
+    let _ = waiter.slot_sender.send(slot);
     true
 }
--- a/crates/gateway/src/quota/assignment.rs
+++ b/crates/gateway/src/quota/assignment.rs
@@ -1,4 +1,5 @@
-//! Who the accountants are: asked for when it may have changed, of the leader or of other gateways.
+//! Keeps the assignment of token issuers current: it is fetched from the leader or from other
+//! gateways when it may have changed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,27 +7,27 @@
 use tokio::time::Instant;
 use yokefall_jobstore::{CallOutcome, Reply, Request};
 
-use super::asks::{call, ASK_TIMEOUT};
-use super::relays::relays;
+use super::relays::relay_gateways;
+use super::token_requests::{call, REQUEST_TIMEOUT};
 use crate::shared::Shared;
 
-/// Pause before an accountant that gave no answer is tried again for the first time: one that has only
-/// lost a frame, or stood still for a tenth of a second, is back by then.
-const FIRST_PROBE_PAUSE: Duration = Duration::from_millis(150);
-/// Interval at which it is tried after that.
+/// Delay before the first probe of a token issuer that did not answer: one that only lost a frame,
+/// or was paused for a tenth of a second, has recovered by then.
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(150);
+/// Interval between later probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(700);
-/// Time for the leader to tell who the accountants are.
+/// Timeout for the leader to return the assignment.
 const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Interval at which that is asked for without a reason.
+/// Interval at which the assignment is fetched when nothing requests it.
 const ASSIGNMENT_INTERVAL: Duration = Duration::from_secs(30);
-/// Shortest interval between two such questions of a process that knows an answer.
+/// Minimum interval between two fetches once an assignment is known.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval at which a process whose configuration limits nobody looks whether that has changed.
+/// Interval at which a process without rate limits checks whether its configuration has some.
 const LIMITS_INTERVAL: Duration = Duration::from_millis(700);
-/// Interval at which a process that has just started looks whether it knows a configuration.
+/// Interval at which a starting process checks whether it has a configuration.
 const START_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Keeps the assignment current, for ever.
+/// Keeps the assignment current, forever.
 pub async fn maintain(shared: Rc<Shared>) {
     loop {
         match has_limits(&shared) {
@@ -39,69 +40,70 @@
 
 async fn maintain_once(shared: &Shared) {
     if refresh(shared).await {
-        shared.quota.found.notify_waiters();
-        // One that did not answer before may be an accountant again.
-        shared.quota.failed.notify_one();
+        shared.quota.issuer_found.notify_waiters();
+        // A job store that did not answer before may be a token issuer again.
+        shared.quota.issuer_failed.notify_one();
     }
     let now = shared.quota.now();
-    shared.quota.meter.borrow_mut().expire(now);
-    if shared.quota.meter.borrow().assignment().version == 0 {
+    shared.quota.selector.borrow_mut().expire(now);
+    if shared.quota.selector.borrow().assignment().version == 0 {
         tokio::time::sleep(START_INTERVAL).await;
         return;
     }
     tokio::time::sleep(REFRESH_INTERVAL).await;
-    let wanted = shared.quota.refresh.notified();
-    // Without a reason it is asked for now and then all the same.
-    let _ = tokio::time::timeout(ASSIGNMENT_INTERVAL, wanted).await;
+    let refresh_requested = shared.quota.refresh.notified();
+    // Fetches periodically even if nothing requests it.
+    let _ = tokio::time::timeout(ASSIGNMENT_INTERVAL, refresh_requested).await;
 }
 
-/// Tries accountants that gave no answer until they answer, for ever. On a schedule of its own: were it
-/// put off by each request that is refused meanwhile, refusals would last for as long as callers ask.
-pub async fn try_failing(shared: Rc<Shared>) {
+/// Probes token issuers that did not answer until they do, forever. It runs on its own schedule: if
+/// each rejected request postponed the probe, rejections would last as long as callers keep
+/// retrying.
+pub async fn probe_failing(shared: Rc<Shared>) {
     loop {
-        shared.quota.failed.notified().await;
-        tokio::time::sleep(FIRST_PROBE_PAUSE).await;
-        while !shared.quota.meter.borrow().unreachable().is_empty() {
+        shared.quota.issuer_failed.notified().await;
+        tokio::time::sleep(FIRST_PROBE_DELAY).await;
+        while !shared.quota.selector.borrow().unreachable().is_empty() {
             probe(&shared).await;
             tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 }
 
-/// Whether any tenant has a limit; `None` where no configuration is known.
+/// Whether any tenant has a limit; `None` if no configuration is known.
 fn has_limits(shared: &Shared) -> Option<bool> {
     let catalog = shared.catalog.load();
     catalog.configuration.as_ref().map(|configuration| configuration.has_limits())
 }
 
-/// Asks who the accountants are; returns whether somebody told it.
+/// Fetches the assignment; returns whether it was obtained.
 async fn refresh(shared: &Shared) -> bool {
     let deadline = Instant::now() + ASSIGNMENT_TIMEOUT;
     if let CallOutcome::Answered(Reply::Accountants(assignment)) =
         shared.jobs.call(Request::Accountants, deadline).await
     {
-        shared.quota.meter.borrow_mut().set_assignment(assignment);
+        shared.quota.selector.borrow_mut().set_assignment(assignment);
         return true;
     }
-    for address in relays(shared) {
-        let limit = Instant::now() + ASK_TIMEOUT;
+    for address in relay_gateways(shared) {
+        let limit = Instant::now() + REQUEST_TIMEOUT;
         let reply = shared.jobs.call_member(address, Request::Accountants, limit).await;
         if let Some(Reply::Accountants(assignment)) = reply {
-            shared.quota.meter.borrow_mut().set_assignment(assignment);
+            shared.quota.selector.borrow_mut().set_assignment(assignment);
             return true;
         }
     }
     false
 }
 
-/// Tries all accountants that gave no answer at once: an ask for nothing.
+/// Probes all failing token issuers at once with an empty call.
 async fn probe(shared: &Shared) {
-    let failing = shared.quota.meter.borrow().unreachable();
-    let tries = failing.iter().map(|token_issuer| async move {
+    let failing = shared.quota.selector.borrow().unreachable();
+    let probes = failing.iter().map(|token_issuer| async move {
         if call(shared, token_issuer, Vec::new()).await.is_some() {
-            shared.quota.meter.borrow_mut().mark_reachable(token_issuer);
-            shared.quota.found.notify_waiters();
+            shared.quota.selector.borrow_mut().mark_reachable(token_issuer);
+            shared.quota.issuer_found.notify_waiters();
         }
     });
-    futures::future::join_all(tries).await;
+    futures::future::join_all(probes).await;
 }
--- a/crates/upstream/src/place.rs
+++ b/crates/upstream/src/slot.rs
@@ -1,4 +1,5 @@
-//! Places at back ends: what this process has in flight there, given back however it ends.
+//! Requests in flight at back ends: acquired before a request is sent and released on drop, however
+//! the request ends.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,26 +12,26 @@
 use yokefall_core::Timestamp;
 use yokefall_serving::{Backend, BackendLoad, Balancer, ColdStartLimiter, Outcome};
 
-/// Load and health of back ends as one thread sees them.
+/// Load and health of back ends as seen by one thread.
 #[derive(Debug)]
 pub struct SharedBalancer {
     balancer: RefCell<Balancer>,
-    /// Hears of back ends that failed: they may have started again.
+    /// Notified of back ends that failed, since they may have restarted.
     cold: Option<Rc<ColdStartLimiter>>,
     clock: ElapsedClock,
-    /// Woken when a place is taken or given back.
+    /// Notified when a slot is acquired or released.
     pub changed: Notify,
-    /// Woken when there may be room for a request that is held.
-    pub room: Notify,
+    /// Notified when a back end may have capacity for a queued request.
+    pub capacity_freed: Notify,
 }
 
 impl SharedBalancer {
-    /// Nothing in flight yet.
+    /// Starts with nothing in flight.
     pub fn new(balancer: Balancer, clock: ElapsedClock) -> Rc<Self> {
         Self::build(balancer, clock, None)
     }
 
-    /// The same where `cold` hears of back ends that failed.
+    /// Like [`Self::new`], and reports failed back ends to `cold`.
     pub fn with_cold_start(
         balancer: Balancer,
         clock: ElapsedClock,
@@ -45,42 +46,48 @@
         cold: Option<Rc<ColdStartLimiter>>,
     ) -> Rc<Self> {
         let balancer = RefCell::new(balancer);
-        Rc::new(Self { balancer, clock, cold, changed: Notify::new(), room: Notify::new() })
+        Rc::new(Self {
+            balancer,
+            clock,
+            cold,
+            changed: Notify::new(),
+            capacity_freed: Notify::new(),
+        })
     }
 
-    /// Looks at load and health at this moment.
-    pub fn with<R>(&self, look: impl FnOnce(&mut Balancer, Timestamp) -> R) -> R {
+    /// Calls `access` with the balancer and the current time.
+    pub fn with<R>(&self, access: impl FnOnce(&mut Balancer, Timestamp) -> R) -> R {
         let now = self.clock.now();
-        look(&mut self.balancer.borrow_mut(), now)
+        access(&mut self.balancer.borrow_mut(), now)
     }
 
-    /// Takes a place at a back end.
+    /// Acquires a slot at a back end.
     pub fn take(self: &Rc<Self>, backend: Arc<Backend>) -> BackendSlot {
         self.with(|balancer, _| balancer.record_start(&backend));
         self.changed.notify_one();
-        let taken = Instant::now();
-        BackendSlot { balancer: self.clone(), backend, taken, outcome: Outcome::Abandoned }
+        let acquired_at = Instant::now();
+        BackendSlot { balancer: self.clone(), backend, acquired_at, outcome: Outcome::Abandoned }
     }
 }
 
-/// A place taken at a back end.
+/// One request in flight at a back end; released on drop.
 #[derive(Debug)]
 pub struct BackendSlot {
     balancer: Rc<SharedBalancer>,
     /// The back end.
     pub backend: Arc<Backend>,
-    taken: Instant,
-    /// How the request ended; until somebody says so it counts as abandoned.
+    acquired_at: Instant,
+    /// How the request ended; counts as abandoned until it is set.
     pub outcome: Outcome,
 }
 
 impl BackendSlot {
-    /// When it was taken, right before the request went there.
+    /// When the slot was acquired, immediately before the request was sent.
     pub fn acquired_at(&self) -> Instant {
-        self.taken
+        self.acquired_at
     }
 
-    /// Something came from the back end.
+    /// Records that data was received from the back end.
     pub fn record_activity(&self) {
         self.balancer.with(|balancer, now| balancer.record_activity(now, &self.backend));
         if let Some(cold) = &self.balancer.cold {
@@ -88,28 +95,30 @@
         }
     }
 
-    /// The back end has said nothing on this request for a while. Returns whether it is left out.
+    /// Records that the back end has sent nothing on this request for `silence`. Returns whether it
+    /// is now excluded from selection.
     pub fn record_silence(&self, silence: Duration) -> bool {
         let silence_ms = silence.as_millis() as u64;
-        // No sign that it started again: one that has too much to do is silent as well, and the connection stands.
+        // Silence is not reported as a restart: an overloaded back end is silent as well, and the
+        // connection is still open.
         self.balancer.with(|balancer, now| balancer.record_silence(now, &self.backend, silence_ms))
     }
 
-    /// The back end broke off, or gave no answer in time.
+    /// Records that the connection broke or that the back end did not respond in time.
     pub fn record_failure(&self) {
         if let Some(cold) = &self.balancer.cold {
             cold.record_failure(&self.backend.id);
         }
     }
 
-    /// The back end told for how much longer it is cold.
+    /// Records the remaining cold time that the back end reported.
     pub fn record_cold_remaining(&self, remaining_ms: u64) {
         if let Some(cold) = &self.balancer.cold {
             cold.record_report(&self.backend, remaining_ms);
         }
     }
 
-    /// The back end told its load.
+    /// Records the load that the back end reported.
     pub fn record_report(&self, load: BackendLoad) {
         self.balancer.with(|balancer, now| balancer.record_report(now, &self.backend, load));
     }
@@ -121,14 +130,14 @@
         if outcome == Outcome::Unreachable {
             self.record_failure();
         }
-        let took = self.taken.elapsed().as_secs_f64() * 1_000.0;
+        let service_ms = self.acquired_at.elapsed().as_secs_f64() * 1_000.0;
         self.balancer.with(|balancer, now| {
             balancer.record_end(now, &self.backend, outcome);
             if outcome == Outcome::Answered {
-                balancer.record_service_time(&self.backend.service, took);
+                balancer.record_service_time(&self.backend.service, service_ms);
             }
         });
         self.balancer.changed.notify_one();
-        self.balancer.room.notify_one();
+        self.balancer.capacity_freed.notify_one();
     }
 }
