--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -197,7 +197,7 @@
     }
 
     /// Returns datagrams that announce the own state to every member.
-    pub fn farewell(&mut self) -> Vec<Outgoing> {
+    pub fn announce_to_all(&mut self) -> Vec<Outgoing> {
         let addresses: Vec<String> =
             self.live().map(|entry| entry.record.address.clone()).collect();
         addresses.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
@@ -205,7 +205,7 @@
 
     /// Returns datagrams that announce the local state to a few random members, given their number
     /// in the own zone, where traffic is not billed, and in other zones.
-    pub fn gossip_to_some(
+    pub fn gossip_to_sample(
         &mut self,
         same_zone_count: usize,
         other_zone_count: usize,
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -254,13 +254,13 @@
 fn a_leaving_member_is_marked_before_it_is_gone() {
     let mut fleet = Fleet::new(10, 0.0);
     fleet.run(10_000, |_| {});
-    let farewell = {
+    let announce_to_all = {
         let node = fleet.nodes[3].as_mut().expect("the node runs");
         node.announce(MemberState::Leaving);
-        node.farewell()
+        node.announce_to_all()
     };
     let now = fleet.now;
-    fleet.send(now, 3, farewell);
+    fleet.send(now, 3, announce_to_all);
     fleet.run(100, |_| {});
     for number in fleet.running() {
         let node = fleet.nodes[number].as_ref().expect("the node runs");
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -142,7 +142,7 @@
         let relay = listen("listen for gateways", options.peer).await?;
         options.peer = relay.local_addr().unwrap_or(options.peer);
         let datagrams = bind_udp(options.peer).await?;
-        let exchange = listen("listen for news", options.exchange).await?;
+        let exchange = listen("listen for state exchange", options.exchange).await?;
         options.ingress = ingress.local_addr().unwrap_or(options.ingress);
         options.readiness = readiness.local_addr().unwrap_or(options.readiness);
         options.directory = directory.local_addr().unwrap_or(options.directory);
--- a/crates/gateway/src/quota/assignment.rs
+++ b/crates/gateway/src/quota/assignment.rs
@@ -79,16 +79,16 @@
 /// Fetches the assignment; returns whether it was obtained.
 async fn refresh(shared: &Shared) -> bool {
     let deadline = Instant::now() + ASSIGNMENT_TIMEOUT;
-    if let CallOutcome::Answered(Reply::Accountants(assignment)) =
-        shared.jobs.call(Request::Accountants, deadline).await
+    if let CallOutcome::Answered(Reply::TokenIssuers(assignment)) =
+        shared.jobs.call(Request::TokenIssuers, deadline).await
     {
         shared.quota.selector.borrow_mut().set_assignment(assignment);
         return true;
     }
     for address in relay_gateways(shared) {
         let limit = Instant::now() + REQUEST_TIMEOUT;
-        let reply = shared.jobs.call_member(address, Request::Accountants, limit).await;
-        if let Some(Reply::Accountants(assignment)) = reply {
+        let reply = shared.jobs.call_member(address, Request::TokenIssuers, limit).await;
+        if let Some(Reply::TokenIssuers(assignment)) = reply {
             shared.quota.selector.borrow_mut().set_assignment(assignment);
             return true;
         }
--- a/crates/gateway/src/relay_port.rs
+++ b/crates/gateway/src/relay_port.rs
@@ -36,7 +36,7 @@
             Request::TakeTokens(token_requests) => {
                 Reply::Tokens(quota::relays::relay(&shared, token_requests).await)
             }
-            Request::Accountants => Reply::Accountants(shared.quota.assignment()),
+            Request::TokenIssuers => Reply::TokenIssuers(shared.quota.assignment()),
             _ => return,
         };
         if frames.send(encode(&Frame::Reply { call, reply })).await.is_err() {
--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -120,8 +120,9 @@
         options.peer = listener.local_addr().map_err(start_error("listen for peers"))?;
         let datagrams =
             UdpSocket::bind(options.peer).await.map_err(start_error("open datagram port"))?;
-        let exchange =
-            TcpListener::bind(options.exchange).await.map_err(start_error("listen for news"))?;
+        let exchange = TcpListener::bind(options.exchange)
+            .await
+            .map_err(start_error("listen for state exchange"))?;
         Ok(Self { options, listener, ports: PeerPorts { datagrams, exchange } })
     }
 
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -11,7 +11,7 @@
 };
 use yokefall_consensus::{MemberId, Pair, Role, Zones};
 use yokefall_serving::source::Revision;
-use yokefall_serving::watch::{follow, Follow, Sink, Waits};
+use yokefall_serving::watch::{run_watch, Sink, WatchOptions, WatchWaits};
 use yokefall_serving::watch_role::WatchRole;
 use yokefall_serving::{
     Catalog, CatalogCell, Change, Claim, FleetCell, Listing, Platform, Registry, Retirement,
@@ -168,13 +168,13 @@
         }
         if watch.is_none() {
             let sink = RetirementSink { retiring: retiring.clone(), store: store.clone() };
-            let following = Follow {
+            let following = WatchOptions {
                 refresh: Rc::default(),
                 others: Vec::new(),
                 watch_role: WatchRole::always(),
-                waits: Waits::Long,
+                waits: WatchWaits::Long,
             };
-            let watching = follow(platform.retirements(), sink, following);
+            let watching = run_watch(platform.retirements(), sink, following);
             watch = Some(tokio::task::spawn_local(watching));
         }
         let busy = change_members(&platform, &store, &locations, &retiring, voters).await;
--- a/crates/jobstore/src/item_worker.rs
+++ b/crates/jobstore/src/item_worker.rs
@@ -59,7 +59,7 @@
         let free = self.delegation.free_names(requirements.residency);
         self.worker
             .eligibility
-            .closed_to_items(requirements.service, |name| self.is_usable(&free, name))
+            .ineligible_for_items(requirements.service, |name| self.is_usable(&free, name))
     }
 
     /// Whether a back end may take one more item with this residency now.
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -237,7 +237,7 @@
     /// Requests tokens of tenants' limits from a token issuer.
     TakeTokens(Vec<TokenRequest>),
     /// Requests the assignment of token issuers from the leader.
-    Accountants,
+    TokenIssuers,
     /// Exchanges knowledge of suspects.
     Suspects(SuspectExchange),
     /// Asks the leader whether a suspect may run alone at a back end.
@@ -289,7 +289,7 @@
     /// Tokens, one answer per request.
     Tokens(Vec<TokenGrant>),
     /// The assignment of token issuers.
-    Accountants(Assignment),
+    TokenIssuers(Assignment),
     /// Knowledge of suspects.
     Suspects(SuspectExchange),
     /// Whether a suspect may run alone.
--- a/crates/jobstore/src/server.rs
+++ b/crates/jobstore/src/server.rs
@@ -225,7 +225,7 @@
                 None => Reply::NotFound,
             }
         }
-        Request::Accountants => Reply::Accountants(store.token_issuers()),
+        Request::TokenIssuers => Reply::TokenIssuers(store.token_issuers()),
         Request::RenewSlots { name, releases } => Reply::Slots(quota.renew(store, &name, releases)),
         Request::Load(_) | Request::Run(_) | Request::TakeTokens(_) | Request::Suspects(_) => {
             Reply::LeaderNotReady
--- a/crates/serving/src/discovery.rs
+++ b/crates/serving/src/discovery.rs
@@ -24,7 +24,7 @@
 use crate::shared_state::SharedPlatformState;
 use crate::source::Platform;
 use crate::state_exchange::serve;
-use crate::watch::{follow, Follow, Waits};
+use crate::watch::{run_watch, WatchOptions, WatchWaits};
 use crate::watch_role::WatcherElection;
 use crate::{CatalogCell, FleetCell};
 
@@ -103,29 +103,29 @@
     }));
     tokio::task::spawn_local(report_freshness(options.freshness));
     let waits = match options.placement.needs_fresh_state() {
-        true => Waits::Fresh { zones },
-        false => Waits::Long,
+        true => WatchWaits::Fresh { zones },
+        false => WatchWaits::Long,
     };
     let (configuration, backends) = (refresh.configuration(), refresh.backends());
     let evacuations = refresh.evacuations();
-    let watch_options = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], watch_role| Follow {
+    let watch_options = |refresh: &Rc<Notify>, others: [&Rc<Notify>; 2], watch_role| WatchOptions {
         refresh: refresh.clone(),
         others: others.into_iter().cloned().collect(),
         watch_role,
         waits,
     };
-    tokio::task::spawn_local(follow(
+    tokio::task::spawn_local(run_watch(
         platform.configurations(),
         shared.clone(),
         watch_options(&configuration, [&backends, &evacuations], watch_roles.configuration),
     ));
-    tokio::task::spawn_local(follow(
+    tokio::task::spawn_local(run_watch(
         platform.backends(),
         shared.clone(),
         watch_options(&backends, [&configuration, &evacuations], watch_roles.backends),
     ));
     if watches_evacuations {
-        tokio::task::spawn_local(follow(
+        tokio::task::spawn_local(run_watch(
             platform.evacuations(),
             shared,
             watch_options(&evacuations, [&configuration, &backends], watch_roles.evacuations),
--- a/crates/serving/src/eligibility/mod.rs
+++ b/crates/serving/src/eligibility/mod.rs
@@ -211,7 +211,7 @@
 
     /// Back ends of a service that may not be sent an item now because they are not known to be
     /// warm; `None` if the platform state is too old and each back end must be checked.
-    pub fn closed_to_items(
+    pub fn ineligible_for_items(
         &self,
         service: &str,
         usable: impl Fn(&str) -> bool,
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -229,11 +229,11 @@
         members.set_state_ages(peer_sync.ages());
         if own.differs_from(announced) {
             // These members notify others in turn once they have fetched the change.
-            send(&socket, members.gossip_to_some(SAME_ZONE_FANOUT, OTHER_ZONE_FANOUT)).await;
+            send(&socket, members.gossip_to_sample(SAME_ZONE_FANOUT, OTHER_ZONE_FANOUT)).await;
             announced = own;
         } else if peer_sync.take_confirmation() {
             let (same_zone, other_zones) = CONFIRMATION_FANOUT;
-            send(&socket, members.gossip_to_some(same_zone, other_zones)).await;
+            send(&socket, members.gossip_to_sample(same_zone, other_zones)).await;
         }
         if now >= heartbeat_at {
             send(&socket, members.announce_watching(&peer_sync.standbys())).await;
@@ -277,7 +277,7 @@
                 lateness.record_and_report(woken.millis_since(now.plus_millis(wait)));
                 stall_detector.record_wakeup(woken);
                 if is_empty(&socket).await {
-                    stall_detector.drained();
+                    stall_detector.record_drained();
                 }
             }
             () = peer_sync.changed() => {}
@@ -291,7 +291,7 @@
             changed = leaving.changed(), if !leaving_announced => {
                 if changed.is_ok() && *leaving.borrow() {
                     members.announce(MemberState::Leaving);
-                    send(&socket, members.farewell()).await;
+                    send(&socket, members.announce_to_all()).await;
                 }
                 leaving_announced = true;
             }
--- a/crates/serving/src/stall_detector.rs
+++ b/crates/serving/src/stall_detector.rs
@@ -37,7 +37,7 @@
     }
 
     /// Records that the socket buffer is empty.
-    pub fn drained(&mut self) {
+    pub fn record_drained(&mut self) {
         self.may_be_old = false;
     }
 
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -25,7 +25,7 @@
 /// answered every 0.6 s on average.
 const FRESH_WATCH_WAIT: std::ops::Range<Duration> =
     Duration::from_millis(1_500)..Duration::from_millis(6_000);
-/// Number of zones up to which `Waits::Fresh` uses its ranges unscaled.
+/// Number of zones up to which `WatchWaits::Fresh` uses its ranges unscaled.
 const FRESH_WAIT_ZONES: f64 = 3.0;
 /// Range of the wait of the first watch after a list or a change if decisions depend on recent
 /// state: all watchers restart at once, and none of them proves anything before its wait ends.
@@ -64,7 +64,7 @@
 
 /// How long watches wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waits {
+pub enum WatchWaits {
     /// As long as the store allows, so that few calls are made.
     Long,
     /// Short enough that the state is confirmed every few seconds. Each zone has its own watchers,
@@ -75,20 +75,20 @@
     },
 }
 
-impl Waits {
+impl WatchWaits {
     /// Wait of the first watch after a list or a change.
     fn first(self) -> Duration {
         match self {
-            Waits::Long => rand::random_range(FIRST_WATCH_WAIT),
-            Waits::Fresh { zones } => scaled_wait(FRESH_FIRST_WATCH_WAIT, zones),
+            WatchWaits::Long => rand::random_range(FIRST_WATCH_WAIT),
+            WatchWaits::Fresh { zones } => scaled_wait(FRESH_FIRST_WATCH_WAIT, zones),
         }
     }
 
     /// Wait of subsequent watches.
     fn next(self) -> Duration {
         match self {
-            Waits::Long => MAX_WATCH_WAIT,
-            Waits::Fresh { zones } => scaled_wait(FRESH_WATCH_WAIT, zones),
+            WatchWaits::Long => MAX_WATCH_WAIT,
+            WatchWaits::Fresh { zones } => scaled_wait(FRESH_WATCH_WAIT, zones),
         }
     }
 }
@@ -100,7 +100,7 @@
 }
 
 /// Controls the list-and-watch loop of one kind.
-pub struct Follow {
+pub struct WatchOptions {
     /// Ends the current watch so that the store is queried again.
     pub refresh: Rc<Notify>,
     /// Handles that end the watches of other kinds.
@@ -108,14 +108,18 @@
     /// Whether the store is to be queried.
     pub watch_role: WatchRole,
     /// How long watches wait.
-    pub waits: Waits,
+    pub waits: WatchWaits,
 }
 
 /// Lists, then watches, while the watch role is active. Lists again after a watch that failed, has
 /// lost its history or was ended by `refresh`. When the store answers after a failure, the watches
 /// of other kinds are ended too: a connection on which a response was lost may deliver
 /// nothing more, which would go unnoticed until the wait ends.
-pub async fn follow<T, S: Source<T>>(mut source: S, sink: impl Sink<T>, mut options: Follow) {
+pub async fn run_watch<T, S: Source<T>>(
+    mut source: S,
+    sink: impl Sink<T>,
+    mut options: WatchOptions,
+) {
     let mut backoff = INITIAL_BACKOFF;
     let mut failed = false;
     let mut list = PartialList::default();
@@ -139,7 +143,7 @@
     source: &mut S,
     list: &mut PartialList<T>,
     sink: &impl Sink<T>,
-    options: &mut Follow,
+    options: &mut WatchOptions,
     failed: &mut bool,
     backoff: &mut Duration,
 ) -> Result<(), SourceError> {
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -223,10 +223,10 @@
         let mut outgoing = Vec::new();
         if own.differs_from(process.announced) {
             process.announced = own;
-            outgoing.extend(process.members.gossip_to_some(3, 1));
+            outgoing.extend(process.members.gossip_to_sample(3, 1));
         } else if process.shared.platform_state.borrow_mut().take_confirmation() {
             let (near, far) = CONFIRMATION_FANOUT;
-            outgoing.extend(process.members.gossip_to_some(near, far));
+            outgoing.extend(process.members.gossip_to_sample(near, far));
         }
         outgoing.extend(process.members.tick(Timestamp(self.now)));
         outgoing
@@ -263,7 +263,7 @@
         process.announced = own;
         process.members.set_configuration_version(own.version);
         process.members.set_evacuations(own.evacuations);
-        process.members.gossip_to_some(3, 1)
+        process.members.gossip_to_sample(3, 1)
     }
 
     fn evacuate(&mut self, zone: &str) {
--- a/crates/serving/tests/fleet_cost.rs
+++ b/crates/serving/tests/fleet_cost.rs
@@ -1,6 +1,6 @@
 //! Cost for a process of one change, and for a request of choosing a back end, as the fleet grows.
 //! Prints times and asserts none: `cargo test --release -p yokefall-serving --test fleet_cost --
-//! --nocapture`. Operation counts are asserted in `backend_table.rs` and `drawn.rs`.
+//! --nocapture`. Operation counts are asserted in `backend_table.rs` and `sample.rs`.
 
 use std::cell::RefCell;
 use std::hint::black_box;
--- a/crates/serving/tests/backlog.rs
+++ b/crates/serving/tests/stall_detector.rs
@@ -18,7 +18,7 @@
     stall_detector.start_wait(Timestamp(11_300), 400);
     stall_detector.record_wakeup(Timestamp(11_301));
     assert_eq!(stall_detector.delay_ms(), None, "more datagrams may be waiting");
-    stall_detector.drained();
+    stall_detector.record_drained();
     assert!(stall_detector.delay_ms().is_some());
 }
 
--- a/crates/serving/tests/follow.rs
+++ b/crates/serving/tests/watch.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::Notify;
 use yokefall_serving::source::{Revision, Source, SourceError, WatchResponse};
-use yokefall_serving::watch::{follow, Follow, Sink, Waits};
+use yokefall_serving::watch::{run_watch, Sink, WatchOptions, WatchWaits};
 use yokefall_serving::watch_role::WatchRole;
 use yokefall_serving::{Change, ListPage, Listing};
 
@@ -59,8 +59,8 @@
 
 struct NullSink;
 
-fn options(watch_role: WatchRole) -> Follow {
-    Follow { refresh: Rc::default(), others: Vec::new(), watch_role, waits: Waits::Long }
+fn options(watch_role: WatchRole) -> WatchOptions {
+    WatchOptions { refresh: Rc::default(), others: Vec::new(), watch_role, waits: WatchWaits::Long }
 }
 
 /// Only a few processes may watch the store, because each call is billed.
@@ -69,7 +69,7 @@
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
     let (sender, watch_role) = WatchRole::controlled();
-    let watching = follow(script, NullSink, options(watch_role));
+    let watching = run_watch(script, NullSink, options(watch_role));
     let steps = async {
         let pause = || tokio::time::sleep(Duration::from_secs(1));
         pause().await;
@@ -100,10 +100,10 @@
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = ScriptedSource { steps: steps.into(), watches: watches.clone() };
     let other = Rc::new(Notify::new());
-    let watching = follow(
+    let watching = run_watch(
         script,
         NullSink,
-        Follow { others: vec![other.clone()], ..options(WatchRole::always()) },
+        WatchOptions { others: vec![other.clone()], ..options(WatchRole::always()) },
     );
     let _ = tokio::time::timeout(Duration::from_secs(5), watching).await;
     let ended = tokio::time::timeout(Duration::from_millis(1), other.notified()).await.is_ok();
@@ -194,7 +194,7 @@
     let asked: Rc<RefCell<Vec<Option<String>>>> = Rc::default();
     let sink = RecordingSink::default();
     let source = PagedSource { calls: 0, asked: asked.clone() };
-    let watching = follow(source, sink.clone(), options(WatchRole::always()));
+    let watching = run_watch(source, sink.clone(), options(WatchRole::always()));
     tokio::select! {
         () = watching => {}
         () = tokio::time::sleep(Duration::from_secs(5)) => {}
@@ -248,7 +248,7 @@
 async fn a_watch_lost_after_a_change_is_detected_soon() {
     let lists: Rc<RefCell<u32>> = Rc::default();
     let source = UnresponsiveSource { lists: lists.clone(), change_sent: false };
-    let watching = follow(source, NullSink, options(WatchRole::always()));
+    let watching = run_watch(source, NullSink, options(WatchRole::always()));
     tokio::select! {
         () = watching => {}
         () = tokio::time::sleep(Duration::from_millis(7_200)) => {}
@@ -261,8 +261,9 @@
 async fn watches_end_within_seconds_if_recent_state_is_required() {
     let watches = Rc::new(RefCell::new(Vec::new()));
     let script = ScriptedSource { steps: VecDeque::new(), watches: watches.clone() };
-    let fresh_options = Follow { waits: Waits::Fresh { zones: 3 }, ..options(WatchRole::always()) };
-    let watching = follow(script, NullSink, fresh_options);
+    let fresh_options =
+        WatchOptions { waits: WatchWaits::Fresh { zones: 3 }, ..options(WatchRole::always()) };
+    let watching = run_watch(script, NullSink, fresh_options);
     let _ = tokio::time::timeout(Duration::from_secs(60), watching).await;
     let watches = watches.borrow();
     let longest = watches.windows(2).map(|pair| pair[1] - pair[0]).max().expect("watches");
