--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission at the owner: which call starts on which back end, and when batch steps aside.
+//! Admission at the owner: which call starts on which back end, and when batch items are preempted.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,20 +8,20 @@
 use crate::fleet::FleetView;
 use crate::time::Timestamp;
 
-/// Number of one admitted or waiting call.
+/// Identifier of a running or waiting call or batch item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Weight of the newest service time in its running mean.
+/// Smoothing factor of the exponentially weighted mean service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
-/// Service time assumed before any was seen, in milliseconds.
+/// Mean service time assumed before the first sample, in milliseconds.
 const INITIAL_SERVICE_TIME_MS: f64 = 500.0;
-/// Bounds of the retry hint, in milliseconds.
+/// Lower and upper bound of the retry hint, in milliseconds.
 const RETRY_HINT_RANGE_MS: (u64, u64) = (50, 30_000);
-/// Time for which a back end that failed gets no new work, in milliseconds.
-const FAILURE_PAUSE_MS: u64 = 1_000;
+/// Time for which a failed back end gets no new work, in milliseconds.
+const FAILURE_BACKOFF_MS: u64 = 1_000;
 
-/// What admission orders.
+/// An action for the caller of [`Admission`] to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionEffect {
     /// Send the call to this back end now.
@@ -33,16 +33,16 @@
         /// HTTP address of the back end.
         address: String,
     },
-    /// Stop this running batch item at the engine and give it back.
-    Yield {
+    /// Stop this running batch item at the engine and return it to its store.
+    Preempt {
         /// The item.
         ticket: Ticket,
     },
-    /// The call will not be run.
+    /// Reject the call; it has not run.
     Refuse {
         /// The call.
         ticket: Ticket,
-        /// The proof and the hint.
+        /// The reason, the proof that the call has not run, and the retry hint.
         refusal: Refusal,
     },
 }
@@ -67,7 +67,7 @@
         self.slots.saturating_sub(self.online)
     }
 
-    fn free_of_all(&self) -> u32 {
+    fn idle_slots(&self) -> u32 {
         self.slots.saturating_sub(self.online + self.batch)
     }
 }
@@ -87,43 +87,43 @@
 }
 
 #[derive(Clone, Debug)]
-enum Holding {
+enum TicketState {
     Waiting { service: ServiceId, key: QueueKey },
     Online { backend: BackendId, since: Timestamp },
-    Batch { backend: BackendId, yieldable: bool, yielding: bool },
+    Batch { backend: BackendId, preemptible: bool, preempting: bool },
 }
 
 /// Slots of the back ends that this daemon owns.
 ///
-/// Invariant: an online call waits only while online calls alone fill every accepting back end of
-/// its service. Were batch counted, online would wait behind batch.
+/// Invariant: an online call waits only while online calls alone occupy every slot of the accepting
+/// back ends of its service. Batch items are not counted, so online calls never wait behind them.
 #[derive(Debug, Default)]
 pub struct Admission {
     backends: BTreeMap<BackendId, Backend>,
     services: HashMap<ServiceId, Service>,
-    holdings: HashMap<Ticket, Holding>,
+    tickets: HashMap<Ticket, TicketState>,
     next_ticket: u64,
 }
 
 impl Admission {
-    /// A number for a new call.
+    /// Allocates the ticket of a new call or item.
     pub fn next_ticket(&mut self) -> Ticket {
         self.next_ticket += 1;
         Ticket(self.next_ticket)
     }
 
-    /// Takes over a new view. Calls that run on back ends no longer owned run on; they are
-    /// counted until they finish.
+    /// Applies a new view. Calls on back ends that are no longer owned keep running and are counted
+    /// until they finish.
     pub fn configure(&mut self, now: Timestamp, view: &FleetView) -> Vec<AdmissionEffect> {
         for backend in self.backends.values_mut() {
             backend.leaving = true;
         }
         for owned in &view.owned {
-            let held = self.backends.get(&owned.id);
-            let (online, batch) = held.map_or((0, 0), |b| (b.online, b.batch));
-            let same_address = held.is_some_and(|b| b.address == owned.address);
+            let previous = self.backends.get(&owned.id);
+            let (online, batch) = previous.map_or((0, 0), |b| (b.online, b.batch));
+            let same_address = previous.is_some_and(|b| b.address == owned.address);
             let paused_until =
-                held.filter(|_| same_address).map_or(Timestamp(0), |b| b.paused_until);
+                previous.filter(|_| same_address).map_or(Timestamp(0), |b| b.paused_until);
             let backend = Backend {
                 service: owned.service.clone(),
                 address: owned.address.clone(),
@@ -146,23 +146,27 @@
             state.queue_limit = service.spec.queue_limit;
             state.reserved_slots = service.spec.reserved_slots;
         }
-        self.refuse_orphans(now, view)
+        self.dispatch_or_refuse_queued(now, view)
     }
 
-    /// Refuses what waits for a service of which this daemon owns nothing any more, and starts
-    /// what newly fits.
-    fn refuse_orphans(&mut self, now: Timestamp, view: &FleetView) -> Vec<AdmissionEffect> {
+    /// Rejects calls queued for services of which this daemon no longer owns a back end, and starts
+    /// queued calls for which slots became free.
+    fn dispatch_or_refuse_queued(
+        &mut self,
+        now: Timestamp,
+        view: &FleetView,
+    ) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
         let services: Vec<ServiceId> = self.services.keys().cloned().collect();
         for service in services {
-            if self.owns_any(&service) {
+            if self.owns_backend_of(&service) {
                 self.dispatch(now, &service, &mut effects);
                 continue;
             }
             let tickets: Vec<Ticket> =
                 self.services[&service].queue.keys().map(|key| key.ticket).collect();
             for ticket in tickets {
-                self.withdraw(ticket);
+                self.cancel_waiting(ticket);
                 let detail = format!("{} owns no back end of {service}", view.node);
                 let refusal = Refusal::not_run(RefusalReason::NoBackend, detail);
                 effects.push(AdmissionEffect::Refuse { ticket, refusal });
@@ -171,11 +175,11 @@
         effects
     }
 
-    fn owns_any(&self, service: &ServiceId) -> bool {
+    fn owns_backend_of(&self, service: &ServiceId) -> bool {
         self.backends.values().any(|b| b.service == *service && !b.leaving)
     }
 
-    /// An online call arrives. It starts, waits, or is refused at once.
+    /// Handles the arrival of an online call: starts, queues, or rejects it.
     pub fn arrive(
         &mut self,
         now: Timestamp,
@@ -193,12 +197,13 @@
         if let Some(state) = self.services.get_mut(service) {
             state.queue.insert(key, deadline);
         }
-        self.holdings.insert(ticket, Holding::Waiting { service: service.clone(), key });
+        self.tickets.insert(ticket, TicketState::Waiting { service: service.clone(), key });
         self.dispatch(now, service, &mut effects);
         effects
     }
 
-    /// Decides at once whether waiting would be in vain, so that the caller can go elsewhere.
+    /// Rejects a call on arrival if the queue is full or its deadline would pass in the queue, so that
+    /// the caller can try another owner at once.
     fn refusal_at_arrival(
         &self,
         now: Timestamp,
@@ -212,15 +217,15 @@
         if !self.backends.values().any(|b| b.service == *service && b.accepts(now)) {
             let detail = format!("no accepting back end of {service} here");
             let refusal = Refusal::not_run(RefusalReason::NoBackend, detail);
-            return Some(refusal.retry_after(FAILURE_PAUSE_MS as u32));
+            return Some(refusal.retry_after(FAILURE_BACKOFF_MS as u32));
         }
         if self.best_for_online(now, service).is_some() {
             return None;
         }
         let wait_ms = self.expected_wait_ms(service, state.queue.len() as u32 + 1);
         let full = state.queue.len() >= state.queue_limit as usize;
-        let in_vain = now.plus_millis(wait_ms) > deadline;
-        if !full && !in_vain {
+        let too_late = now.plus_millis(wait_ms) > deadline;
+        if !full && !too_late {
             return None;
         }
         let detail =
@@ -241,11 +246,11 @@
         self.backends
             .iter()
             .filter(|(_, b)| b.service == *service && b.accepts(now) && b.free_for_online() > 0)
-            .max_by_key(|(_, b)| (b.free_of_all(), b.free_for_online()))
+            .max_by_key(|(_, b)| (b.idle_slots(), b.free_for_online()))
             .map(|(id, _)| id.clone())
     }
 
-    /// Starts waiting calls, highest class first, while online calls leave a slot.
+    /// Starts queued calls in order of priority while some slot is not held by an online call.
     fn dispatch(
         &mut self,
         now: Timestamp,
@@ -261,155 +266,160 @@
             }
             let Some(backend) = self.backends.get_mut(&id) else { return };
             backend.online += 1;
-            let holding = Holding::Online { backend: id.clone(), since: now };
-            self.holdings.insert(key.ticket, holding);
+            let ticket_state = TicketState::Online { backend: id.clone(), since: now };
+            self.tickets.insert(key.ticket, ticket_state);
             let address = backend.address.clone();
-            let over = (backend.online + backend.batch).saturating_sub(backend.slots);
+            let excess = (backend.online + backend.batch).saturating_sub(backend.slots);
             effects.push(AdmissionEffect::Start {
                 ticket: key.ticket,
                 backend: id.clone(),
                 address,
             });
-            self.yield_batch(&id, over, effects);
+            self.preempt_batch(&id, excess, effects);
         }
     }
 
-    /// Orders batch items on a back end to stop until no more than its slots are held. Items that
-    /// must not be repeated stay: the engine runs them at a lower priority.
-    fn yield_batch(&mut self, id: &BackendId, over: u32, effects: &mut Vec<AdmissionEffect>) {
-        if over == 0 {
+    /// Preempts batch items on a back end until it holds no more than its slots. Items that must not
+    /// be repeated keep running: the engine runs them at a lower priority.
+    fn preempt_batch(&mut self, id: &BackendId, excess: u32, effects: &mut Vec<AdmissionEffect>) {
+        if excess == 0 {
             return;
         }
-        let mut over = over.saturating_sub(self.yielding_on(id));
-        let mut tickets: Vec<Ticket> = self.holdings.keys().copied().collect();
-        // The newest item has the least work to lose.
+        let mut excess = excess.saturating_sub(self.preempting_on(id));
+        let mut tickets: Vec<Ticket> = self.tickets.keys().copied().collect();
+        // Newest first: the newest item loses the least work.
         tickets.sort_unstable_by(|left, right| right.cmp(left));
         for ticket in tickets {
-            if over == 0 {
+            if excess == 0 {
                 return;
             }
-            if let Some(Holding::Batch { backend, yieldable: true, yielding }) =
-                self.holdings.get_mut(&ticket)
+            if let Some(TicketState::Batch { backend, preemptible: true, preempting }) =
+                self.tickets.get_mut(&ticket)
             {
-                if backend == id && !*yielding {
-                    *yielding = true;
-                    over -= 1;
-                    effects.push(AdmissionEffect::Yield { ticket });
+                if backend == id && !*preempting {
+                    *preempting = true;
+                    excess -= 1;
+                    effects.push(AdmissionEffect::Preempt { ticket });
                 }
             }
         }
     }
 
-    fn yielding_on(&self, id: &BackendId) -> u32 {
-        let yields = |h: &&Holding| matches!(h, Holding::Batch { backend, yielding: true, .. } if backend == id);
-        self.holdings.values().filter(yields).count() as u32
+    fn preempting_on(&self, id: &BackendId) -> u32 {
+        let is_preempting = |state: &&TicketState| matches!(state, TicketState::Batch { backend, preempting: true, .. } if backend == id);
+        self.tickets.values().filter(is_preempting).count() as u32
     }
 
-    /// Batch items that could start now on the back ends of a service.
-    pub fn batch_room(&self, now: Timestamp, service: &ServiceId) -> u32 {
+    /// Number of batch items that could start now on the back ends of a service.
+    pub fn batch_capacity(&self, now: Timestamp, service: &ServiceId) -> u32 {
         let Some(state) = self.services.get(service) else { return 0 };
         if !state.queue.is_empty() {
             return 0;
         }
-        let room = |b: &Backend| b.free_of_all().saturating_sub(state.reserved_slots);
-        let open = self.backends.values().filter(|b| b.service == *service && b.accepts(now));
-        open.map(room).sum()
+        let capacity = |b: &Backend| b.idle_slots().saturating_sub(state.reserved_slots);
+        let accepting = self.backends.values().filter(|b| b.service == *service && b.accepts(now));
+        accepting.map(capacity).sum()
     }
 
-    /// Services with batch room now.
-    pub fn services_with_room(&self, now: Timestamp) -> Vec<(ServiceId, u32)> {
+    /// Services that could start batch items now, with the number of items.
+    pub fn services_with_batch_capacity(&self, now: Timestamp) -> Vec<(ServiceId, u32)> {
         let mut services: Vec<&ServiceId> = self.services.keys().collect();
         services.sort_unstable();
-        let with_room = services.into_iter().map(|id| (id.clone(), self.batch_room(now, id)));
-        with_room.filter(|(_, room)| *room > 0).collect()
+        let with_capacity =
+            services.into_iter().map(|id| (id.clone(), self.batch_capacity(now, id)));
+        with_capacity.filter(|(_, capacity)| *capacity > 0).collect()
     }
 
-    /// Tries to start a batch item. Without room there is no effect and nothing is held.
-    pub fn offer_batch(
+    /// Starts a batch item if there is capacity for it; otherwise returns `None` and changes nothing.
+    pub fn try_start_batch(
         &mut self,
         now: Timestamp,
         ticket: Ticket,
         service: &ServiceId,
-        yieldable: bool,
+        preemptible: bool,
     ) -> Option<AdmissionEffect> {
-        if self.batch_room(now, service) == 0 {
+        if self.batch_capacity(now, service) == 0 {
             return None;
         }
         let (id, _) = self
             .backends
             .iter()
             .filter(|(_, b)| b.service == *service && b.accepts(now))
-            .max_by_key(|(_, b)| b.free_of_all())?;
+            .max_by_key(|(_, b)| b.idle_slots())?;
         let id = id.clone();
         let backend = self.backends.get_mut(&id)?;
         backend.batch += 1;
         let address = backend.address.clone();
-        let holding = Holding::Batch { backend: id.clone(), yieldable, yielding: false };
-        self.holdings.insert(ticket, holding);
+        let ticket_state =
+            TicketState::Batch { backend: id.clone(), preemptible, preempting: false };
+        self.tickets.insert(ticket, ticket_state);
         Some(AdmissionEffect::Start { ticket, backend: id, address })
     }
 
-    /// A started call or item ended, however.
+    /// Releases the slot of a call or item that ended, whatever its outcome.
     pub fn finish(&mut self, now: Timestamp, ticket: Ticket, failed: bool) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
-        let Some(holding) = self.holdings.remove(&ticket) else { return effects };
-        let id = match &holding {
-            Holding::Waiting { service, key } => {
+        let Some(ticket_state) = self.tickets.remove(&ticket) else { return effects };
+        let id = match &ticket_state {
+            TicketState::Waiting { service, key } => {
                 if let Some(state) = self.services.get_mut(service) {
                     state.queue.remove(key);
                 }
                 return effects;
             }
-            Holding::Online { backend, .. } | Holding::Batch { backend, .. } => backend.clone(),
+            TicketState::Online { backend, .. } | TicketState::Batch { backend, .. } => {
+                backend.clone()
+            }
         };
         let Some(backend) = self.backends.get_mut(&id) else { return effects };
-        match &holding {
-            Holding::Batch { .. } => backend.batch = backend.batch.saturating_sub(1),
+        match &ticket_state {
+            TicketState::Batch { .. } => backend.batch = backend.batch.saturating_sub(1),
             _ => backend.online = backend.online.saturating_sub(1),
         }
         if failed {
-            backend.paused_until = now.plus_millis(FAILURE_PAUSE_MS);
+            backend.paused_until = now.plus_millis(FAILURE_BACKOFF_MS);
         }
         let service = backend.service.clone();
-        if let (Holding::Online { since, .. }, false) = (&holding, failed) {
-            self.learn_service_time(&service, now.millis_since(*since));
+        if let (TicketState::Online { since, .. }, false) = (&ticket_state, failed) {
+            self.record_service_time(&service, now.millis_since(*since));
         }
         self.dispatch(now, &service, &mut effects);
         effects
     }
 
-    fn learn_service_time(&mut self, service: &ServiceId, milliseconds: u64) {
+    fn record_service_time(&mut self, service: &ServiceId, milliseconds: u64) {
         if let Some(state) = self.services.get_mut(service) {
             let newest = milliseconds as f64;
             state.mean_service_ms += SERVICE_TIME_WEIGHT * (newest - state.mean_service_ms);
         }
     }
 
-    /// Removes a waiting call. Returns whether it was waiting, which proves that it never ran.
-    pub fn withdraw(&mut self, ticket: Ticket) -> bool {
-        let Some(Holding::Waiting { service, key }) = self.holdings.get(&ticket).cloned() else {
+    /// Removes a queued call. Returns whether it was queued, which proves that it has not run.
+    pub fn cancel_waiting(&mut self, ticket: Ticket) -> bool {
+        let Some(TicketState::Waiting { service, key }) = self.tickets.get(&ticket).cloned() else {
             return false;
         };
         if let Some(state) = self.services.get_mut(&service) {
             state.queue.remove(&key);
         }
-        self.holdings.remove(&ticket);
+        self.tickets.remove(&ticket);
         true
     }
 
-    /// Refuses calls whose deadline has passed, and starts what fits after a pause.
+    /// Rejects queued calls whose deadline has passed, and starts calls on back ends whose failure
+    /// backoff is over.
     pub fn tick(&mut self, now: Timestamp) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
         let services: Vec<ServiceId> = self.services.keys().cloned().collect();
         for service in services {
-            let late: Vec<Ticket> = self.services[&service]
+            let expired: Vec<Ticket> = self.services[&service]
                 .queue
                 .iter()
                 .filter(|(_, deadline)| **deadline <= now)
                 .map(|(key, _)| key.ticket)
                 .collect();
-            for ticket in late {
-                self.withdraw(ticket);
+            for ticket in expired {
+                self.cancel_waiting(ticket);
                 let detail = format!("deadline passed in the queue of {service}");
                 let refusal = Refusal::not_run(RefusalReason::DeadlineExceeded, detail);
                 effects.push(AdmissionEffect::Refuse { ticket, refusal });
@@ -419,17 +429,17 @@
         effects
     }
 
-    /// Load of one service, for the senders.
+    /// Load report of one service, sent to home daemons.
     pub fn load(&self, now: Timestamp, service: &ServiceId) -> OwnerLoad {
-        let open = self.backends.values().filter(|b| b.service == *service && b.accepts(now));
+        let accepting = self.backends.values().filter(|b| b.service == *service && b.accepts(now));
         OwnerLoad {
-            free_slots: open.map(Backend::free_for_online).sum(),
+            free_slots: accepting.map(Backend::free_for_online).sum(),
             waiting: self.services.get(service).map_or(0, |s| s.queue.len() as u32),
         }
     }
 
-    /// Calls and items that run or wait.
-    pub fn busy(&self) -> usize {
-        self.holdings.len()
+    /// Number of calls and items that run or wait.
+    pub fn active_tickets(&self) -> usize {
+        self.tickets.len()
     }
 }
--- a/crates/core/src/batch.rs
+++ b/crates/core/src/batch.rs
@@ -1,4 +1,5 @@
-//! The holder of batch items: leases them when slots are idle, and sees each one to its end.
+//! Execution of batch items at an owner: leases items when slots are idle, runs them, and reports
+//! their results to the store.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,26 +9,26 @@
 use crate::admission::{Admission, AdmissionEffect, Ticket};
 use crate::time::Timestamp;
 
-/// Interval at which leases are extended, in milliseconds.
+/// Interval between lease extensions, in milliseconds.
 const EXTEND_INTERVAL_MS: u64 = 1_000;
-/// Pause before an unacknowledged report is sent again, in milliseconds.
-const REPORT_RETRY_MS: u64 = 500;
-/// Pause after an empty answer of a store: doubled from the least to the most, in milliseconds. A
-/// store tells when it has work again; asking is for what was not told.
-const EMPTY_PAUSE_RANGE_MS: (u64, u64) = (100, 10_000);
-/// Pause after which an unanswered lease request no longer counts, in milliseconds.
+/// Interval after which an unacknowledged report is sent again, in milliseconds.
+const REPORT_RETRY_INTERVAL_MS: u64 = 500;
+/// Bounds of the exponential backoff after an empty lease response, in milliseconds. Stores announce
+/// new work; polling covers lost announcements.
+const EMPTY_BACKOFF_RANGE_MS: (u64, u64) = (100, 10_000);
+/// Time after which an unanswered lease request is considered lost, in milliseconds.
 const LEASE_REQUEST_TIMEOUT_MS: u64 = 2_000;
-/// Most items asked for at once.
-const MOST_ITEMS_PER_LEASE: u32 = 64;
+/// Maximum number of items in one lease request.
+const MAX_ITEMS_PER_LEASE: u32 = 64;
 
 /// How an execution of an item ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemEnd {
-    /// The back end gave the whole answer.
+    /// The back end returned the complete answer.
     Completed(Vec<u8>),
-    /// The back end refused the item for good, such as for a malformed prompt.
+    /// The back end rejected the item permanently, for example for a malformed prompt.
     Rejected(String),
-    /// Stopped by order.
+    /// Stopped by cancellation, preemption or deadline.
     Stopped,
     /// Failed, and nothing can have reached the back end.
     NotSent(String),
@@ -35,26 +36,26 @@
     Failed(String),
 }
 
-/// What the runner orders.
+/// An action for the caller of [`BatchRunner`] to carry out.
 #[derive(Clone, Debug)]
 pub enum BatchEffect {
-    /// Ask a store for items; report with `leased` or `lease_failed`.
+    /// Request items from a store; answered by `leased` or `lease_failed`.
     Lease {
         /// The store's daemon.
         store: NodeName,
         /// Service with idle slots.
         service: ServiceId,
-        /// Most items wanted.
+        /// Maximum number of items.
         most: u32,
     },
-    /// Ask for durable start marks; report with `start_answered`.
+    /// Request durable start marks; answered by `start_answered`.
     StartItems {
         /// The store's daemon.
         store: NodeName,
         /// The items.
         items: Vec<LeasedItemRef>,
     },
-    /// Send an item to a back end; report with `ended`.
+    /// Send an item to a back end; answered by `ended`.
     Run {
         /// The item's ticket.
         ticket: Ticket,
@@ -68,54 +69,54 @@
         /// The item's ticket.
         ticket: Ticket,
     },
-    /// Extend leases; report with `extended`.
+    /// Extend leases; answered by `extended`.
     Extend {
         /// The store's daemon.
         store: NodeName,
         /// The items.
         items: Vec<LeasedItemRef>,
     },
-    /// Give items back. Unacknowledged, their leases lapse.
+    /// Return items to their store. If this is not acknowledged, their leases expire.
     Return {
         /// The store's daemon.
         store: NodeName,
         /// The items.
         items: Vec<ReturnedItem>,
     },
-    /// Report an end; report with `reported` once acknowledged.
+    /// Report a result to the store; answered by `reported` once acknowledged.
     Report {
         /// The item's ticket.
         ticket: Ticket,
         /// The store's daemon.
         store: NodeName,
-        /// The end.
+        /// The result.
         completed: CompletedItem,
     },
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
-    /// Holds a slot, waits for its start mark.
+    /// Has a slot, waits for its start mark.
     Starting { address: String },
     /// Sent to a back end.
     Running,
     /// Ended, not yet acknowledged by the store.
-    Reporting { completed: CompletedItem, again_at: Timestamp },
+    Reporting { completed: CompletedItem, retry_at: Timestamp },
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldItem {
     store: NodeName,
     item: LeasedItem,
     stage: Stage,
-    give_up_at: Timestamp,
+    deadline: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Poll {
-    pause_ms: u64,
+    backoff_ms: u64,
     not_before: Timestamp,
-    asked: Option<(Timestamp, u32)>,
+    requested: Option<(Timestamp, u32)>,
 }
 
 /// Batch items held by this daemon.
@@ -123,68 +124,73 @@
 pub struct BatchRunner {
     stores: Vec<NodeName>,
     next_store: usize,
-    held: BTreeMap<Ticket, Held>,
+    held: BTreeMap<Ticket, HeldItem>,
     polls: HashMap<(NodeName, ServiceId), Poll>,
     extend_at: Timestamp,
     paused: bool,
 }
 
 impl BatchRunner {
-    /// A runner that leases from these stores.
+    /// Creates a runner that leases from these stores.
     pub fn new(stores: Vec<NodeName>) -> Self {
         Self { stores, ..Self::default() }
     }
 
-    /// Stops leasing, as before a planned stop.
+    /// Stops leasing, in preparation of a graceful shutdown.
     pub fn pause(&mut self) {
         self.paused = true;
     }
 
-    /// Items held in any stage.
-    pub fn held(&self) -> usize {
+    /// Number of items held, in any stage.
+    pub fn held_items(&self) -> usize {
         self.held.len()
     }
 
-    /// Asks for items where slots are idle.
+    /// Requests items for services with idle slots.
     pub fn lease(&mut self, now: Timestamp, admission: &Admission) -> Vec<BatchEffect> {
         let mut effects = Vec::new();
         if self.paused || self.stores.is_empty() {
             return effects;
         }
-        for (service, room) in admission.services_with_room(now) {
-            effects.extend(self.lease_service(now, service, room));
+        for (service, capacity) in admission.services_with_batch_capacity(now) {
+            effects.extend(self.lease_service(now, service, capacity));
         }
         effects
     }
 
-    fn lease_service(&mut self, now: Timestamp, service: ServiceId, room: u32) -> Vec<BatchEffect> {
+    fn lease_service(
+        &mut self,
+        now: Timestamp,
+        service: ServiceId,
+        capacity: u32,
+    ) -> Vec<BatchEffect> {
         let mut effects = Vec::new();
-        let mut room = room.saturating_sub(self.asked_for(now, &service));
+        let mut capacity = capacity.saturating_sub(self.pending_items(now, &service));
         for _ in 0..self.stores.len() {
-            if room == 0 {
+            if capacity == 0 {
                 break;
             }
             let store = self.stores[self.next_store % self.stores.len()].clone();
             self.next_store += 1;
             let poll = self.polls.entry((store.clone(), service.clone())).or_default();
-            if poll.not_before > now || is_waiting(now, poll) {
+            if poll.not_before > now || is_pending(now, poll) {
                 continue;
             }
-            let most = room.min(MOST_ITEMS_PER_LEASE);
-            poll.asked = Some((now, most));
-            room -= most;
+            let most = capacity.min(MAX_ITEMS_PER_LEASE);
+            poll.requested = Some((now, most));
+            capacity -= most;
             effects.push(BatchEffect::Lease { store, service: service.clone(), most });
         }
         effects
     }
 
-    fn asked_for(&self, now: Timestamp, service: &ServiceId) -> u32 {
+    fn pending_items(&self, now: Timestamp, service: &ServiceId) -> u32 {
         let polls = self.polls.iter().filter(|((_, polled), _)| polled == service);
-        let asked = polls.filter(|(_, poll)| is_waiting(now, poll));
-        asked.filter_map(|(_, poll)| poll.asked).map(|(_, most)| most).sum()
+        let requested = polls.filter(|(_, poll)| is_pending(now, poll));
+        requested.filter_map(|(_, poll)| poll.requested).map(|(_, most)| most).sum()
     }
 
-    /// A store answered a lease request.
+    /// Handles a store's response to a lease request. Items without a free slot are returned.
     pub fn leased(
         &mut self,
         now: Timestamp,
@@ -198,13 +204,13 @@
         let mut returned = Vec::new();
         for item in items {
             let ticket = admission.next_ticket();
-            let yieldable = item.repeat == RepeatPolicy::Allowed;
-            let offered = if self.paused {
+            let preemptible = item.repeat == RepeatPolicy::Allowed;
+            let started = if self.paused {
                 None
             } else {
-                admission.offer_batch(now, ticket, &item.service, yieldable)
+                admission.try_start_batch(now, ticket, &item.service, preemptible)
             };
-            match offered {
+            match started {
                 Some(AdmissionEffect::Start { address, .. }) => {
                     effects.push(self.begin(now, ticket, store, item, address));
                 }
@@ -217,15 +223,16 @@
         effects
     }
 
-    /// A store tells that it has work for a service: it is asked at once where slots are idle.
+    /// Handles a store's announcement of work for a service: cancels the backoff, so that the store is
+    /// polled as soon as slots are idle.
     pub fn work_available(&mut self, store: &NodeName, service: &ServiceId) {
         if let Some(poll) = self.polls.get_mut(&(store.clone(), service.clone())) {
-            poll.pause_ms = 0;
+            poll.backoff_ms = 0;
             poll.not_before = Timestamp(0);
         }
     }
 
-    /// A store could not be asked.
+    /// Handles a failed lease request.
     pub fn lease_failed(&mut self, now: Timestamp, store: &NodeName, service: &ServiceId) {
         self.record_answer(now, store, service, true);
     }
@@ -238,13 +245,13 @@
         empty: bool,
     ) {
         let poll = self.polls.entry((store.clone(), service.clone())).or_default();
-        poll.asked = None;
+        poll.requested = None;
         if empty {
-            let (least, most) = EMPTY_PAUSE_RANGE_MS;
-            poll.pause_ms = (poll.pause_ms * 2).clamp(least, most);
-            poll.not_before = now.plus_millis(poll.pause_ms);
+            let (min, max) = EMPTY_BACKOFF_RANGE_MS;
+            poll.backoff_ms = (poll.backoff_ms * 2).clamp(min, max);
+            poll.not_before = now.plus_millis(poll.backoff_ms);
         } else {
-            poll.pause_ms = 0;
+            poll.backoff_ms = 0;
         }
     }
 
@@ -256,10 +263,10 @@
         item: LeasedItem,
         address: String,
     ) -> BatchEffect {
-        let give_up_at = now.plus_millis(item.deadline_ms);
+        let deadline = now.plus_millis(item.deadline_ms);
         let no_repeat = item.repeat == RepeatPolicy::Forbidden;
         let reference = item.item.clone();
-        let held = Held {
+        let held = HeldItem {
             store: store.clone(),
             item: item.clone(),
             stage: if no_repeat {
@@ -267,7 +274,7 @@
             } else {
                 Stage::Running
             },
-            give_up_at,
+            deadline,
         };
         self.held.insert(ticket, held);
         if no_repeat {
@@ -276,18 +283,18 @@
         BatchEffect::Run { ticket, item, address }
     }
 
-    /// A store answered a request for start marks. Items that were not granted go back as not
-    /// sent: the mark may have been made although its answer was lost.
+    /// Handles a store's response to a request for start marks. Items without a mark are returned as
+    /// not sent, since the mark may be stored although the response was lost.
     pub fn start_answered(
         &mut self,
         now: Timestamp,
         admission: &mut Admission,
-        asked: &[LeasedItemRef],
+        requested: &[LeasedItemRef],
         granted: &[LeasedItemRef],
     ) -> (Vec<BatchEffect>, Vec<AdmissionEffect>) {
         let mut effects = Vec::new();
         let mut admitted = Vec::new();
-        for reference in asked {
+        for reference in requested {
             let Some(ticket) = self.ticket_of(reference) else { continue };
             let Some(held) = self.held.get_mut(&ticket) else { continue };
             let Stage::Starting { address } = held.stage.clone() else { continue };
@@ -296,7 +303,7 @@
                 effects.push(BatchEffect::Run { ticket, item: held.item.clone(), address });
             } else {
                 let detail = "no start mark was granted".to_owned();
-                effects.extend(self.give_back(ticket, ReturnCause::NotSent(detail)));
+                effects.extend(self.return_item(ticket, ReturnCause::NotSent(detail)));
                 admitted.extend(admission.finish(now, ticket, false));
             }
         }
@@ -307,7 +314,7 @@
         self.held.iter().find(|(_, held)| held.item.item == *reference).map(|(t, _)| *t)
     }
 
-    /// An item's execution ended.
+    /// Handles the end of an item's execution.
     pub fn ended(
         &mut self,
         now: Timestamp,
@@ -324,15 +331,15 @@
             ItemEnd::Rejected(detail) => {
                 self.report(now, ticket, ItemOutcome::Failed, detail.into_bytes())
             }
-            ItemEnd::NotSent(detail) => self.give_back(ticket, ReturnCause::NotSent(detail)),
+            ItemEnd::NotSent(detail) => self.return_item(ticket, ReturnCause::NotSent(detail)),
             ItemEnd::Failed(detail) if no_repeat => {
                 self.report(now, ticket, ItemOutcome::OutcomeUnknown, detail.into_bytes())
             }
-            ItemEnd::Failed(detail) => self.give_back(ticket, ReturnCause::Failed(detail)),
+            ItemEnd::Failed(detail) => self.return_item(ticket, ReturnCause::Failed(detail)),
             ItemEnd::Stopped if no_repeat => {
                 self.report(now, ticket, ItemOutcome::Cancelled, Vec::new())
             }
-            ItemEnd::Stopped => self.give_back(ticket, ReturnCause::Yielded),
+            ItemEnd::Stopped => self.return_item(ticket, ReturnCause::Yielded),
         };
         (effect.into_iter().collect(), admitted)
     }
@@ -348,38 +355,38 @@
         let item = held.item.item.clone();
         let result = ItemResult { index: item.index, attempt: item.token.attempt, outcome, body };
         let completed = CompletedItem { item, result };
-        let again_at = now.plus_millis(REPORT_RETRY_MS);
-        held.stage = Stage::Reporting { completed: completed.clone(), again_at };
+        let retry_at = now.plus_millis(REPORT_RETRY_INTERVAL_MS);
+        held.stage = Stage::Reporting { completed: completed.clone(), retry_at };
         Some(BatchEffect::Report { ticket, store: held.store.clone(), completed })
     }
 
-    fn give_back(&mut self, ticket: Ticket, cause: ReturnCause) -> Option<BatchEffect> {
+    fn return_item(&mut self, ticket: Ticket, cause: ReturnCause) -> Option<BatchEffect> {
         let held = self.held.remove(&ticket)?;
         let items = vec![ReturnedItem { item: held.item.item, cause }];
         Some(BatchEffect::Return { store: held.store, items })
     }
 
-    /// A store acknowledged a report.
+    /// Handles a store's acknowledgement of a report.
     pub fn reported(&mut self, ticket: Ticket) {
         self.held.remove(&ticket);
     }
 
-    /// A store answered an extension. Running items that were not granted are stopped: their job
-    /// was cancelled, or they were given to another holder.
+    /// Handles a store's response to a lease extension. Running items whose lease was not extended are
+    /// stopped: their job was cancelled, or they were leased to another owner.
     pub fn extended(
         &mut self,
-        asked: &[LeasedItemRef],
+        requested: &[LeasedItemRef],
         granted: &[LeasedItemRef],
     ) -> Vec<BatchEffect> {
-        let lost = asked.iter().filter(|reference| !granted.contains(reference));
+        let lost = requested.iter().filter(|reference| !granted.contains(reference));
         let tickets = lost.filter_map(|reference| self.ticket_of(reference));
         let running = tickets.filter(|t| matches!(self.held[t].stage, Stage::Running));
         running.map(|ticket| BatchEffect::Stop { ticket }).collect()
     }
 
-    /// Extends leases and repeats reports.
+    /// Extends leases and resends unacknowledged reports.
     pub fn tick(&mut self, now: Timestamp) -> Vec<BatchEffect> {
-        let mut effects = self.repeat_reports(now);
+        let mut effects = self.resend_reports(now);
         if self.extend_at <= now {
             self.extend_at = now.plus_millis(EXTEND_INTERVAL_MS);
             effects.extend(self.extend_leases());
@@ -387,17 +394,17 @@
         effects
     }
 
-    fn repeat_reports(&mut self, now: Timestamp) -> Vec<BatchEffect> {
+    fn resend_reports(&mut self, now: Timestamp) -> Vec<BatchEffect> {
         let mut effects = Vec::new();
-        let given_up =
-            |held: &Held| matches!(held.stage, Stage::Reporting { .. }) && held.give_up_at <= now;
-        self.held.retain(|_, held| !given_up(held));
+        let is_expired =
+            |held: &HeldItem| matches!(held.stage, Stage::Reporting { .. }) && held.deadline <= now;
+        self.held.retain(|_, held| !is_expired(held));
         for (ticket, held) in &mut self.held {
-            let Stage::Reporting { completed, again_at } = &mut held.stage else { continue };
-            if *again_at > now {
+            let Stage::Reporting { completed, retry_at } = &mut held.stage else { continue };
+            if *retry_at > now {
                 continue;
             }
-            *again_at = now.plus_millis(REPORT_RETRY_MS);
+            *retry_at = now.plus_millis(REPORT_RETRY_INTERVAL_MS);
             effects.push(BatchEffect::Report {
                 ticket: *ticket,
                 store: held.store.clone(),
@@ -417,6 +424,6 @@
     }
 }
 
-fn is_waiting(now: Timestamp, poll: &Poll) -> bool {
-    poll.asked.is_some_and(|(at, _)| now.millis_since(at) < LEASE_REQUEST_TIMEOUT_MS)
+fn is_pending(now: Timestamp, poll: &Poll) -> bool {
+    poll.requested.is_some_and(|(at, _)| now.millis_since(at) < LEASE_REQUEST_TIMEOUT_MS)
 }
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at one daemon: versioned objects that only move forward.
+//! The configuration in force at one daemon: objects whose versions only increase.
 
 use std::collections::BTreeMap;
 
@@ -12,26 +12,26 @@
     value: Option<Declaration>,
 }
 
-/// Objects by key, each at the highest version seen.
+/// Objects by key, each at the highest version received.
 ///
-/// Invariant: the version of a key never decreases. Without it a slow peer or a restarted reader
-/// could bring an accepted change back to its state before.
+/// Invariant: the version of a key never decreases. Otherwise a slow peer or a restarted reader could
+/// revert an accepted change.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationStore {
     entries: BTreeMap<ObjectKey, Entry>,
 }
 
-/// What another store needs from this one, and the other way round.
+/// The difference between this store and another one, in both directions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Repair {
-    /// Objects that the other side lacks or holds in an older version.
+    /// Objects that are missing or older at the other side.
     pub objects: Vec<VersionedObject>,
-    /// Objects that this side lacks or holds in an older version.
+    /// Keys of objects that are missing or older at this side.
     pub wanted: Vec<ObjectKey>,
 }
 
 impl ConfigurationStore {
-    /// Takes an object if it is newer than the one held. Returns whether it was.
+    /// Stores an object if it is newer than the one held. Returns whether it was.
     pub fn apply(&mut self, object: VersionedObject) -> bool {
         let held = self.entries.get(&object.key).map_or(0, |entry| entry.version);
         if object.version <= held {
@@ -42,8 +42,8 @@
         true
     }
 
-    /// Takes a whole listing of one kind made at `list_version`: objects of that kind that are
-    /// absent from it were deleted by then. Returns the objects that changed.
+    /// Applies a complete listing of one kind at `list_version`. Objects of that kind that are not
+    /// listed are deleted unless they are newer. Returns the objects that changed.
     pub fn apply_listing(
         &mut self,
         kind: Kind,
@@ -68,7 +68,7 @@
         candidates.into_iter().chain(listed).filter(|object| self.apply(object.clone())).collect()
     }
 
-    /// The object under `key`, deleted ones included.
+    /// The object with this key, including deleted objects.
     pub fn get(&self, key: &ObjectKey) -> Option<VersionedObject> {
         let entry = self.entries.get(key)?;
         Some(VersionedObject {
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Every object, deleted ones included, in order of key.
+    /// All objects in order of key, including deleted objects.
     pub fn objects(&self) -> impl Iterator<Item = VersionedObject> + '_ {
         self.entries.iter().map(|(key, entry)| VersionedObject {
             key: key.clone(),
@@ -95,13 +95,13 @@
             .filter_map(|(key, entry)| entry.value.as_ref().map(|value| (key, value)))
     }
 
-    /// The highest version held of the declared kinds; zero when empty.
+    /// The highest version among all kinds but machines; zero if there is none.
     pub fn highest_version(&self) -> u64 {
         let declared = self.entries.iter().filter(|(key, _)| key.kind != Kind::Machine);
         declared.map(|(_, entry)| entry.version).max().unwrap_or(0)
     }
 
-    /// Digest over all keys and versions. Equal stores have equal digests.
+    /// Order-independent digest over all keys and versions. Equal stores have equal digests.
     pub fn digest(&self) -> u64 {
         let hash = |(key, entry): (&ObjectKey, &Entry)| {
             xxh3_64(format!("{key}@{}", entry.version).as_bytes())
@@ -118,7 +118,7 @@
         self.entries.iter().map(version).collect()
     }
 
-    /// Compares with the versions that another store holds.
+    /// Computes the difference to a store that holds these versions.
     pub fn compare(&self, theirs: &[ObjectVersion]) -> Repair {
         let held: BTreeMap<&ObjectKey, u64> = theirs.iter().map(|v| (&v.key, v.version)).collect();
         let newer_here = |object: &VersionedObject| {
--- a/crates/core/src/coordinator/attempts.rs
+++ b/crates/core/src/coordinator/attempts.rs
@@ -1,25 +1,25 @@
-//! Attempts of a call: sent to an owner, ended, and sent again where that is safe.
+//! Execution attempts of a call, and retries where they are safe.
 
 use rand::Rng;
 use yokefall_peer::OwnerLoad;
 use yokefall_types::{Outcome, Refusal, RefusalReason, RepeatPolicy, RequestId, ServiceId};
 
-use super::record::{either_ran, Stage};
+use super::record::{either_executed, Stage};
 use super::{Coordinator, CoordinatorEffect, RETRY_BUDGET_RESERVE};
 use crate::fleet::FleetView;
 use crate::time::Timestamp;
 
-/// Most owners that are asked to run one call.
+/// Maximum number of execution attempts of one call.
 const MAX_ATTEMPTS: u32 = 4;
-/// Bounds of the first pause before a repeated execution, in milliseconds.
+/// Range of the random base of the exponential retry backoff, in milliseconds.
 const BACKOFF_RANGE_MS: (u64, u64) = (10, 50);
 
 impl Coordinator {
-    /// Sends a call to the owner chosen for it. A no-repeat call that may have been sent before is
-    /// not run where no record of the earlier call was found: the record may have been lost.
+    /// Sends a call to its chosen owner. A resent no-repeat call is rejected if no record of the
+    /// earlier call exists, since that record may have been lost after the call ran.
     ///
-    /// Invariant: a no-repeat call passes here at most once after `sent` is set; otherwise it
-    /// could run twice.
+    /// Invariant: a no-repeat call is not sent again while `sent` is set; otherwise it could run
+    /// twice.
     pub(super) fn execute(
         &mut self,
         now: Timestamp,
@@ -42,14 +42,14 @@
         vec![CoordinatorEffect::Execute { request: request.clone(), attempt, owner }]
     }
 
-    /// The owner reports that a back end runs the call.
+    /// Handles the owner's report that a back end runs the call.
     pub fn started(&mut self, request: &RequestId, attempt: u32) {
         if let Some(record) = self.records.get_mut(request).filter(|r| r.attempt == attempt) {
             record.started = true;
         }
     }
 
-    /// An execution ended, as its owner tells.
+    /// Handles the owner's report that an execution ended.
     pub fn execution_ended(
         &mut self,
         now: Timestamp,
@@ -59,7 +59,7 @@
         outcome: Outcome,
         load: Option<OwnerLoad>,
     ) -> Vec<CoordinatorEffect> {
-        if !self.settle(now, request, attempt, load) {
+        if !self.finish_attempt(now, request, attempt, load) {
             return Vec::new();
         }
         match outcome {
@@ -68,20 +68,21 @@
         }
     }
 
-    /// The owner was lost. `reached` tells whether the order can have reached it.
+    /// Handles the loss of the owner. `may_have_arrived` tells whether the owner may have received the
+    /// call.
     pub fn execution_lost(
         &mut self,
         now: Timestamp,
         view: &FleetView,
         request: &RequestId,
         attempt: u32,
-        reached: bool,
+        may_have_arrived: bool,
         detail: String,
     ) -> Vec<CoordinatorEffect> {
-        if !self.settle(now, request, attempt, None) {
+        if !self.finish_attempt(now, request, attempt, None) {
             return Vec::new();
         }
-        let refusal = if reached {
+        let refusal = if may_have_arrived {
             Refusal::unknown(RefusalReason::Unreachable, detail)
         } else {
             Refusal::not_run(RefusalReason::Unreachable, detail)
@@ -89,8 +90,8 @@
         self.refused(now, view, request, refusal)
     }
 
-    /// Notes the end of an attempt. Returns `false` for an attempt that no longer counts.
-    fn settle(
+    /// Records the end of an attempt. Returns `false` for an attempt that is no longer current.
+    fn finish_attempt(
         &mut self,
         now: Timestamp,
         request: &RequestId,
@@ -111,7 +112,8 @@
         }
     }
 
-    /// An attempt was refused: run again where that is safe and within the budget, else end.
+    /// Handles a refused attempt: retries if that is safe and within the retry budget, otherwise ends
+    /// the request.
     fn refused(
         &mut self,
         now: Timestamp,
@@ -122,29 +124,34 @@
         let Some(record) = self.records.get_mut(request) else { return Vec::new() };
         let not_run = refusal.executed == Some(false);
         let ran = if record.started && !not_run { Some(true) } else { refusal.executed };
-        record.earlier_ran = either_ran(record.earlier_ran, ran);
+        record.earlier_executed = either_executed(record.earlier_executed, ran);
         record.sent = false;
         record.started = false;
-        // Proof that this attempt did not run says nothing of those before it.
-        let refusal = Refusal { executed: record.earlier_ran, ..refusal };
-        let safe = not_run || record.header.repeat == RepeatPolicy::Allowed;
-        let sensible = !matches!(
+        // This attempt did not run, but an earlier one may have.
+        let refusal = Refusal { executed: record.earlier_executed, ..refusal };
+        let may_repeat = not_run || record.header.repeat == RepeatPolicy::Allowed;
+        let retryable = !matches!(
             refusal.reason,
             RefusalReason::DeadlineExceeded
                 | RefusalReason::Cancelled
                 | RefusalReason::Conflict
                 | RefusalReason::InvalidArgument
         );
-        let in_time = record.deadline > now;
-        let in_count = record.attempt < MAX_ATTEMPTS;
+        let before_deadline = record.deadline > now;
+        let attempts_left = record.attempt < MAX_ATTEMPTS;
         let service = record.header.service_id();
-        if safe && sensible && in_time && in_count && self.spend_retry(&service) {
+        if may_repeat
+            && retryable
+            && before_deadline
+            && attempts_left
+            && self.take_retry_token(&service)
+        {
             return self.retry(now, view, request, refusal, not_run);
         }
         self.end(now, view, request, Outcome::Refused(refusal))
     }
 
-    fn spend_retry(&mut self, service: &ServiceId) -> bool {
+    fn take_retry_token(&mut self, service: &ServiceId) -> bool {
         let budget = self.budgets.entry(service.clone()).or_insert(RETRY_BUDGET_RESERVE);
         if *budget < 1.0 {
             return false;
@@ -163,16 +170,16 @@
     ) -> Vec<CoordinatorEffect> {
         let Some(record) = self.records.get_mut(request) else { return Vec::new() };
         if not_run {
-            return self.execute_elsewhere(now, view, request, refusal);
+            return self.execute_on_other_owner(now, view, request, refusal);
         }
         let (low, high) = BACKOFF_RANGE_MS;
-        let pause = self.generator.random_range(low..=high) << record.attempt.min(4);
+        let pause = self.rng.random_range(low..=high) << record.attempt.min(4);
         record.stage = Stage::Backoff { until: now.plus_millis(pause) };
         Vec::new()
     }
 
-    /// Sends the call to an owner not yet tried; without one the refusal is final.
-    fn execute_elsewhere(
+    /// Sends the call to an owner not yet tried. If there is none, the refusal is final.
+    fn execute_on_other_owner(
         &mut self,
         now: Timestamp,
         view: &FleetView,
@@ -188,7 +195,7 @@
         self.copy_record(now, view, request)
     }
 
-    /// Runs a repeatable call again, on another owner where there is one.
+    /// Retries a repeatable call, preferably at an owner not yet tried.
     pub(super) fn repeat(
         &mut self,
         now: Timestamp,
@@ -197,8 +204,8 @@
     ) -> Vec<CoordinatorEffect> {
         let Some(record) = self.records.get_mut(request) else { return Vec::new() };
         let service = record.header.service_id();
-        let elsewhere = self.router.choose(now, view, &service, &record.tried);
-        let owner = elsewhere.or_else(|| self.router.choose(now, view, &service, &[]));
+        let untried = self.router.choose(now, view, &service, &record.tried);
+        let owner = untried.or_else(|| self.router.choose(now, view, &service, &[]));
         let Some(owner) = owner else {
             let refusal = record.refusal(RefusalReason::NoBackend, "no live back end is left");
             return self.end(now, view, request, Outcome::Refused(refusal));
--- a/crates/core/src/coordinator/copies.rs
+++ b/crates/core/src/coordinator/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of records at other daemons, and their moves when the fleet changes.
+//! Replication of records to other daemons, and handover when the fleet changes.
 
 use yokefall_peer::{HomeId, RecordCopy, RecordState};
 use yokefall_types::{NodeName, Outcome, RefusalReason, RepeatPolicy, RequestId};
@@ -8,17 +8,17 @@
 use crate::fleet::{record_holders, FleetView};
 use crate::time::Timestamp;
 
-/// Daemons that hold copies of a record besides its home: with two, any two of the three may die
-/// at once.
+/// Copies of a record besides the one at its home daemon. With two copies, a record survives the
+/// simultaneous loss of any two of its three daemons.
 const COPIES: usize = 2;
-/// Interval at which failed handovers are tried again, in milliseconds.
+/// Interval after which failed handovers are retried, in milliseconds.
 const HANDOVER_INTERVAL_MS: u64 = 500;
-/// Records whose holders are compared with a changed fleet at one tick, so that a change does not
-/// hold up calls.
-const PLACED_PER_TICK: usize = 200;
+/// Maximum number of records whose holders are recomputed per tick after a fleet change. Bounds the
+/// time for which a change delays calls.
+const MAX_PLACEMENTS_PER_TICK: usize = 200;
 
 impl Coordinator {
-    /// Sends the copies of a record, and the call itself where it need not wait for them.
+    /// Sends the copies of a record, and the call itself unless it must wait for them.
     pub(super) fn copy_record(
         &mut self,
         now: Timestamp,
@@ -29,7 +29,7 @@
         let Stage::Copying { owner } = record.stage.clone() else { return Vec::new() };
         let mut effects = Vec::new();
         for holder in other_holders(view, request, &record.failed_holders) {
-            if record.asked.contains(&holder) {
+            if record.copied_to.contains(&holder) {
                 continue;
             }
             let copy = running_copy(&self.home, record, owner.clone());
@@ -38,15 +38,15 @@
                 copy,
                 handover: false,
             });
-            record.asked.push(holder);
+            record.copied_to.push(holder);
         }
         effects.extend(self.execute_if_held(now, view, request));
         effects
     }
 
-    /// Sends the call to its owner once enough copies are held. A repeatable call does not wait. A
-    /// fleet of one runs the call all the same; a no-repeat call whose other holders are all out
-    /// of reach is refused, since it could run again elsewhere.
+    /// Sends the call to its owner once all copies are confirmed. A repeatable call does not wait,
+    /// and a single-member fleet needs no copies. A no-repeat call is refused if none of the other
+    /// holders can be reached, since it could run again at another home daemon.
     fn execute_if_held(
         &mut self,
         now: Timestamp,
@@ -58,11 +58,12 @@
             return self.execute(now, view, request);
         }
         let holders = other_holders(view, request, &record.failed_holders);
-        let held = holders.iter().filter(|holder| record.held_by.contains(&holder.node)).count();
-        // Members that are leaving hold nothing new, so that the last to stay is alone.
-        let alone = holders.is_empty() && record.failed_holders.is_empty();
-        let enough = !holders.is_empty() && held == holders.len();
-        if alone || enough {
+        let held =
+            holders.iter().filter(|holder| record.confirmed_holders.contains(&holder.node)).count();
+        // Leaving members are not holders, so the last accepting member has no others.
+        let no_other_members = holders.is_empty() && record.failed_holders.is_empty();
+        let all_confirmed = !holders.is_empty() && held == holders.len();
+        if no_other_members || all_confirmed {
             return self.execute(now, view, request);
         }
         if !holders.is_empty() {
@@ -73,21 +74,22 @@
         self.end(now, view, request, Outcome::Refused(refusal))
     }
 
-    /// A daemon holds the copy now; it tells what it held before.
+    /// Handles a daemon's confirmation that it holds the copy. `previous` is the copy of another home
+    /// that it held before.
     pub fn copy_held(
         &mut self,
         now: Timestamp,
         view: &FleetView,
         request: &RequestId,
         holder: &NodeName,
-        held_before: Option<RecordCopy>,
+        previous: Option<RecordCopy>,
     ) -> Vec<CoordinatorEffect> {
         let Some(record) = self.records.get_mut(request) else { return Vec::new() };
-        record.held_by.push(holder.clone());
+        record.confirmed_holders.push(holder.clone());
         if !matches!(record.stage, Stage::Copying { .. }) {
             return Vec::new();
         }
-        let Some(copy) = held_before else {
+        let Some(copy) = previous else {
             return self.execute_if_held(now, view, request);
         };
         if copy.digest != record.digest {
@@ -102,7 +104,7 @@
         vec![CoordinatorEffect::Adopt { request: request.clone(), attempt, state: copy.state }]
     }
 
-    /// A daemon could not hold the copy: another is asked.
+    /// Handles a failure to store a copy: the copy is sent to another daemon.
     pub fn copy_failed(
         &mut self,
         now: Timestamp,
@@ -118,7 +120,7 @@
         self.copy_record(now, view, request)
     }
 
-    /// A handover was acknowledged, or failed and is tried again.
+    /// Handles the result of a handover. A failed handover is retried.
     pub fn handed_over(
         &mut self,
         now: Timestamp,
@@ -131,7 +133,7 @@
             return;
         }
         if let Some(record) = self.records.get_mut(request) {
-            record.asked.retain(|asked| asked.node != *holder);
+            record.copied_to.retain(|target| target.node != *holder);
         }
         if let Some(held) = self.copies.get_mut(request) {
             held.holders.retain(|known| known.node != *holder);
@@ -139,26 +141,26 @@
         self.handover_at = Some(now.plus_millis(HANDOVER_INTERVAL_MS));
     }
 
-    /// The fleet changed: records go to the daemons that hold them from now on, some at every tick.
-    /// Without it, one restart after another would leave no copy, though no two daemons were ever
-    /// down at once.
+    /// Schedules the handover of records to their new holders after a fleet change, a batch per tick.
+    /// Without handover, successive restarts would lose every copy although no two daemons were ever
+    /// down at the same time.
     pub fn view_changed(&mut self, view: &FleetView) {
-        if self.placed_for != view.members_digest {
-            self.placed_for = view.members_digest;
-            self.place_all();
+        if self.placed_members_digest != view.members_digest {
+            self.placed_members_digest = view.members_digest;
+            self.schedule_placement();
         }
     }
 
-    pub(super) fn place_all(&mut self) {
+    pub(super) fn schedule_placement(&mut self) {
         let requests = self.records.keys().chain(self.copies.keys());
-        self.to_place = requests.cloned().collect();
+        self.pending_placement = requests.cloned().collect();
     }
 
-    /// Hands over the next records whose holders may have changed.
-    pub(super) fn place_some(&mut self, view: &FleetView) -> Vec<CoordinatorEffect> {
+    /// Hands over the next batch of records whose holders may have changed.
+    pub(super) fn place_next(&mut self, view: &FleetView) -> Vec<CoordinatorEffect> {
         let mut effects = Vec::new();
-        for _ in 0..PLACED_PER_TICK {
-            let Some(request) = self.to_place.pop_first() else { break };
+        for _ in 0..MAX_PLACEMENTS_PER_TICK {
+            let Some(request) = self.pending_placement.pop_first() else { break };
             effects.extend(self.place_record(view, &request));
             effects.extend(self.place_copy(view, &request));
         }
@@ -168,12 +170,12 @@
 
     fn place_record(&mut self, view: &FleetView, request: &RequestId) -> Vec<CoordinatorEffect> {
         let Some(record) = self.records.get_mut(request) else { return Vec::new() };
-        // The other stages send copies of their own, or follow another home's execution.
+        // In the other stages, copies are still being sent, or another home's execution is followed.
         if !matches!(record.stage, Stage::Ended | Stage::Executing { .. }) {
             return Vec::new();
         }
         let holders = other_holders(view, request, &[]);
-        let fresh = holders.iter().filter(|holder| !record.asked.contains(holder));
+        let new_holders = holders.iter().filter(|holder| !record.copied_to.contains(holder));
         let hand_over = |holder: &Holder| {
             let to = holder.node.clone();
             match &record.stage {
@@ -184,32 +186,32 @@
                 _ => CoordinatorEffect::CopyEnded { request: request.clone(), to },
             }
         };
-        let effects = fresh.map(hand_over).collect();
-        record.asked = holders;
+        let effects = new_holders.map(hand_over).collect();
+        record.copied_to = holders;
         effects
     }
 
     fn place_copy(&mut self, view: &FleetView, request: &RequestId) -> Vec<CoordinatorEffect> {
         let Some(held) = self.copies.get_mut(request) else { return Vec::new() };
         let holders = holders_of_copy(view, request);
-        let fresh = holders.iter().filter(|holder| !held.holders.contains(holder));
+        let new_holders = holders.iter().filter(|holder| !held.holders.contains(holder));
         let hand_over = |holder: &Holder| CoordinatorEffect::Copy {
             to: holder.node.clone(),
             copy: held.copy.clone(),
             handover: true,
         };
-        let effects = fresh.map(hand_over).collect();
+        let effects = new_holders.map(hand_over).collect();
         held.holders = holders;
         effects
     }
 
-    /// Handovers that are not yet acknowledged.
+    /// Number of handovers that are pending or not yet acknowledged.
     pub fn open_handovers(&self) -> usize {
-        self.handovers + self.to_place.len() + usize::from(self.handover_at.is_some())
+        self.handovers + self.pending_placement.len() + usize::from(self.handover_at.is_some())
     }
 
-    /// Holds a copy for another home daemon. Returns what this daemon, as holder or as home, held
-    /// before from any other home: that home may have run the call.
+    /// Stores a copy for another home daemon. Returns the record that this daemon already had from a
+    /// different home, as holder or as home itself: that home may have run the call.
     pub fn hold(
         &mut self,
         now: Timestamp,
@@ -227,20 +229,20 @@
         if before.as_ref().is_some_and(|held| ended(held) && !ended(&copy)) {
             return before;
         }
-        // What another home may have run stays known until an end takes its place: were it
-        // replaced and this reply lost, the next reply would hide that the call may have run.
+        // A copy of another home is kept until an ended record replaces it: if it were replaced and
+        // this reply were lost, the next reply would hide that the call may have run.
         let foreign = before.filter(|held| held.home != copy.home);
         if foreign.is_some() && !ended(&copy) {
             return foreign;
         }
         let holders = holders_of_copy(view, &request);
         self.copies.insert(request.clone(), HeldCopy { copy, holders });
-        let longest = yokefall_types::limits::MAX_CALL_DEADLINE_MS + self.retention_ms;
-        self.expire_at(now.plus_millis(longest), request, false);
+        let max_retention_ms = yokefall_types::limits::MAX_CALL_DEADLINE_MS + self.retention_ms;
+        self.expire_at(now.plus_millis(max_retention_ms), request, false);
         foreign
     }
 
-    /// The copy held of a request.
+    /// The copy held for a request.
     pub fn copy_of(&self, request: &RequestId) -> Option<&RecordCopy> {
         self.copies.get(request).map(|held| &held.copy)
     }
@@ -254,21 +256,21 @@
 ) -> Vec<Holder> {
     let holders = record_holders(request, &view.members).into_iter();
     let others = holders.filter(|node| *node != view.node && !failed.contains(node));
-    holder_lives(view, others.take(COPIES))
+    with_incarnations(view, others.take(COPIES))
 }
 
 /// The daemons besides this one that should hold a record of another home.
 fn holders_of_copy(view: &FleetView, request: &RequestId) -> Vec<Holder> {
     let holders = record_holders(request, &view.members).into_iter().take(COPIES + 1);
-    holder_lives(view, holders.filter(|node| *node != view.node))
+    with_incarnations(view, holders.filter(|node| *node != view.node))
 }
 
-fn holder_lives(view: &FleetView, nodes: impl Iterator<Item = NodeName>) -> Vec<Holder> {
-    let life = |node: NodeName| {
+fn with_incarnations(view: &FleetView, nodes: impl Iterator<Item = NodeName>) -> Vec<Holder> {
+    let with_incarnation = |node: NodeName| {
         let incarnation = view.member(&node)?.incarnation;
         Some(Holder { node, incarnation })
     };
-    nodes.filter_map(life).collect()
+    nodes.filter_map(with_incarnation).collect()
 }
 
 fn running_copy(home: &HomeId, record: &Record, owner: NodeName) -> RecordCopy {
--- a/crates/core/src/coordinator/limits.rs
+++ b/crates/core/src/coordinator/limits.rs
@@ -1,11 +1,11 @@
-//! Checks of a call before a record is made.
+//! Validation of a call before its record is created.
 
 use yokefall_types::{CallHeader, Refusal, RefusalReason};
 
 use super::Submission;
 use crate::fleet::FleetView;
 
-pub(super) fn join(held: u64, given: u64) -> Submission {
+pub(super) fn compare_digests(held: u64, given: u64) -> Submission {
     if held == given {
         return Submission::Joined;
     }
@@ -24,13 +24,13 @@
         let detail = format!("service: {service} is not declared");
         return Some(Refusal::not_run(RefusalReason::UnknownService, detail));
     };
-    let most_bytes = declared.spec.max_prompt_bytes as usize;
-    if body_bytes > most_bytes {
-        return invalid(format!("prompt: {body_bytes} bytes, {service} takes {most_bytes}"));
+    let max_bytes = declared.spec.max_prompt_bytes as usize;
+    if body_bytes > max_bytes {
+        return invalid(format!("prompt: {body_bytes} bytes, {service} takes {max_bytes}"));
     }
     if header.max_tokens > declared.spec.max_tokens {
-        let most = declared.spec.max_tokens;
-        return invalid(format!("max_tokens: {}, {service} gives {most}", header.max_tokens));
+        let max_tokens = declared.spec.max_tokens;
+        return invalid(format!("max_tokens: {}, {service} gives {max_tokens}", header.max_tokens));
     }
     None
 }
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -1,7 +1,8 @@
-//! The home daemon of online requests: one record a request, one answer a record.
+//! The home daemon of online requests: keeps one record per request and one answer per record.
 //!
-//! A record is copied to two more daemons before a no-repeat call leaves for its owner, and again
-//! to others when the fleet changes; a second call with the same id joins the first.
+//! The record of a no-repeat call is copied to two other daemons before the call is sent to its
+//! owner, and handed over to new holders when the fleet changes. A second call with the same id joins
+//! the first.
 
 mod attempts;
 mod copies;
@@ -16,66 +17,68 @@
 use yokefall_types::{CallHeader, NodeName, Outcome, Refusal, RefusalReason, RequestId, ServiceId};
 
 use self::copies::other_holders;
-use self::limits::{check_limits, join};
+use self::limits::{check_limits, compare_digests};
 use self::record::{new_record, HeldCopy, Record, Stage};
 use crate::fleet::FleetView;
 use crate::router::Router;
 use crate::time::Timestamp;
 
-/// Retries earned by each accepted call.
+/// Retry tokens added per accepted call.
 const RETRY_BUDGET_RATIO: f64 = 0.2;
-/// Retries that a service may make before it has earned any, and the most it can save up.
+/// Initial retry tokens of a service.
 const RETRY_BUDGET_RESERVE: f64 = 10.0;
-const RETRY_BUDGET_MOST: f64 = 200.0;
+/// Upper bound of the retry tokens of a service.
+const MAX_RETRY_BUDGET: f64 = 200.0;
 
-/// What became of a submitted call.
+/// Result of submitting a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Submission {
-    /// A new record was made.
+    /// A new record was created.
     Accepted,
     /// A record with the same content exists; its answer is this call's answer.
     Joined,
-    /// The call was refused, and no record of it was made.
+    /// The call was refused without creating a record.
     Refused(Refusal),
 }
 
-/// What the coordinator orders.
+/// An action for the caller of [`Coordinator`] to carry out.
 #[derive(Clone, Debug)]
 pub enum CoordinatorEffect {
-    /// Copy the record to another daemon; report with `copy_held` or `copy_failed`.
+    /// Copy the record to another daemon; answered by `copy_held` or `copy_failed`, or by
+    /// `handed_over` for a handover.
     Copy {
         /// The holder of the copy.
         to: NodeName,
         /// The copy.
         copy: RecordCopy,
-        /// Whether it goes to a daemon that became a holder when the fleet changed.
+        /// Whether the daemon became a holder through a fleet change.
         handover: bool,
     },
-    /// Copy an ended record, with its answer, to a daemon that became a holder when the fleet
-    /// changed; report like `Copy`.
+    /// Copy an ended record with its answer to a daemon that became a holder through a fleet change;
+    /// answered by `handed_over`.
     CopyEnded {
         /// The request.
         request: RequestId,
         /// The new holder.
         to: NodeName,
     },
-    /// Send the call to an owner; report with `started`, then `execution_ended` or
+    /// Send the call to an owner; answered by `started`, then `execution_ended` or
     /// `execution_lost`.
     Execute {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
-        /// The owner that is to run it.
+        /// The owner that runs it.
         owner: NodeName,
     },
-    /// Follow an execution ordered by another home daemon; report like `Execute`.
+    /// Follow an execution started by another home daemon; answered like `Execute`.
     Adopt {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
-        /// Where it stood when the copy was made.
+        /// State of the request when the copy was made.
         state: RecordState,
     },
     /// Stop an execution.
@@ -85,7 +88,7 @@
         /// The owner that runs it.
         owner: NodeName,
     },
-    /// The record ended: tell those who wait, and the holders of copies.
+    /// The request ended: notify the waiting callers and the holders of copies.
     End {
         /// The request.
         request: RequestId,
@@ -94,14 +97,14 @@
         /// Holders of copies.
         holders: Vec<NodeName>,
     },
-    /// The record's retention is over.
-    Forget {
+    /// The record's retention period is over: discard it.
+    Expire {
         /// The request.
         request: RequestId,
     },
 }
 
-/// Records of which this daemon is home, and copies that it holds for others.
+/// Records of the requests whose home this daemon is, and copies held for other home daemons.
 #[derive(Debug)]
 pub struct Coordinator {
     home: HomeId,
@@ -109,23 +112,24 @@
     /// Requests that have not ended.
     open: BTreeSet<RequestId>,
     copies: HashMap<RequestId, HeldCopy>,
-    /// Handovers that are not yet acknowledged.
+    /// Handovers sent but not yet acknowledged.
     handovers: usize,
     handover_at: Option<Timestamp>,
-    /// Requests whose holders are still to be compared with the fleet.
-    to_place: BTreeSet<RequestId>,
-    /// Digest of the member list for which they are.
-    placed_for: u64,
+    /// Requests whose holders have to be recomputed after a fleet change.
+    pending_placement: BTreeSet<RequestId>,
+    /// Digest of the member list for which holders were last recomputed.
+    placed_members_digest: u64,
     expiry: BTreeMap<(Timestamp, u64), (RequestId, bool)>,
     next_expiry: u64,
     budgets: HashMap<ServiceId, f64>,
     router: Router,
-    generator: SmallRng,
+    rng: SmallRng,
     retention_ms: u64,
 }
 
 impl Coordinator {
-    /// The coordinator of one start of a daemon, which keeps ended records for `retention_ms`.
+    /// Creates the coordinator of one incarnation of a daemon. Ended records are kept for
+    /// `retention_ms`.
     pub fn new(home: HomeId, seed: u64, retention_ms: u64) -> Self {
         Self {
             home,
@@ -134,18 +138,18 @@
             copies: HashMap::new(),
             handovers: 0,
             handover_at: None,
-            to_place: BTreeSet::new(),
-            placed_for: 0,
+            pending_placement: BTreeSet::new(),
+            placed_members_digest: 0,
             expiry: BTreeMap::new(),
             next_expiry: 0,
             budgets: HashMap::new(),
             router: Router::new(seed),
-            generator: SmallRng::seed_from_u64(seed.wrapping_add(1)),
+            rng: SmallRng::seed_from_u64(seed.wrapping_add(1)),
             retention_ms,
         }
     }
 
-    /// A call arrives from an agent.
+    /// Accepts, joins or refuses a call from an agent.
     pub fn submit(
         &mut self,
         now: Timestamp,
@@ -155,7 +159,7 @@
         body_bytes: usize,
     ) -> (Submission, Vec<CoordinatorEffect>) {
         if let Some(record) = self.records.get(&header.request) {
-            return (join(record.digest, digest), Vec::new());
+            return (compare_digests(record.digest, digest), Vec::new());
         }
         if let Some(held) = self.copies.get(&header.request).cloned() {
             return self.adopt_own_copy(now, header, digest, held.copy);
@@ -170,7 +174,7 @@
             return (Submission::Refused(refusal), Vec::new());
         };
         let budget = self.budgets.entry(service).or_insert(RETRY_BUDGET_RESERVE);
-        *budget = (*budget + RETRY_BUDGET_RATIO).min(RETRY_BUDGET_MOST);
+        *budget = (*budget + RETRY_BUDGET_RATIO).min(MAX_RETRY_BUDGET);
         let request = header.request.clone();
         let record = new_record(now, header, digest, Stage::Copying { owner });
         self.insert(record);
@@ -183,8 +187,8 @@
         self.records.insert(record.header.request.clone(), record);
     }
 
-    /// This daemon held the copy, and becomes home: it follows the execution that the former home
-    /// ordered, so that nothing is run twice.
+    /// Takes over as home of a request of which this daemon holds a copy. It follows the execution that
+    /// the previous home started, so that the call does not run twice.
     fn adopt_own_copy(
         &mut self,
         now: Timestamp,
@@ -193,7 +197,7 @@
         copy: RecordCopy,
     ) -> (Submission, Vec<CoordinatorEffect>) {
         if copy.digest != digest {
-            return (join(copy.digest, digest), Vec::new());
+            return (compare_digests(copy.digest, digest), Vec::new());
         }
         let request = header.request.clone();
         let mut record = new_record(now, header, digest, Stage::Adopting);
@@ -204,7 +208,7 @@
         (Submission::Joined, vec![effect])
     }
 
-    /// Cancels a request. Returns whether it had not ended.
+    /// Cancels a request. Returns `false` if it is unknown or has already ended.
     pub fn cancel(
         &mut self,
         now: Timestamp,
@@ -219,7 +223,7 @@
         (true, self.stop(now, view, request, refusal))
     }
 
-    /// Ends a request without an answer, and stops its execution.
+    /// Ends a request with a refusal and stops its execution.
     fn stop(
         &mut self,
         now: Timestamp,
@@ -249,7 +253,7 @@
         record.stage = Stage::Ended;
         self.open.remove(request);
         let holders = other_holders(view, request, &[]);
-        record.asked.clone_from(&holders);
+        record.copied_to.clone_from(&holders);
         let holders = holders.into_iter().map(|holder| holder.node).collect();
         self.expire_at(now.plus_millis(self.retention_ms), request.clone(), true);
         vec![CoordinatorEffect::End { request: request.clone(), outcome, holders }]
@@ -260,7 +264,7 @@
         self.expiry.insert((at, self.next_expiry), (request, record));
     }
 
-    /// This start of this daemon.
+    /// Name and incarnation of this daemon.
     pub fn home(&self) -> &HomeId {
         &self.home
     }
@@ -270,17 +274,18 @@
         self.records.contains_key(request)
     }
 
-    /// Requests that have not ended.
+    /// Number of requests that have not ended.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// Records and copies held.
-    pub fn held(&self) -> (usize, usize) {
+    /// Number of records and of copies held.
+    pub fn record_counts(&self) -> (usize, usize) {
         (self.records.len(), self.copies.len())
     }
 
-    /// Repeats what has paused, ends what is late, forgets what is old.
+    /// Retries calls whose backoff is over, ends requests past their deadline, hands over records, and
+    /// discards expired records.
     pub fn tick(&mut self, now: Timestamp, view: &FleetView) -> Vec<CoordinatorEffect> {
         let mut effects = Vec::new();
         let requests: Vec<RequestId> = self.open.iter().cloned().collect();
@@ -295,14 +300,14 @@
         }
         if self.handover_at.is_some_and(|at| at <= now) {
             self.handover_at = None;
-            self.place_all();
+            self.schedule_placement();
         }
-        effects.extend(self.place_some(view));
-        effects.extend(self.forget(now));
+        effects.extend(self.place_next(view));
+        effects.extend(self.remove_expired(now));
         effects
     }
 
-    fn forget(&mut self, now: Timestamp) -> Vec<CoordinatorEffect> {
+    fn remove_expired(&mut self, now: Timestamp) -> Vec<CoordinatorEffect> {
         let mut effects = Vec::new();
         while let Some(entry) = self.expiry.first_entry() {
             if entry.key().0 > now {
@@ -311,7 +316,7 @@
             let (request, is_record) = entry.remove();
             if is_record {
                 self.records.remove(&request);
-                effects.push(CoordinatorEffect::Forget { request });
+                effects.push(CoordinatorEffect::Expire { request });
             } else {
                 self.copies.remove(&request);
             }
--- a/crates/core/src/coordinator/record.rs
+++ b/crates/core/src/coordinator/record.rs
@@ -1,4 +1,4 @@
-//! What a home daemon knows of one request, and what a holder keeps for another home.
+//! The state of one request at its home daemon, and copies held for other home daemons.
 
 use yokefall_peer::RecordCopy;
 use yokefall_types::{CallHeader, NodeName, Refusal, RefusalReason};
@@ -14,14 +14,14 @@
     Ended,
 }
 
-/// One life of a daemon that holds copies.
+/// One incarnation of a daemon that holds copies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Holder {
     pub(super) node: NodeName,
     pub(super) incarnation: u64,
 }
 
-/// A copy held for another home daemon, and the holders that it is known or meant to have.
+/// A copy held for another home daemon, and the holders that have it or are being sent it.
 #[derive(Clone, Debug)]
 pub(super) struct HeldCopy {
     pub(super) copy: RecordCopy,
@@ -36,35 +36,35 @@
     pub(super) stage: Stage,
     pub(super) attempt: u32,
     pub(super) tried: Vec<NodeName>,
-    /// Daemons that were sent the copy of this attempt.
-    pub(super) asked: Vec<Holder>,
-    /// Daemons that hold it.
-    pub(super) held_by: Vec<NodeName>,
+    /// Daemons to which the copy of this attempt was sent.
+    pub(super) copied_to: Vec<Holder>,
+    /// Daemons that confirmed it.
+    pub(super) confirmed_holders: Vec<NodeName>,
     pub(super) failed_holders: Vec<NodeName>,
-    /// Whether the owner of this attempt may have sent the call to a back end.
+    /// Whether this attempt was sent, so that its owner may have sent the call to a back end.
     pub(super) sent: bool,
     /// Whether the owner of this attempt reported that a back end runs it.
     pub(super) started: bool,
-    /// What is known of the attempts before this one: whether any ran.
-    pub(super) earlier_ran: Option<bool>,
+    /// Whether any earlier attempt ran; `None` if unknown.
+    pub(super) earlier_executed: Option<bool>,
 }
 
 impl Record {
-    /// Whether the call ran, over all attempts.
+    /// Whether the call ran in any attempt; `None` if unknown.
     fn executed(&self) -> Option<bool> {
         let this_attempt = match (self.started, self.sent) {
             (true, _) => Some(true),
             (false, true) => None,
             (false, false) => Some(false),
         };
-        either_ran(self.earlier_ran, this_attempt)
+        either_executed(self.earlier_executed, this_attempt)
     }
 
-    /// Another attempt, of which no daemon has a copy yet.
+    /// Starts a new attempt, which has no copies yet.
     pub(super) fn begin_attempt(&mut self, owner: NodeName) {
         self.stage = Stage::Copying { owner };
-        self.asked.clear();
-        self.held_by.clear();
+        self.copied_to.clear();
+        self.confirmed_holders.clear();
         self.failed_holders.clear();
     }
 
@@ -87,17 +87,18 @@
         stage,
         attempt: 0,
         tried: Vec::new(),
-        asked: Vec::new(),
-        held_by: Vec::new(),
+        copied_to: Vec::new(),
+        confirmed_holders: Vec::new(),
         failed_holders: Vec::new(),
         sent: false,
         started: false,
-        earlier_ran: Some(false),
+        earlier_executed: Some(false),
     }
 }
 
-/// Whether either of two attempts ran: known only when one is known to have, or both not to have.
-pub(super) fn either_ran(left: Option<bool>, right: Option<bool>) -> Option<bool> {
+/// Whether either of two attempts ran: true if one is known to have run, false if both are known not
+/// to have run, otherwise unknown.
+pub(super) fn either_executed(left: Option<bool>, right: Option<bool>) -> Option<bool> {
     match (left, right) {
         (Some(true), _) | (_, Some(true)) => Some(true),
         (Some(false), Some(false)) => Some(false),
--- a/crates/core/src/execution.rs
+++ b/crates/core/src/execution.rs
@@ -1,24 +1,24 @@
-//! Whether an order to run a call joins the execution that its owner already holds.
+//! Decides whether a request to execute a call joins an execution that the owner already has.
 
 use yokefall_types::{Outcome, Refusal, RepeatPolicy};
 
-/// An execution that an owner holds, running or ended.
+/// A running or ended execution at an owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldExecution {
-    /// Number of the attempt, as its home daemon counts.
+    /// Number of the attempt, as counted by its home daemon.
     pub attempt: u32,
-    /// Tokens of the answer that it skipped.
+    /// Number of leading tokens of the answer that were skipped.
     pub resume_from_token: u32,
-    /// How it ended; none while it runs.
+    /// Its outcome; `None` while it runs.
     pub ended: Option<Outcome>,
 }
 
-/// Whether an order joins the execution held, in place of running the call anew.
+/// Whether a request joins the existing execution instead of starting a new one.
 ///
-/// Invariants: a no-repeat call is run again only where the execution held is proven not to have
-/// run, since two home daemons may both believe that the call is theirs. A repeatable call joins
-/// only an execution that begins at the same token: another one's bytes would be put at the wrong
-/// place of the answer.
+/// Invariants: a no-repeat call starts again only if the existing execution is proven not to have run,
+/// since two home daemons may both consider themselves home of the call. A repeatable call joins only
+/// an execution that begins at the same token: otherwise its bytes would land at the wrong offset of
+/// the answer.
 pub fn joins(
     held: &HeldExecution,
     repeat: RepeatPolicy,
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as one daemon sees it: members, services and who owns which back end.
+//! One daemon's view of the fleet: members, services and the owners of back ends.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -11,8 +11,8 @@
 
 use crate::configuration::ConfigurationStore;
 
-/// Holders of a record that are told, in order: more than are ever tried.
-const MOST_HOLDERS: usize = 8;
+/// Maximum number of holders computed per record; no caller tries more.
+const MAX_HOLDERS: usize = 8;
 
 /// A back end owned by this daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,9 +23,9 @@
     pub service: ServiceId,
     /// Its HTTP address, `IP:PORT`.
     pub address: String,
-    /// Calls that it runs at once.
+    /// Number of calls that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes nothing new.
+    /// Whether it accepts no new work.
     pub leaving: bool,
 }
 
@@ -36,7 +36,7 @@
     pub node: NodeName,
     /// The owner's zone.
     pub zone: String,
-    /// Slots of the back ends that it owns and that take new work.
+    /// Slots of its back ends that accept new work.
     pub slots: u32,
 }
 
@@ -49,16 +49,16 @@
     pub owners: Vec<OwnerView>,
 }
 
-/// An immutable view, rebuilt when membership or configuration changes.
+/// An immutable snapshot, rebuilt when membership or configuration changes.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     /// This daemon.
     pub node: NodeName,
     /// This daemon's zone.
     pub zone: String,
-    /// Members believed alive, this daemon included, in order of name.
+    /// Members considered alive, including this daemon, in order of name.
     pub members: Vec<MemberInfo>,
-    /// Digest of the members. Equal lists have equal digests; never zero.
+    /// Order-independent digest of the members. Equal lists have equal digests; never zero.
     pub members_digest: u64,
     /// Services by id.
     pub services: HashMap<ServiceId, ServiceView>,
@@ -66,12 +66,12 @@
     pub owned: Vec<OwnedBackend>,
     /// The owner of every back end.
     pub owners: BTreeMap<BackendId, NodeName>,
-    /// Machines to which nothing new may be sent.
+    /// Machines that must not get new work.
     pub leaving_machines: HashSet<String>,
 }
 
 impl FleetView {
-    /// A view with one member and nothing configured.
+    /// Creates a view without members and configuration.
     pub fn empty(node: NodeName, zone: String) -> Self {
         Self {
             node,
@@ -130,8 +130,8 @@
         self.owners.insert(id, owner.node);
     }
 
-    /// The owner of a back end: first in rendezvous order among the accepting members of its zone,
-    /// or of the whole fleet where its zone has none.
+    /// The owner of a back end: the first in rendezvous order among the accepting members of its zone,
+    /// or among all accepting members if the zone has none.
     fn owner_of(&self, id: &BackendId, zone: &str) -> Option<&MemberInfo> {
         let accepting = || self.members.iter().filter(|member| member.accepting);
         let in_zone: Vec<&NodeName> =
@@ -142,7 +142,7 @@
         self.member(first)
     }
 
-    /// The member with this name, if it is believed alive.
+    /// The member with this name, if it is considered alive.
     pub fn member(&self, node: &NodeName) -> Option<&MemberInfo> {
         self.members.iter().find(|member| member.node == *node)
     }
@@ -186,9 +186,9 @@
         .collect()
 }
 
-/// The daemons that hold a request's record, in order: the home daemon, then the holder of the
-/// first copy, which stands in another zone where there is one, then the next. At most
-/// `MOST_HOLDERS` are told: this runs for every call, and the whole fleet need not be put in order.
+/// The daemons that hold a request's record, in order of preference: the home daemon, then the holder
+/// of the first copy, which is in another zone if there is one, then the others. Returns at most
+/// `MAX_HOLDERS`, since this runs for every call and need not sort the whole fleet.
 pub fn record_holders(request: &RequestId, members: &[MemberInfo]) -> Vec<NodeName> {
     let score = rendezvous_score(request.to_string().as_bytes());
     let accepting = members.iter().filter(|member| member.accepting);
@@ -197,25 +197,25 @@
     let by_score = |left: &(u64, &MemberInfo), right: &(u64, &MemberInfo)| {
         (right.0, &right.1.node).cmp(&(left.0, &left.1.node))
     };
-    if scored.len() > MOST_HOLDERS {
-        scored.select_nth_unstable_by(MOST_HOLDERS, by_score);
+    if scored.len() > MAX_HOLDERS {
+        scored.select_nth_unstable_by(MAX_HOLDERS, by_score);
     }
-    let first = scored.len().min(MOST_HOLDERS);
+    let first = scored.len().min(MAX_HOLDERS);
     let (order, rest) = scored.split_at_mut(first);
     order.sort_unstable_by(by_score);
     let Some((_, home)) = order.first() else { return Vec::new() };
-    let elsewhere = |(_, member): &&(u64, &MemberInfo)| member.zone != home.zone;
-    let near = order.iter().find(elsewhere).copied();
-    // Rarely, the whole head of the order stands in the home's zone.
-    let second =
-        near.or_else(|| rest.iter().filter(elsewhere).min_by(|l, r| by_score(l, r)).copied());
+    let in_other_zone = |(_, member): &&(u64, &MemberInfo)| member.zone != home.zone;
+    let nearest = order.iter().find(in_other_zone).copied();
+    // Rarely, all of the first members are in the home daemon's zone.
+    let second = nearest
+        .or_else(|| rest.iter().filter(in_other_zone).min_by(|l, r| by_score(l, r)).copied());
     let second = second.map(|(_, member)| &member.node);
     let others = order.iter().skip(1).map(|(_, m)| &m.node).filter(|node| Some(*node) != second);
     std::iter::once(&home.node).chain(second).chain(others).cloned().collect()
 }
 
-/// The data daemon that stores a job: first in rendezvous order over the configured data daemons,
-/// alive or not, so that a death never moves a job to where it is not known.
+/// The data daemon that stores a job: the first in rendezvous order among the configured data
+/// daemons, alive or not, so that a failure never maps a job to a daemon that does not have it.
 pub fn job_home<'a>(
     job: &yokefall_types::JobId,
     data_nodes: &'a [NodeName],
--- a/crates/core/src/jobs/ends.rs
+++ b/crates/core/src/jobs/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of items: completed, cancelled, given up, late.
+//! Completion, cancellation and expiry of items.
 
 use yokefall_peer::{CompletedItem, ReturnCause};
 use yokefall_types::{ItemOutcome, ItemResult, JobId, JobProgress, RepeatPolicy};
@@ -7,7 +7,7 @@
 use crate::time::Timestamp;
 
 impl JobStore {
-    /// Takes results. The first completion of an item wins; later ones are dropped and counted.
+    /// Records results. The first completion of an item wins; later ones are dropped and counted.
     pub fn complete(&mut self, items: Vec<CompletedItem>) -> Decision<()> {
         let mut records = Vec::new();
         for completed in items {
@@ -60,31 +60,31 @@
         match job.items[index as usize] {
             Item::Ended(_) => return,
             Item::Leased { until, .. } | Item::Started { until, .. } => {
-                self.lapses.remove(&(until, number, index));
+                self.lease_expiries.remove(&(until, number, index));
             }
             Item::Waiting => job.waiting.retain(|waiting| *waiting != index),
         }
         job.items[index as usize] = Item::Ended(result.outcome);
-        job.open -= 1;
+        job.open_items -= 1;
         job.attempts.remove(&index);
         job.failures.remove(&index);
         records.push(JobRecord::Ended { number, result });
         self.refresh_ready(number);
     }
 
-    /// Cancels a job: what is not started ends at once; what is started ends when its holder
-    /// reports, or is given up.
+    /// Cancels a job. Items that are not started end at once; started items end when their holder
+    /// reports a result or its lease expires.
     pub fn cancel(&mut self, now: Timestamp, id: &JobId) -> Decision<Option<JobProgress>> {
         let mut records = Vec::new();
         let Some(number) = self.numbers.get(id).copied() else {
             return Decision { reply: None, records };
         };
-        if let Some(job) = self.jobs.get_mut(&number).filter(|j| !j.cancelled && j.open > 0) {
+        if let Some(job) = self.jobs.get_mut(&number).filter(|j| !j.cancelled && j.open_items > 0) {
             job.cancelled = true;
             job.waiting.clear();
             records.push(JobRecord::Cancelled { number });
             self.end_unstarted(number, ItemOutcome::Cancelled, &mut records);
-            self.end_given_up(now, number, &mut records);
+            self.end_expired_starts(now, number, &mut records);
         }
         Decision { reply: self.progress(id), records }
     }
@@ -104,21 +104,26 @@
         }
     }
 
-    /// Ends the started items of a cancelled job whose holder is given up: nobody waits for their
-    /// answer any more.
-    fn end_given_up(&mut self, now: Timestamp, number: JobNumber, records: &mut Vec<JobRecord>) {
+    /// Ends the started items of a cancelled job whose lease has expired: their answers are no longer
+    /// needed.
+    fn end_expired_starts(
+        &mut self,
+        now: Timestamp,
+        number: JobNumber,
+        records: &mut Vec<JobRecord>,
+    ) {
         let Some(job) = self.jobs.get(&number) else { return };
-        let given_up = |item: &Item| matches!(item, Item::Started { until, .. } if *until <= now);
+        let is_expired = |item: &Item| matches!(item, Item::Started { until, .. } if *until <= now);
         let indexes: Vec<u32> =
-            (0..job.items.len() as u32).filter(|i| given_up(&job.items[*i as usize])).collect();
+            (0..job.items.len() as u32).filter(|i| is_expired(&job.items[*i as usize])).collect();
         for index in indexes {
             self.end_item(number, index, ItemOutcome::OutcomeUnknown, Vec::new(), records);
         }
     }
 
-    /// A lease lapsed. An item that was not started waits again; one that was is never sent again,
-    /// and its answer is taken until the deadline unless its job was cancelled.
-    pub(super) fn lapse(
+    /// Handles an expired lease. An item that was not started is queued again. A started item is never
+    /// sent again, and its answer is accepted until the deadline unless its job was cancelled.
+    pub(super) fn expire_lease(
         &mut self,
         now: Timestamp,
         number: JobNumber,
@@ -128,14 +133,14 @@
         let Some(job) = self.jobs.get(&number) else { return };
         match job.items[index as usize] {
             Item::Leased { .. } => {
-                self.wait_again(number, index, ReturnCause::Yielded, records);
+                self.requeue(number, index, ReturnCause::Yielded, records);
             }
-            Item::Started { .. } if job.cancelled => self.end_given_up(now, number, records),
+            Item::Started { .. } if job.cancelled => self.end_expired_starts(now, number, records),
             _ => {}
         }
     }
 
-    pub(super) fn end_late(&mut self, number: JobNumber, records: &mut Vec<JobRecord>) {
+    pub(super) fn end_past_deadline(&mut self, number: JobNumber, records: &mut Vec<JobRecord>) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         job.waiting.clear();
         let outcome =
--- a/crates/core/src/jobs/leases.rs
+++ b/crates/core/src/jobs/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of items: given, started, extended, given back.
+//! Leases of items: grant, start, extension and return.
 
 use yokefall_peer::{LeaseToken, LeasedItemRef, ReturnCause, ReturnedItem};
 use yokefall_types::{ItemOutcome, ServiceId};
@@ -6,16 +6,17 @@
 use super::{Decision, Item, JobNumber, JobRecord, JobStore, LeaseGrant, LEASE_MS};
 use crate::time::Timestamp;
 
-/// Failed executions after which a repeatable item ends as failed.
+/// Number of failures (execution failures and returns as not sent) after which an item ends as
+/// failed.
 const MAX_FAILURES: u8 = 8;
 
 impl JobStore {
-    /// Leases waiting items of a service: by the job's priority, then its deadline.
+    /// Leases waiting items of a service, ordered by priority and then deadline of their job.
     pub fn lease(&mut self, now: Timestamp, service: &ServiceId, most: u32) -> Vec<LeaseGrant> {
         let mut grants = Vec::new();
         while (grants.len() as u32) < most {
-            let first = self.ready.get(service).and_then(|orders| orders.first());
-            let Some(number) = first.map(|order| order.number) else { break };
+            let first = self.ready.get(service).and_then(|ready_jobs| ready_jobs.first());
+            let Some(number) = first.map(|key| key.number) else { break };
             match self.lease_one(now, number) {
                 Some(grant) => grants.push(grant),
                 None => self.refresh_ready(number),
@@ -40,15 +41,15 @@
             deadline_ms: job.deadline.millis_since(now),
         };
         let exhausted = job.waiting.is_empty();
-        self.lapses.insert((until, number, index));
+        self.lease_expiries.insert((until, number, index));
         if exhausted {
             self.refresh_ready(number);
         }
         Some(grant)
     }
 
-    /// Marks no-repeat items as started where their lease still holds. The same order again is
-    /// granted again: its holder starts an item once.
+    /// Marks no-repeat items as started if their lease is still valid. A repeated request is granted
+    /// again, which is safe because a holder starts an item only once.
     pub fn start(
         &mut self,
         now: Timestamp,
@@ -75,7 +76,7 @@
         Decision { reply: granted, records }
     }
 
-    /// Extends leases that hold. Items not granted must stop.
+    /// Extends leases. Returns the items that were extended; the others must stop.
     pub fn extend(&mut self, now: Timestamp, items: Vec<LeasedItemRef>) -> Vec<LeasedItemRef> {
         items.into_iter().filter(|item| self.extend_one(now, item)).collect()
     }
@@ -89,17 +90,17 @@
             Some(Item::Leased { token, until } | Item::Started { token, until })
                 if *token == item.token =>
             {
-                self.lapses.remove(&(*until, number, item.index));
+                self.lease_expiries.remove(&(*until, number, item.index));
                 *until = now.plus_millis(LEASE_MS);
-                self.lapses.insert((*until, number, item.index));
+                self.lease_expiries.insert((*until, number, item.index));
                 true
             }
             _ => false,
         }
     }
 
-    /// Takes back items that did not complete.
-    pub fn give_back(&mut self, items: Vec<ReturnedItem>) -> Decision<()> {
+    /// Handles items returned by their holder without a result.
+    pub fn return_items(&mut self, items: Vec<ReturnedItem>) -> Decision<()> {
         let mut records = Vec::new();
         for returned in items {
             let item = &returned.item;
@@ -108,15 +109,15 @@
             let state = job.items.get(item.index as usize).copied();
             match (state, returned.cause) {
                 (Some(Item::Leased { token, until }), cause) if token == item.token => {
-                    self.lapses.remove(&(until, number, item.index));
-                    self.wait_again(number, item.index, cause, &mut records);
+                    self.lease_expiries.remove(&(until, number, item.index));
+                    self.requeue(number, item.index, cause, &mut records);
                 }
                 (Some(Item::Started { token, until }), cause @ ReturnCause::NotSent(_))
                     if token == item.token =>
                 {
-                    self.lapses.remove(&(until, number, item.index));
+                    self.lease_expiries.remove(&(until, number, item.index));
                     records.push(JobRecord::NotStarted { number, index: item.index });
-                    self.wait_again(number, item.index, cause, &mut records);
+                    self.requeue(number, item.index, cause, &mut records);
                 }
                 _ => {}
             }
@@ -124,9 +125,9 @@
         Decision { reply: (), records }
     }
 
-    /// Puts an item back in the queue, or ends it where the job was cancelled or it failed too
+    /// Puts an item back in the queue, or ends it if the job was cancelled or the item failed too
     /// often.
-    pub(super) fn wait_again(
+    pub(super) fn requeue(
         &mut self,
         number: JobNumber,
         index: u32,
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,7 +1,7 @@
 //! The job store's state: jobs, item leases, attempts and outcomes.
 //!
-//! Every method that changes what must last returns the records to be made durable. The shell
-//! sends no reply before those records are on disk; a store that cannot write stops.
+//! Every method that changes durable state returns the records to persist. The caller sends no reply
+//! before those records are on disk, and stops if it cannot write them.
 
 mod ends;
 mod leases;
@@ -16,7 +16,7 @@
 pub use self::record::{Acceptance, Decision, JobNumber, JobRecord, LeaseGrant};
 use crate::time::Timestamp;
 
-/// Time for which a lease holds unless extended, in milliseconds.
+/// Duration of a lease unless it is extended, in milliseconds.
 pub const LEASE_MS: u64 = 10_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
         token: LeaseToken,
         until: Timestamp,
     },
-    /// `until` is when its holder is given up; its answer is taken all the same.
+    /// The lease expires at `until`; an answer is accepted after that, too.
     Started {
         token: LeaseToken,
         until: Timestamp,
@@ -46,11 +46,11 @@
     attempts: HashMap<u32, u32>,
     failures: HashMap<u32, u8>,
     waiting: VecDeque<u32>,
-    open: u32,
+    open_items: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Order {
+struct ReadyKey {
     priority: Reverse<u32>,
     deadline: Timestamp,
     number: JobNumber,
@@ -58,8 +58,8 @@
 
 /// Jobs held by one data daemon.
 ///
-/// Invariants: an item ends once; a no-repeat item has at most one start mark that was not taken
-/// back by proof, and is not leased while it has one.
+/// Invariants: an item ends once. A no-repeat item has at most one start mark, unless the item of the
+/// earlier mark was proven not sent, and is not leased while it has one.
 #[derive(Debug)]
 pub struct JobStore {
     epoch: u64,
@@ -67,17 +67,18 @@
     jobs: BTreeMap<JobNumber, Job>,
     numbers: HashMap<JobId, JobNumber>,
     /// Jobs with waiting items, by service.
-    ready: HashMap<ServiceId, BTreeSet<Order>>,
-    lapses: BTreeSet<(Timestamp, JobNumber, u32)>,
-    /// Services whose waiting items nobody has been told of.
-    untold: BTreeSet<ServiceId>,
+    ready: HashMap<ServiceId, BTreeSet<ReadyKey>>,
+    lease_expiries: BTreeSet<(Timestamp, JobNumber, u32)>,
+    /// Services with new waiting items that have not been announced yet.
+    newly_ready: BTreeSet<ServiceId>,
     deadlines: BTreeSet<(Timestamp, JobNumber)>,
-    /// Completions that came after the item had ended, dropped.
+    /// Number of completions that were not accepted, mostly because the item had already ended.
     pub dropped_completions: u64,
 }
 
 impl JobStore {
-    /// An empty store. `epoch` must be greater than that of every earlier start of this store.
+    /// Creates an empty store. `epoch` must be greater than that of every earlier incarnation of this
+    /// store.
     pub fn new(epoch: u64) -> Self {
         Self {
             epoch,
@@ -85,14 +86,15 @@
             jobs: BTreeMap::new(),
             numbers: HashMap::new(),
             ready: HashMap::new(),
-            lapses: BTreeSet::new(),
-            untold: BTreeSet::new(),
+            lease_expiries: BTreeSet::new(),
+            newly_ready: BTreeSet::new(),
             deadlines: BTreeSet::new(),
             dropped_completions: 0,
         }
     }
 
-    /// Replays one durable record at start. `now` and `unix_ms` are the same moment on both clocks.
+    /// Replays one durable record on start-up. `now` and `unix_ms` are the same instant on the monotonic
+    /// and the wall clock.
     pub fn recover(&mut self, now: Timestamp, unix_ms: u64, record: JobRecord) {
         match record {
             JobRecord::Accepted { number, upload, header, digest, items, accepted_unix_ms } => {
@@ -107,10 +109,10 @@
                 }
             }
             JobRecord::Started { number, index, token } => {
-                // The holder may still run and extend.
+                // The holder may still be running the item and extend its lease.
                 let until = now.plus_millis(LEASE_MS);
                 self.set_item(number, index, Item::Started { token, until });
-                self.lapses.insert((until, number, index));
+                self.lease_expiries.insert((until, number, index));
             }
             JobRecord::NotStarted { number, index } => {
                 self.set_item(number, index, Item::Waiting);
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Ends recovery: rebuilds what follows from the items' states.
+    /// Ends recovery: rebuilds the state derived from the items.
     pub fn recovered(&mut self) {
         let numbers: Vec<JobNumber> = self.jobs.keys().copied().collect();
         for number in numbers {
@@ -129,7 +131,8 @@
             let waiting = |(_, item): &(usize, &Item)| **item == Item::Waiting;
             job.waiting =
                 job.items.iter().enumerate().filter(waiting).map(|(i, _)| i as u32).collect();
-            job.open = job.items.iter().filter(|i| !matches!(i, Item::Ended(_))).count() as u32;
+            job.open_items =
+                job.items.iter().filter(|i| !matches!(i, Item::Ended(_))).count() as u32;
             self.refresh_ready(number);
         }
     }
@@ -163,13 +166,13 @@
             attempts: HashMap::new(),
             failures: HashMap::new(),
             waiting: (0..items).collect(),
-            open: items,
+            open_items: items,
         };
         self.jobs.insert(number, job);
         self.refresh_ready(number);
     }
 
-    /// Accepts an uploaded job, or joins the one with the same key.
+    /// Accepts an uploaded job, or joins the job with the same key.
     pub fn accept(
         &mut self,
         now: Timestamp,
@@ -204,7 +207,7 @@
         self.jobs.get(self.numbers.get(id)?)
     }
 
-    /// The number under which a job's results are stored, and its count of items.
+    /// The number under which a job's results are stored, and its number of items.
     pub fn number_of(&self, id: &JobId) -> Option<(JobNumber, u32)> {
         self.job(id).map(|job| (job.number, job.items.len() as u32))
     }
@@ -215,7 +218,7 @@
         let count = |wanted: &dyn Fn(&Item) -> bool| job.items.iter().filter(|i| wanted(i)).count();
         let ended = |outcome: ItemOutcome| count(&|item| *item == Item::Ended(outcome)) as u32;
         let running = |item: &Item| matches!(item, Item::Leased { .. } | Item::Started { .. });
-        let state = match (job.open, job.cancelled) {
+        let state = match (job.open_items, job.cancelled) {
             (0, true) => JobState::Cancelled,
             (0, false) => JobState::Ended,
             _ => JobState::Running,
@@ -231,22 +234,22 @@
         })
     }
 
-    /// Takes back lapsed leases and ends jobs past their deadline.
+    /// Handles expired leases and ends jobs past their deadline.
     pub fn tick(&mut self, now: Timestamp) -> Vec<JobRecord> {
         let mut records = Vec::new();
-        while let Some((until, number, index)) = self.lapses.first().copied() {
+        while let Some((until, number, index)) = self.lease_expiries.first().copied() {
             if until > now {
                 break;
             }
-            self.lapses.pop_first();
-            self.lapse(now, number, index, &mut records);
+            self.lease_expiries.pop_first();
+            self.expire_lease(now, number, index, &mut records);
         }
         while let Some((deadline, number)) = self.deadlines.first().copied() {
             if deadline > now {
                 break;
             }
             self.deadlines.pop_first();
-            self.end_late(number, &mut records);
+            self.end_past_deadline(number, &mut records);
         }
         records
     }
@@ -255,26 +258,26 @@
         let Some(job) = self.jobs.get(&number) else { return };
         let service =
             ServiceId { partner: job.header.job.partner.clone(), name: job.header.service.clone() };
-        let order =
-            Order { priority: Reverse(job.header.priority), deadline: job.deadline, number };
-        let orders = self.ready.entry(service.clone()).or_default();
+        let key =
+            ReadyKey { priority: Reverse(job.header.priority), deadline: job.deadline, number };
+        let ready_jobs = self.ready.entry(service.clone()).or_default();
         if job.waiting.is_empty() || job.cancelled {
-            orders.remove(&order);
+            ready_jobs.remove(&key);
             return;
         }
-        if orders.is_empty() {
-            self.untold.insert(service);
+        if ready_jobs.is_empty() {
+            self.newly_ready.insert(service);
         }
-        orders.insert(order);
+        ready_jobs.insert(key);
     }
 
-    /// Services that had no waiting items, and have some now, since the last call.
+    /// Takes the services whose waiting items became non-empty since the last call.
     pub fn take_newly_ready(&mut self) -> Vec<ServiceId> {
-        std::mem::take(&mut self.untold).into_iter().collect()
+        std::mem::take(&mut self.newly_ready).into_iter().collect()
     }
 
-    /// Jobs held, and items that have not ended.
+    /// Number of jobs, and of items that have not ended.
     pub fn size(&self) -> (usize, u64) {
-        (self.jobs.len(), self.jobs.values().map(|job| u64::from(job.open)).sum())
+        (self.jobs.len(), self.jobs.values().map(|job| u64::from(job.open_items)).sum())
     }
 }
--- a/crates/core/src/jobs/record.rs
+++ b/crates/core/src/jobs/record.rs
@@ -1,4 +1,4 @@
-//! What the job store makes durable, and what it answers.
+//! Durable records and replies of the job store.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use yokefall_peer::{JobHeader, LeaseToken, LeasedItemRef};
@@ -7,7 +7,7 @@
 /// A job's number within its store.
 pub type JobNumber = u64;
 
-/// What must last.
+/// A durable record of the job store.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum JobRecord {
     /// A job was accepted.
@@ -22,7 +22,7 @@
         digest: u64,
         /// Number of items.
         items: u32,
-        /// Time of acceptance, milliseconds since 1970.
+        /// Time of acceptance, in milliseconds since the Unix epoch.
         accepted_unix_ms: u64,
     },
     /// A job was cancelled.
@@ -30,7 +30,7 @@
         /// Number of the job.
         number: JobNumber,
     },
-    /// A no-repeat item may be sent to a back end from now on.
+    /// A no-repeat item was marked as started: it may have been sent to a back end.
     Started {
         /// Number of the job.
         number: JobNumber,
@@ -60,7 +60,7 @@
 pub struct Decision<T> {
     /// The reply.
     pub reply: T,
-    /// What must be durable first.
+    /// Records that must be durable before the reply is sent.
     pub records: Vec<JobRecord>,
 }
 
@@ -74,7 +74,7 @@
     },
     /// The job existed with the same content; the upload is to be discarded.
     Joined {
-        /// Items accepted then.
+        /// Items accepted by the first submission.
         accepted: u32,
     },
     /// The key was used with other content; the upload is to be discarded.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Pure state machines: no input or output, no clock, no randomness of their own.
+//! Deterministic state machines without I/O or clocks; random generators are seeded by the caller.
 //!
-//! Each machine takes the time and an event and returns effects for the shell to carry out, so
-//! that thousands of nodes can be driven in one process under virtual time.
+//! Each machine takes the current time and an event, and returns effects for the caller to carry out.
+//! Thousands of nodes can therefore be simulated in one process under virtual time.
 
 pub mod admission;
 pub mod batch;
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -1,4 +1,4 @@
-//! Choice of the owner daemon that runs an online call.
+//! Selection of the owner daemon that runs an online call.
 
 use std::collections::HashMap;
 
@@ -10,41 +10,41 @@
 use crate::fleet::{FleetView, OwnerView};
 use crate::time::Timestamp;
 
-/// Cost added to an owner outside this daemon's zone, in parts of its slots.
+/// Cost added to an owner outside this daemon's zone, as a fraction of its slots.
 const REMOTE_ZONE_COST: f64 = 0.25;
-/// Age after which a reported load counts no more, in milliseconds.
-const LOAD_LIFETIME_MS: u64 = 2_000;
-/// Cost of an owner that failed recently.
+/// Age after which a load report is ignored, in milliseconds.
+const MAX_LOAD_AGE_MS: u64 = 2_000;
+/// Cost added to an owner that failed recently, as a multiple of its slots.
 const FAILURE_COST: f64 = 4.0;
-/// Time for which a failure counts, in milliseconds.
-const FAILURE_LIFETIME_MS: u64 = 1_000;
+/// Time for which a failure is taken into account, in milliseconds.
+const FAILURE_PENALTY_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnerState {
-    outstanding: u32,
+    in_flight: u32,
     load: OwnerLoad,
     load_at: Option<Timestamp>,
     failed_at: Option<Timestamp>,
 }
 
-/// Power of two choices over owners, weighted by slots.
+/// Power-of-two-choices balancer over owners, weighted by slots.
 ///
-/// The cost of an owner is what this daemon has outstanding there plus what the owner last
-/// reported, in parts of its slots. Reports come with every ended execution, so that they cost no
-/// message of their own.
+/// The cost of an owner is the greater of this daemon's calls in flight there and the owner's last
+/// load report, as a fraction of its slots. Load reports are piggybacked on the end of every
+/// execution, so that they need no messages of their own.
 #[derive(Debug)]
 pub struct Router {
-    generator: SmallRng,
+    rng: SmallRng,
     owners: HashMap<(NodeName, ServiceId), OwnerState>,
 }
 
 impl Router {
-    /// A router whose draws follow from `seed`.
+    /// Creates a router whose random choices are determined by `seed`.
     pub fn new(seed: u64) -> Self {
-        Self { generator: SmallRng::seed_from_u64(seed), owners: HashMap::new() }
+        Self { rng: SmallRng::seed_from_u64(seed), owners: HashMap::new() }
     }
 
-    /// Chooses an owner that is not in `tried`.
+    /// Chooses an owner of the service that is not in `tried`.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -53,20 +53,21 @@
         tried: &[NodeName],
     ) -> Option<NodeName> {
         let owners = &view.services.get(service)?.owners;
-        let open: Vec<&OwnerView> = owners.iter().filter(|o| !tried.contains(&o.node)).collect();
-        let first = self.draw(&open)?;
-        let second = self.draw(&open)?;
+        let candidates: Vec<&OwnerView> =
+            owners.iter().filter(|o| !tried.contains(&o.node)).collect();
+        let first = self.sample(&candidates)?;
+        let second = self.sample(&candidates)?;
         let cost = |owner: &OwnerView| self.cost(now, view, service, owner);
         let chosen = if cost(second) < cost(first) { second } else { first };
         Some(chosen.node.clone())
     }
 
-    fn draw<'a>(&mut self, owners: &[&'a OwnerView]) -> Option<&'a OwnerView> {
+    fn sample<'a>(&mut self, owners: &[&'a OwnerView]) -> Option<&'a OwnerView> {
         let total: u32 = owners.iter().map(|owner| owner.slots).sum();
         if total == 0 {
             return owners.first().copied();
         }
-        let mut point = self.generator.random_range(0..total);
+        let mut point = self.rng.random_range(0..total);
         for owner in owners {
             if point < owner.slots {
                 return Some(owner);
@@ -86,14 +87,15 @@
         let key = (owner.node.clone(), service.clone());
         let state = self.owners.get(&key).copied().unwrap_or_default();
         let slots = f64::from(owner.slots.max(1));
-        let mut cost = f64::from(state.outstanding) / slots;
-        let fresh =
-            |at: Option<Timestamp>, lifetime| at.is_some_and(|at| now.millis_since(at) < lifetime);
-        if fresh(state.load_at, LOAD_LIFETIME_MS) {
+        let mut cost = f64::from(state.in_flight) / slots;
+        let is_recent = |at: Option<Timestamp>, max_age_ms| {
+            at.is_some_and(|at| now.millis_since(at) < max_age_ms)
+        };
+        if is_recent(state.load_at, MAX_LOAD_AGE_MS) {
             let used = slots - f64::from(state.load.free_slots) + f64::from(state.load.waiting);
             cost = cost.max(used / slots);
         }
-        if fresh(state.failed_at, FAILURE_LIFETIME_MS) {
+        if is_recent(state.failed_at, FAILURE_PENALTY_MS) {
             cost += FAILURE_COST;
         }
         if owner.zone != view.zone {
@@ -102,12 +104,13 @@
         cost
     }
 
-    /// Notes that a call was sent to an owner.
+    /// Records that a call was sent to an owner.
     pub fn sent(&mut self, owner: &NodeName, service: &ServiceId) {
-        self.owners.entry((owner.clone(), service.clone())).or_default().outstanding += 1;
+        self.owners.entry((owner.clone(), service.clone())).or_default().in_flight += 1;
     }
 
-    /// Notes that a call sent to an owner came back, with the owner's load where it told it.
+    /// Records the end of a call sent to an owner, with the owner's load report. Without a report the
+    /// call counts as failed.
     pub fn returned(
         &mut self,
         now: Timestamp,
@@ -116,7 +119,7 @@
         load: Option<OwnerLoad>,
     ) {
         let state = self.owners.entry((owner.clone(), service.clone())).or_default();
-        state.outstanding = state.outstanding.saturating_sub(1);
+        state.in_flight = state.in_flight.saturating_sub(1);
         match load {
             Some(load) => {
                 state.load = load;
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission against a simple oracle: online never waits behind batch.
+//! Compares admission with a simple model: online calls never wait behind batch items.
 
 mod support;
 
@@ -17,24 +17,28 @@
 const DEADLINE_MS: u64 = 60_000;
 
 #[derive(Default)]
-struct Oracle {
+struct Model {
     online: HashSet<Ticket>,
     batch: HashMap<Ticket, bool>,
     waiting: HashSet<Ticket>,
-    yielding: HashSet<Ticket>,
+    preempting: HashSet<Ticket>,
 }
 
-impl Oracle {
-    fn take(&mut self, effects: Vec<AdmissionEffect>) {
+impl Model {
+    fn apply(&mut self, effects: Vec<AdmissionEffect>) {
         for effect in effects {
             match effect {
                 AdmissionEffect::Start { ticket, .. } => {
-                    assert!(self.waiting.remove(&ticket), "only what waits starts");
+                    assert!(self.waiting.remove(&ticket), "only waiting calls start");
                     self.online.insert(ticket);
                 }
-                AdmissionEffect::Yield { ticket } => {
-                    assert_eq!(self.batch.get(&ticket), Some(&true), "only repeatable items yield");
-                    assert!(self.yielding.insert(ticket), "an item is told once");
+                AdmissionEffect::Preempt { ticket } => {
+                    assert_eq!(
+                        self.batch.get(&ticket),
+                        Some(&true),
+                        "only preemptible items are preempted"
+                    );
+                    assert!(self.preempting.insert(ticket), "an item is preempted only once");
                 }
                 AdmissionEffect::Refuse { ticket, refusal } => {
                     assert!(self.waiting.remove(&ticket));
@@ -46,26 +50,33 @@
 
     fn check(&self) {
         let capacity = BACKENDS * SLOTS as usize;
-        assert!(self.online.len() <= capacity, "never more online calls than slots");
+        assert!(self.online.len() <= capacity, "more online calls than slots");
         if !self.waiting.is_empty() {
-            assert_eq!(self.online.len(), capacity, "online waits for online alone");
+            assert_eq!(
+                self.online.len(),
+                capacity,
+                "an online call waits while a slot is not held by another online call"
+            );
         }
-        let staying = self.batch.len() - self.yielding.len();
-        let yieldable = self
+        let remaining = self.batch.len() - self.preempting.len();
+        let preemptible = self
             .batch
             .iter()
-            .filter(|(ticket, yieldable)| **yieldable && !self.yielding.contains(ticket))
+            .filter(|(ticket, preemptible)| **preemptible && !self.preempting.contains(ticket))
             .count();
         assert!(
-            self.online.len() + staying <= capacity || yieldable == 0 || self.one_side_full(),
-            "batch that can step aside does so"
+            self.online.len() + remaining <= capacity
+                || preemptible == 0
+                || self.has_non_preemptible_items(),
+            "a preemptible batch item keeps a slot that an online call needs"
         );
     }
 
-    /// With two back ends one may be over its slots while the other has room: then the first has
-    /// nothing left that yields, which only the back ends' own counts can tell.
-    fn one_side_full(&self) -> bool {
-        self.batch.values().any(|yieldable| !yieldable)
+    /// With two back ends, one may exceed its slots with items that are not preemptible while the other
+    /// still runs preemptible ones. The model does not track items per back end, so it accepts this
+    /// state whenever any item is not preemptible.
+    fn has_non_preemptible_items(&self) -> bool {
+        self.batch.values().any(|preemptible| !preemptible)
     }
 }
 
@@ -73,53 +84,53 @@
     let view = view(1, BACKENDS, SLOTS, RESERVED);
     let mut admission = Admission::default();
     admission.configure(Timestamp(1), &view);
-    let mut oracle = Oracle::default();
+    let mut model = Model::default();
     for (number, (kind, choice)) in steps.into_iter().enumerate() {
         let now = Timestamp(2 + number as u64);
         match kind % 5 {
             0 | 1 => {
                 let ticket = admission.next_ticket();
-                oracle.waiting.insert(ticket);
+                model.waiting.insert(ticket);
                 let priority = if choice % 2 == 0 { Priority::High } else { Priority::Normal };
                 let deadline = now.plus_millis(DEADLINE_MS);
                 let effects = admission.arrive(now, ticket, &service(), priority, deadline);
-                oracle.take(effects);
+                model.apply(effects);
             }
             2 => {
                 let ticket = admission.next_ticket();
-                let before = oracle.online.len() + oracle.batch.len();
-                if admission.offer_batch(now, ticket, &service(), choice % 2 == 0).is_some() {
+                let before = model.online.len() + model.batch.len();
+                if admission.try_start_batch(now, ticket, &service(), choice % 2 == 0).is_some() {
                     let free = BACKENDS as u32 * (SLOTS - RESERVED);
-                    assert!(oracle.waiting.is_empty());
-                    assert!((before as u32) < free + oracle.online.len() as u32);
-                    oracle.batch.insert(ticket, choice % 2 == 0);
+                    assert!(model.waiting.is_empty());
+                    assert!((before as u32) < free + model.online.len() as u32);
+                    model.batch.insert(ticket, choice % 2 == 0);
                 }
             }
             3 => {
-                let mut running: Vec<Ticket> = oracle.online.iter().copied().collect();
+                let mut running: Vec<Ticket> = model.online.iter().copied().collect();
                 running.sort_unstable();
                 if let Some(ticket) = running.get(choice as usize % running.len().max(1)) {
-                    oracle.online.remove(ticket);
-                    oracle.take(admission.finish(now, *ticket, false));
+                    model.online.remove(ticket);
+                    model.apply(admission.finish(now, *ticket, false));
                 }
             }
             _ => {
-                let mut running: Vec<Ticket> = oracle.batch.keys().copied().collect();
+                let mut running: Vec<Ticket> = model.batch.keys().copied().collect();
                 running.sort_unstable();
                 if let Some(ticket) = running.get(choice as usize % running.len().max(1)) {
-                    oracle.batch.remove(ticket);
-                    oracle.yielding.remove(ticket);
-                    oracle.take(admission.finish(now, *ticket, false));
+                    model.batch.remove(ticket);
+                    model.preempting.remove(ticket);
+                    model.apply(admission.finish(now, *ticket, false));
                 }
             }
         }
-        oracle.check();
+        model.check();
     }
     true
 }
 
 #[test]
-fn online_waits_for_online_alone() {
+fn online_calls_wait_only_for_online_calls() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, SEED))
         .tests(500)
@@ -135,14 +146,14 @@
 }
 
 #[test]
-fn a_call_that_would_wait_in_vain_is_refused_at_once_with_a_hint() {
+fn a_call_that_would_miss_its_deadline_is_refused_on_arrival_with_a_retry_hint() {
     let mut admission = Admission::default();
     admission.configure(Timestamp(1), &view(1, BACKENDS, SLOTS, RESERVED));
     fill(&mut admission);
     let ticket = admission.next_ticket();
     let effects = admission.arrive(Timestamp(2), ticket, &service(), Priority::High, Timestamp(3));
     let [AdmissionEffect::Refuse { refusal, .. }] = &effects[..] else {
-        panic!("want one refusal, got {effects:?}");
+        panic!("expected one refusal, got {effects:?}");
     };
     assert_eq!(refusal.reason, RefusalReason::Overloaded);
     assert_eq!(refusal.executed, Some(false));
@@ -150,7 +161,7 @@
 }
 
 #[test]
-fn a_leaving_back_end_gets_nothing_new_and_finishes_what_it_has() {
+fn a_leaving_back_end_gets_no_new_work_and_finishes_running_calls() {
     let mut admission = Admission::default();
     let mut view = view(1, 1, SLOTS, 0);
     admission.configure(Timestamp(1), &view);
@@ -162,8 +173,8 @@
     let refused = admission.next_ticket();
     let effects = admission.arrive(Timestamp(4), refused, &service(), Priority::High, deadline);
     assert!(matches!(&effects[..], [AdmissionEffect::Refuse { .. }]));
-    assert!(admission.offer_batch(Timestamp(4), refused, &service(), true).is_none());
-    assert_eq!(admission.busy(), 1);
+    assert!(admission.try_start_batch(Timestamp(4), refused, &service(), true).is_none());
+    assert_eq!(admission.active_tickets(), 1);
     admission.finish(Timestamp(5), ticket, false);
-    assert_eq!(admission.busy(), 0);
+    assert_eq!(admission.active_tickets(), 0);
 }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration only moves forward, and stores that talk to each other become equal.
+//! Versions never decrease, and stores that exchange their differences converge.
 
 use quickcheck::{Gen, QuickCheck};
 use yokefall_core::configuration::ConfigurationStore;
@@ -18,7 +18,7 @@
     VersionedObject { key, version, value }
 }
 
-/// One step: a store takes an object, a listing, or compares with another store.
+/// One random step: a store applies an object or a listing, or exchanges differences with another store.
 type Step = (u8, u8, u8, u8, bool);
 
 fn versions_never_decrease_and_stores_converge(steps: Vec<Step>) -> bool {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn forward_only_and_convergent() {
+fn versions_increase_and_stores_converge() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, SEED))
         .tests(500)
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_listing_deletes_what_it_lacks_but_not_what_is_newer() {
+fn a_listing_deletes_missing_objects_but_not_newer_ones() {
     let mut store = ConfigurationStore::default();
     store.apply(object(0, 3, Some(false)));
     store.apply(object(1, 9, Some(false)));
--- a/crates/core/tests/coordinator.rs
+++ b/crates/core/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! The home daemon: one record a request, and no-repeat calls run at most once.
+//! The home daemon: one record per request, and no-repeat calls run at most once.
 
 mod support;
 
@@ -27,12 +27,12 @@
     effects.iter().filter_map(execute).collect()
 }
 
-/// Random ends of random attempts, lost copies and time: a no-repeat call is sent again only
-/// after every earlier attempt was proven not to have run, and each record ends once.
+/// Random attempt results, lost copies and delays: a no-repeat call is sent again only after every
+/// earlier attempt was proven not to have run, and each record ends once.
 fn no_repeat_runs_at_most_once(steps: Vec<(u8, u8, u8)>) -> bool {
     let view = view(3, 2, 4, 0);
     let mut coordinator = Coordinator::new(home(0), 1, RETENTION_MS);
-    // By request: attempts sent and not proven unrun, and ends seen.
+    // Per request: attempts sent and not proven not to have run, and number of ends.
     let mut unproven: HashMap<RequestId, Vec<u32>> = HashMap::new();
     let mut ends: HashMap<RequestId, u32> = HashMap::new();
     let mut now = Timestamp(1);
@@ -40,7 +40,7 @@
         now = now.plus_millis(u64::from(choice));
         let header = header(&format!("r{}", id % 3), RepeatPolicy::Forbidden);
         let request = header.request.clone();
-        // Reports of former attempts come late, or twice.
+        // Reports of earlier attempts may arrive late or twice.
         let newest = unproven.get(&request).and_then(|sent| sent.last().copied()).unwrap_or(1);
         let attempt = if choice % 3 == 0 { newest.max(2) - 1 } else { newest };
         let mut proven = None;
@@ -89,7 +89,7 @@
                         return false;
                     }
                 }
-                CoordinatorEffect::Forget { request } => {
+                CoordinatorEffect::Expire { request } => {
                     ends.remove(&request);
                     unproven.remove(&request);
                 }
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_no_repeat_call_is_sent_again_only_when_proven_unrun() {
+fn a_no_repeat_call_is_sent_again_only_when_proven_not_run() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(80, SEED))
         .tests(2_000)
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_same_id_joins_and_other_content_conflicts() {
+fn a_call_with_the_same_id_joins_or_conflicts_by_content() {
     let view = view(2, 1, 4, 0);
     let mut coordinator = Coordinator::new(home(0), 1, RETENTION_MS);
     let call = header("r", RepeatPolicy::Allowed);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn news_that_a_call_runs_never_replaces_its_answer() {
+fn a_running_state_never_replaces_a_stored_answer() {
     let view = view(2, 1, 4, 0);
     let mut coordinator = Coordinator::new(home(0), 1, RETENTION_MS);
     let request = header("r", RepeatPolicy::Forbidden).request;
@@ -164,23 +164,23 @@
 }
 
 #[test]
-fn limits_are_refused_with_the_field_named() {
+fn a_call_over_a_limit_is_refused_with_the_field_name() {
     let view = view(2, 1, 4, 0);
     let mut coordinator = Coordinator::new(home(0), 1, RETENTION_MS);
     let call = header("r", RepeatPolicy::Allowed);
     let (large, _) = coordinator.submit(Timestamp(1), &view, call.clone(), DIGEST, 5_000);
-    let Submission::Refused(refusal) = large else { panic!("an oversized prompt was taken") };
+    let Submission::Refused(refusal) = large else { panic!("an oversized prompt was accepted") };
     assert!(refusal.detail.starts_with("prompt:"));
     let mut unknown = call;
     unknown.service = "nothing".into();
     let (unknown, _) = coordinator.submit(Timestamp(1), &view, unknown, DIGEST, 10);
-    let Submission::Refused(refusal) = unknown else { panic!("an unknown service was taken") };
+    let Submission::Refused(refusal) = unknown else { panic!("an unknown service was accepted") };
     assert_eq!(refusal.reason, RefusalReason::UnknownService);
     assert_eq!(refusal.executed, Some(false));
 }
 
 #[test]
-fn a_copy_counts_as_anothers_unless_this_very_start_made_it() {
+fn a_copy_is_foreign_unless_the_same_incarnation_of_its_home_made_it() {
     let view = view(2, 1, 4, 0);
     let mut holder = Coordinator::new(home(1), 1, RETENTION_MS);
     let copy = |home: HomeId| RecordCopy {
@@ -191,17 +191,17 @@
         state: RecordState::Running { owner: node(0) },
     };
     assert!(holder.hold(Timestamp(1), &view, copy(home(0))).is_none());
-    // The same home sends the call to another owner after a refusal: nobody else ran it.
+    // The same home sends the call to another owner after a refusal: no other home ran it.
     assert!(holder.hold(Timestamp(2), &view, copy(home(0))).is_none());
-    // The home restarted and has forgotten the call: its former self may have run it.
+    // The home restarted and lost the record: its previous incarnation may have run the call.
     let restarted = HomeId { incarnation: 2, ..home(0) };
     assert!(holder.hold(Timestamp(3), &view, copy(restarted.clone())).is_some());
-    // And so it is told again, should the first reply be lost.
+    // The reply is the same on a resend, in case the first reply was lost.
     assert!(holder.hold(Timestamp(4), &view, copy(restarted)).is_some());
 }
 
 #[test]
-fn a_refusal_after_a_repeat_speaks_of_every_attempt() {
+fn a_refusal_after_a_retry_covers_all_attempts() {
     let view = view(3, 2, 4, 0);
     let mut coordinator = Coordinator::new(home(0), 1, RETENTION_MS);
     let call = header("r", RepeatPolicy::Allowed);
@@ -212,18 +212,18 @@
     coordinator.execution_ended(Timestamp(2), &view, &request, 1, lost, None);
     let effects = coordinator.tick(Timestamp(9_000), &view);
     assert_eq!(executions(&effects), vec![(request.clone(), 2)]);
-    // The second attempt is proven not to have run, and nothing else is left to try.
-    let unrun = Refusal::not_run(RefusalReason::DeadlineExceeded, "late");
-    let unrun = Outcome::Refused(unrun);
-    let effects = coordinator.execution_ended(Timestamp(9_001), &view, &request, 2, unrun, None);
+    // The second attempt is proven not to have run, and no further attempt is possible.
+    let not_run = Refusal::not_run(RefusalReason::DeadlineExceeded, "late");
+    let not_run = Outcome::Refused(not_run);
+    let effects = coordinator.execution_ended(Timestamp(9_001), &view, &request, 2, not_run, None);
     let [CoordinatorEffect::End { outcome: Outcome::Refused(refusal), .. }] = &effects[..] else {
-        panic!("want one end, got {effects:?}");
+        panic!("expected one end, got {effects:?}");
     };
     assert_eq!(refusal.executed, None, "the first attempt may have run");
 }
 
 #[test]
-fn records_move_to_the_daemons_that_hold_them_after_a_change() {
+fn records_are_handed_over_to_new_holders_after_a_fleet_change() {
     let before = view(4, 1, 4, 0);
     let mut coordinator = Coordinator::new(home(0), 1, RETENTION_MS);
     let call = header("r", RepeatPolicy::Allowed);
@@ -231,9 +231,9 @@
     coordinator.submit(Timestamp(1), &before, call, DIGEST, 10);
     let outcome = Outcome::Completed;
     let ended = coordinator.execution_ended(Timestamp(2), &before, &request, 1, outcome, None);
-    let [CoordinatorEffect::End { holders, .. }] = &ended[..] else { panic!("want one end") };
+    let [CoordinatorEffect::End { holders, .. }] = &ended[..] else { panic!("expected one end") };
     assert_eq!(holders.len(), 2);
-    // One of the holders restarts: its copy is gone, and it is given another.
+    // One of the holders restarts and loses its copy, so it is sent a new one.
     let mut after = before.clone();
     let restarted = holders[0].clone();
     for member in after.members.iter_mut().filter(|member| member.node == restarted) {
@@ -243,11 +243,11 @@
     coordinator.view_changed(&after);
     let effects = coordinator.tick(Timestamp(3), &after);
     let [CoordinatorEffect::CopyEnded { to, .. }] = &effects[..] else {
-        panic!("want one handover, got {effects:?}");
+        panic!("expected one handover, got {effects:?}");
     };
     assert_eq!(*to, restarted);
     assert_eq!(coordinator.open_handovers(), 1);
-    // A handover that fails is tried again, one that is acknowledged is not.
+    // A failed handover is retried; an acknowledged one is not.
     coordinator.handed_over(Timestamp(4), &request, &restarted, false);
     assert_eq!(coordinator.tick(Timestamp(5_000), &after).len(), 1);
     coordinator.handed_over(Timestamp(5_001), &request, &restarted, true);
@@ -267,7 +267,7 @@
     let mut effects = coordinator.copy_held(Timestamp(2), &view, &request, &node(1), None);
     effects.extend(coordinator.copy_held(Timestamp(2), &view, &request, &node(2), None));
     let [CoordinatorEffect::End { outcome: Outcome::Refused(refusal), .. }] = &effects[..] else {
-        panic!("want one end, got {effects:?}");
+        panic!("expected one end, got {effects:?}");
     };
     assert_eq!(refusal.executed, None);
 }
--- a/crates/core/tests/execution.rs
+++ b/crates/core/tests/execution.rs
@@ -1,4 +1,4 @@
-//! Which orders join an execution that is held.
+//! Which execution requests join an existing execution.
 
 use yokefall_core::execution::{joins, HeldExecution};
 use yokefall_types::{Outcome, Refusal, RefusalReason, RepeatPolicy};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_no_repeat_call_joins_whatever_may_have_run() {
+fn a_no_repeat_call_joins_any_execution_that_may_have_run() {
     let unrun = Refusal::not_run(RefusalReason::Overloaded, "full");
     let unknown = Refusal::unknown(RefusalReason::BackendFailed, "cut");
     let join = |ended| joins(&held(0, ended), RepeatPolicy::Forbidden, 1, 0);
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn a_repeatable_call_joins_only_what_begins_at_the_same_token() {
-    // A new home daemon counts attempts from one again, and may know fewer tokens than the last.
+fn a_repeatable_call_joins_only_an_execution_from_the_same_token() {
+    // A new home daemon counts attempts from one again, and may know fewer tokens than its predecessor.
     assert!(!joins(&held(10, None), RepeatPolicy::Allowed, 1, 0));
     assert!(!joins(&held(0, None), RepeatPolicy::Allowed, 1, 10));
     assert!(joins(&held(10, None), RepeatPolicy::Allowed, 1, 10));
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Which daemons hold a request's record.
+//! Selection of the daemons that hold a request's record.
 
 mod support;
 
@@ -12,8 +12,9 @@
     (0..count).map(zoned).collect()
 }
 
-/// The same, worked out the plain way: the whole order, then the second from another zone.
-fn plainly(id: &str, members: &[MemberInfo]) -> Vec<NodeName> {
+/// Reference implementation: sorts all members, then moves the first one of another zone to the
+/// second position.
+fn full_order(id: &str, members: &[MemberInfo]) -> Vec<NodeName> {
     let request = header(id, RepeatPolicy::Allowed).request;
     let accepting: Vec<&MemberInfo> = members.iter().filter(|m| m.accepting).collect();
     let nodes = accepting.iter().map(|m| &m.node);
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn holders_are_the_head_of_the_whole_order() {
+fn holders_are_a_prefix_of_the_full_order() {
     for (count, zones) in [(0, 1), (1, 1), (2, 1), (2, 2), (5, 2), (40, 3), (40, 1), (60, 30)] {
         let mut members = members(count, zones);
         for member in members.iter_mut().step_by(7).skip(1) {
@@ -38,15 +39,15 @@
         for number in 0..200 {
             let id = format!("request-{number}");
             let holders = record_holders(&header(&id, RepeatPolicy::Allowed).request, &members);
-            let wanted = plainly(&id, &members);
-            assert!(holders.len() >= wanted.len().min(8));
-            assert_eq!(holders[..], wanted[..holders.len()]);
+            let expected = full_order(&id, &members);
+            assert!(holders.len() >= expected.len().min(8));
+            assert_eq!(holders[..], expected[..holders.len()]);
         }
     }
 }
 
 #[test]
-fn a_second_zone_is_found_behind_a_long_head_of_one_zone() {
+fn a_member_of_another_zone_is_found_after_many_of_one_zone() {
     let mut members = members(60, 1);
     members[59].zone = "elsewhere".to_owned();
     for number in 0..50 {
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The job store against a simple oracle: each item ends once, through crashes and resends.
+//! Checks the job store against a simple model: each item ends once, across crashes and resends.
 
 mod support;
 
@@ -36,23 +36,23 @@
     ItemResult { index, outcome, attempt: 0, body: Vec::new() }
 }
 
-/// A store on a disk, with the messages that are still on their way to it.
-struct World {
+/// A job store with its durable records, and the leases whose messages may still arrive.
+struct Simulation {
     store: JobStore,
     disk: Vec<JobRecord>,
     epoch: u64,
     now: Timestamp,
-    /// Leases ever given; any of them may still be used by a paused holder.
+    /// All leases ever granted; a paused holder may still use any of them.
     leases: Vec<LeasedItemRef>,
-    /// No-repeat items sent to a back end, by the start marks that were granted.
+    /// Number of times each no-repeat item was sent to a back end, counted by granted start marks.
     sent: HashMap<(JobId, u32), u32>,
-    /// Start marks granted whose holder has not proven the item unsent.
+    /// Items that have ended.
     ended: HashSet<(u64, u32)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             store: JobStore::new(1),
             disk: Vec::new(),
             epoch: 1,
@@ -63,13 +63,13 @@
         };
         for (key, repeat) in [("once", RepeatPolicy::Forbidden), ("any", RepeatPolicy::Allowed)] {
             let header = job_header(key, repeat);
-            let decision = world.store.accept(world.now, 1, header, 1, ITEMS, 1);
-            world.write(decision.records);
+            let decision = simulation.store.accept(simulation.now, 1, header, 1, ITEMS, 1);
+            simulation.write(decision.records);
         }
-        world
+        simulation
     }
 
-    /// Writes records, and checks that no item ends twice.
+    /// Persists records, and checks that no item ends twice.
     fn write(&mut self, records: Vec<JobRecord>) {
         for record in &records {
             if let JobRecord::Ended { number, result } = record {
@@ -79,7 +79,7 @@
         self.disk.extend(records);
     }
 
-    /// A crash and a restart: only what was written is left.
+    /// A crash and a restart: only persisted records remain.
     fn restart(&mut self) {
         self.epoch += 1;
         let mut store = JobStore::new(self.epoch);
@@ -103,8 +103,8 @@
             }
             1 => self.start(choice),
             2 => self.complete(choice),
-            3 => self.give_back(choice, ReturnCause::Yielded),
-            4 => self.give_back(choice, ReturnCause::Failed("failed".to_owned())),
+            3 => self.return_items(choice, ReturnCause::Yielded),
+            4 => self.return_items(choice, ReturnCause::Failed("failed".to_owned())),
             5 => {
                 self.now = self.now.plus_millis(u64::from(choice) * LEASE_MS / 100);
                 let records = self.store.tick(self.now);
@@ -122,8 +122,8 @@
         }
     }
 
-    /// A holder asks for a start mark and sends the item once it has it. Its resends of the same
-    /// request are granted again, and do not send it again.
+    /// A holder requests a start mark and sends the item once the mark is granted. Resends of the same
+    /// request are granted again but do not send the item again.
     fn start(&mut self, choice: u8) {
         let Some(item) = self.lease(choice).filter(|item| item.job == job("once")) else { return };
         let decision = self.store.start(self.now, vec![item.clone()]);
@@ -146,13 +146,13 @@
         self.write(decision.records);
     }
 
-    fn give_back(&mut self, choice: u8, cause: ReturnCause) {
+    fn return_items(&mut self, choice: u8, cause: ReturnCause) {
         let Some(item) = self.lease(choice) else { return };
-        let decision = self.store.give_back(vec![ReturnedItem { item, cause }]);
+        let decision = self.store.return_items(vec![ReturnedItem { item, cause }]);
         self.write(decision.records);
     }
 
-    /// In the end, at the deadline, every item of every job has ended.
+    /// After the deadline, every item of every job has ended.
     fn finish(&mut self) {
         self.now = self.now.plus_millis(DEADLINE_MS + 1);
         let records = self.store.tick(self.now);
@@ -167,11 +167,11 @@
 }
 
 fn every_item_ends_once(steps: Vec<(u8, u8)>) -> bool {
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     for (kind, choice) in steps {
-        world.step(kind, choice);
+        simulation.step(kind, choice);
     }
-    world.finish();
+    simulation.finish();
     true
 }
 
@@ -184,32 +184,32 @@
 }
 
 #[test]
-fn a_lease_that_lapsed_before_the_restart_gives_no_start_mark() {
-    let mut world = World::new();
-    let grants = world.store.lease(world.now, &service(), 2 * ITEMS);
+fn a_lease_from_before_a_restart_gets_no_start_mark() {
+    let mut simulation = Simulation::new();
+    let grants = simulation.store.lease(simulation.now, &service(), 2 * ITEMS);
     let item = grants.into_iter().map(|grant| grant.item).find(|item| item.job == job("once"));
     let item = item.expect("an item of the job is leased");
-    world.restart();
-    world.store.lease(world.now, &service(), 2 * ITEMS);
-    assert!(world.store.start(world.now, vec![item]).reply.is_empty());
+    simulation.restart();
+    simulation.store.lease(simulation.now, &service(), 2 * ITEMS);
+    assert!(simulation.store.start(simulation.now, vec![item]).reply.is_empty());
 }
 
 #[test]
-fn an_item_proven_unsent_is_leased_again() {
-    let mut world = World::new();
-    let grants = world.store.lease(world.now, &service(), 2 * ITEMS);
+fn an_item_proven_not_sent_is_leased_again() {
+    let mut simulation = Simulation::new();
+    let grants = simulation.store.lease(simulation.now, &service(), 2 * ITEMS);
     let item = grants.into_iter().map(|grant| grant.item).find(|item| item.job == job("once"));
     let item = item.expect("an item of the job is leased");
-    assert_eq!(world.store.start(world.now, vec![item.clone()]).reply.len(), 1);
+    assert_eq!(simulation.store.start(simulation.now, vec![item.clone()]).reply.len(), 1);
     let cause = ReturnCause::NotSent("connection refused".to_owned());
-    let decision = world.store.give_back(vec![ReturnedItem { item: item.clone(), cause }]);
+    let decision = simulation.store.return_items(vec![ReturnedItem { item: item.clone(), cause }]);
     assert!(matches!(&decision.records[..], [JobRecord::NotStarted { .. }]));
-    let again = world.store.lease(world.now, &service(), 1);
+    let again = simulation.store.lease(simulation.now, &service(), 1);
     assert!(again.iter().any(|grant| grant.item.index == item.index));
 }
 
 #[test]
-fn the_same_key_joins_and_other_content_conflicts() {
+fn a_job_with_the_same_key_joins_or_conflicts_by_content() {
     let mut store = JobStore::new(1);
     let header = job_header("key", RepeatPolicy::Allowed);
     let accept = |store: &mut JobStore, digest| {
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_cancelled_job_gives_no_more_leases_and_no_start_marks() {
+fn a_cancelled_job_grants_no_leases_and_no_start_marks() {
     let mut store = JobStore::new(1);
     let header = job_header("once", RepeatPolicy::Forbidden);
     store.accept(Timestamp(1), 1, header, 1, ITEMS, 1);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_cancelled_job_ends_although_the_holder_of_a_started_item_is_dead() {
+fn a_cancelled_job_ends_when_the_holder_of_a_started_item_has_failed() {
     let mut store = JobStore::new(1);
     let header = job_header("once", RepeatPolicy::Forbidden);
     store.accept(Timestamp(1), 1, header, 1, ITEMS, 1);
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn owners_are_told_once_when_items_wait_that_did_not() {
+fn newly_waiting_items_are_announced_once() {
     let mut store = JobStore::new(1);
     let accept = |store: &mut JobStore, key: &str| {
         let header = job_header(key, RepeatPolicy::Allowed);
@@ -262,6 +262,6 @@
     assert!(store.take_newly_ready().is_empty());
     let grants = store.lease(Timestamp(1), &service(), 2 * ITEMS);
     let item = grants[0].item.clone();
-    store.give_back(vec![ReturnedItem { item, cause: ReturnCause::Yielded }]);
+    store.return_items(vec![ReturnedItem { item, cause: ReturnCause::Yielded }]);
     assert_eq!(store.take_newly_ready(), vec![service()]);
 }
--- a/crates/daemon/src/control/dispatch.rs
+++ b/crates/daemon/src/control/dispatch.rs
@@ -64,7 +64,7 @@
         /// The daemon.
         holder: NodeName,
         /// What it held before.
-        held_before: Option<RecordCopy>,
+        previous: Option<RecordCopy>,
     },
     /// A daemon could not hold the copy of a record.
     CopyFailed {
@@ -107,7 +107,7 @@
         /// The attempt.
         attempt: u32,
         /// Whether the order can have reached it.
-        reached: bool,
+        may_have_arrived: bool,
         /// The cause.
         detail: String,
     },
@@ -165,14 +165,14 @@
     /// A store answered a request for start marks.
     StartAnswered {
         /// The items asked for.
-        asked: Vec<LeasedItemRef>,
+        requested: Vec<LeasedItemRef>,
         /// Those granted.
         granted: Vec<LeasedItemRef>,
     },
     /// A store answered an extension.
     Extended {
         /// The items asked for.
-        asked: Vec<LeasedItemRef>,
+        requested: Vec<LeasedItemRef>,
         /// Those granted.
         granted: Vec<LeasedItemRef>,
     },
@@ -235,13 +235,13 @@
         if self.coordinator.is_home_of(&call.header().request) {
             self.shared.calls.insert_if_absent(call);
         }
-        self.coordinate(effects);
+        self.execute_coordinator_effects(effects);
         submission
     }
 
-    fn coordinate(&mut self, effects: Vec<CoordinatorEffect>) {
+    fn execute_coordinator_effects(&mut self, effects: Vec<CoordinatorEffect>) {
         for effect in effects {
-            home::carry_out(&self.shared, &self.traffic, effect);
+            home::execute_effect(&self.shared, &self.traffic, effect);
         }
     }
 
@@ -255,10 +255,10 @@
         self.tickets.insert(header.request.clone(), ticket);
         self.online.insert(ticket, execution);
         let effects = self.admission.arrive(now, ticket, &service, priority, deadline);
-        self.admit(effects);
+        self.execute_admission_effects(effects);
     }
 
-    fn admit(&mut self, effects: Vec<AdmissionEffect>) {
+    fn execute_admission_effects(&mut self, effects: Vec<AdmissionEffect>) {
         for effect in effects {
             match effect {
                 AdmissionEffect::Start { ticket, backend, address } => {
@@ -266,19 +266,19 @@
                     let shared = self.shared.clone();
                     self.traffic.spawn(execution::run(shared, execution, ticket, backend, address));
                 }
-                AdmissionEffect::Yield { ticket } => self.shared.items.stop(ticket),
+                AdmissionEffect::Preempt { ticket } => self.shared.items.stop(ticket),
                 AdmissionEffect::Refuse { ticket, refusal } => self.refuse(ticket, refusal),
             }
         }
     }
 
     fn refuse(&mut self, ticket: Ticket, refusal: Refusal) {
-        let Some(execution) = self.forget_online(ticket) else { return };
+        let Some(execution) = self.remove_online(ticket) else { return };
         let load = self.load_for(&execution);
         execution.buffer().end(Outcome::Refused(refusal), Some(load));
     }
 
-    fn forget_online(&mut self, ticket: Ticket) -> Option<Arc<Call>> {
+    fn remove_online(&mut self, ticket: Ticket) -> Option<Arc<Call>> {
         let execution = self.online.remove(&ticket)?;
         let request = &execution.header().request;
         if self.tickets.get(request) == Some(&ticket) {
@@ -294,15 +294,15 @@
     fn online_ended(&mut self, ticket: Ticket, failed: bool) -> OwnerLoad {
         let now = self.shared.clock.now();
         let effects = self.admission.finish(now, ticket, failed);
-        let execution = self.forget_online(ticket);
-        self.admit(effects);
+        let execution = self.remove_online(ticket);
+        self.execute_admission_effects(effects);
         self.lease();
         execution.map(|execution| self.load_for(&execution)).unwrap_or_default()
     }
 
     fn cancel_execution(&mut self, request: &RequestId) -> bool {
         let Some(ticket) = self.tickets.get(request).copied() else { return false };
-        if self.admission.withdraw(ticket) {
+        if self.admission.cancel_waiting(ticket) {
             let refusal = Refusal::not_run(RefusalReason::Cancelled, "cancelled while waiting");
             self.refuse(ticket, refusal);
             return true;
@@ -315,12 +315,12 @@
 
     fn lease(&mut self) {
         let effects = self.runner.lease(self.shared.clock.now(), &self.admission);
-        self.run_batch(effects);
+        self.execute_batch_effects(effects);
     }
 
-    fn run_batch(&mut self, effects: Vec<BatchEffect>) {
+    fn execute_batch_effects(&mut self, effects: Vec<BatchEffect>) {
         for effect in effects {
-            batch::carry_out(&self.shared, &self.traffic, effect);
+            batch::execute_effect(&self.shared, &self.traffic, effect);
         }
     }
 
@@ -328,16 +328,16 @@
         let now = self.shared.clock.now();
         let view = self.shared.view.load_full();
         let effects = self.coordinator.tick(now, &view);
-        self.coordinate(effects);
+        self.execute_coordinator_effects(effects);
         let effects = self.admission.tick(now);
-        self.admit(effects);
+        self.execute_admission_effects(effects);
         let effects = self.runner.tick(now);
-        self.run_batch(effects);
+        self.execute_batch_effects(effects);
         self.lease();
-        let (records, copies) = self.coordinator.held();
+        let (records, copies) = self.coordinator.record_counts();
         metrics::gauge!("yokefall_request_records").set(records as f64);
         metrics::gauge!("yokefall_request_copies").set(copies as f64);
-        metrics::gauge!("yokefall_batch_items_held").set(self.runner.held() as f64);
+        metrics::gauge!("yokefall_batch_items_held").set(self.runner.held_items() as f64);
     }
 
     fn leased(&mut self, store: &NodeName, service: &ServiceId, items: Option<Vec<LeasedItem>>) {
@@ -347,31 +347,31 @@
             return;
         };
         let effects = self.runner.leased(now, &mut self.admission, store, service, items);
-        self.run_batch(effects);
+        self.execute_batch_effects(effects);
         self.lease();
     }
 
     fn item_ended(&mut self, ticket: Ticket, end: ItemEnd) {
         let now = self.shared.clock.now();
         let (effects, admitted) = self.runner.ended(now, &mut self.admission, ticket, end);
-        self.run_batch(effects);
-        self.admit(admitted);
+        self.execute_batch_effects(effects);
+        self.execute_admission_effects(admitted);
         self.lease();
     }
 
-    fn start_answered(&mut self, asked: &[LeasedItemRef], granted: &[LeasedItemRef]) {
+    fn start_answered(&mut self, requested: &[LeasedItemRef], granted: &[LeasedItemRef]) {
         let now = self.shared.clock.now();
         let (effects, admitted) =
-            self.runner.start_answered(now, &mut self.admission, asked, granted);
-        self.run_batch(effects);
-        self.admit(admitted);
+            self.runner.start_answered(now, &mut self.admission, requested, granted);
+        self.execute_batch_effects(effects);
+        self.execute_admission_effects(admitted);
     }
 
-    fn busy(&self) -> BusyCounts {
+    fn active_tickets(&self) -> BusyCounts {
         BusyCounts {
             requests: self.coordinator.open_requests(),
-            admitted: self.admission.busy(),
-            items: self.runner.held(),
+            admitted: self.admission.active_tickets(),
+            items: self.runner.held_items(),
             handovers: self.coordinator.open_handovers(),
         }
     }
@@ -387,7 +387,7 @@
             DispatchCommand::ViewChanged => {
                 let view = self.shared.view.load_full();
                 let effects = self.admission.configure(now, &view);
-                self.admit(effects);
+                self.execute_admission_effects(effects);
                 self.coordinator.view_changed(&view);
             }
             DispatchCommand::Submit { call, reply } => {
@@ -396,14 +396,13 @@
             DispatchCommand::Cancel { request, reply } => {
                 let view = self.shared.view.load_full();
                 let (cancelled, effects) = self.coordinator.cancel(now, &view, &request);
-                self.coordinate(effects);
+                self.execute_coordinator_effects(effects);
                 let _ = reply.send(cancelled);
             }
-            DispatchCommand::CopyHeld { request, holder, held_before } => {
+            DispatchCommand::CopyHeld { request, holder, previous } => {
                 let view = self.shared.view.load_full();
-                let effects =
-                    self.coordinator.copy_held(now, &view, &request, &holder, held_before);
-                self.coordinate(effects);
+                let effects = self.coordinator.copy_held(now, &view, &request, &holder, previous);
+                self.execute_coordinator_effects(effects);
             }
             DispatchCommand::HandedOver { request, holder, acknowledged } => {
                 self.coordinator.handed_over(now, &request, &holder, acknowledged);
@@ -411,7 +410,7 @@
             DispatchCommand::CopyFailed { request, holder } => {
                 let view = self.shared.view.load_full();
                 let effects = self.coordinator.copy_failed(now, &view, &request, &holder);
-                self.coordinate(effects);
+                self.execute_coordinator_effects(effects);
             }
             DispatchCommand::Started { request, attempt } => {
                 self.coordinator.started(&request, attempt);
@@ -420,13 +419,19 @@
                 let view = self.shared.view.load_full();
                 let effects =
                     self.coordinator.execution_ended(now, &view, &request, attempt, outcome, load);
-                self.coordinate(effects);
+                self.execute_coordinator_effects(effects);
             }
-            DispatchCommand::ExecutionLost { request, attempt, reached, detail } => {
+            DispatchCommand::ExecutionLost { request, attempt, may_have_arrived, detail } => {
                 let view = self.shared.view.load_full();
-                let effects =
-                    self.coordinator.execution_lost(now, &view, &request, attempt, reached, detail);
-                self.coordinate(effects);
+                let effects = self.coordinator.execution_lost(
+                    now,
+                    &view,
+                    &request,
+                    attempt,
+                    may_have_arrived,
+                    detail,
+                );
+                self.execute_coordinator_effects(effects);
             }
             DispatchCommand::Hold { copy, reply } => {
                 let view = self.shared.view.load_full();
@@ -449,18 +454,18 @@
                 self.runner.work_available(&store, &service);
                 self.lease();
             }
-            DispatchCommand::StartAnswered { asked, granted } => {
-                self.start_answered(&asked, &granted);
+            DispatchCommand::StartAnswered { requested, granted } => {
+                self.start_answered(&requested, &granted);
             }
-            DispatchCommand::Extended { asked, granted } => {
-                let effects = self.runner.extended(&asked, &granted);
-                self.run_batch(effects);
+            DispatchCommand::Extended { requested, granted } => {
+                let effects = self.runner.extended(&requested, &granted);
+                self.execute_batch_effects(effects);
             }
             DispatchCommand::ItemEnded { ticket, end } => self.item_ended(ticket, end),
             DispatchCommand::Reported { ticket } => self.runner.reported(ticket),
             DispatchCommand::PauseBatch => self.runner.pause(),
             DispatchCommand::Busy(reply) => {
-                let _ = reply.send(self.busy());
+                let _ = reply.send(self.active_tickets());
             }
         }
     }
--- a/crates/daemon/src/control/fleet.rs
+++ b/crates/daemon/src/control/fleet.rs
@@ -83,7 +83,7 @@
     membership: Membership,
     configuration: ConfigurationStore,
     datagrams: mpsc::UnboundedSender<Outgoing>,
-    generator: SmallRng,
+    rng: SmallRng,
     rebuild: bool,
 }
 
@@ -100,7 +100,7 @@
             membership,
             configuration: ConfigurationStore::default(),
             datagrams,
-            generator: SmallRng::seed_from_u64(0),
+            rng: SmallRng::seed_from_u64(0),
             rebuild: true,
         }
     }
@@ -155,7 +155,7 @@
             .map(|member| member.node)
             .filter(|node| *node != self.shared.node)
             .collect();
-        others.choose_multiple(&mut self.generator, PUSH_FANOUT).cloned().collect()
+        others.choose_multiple(&mut self.rng, PUSH_FANOUT).cloned().collect()
     }
 
     /// Publishes a new view after a change of members or configuration.
--- a/crates/daemon/src/control/jobs.rs
+++ b/crates/daemon/src/control/jobs.rs
@@ -18,7 +18,7 @@
 use crate::traffic::call_peer;
 
 /// Least interval at which the owners of a service are told of waiting items, in milliseconds.
-const TELL_INTERVAL_MS: u64 = 500;
+const WORK_NOTICE_INTERVAL_MS: u64 = 500;
 
 /// Commands to the actor. A dropped reply means that the journal failed.
 pub enum JobCommand {
@@ -61,7 +61,7 @@
         reply: oneshot::Sender<Vec<LeasedItemRef>>,
     },
     /// Take items back.
-    GiveBack {
+    ReturnItems {
         /// The items.
         items: Vec<ReturnedItem>,
         /// Sent once durable.
@@ -103,32 +103,34 @@
     shared: Arc<Shared>,
     traffic: Handle,
     store: JobStore,
-    told: HashMap<ServiceId, Timestamp>,
-    untold: HashSet<ServiceId>,
+    notified_at: HashMap<ServiceId, Timestamp>,
+    unnotified: HashSet<ServiceId>,
 }
 
 impl JobActor {
     pub(super) fn new(shared: Arc<Shared>, traffic: Handle, store: JobStore) -> Self {
-        Self { shared, traffic, store, told: HashMap::new(), untold: HashSet::new() }
+        Self { shared, traffic, store, notified_at: HashMap::new(), unnotified: HashSet::new() }
     }
 
     /// Tells the owners of a service's back ends that items wait, at most once an interval: items
     /// that yield and wait again in a burst must not become a burst of messages.
-    fn tell_owners(&mut self, now: Timestamp) {
-        self.untold.extend(self.store.take_newly_ready());
-        let told = &self.told;
+    fn notify_owners(&mut self, now: Timestamp) {
+        self.unnotified.extend(self.store.take_newly_ready());
+        let notified_at = &self.notified_at;
         let is_due = |service: &ServiceId| {
-            told.get(service).is_none_or(|at| now.millis_since(*at) >= TELL_INTERVAL_MS)
+            notified_at
+                .get(service)
+                .is_none_or(|at| now.millis_since(*at) >= WORK_NOTICE_INTERVAL_MS)
         };
-        let due: Vec<ServiceId> = self.untold.iter().filter(|s| is_due(s)).cloned().collect();
+        let due: Vec<ServiceId> = self.unnotified.iter().filter(|s| is_due(s)).cloned().collect();
         for service in due {
-            self.untold.remove(&service);
-            self.told.insert(service.clone(), now);
-            self.tell_owners_of(&service);
+            self.unnotified.remove(&service);
+            self.notified_at.insert(service.clone(), now);
+            self.notify_owners_of(&service);
         }
     }
 
-    fn tell_owners_of(&self, service: &ServiceId) {
+    fn notify_owners_of(&self, service: &ServiceId) {
         let view = self.shared.view.load();
         let Some(declared) = view.services.get(service) else { return };
         for owner in &declared.owners {
@@ -142,7 +144,11 @@
     }
 
     /// Sends a reply once its records, and all before them, are durable.
-    fn settle<T: Send + 'static>(&self, decision: Decision<T>, reply: oneshot::Sender<T>) {
+    fn reply_when_durable<T: Send + 'static>(
+        &self,
+        decision: Decision<T>,
+        reply: oneshot::Sender<T>,
+    ) {
         let Decision { reply: value, records } = decision;
         self.write(records, move || {
             let _ = reply.send(value);
@@ -168,38 +174,38 @@
                 if !records.is_empty() {
                     self.write(records, || {});
                 }
-                self.tell_owners(now);
+                self.notify_owners(now);
                 metrics::gauge!("yokefall_job_items_open").set(self.store.size().1 as f64);
             }
             JobCommand::Accept { header, digest, items, upload, reply } => {
                 let decision = self.store.accept(now, unix_ms(), header, digest, items, upload);
-                self.settle(decision, reply);
+                self.reply_when_durable(decision, reply);
             }
             JobCommand::Lease { service, most, reply } => {
                 let _ = reply.send(self.store.lease(now, &service, most));
             }
             JobCommand::Start { items, reply } => {
                 let decision = self.store.start(now, items);
-                self.settle(decision, reply);
+                self.reply_when_durable(decision, reply);
             }
             JobCommand::Extend { items, reply } => {
                 let _ = reply.send(self.store.extend(now, items));
             }
-            JobCommand::GiveBack { items, reply } => {
-                let decision = self.store.give_back(items);
-                self.settle(decision, reply);
+            JobCommand::ReturnItems { items, reply } => {
+                let decision = self.store.return_items(items);
+                self.reply_when_durable(decision, reply);
             }
             JobCommand::Complete { items, reply } => {
                 let decision = self.store.complete(items);
-                self.settle(decision, reply);
+                self.reply_when_durable(decision, reply);
             }
             JobCommand::Cancel { job, reply } => {
                 let decision = self.store.cancel(now, &job);
-                self.settle(decision, reply);
+                self.reply_when_durable(decision, reply);
             }
             JobCommand::Progress { job, reply } => {
                 let progress = self.store.progress(&job);
-                self.settle(Decision { reply: progress, records: Vec::new() }, reply);
+                self.reply_when_durable(Decision { reply: progress, records: Vec::new() }, reply);
             }
             JobCommand::Find { job, reply } => {
                 let _ = reply.send(self.store.number_of(&job));
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -24,9 +24,9 @@
 use crate::shared::Shared;
 
 /// Interval of the machines' ticks.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Commands that may wait at one actor.
-const MAILBOX: usize = 65_536;
+const MAILBOX_CAPACITY: usize = 65_536;
 
 /// What the control thread starts with.
 pub struct ControlParts {
@@ -81,29 +81,29 @@
         parts.retention_ms,
         runner_stores,
     );
-    let dispatch = DispatchActor::spawn_with_mailbox(dispatch, mailbox::bounded(MAILBOX));
-    tick(dispatch.clone(), || DispatchCommand::Tick);
+    let dispatch = DispatchActor::spawn_with_mailbox(dispatch, mailbox::bounded(MAILBOX_CAPACITY));
+    send_ticks(dispatch.clone(), || DispatchCommand::Tick);
     let _ = shared.dispatch.set(dispatch);
     if let Some(store) = parts.jobs {
         let jobs = JobActor::new(shared.clone(), traffic.clone(), store);
-        let jobs = JobActor::spawn_with_mailbox(jobs, mailbox::bounded(MAILBOX));
-        tick(jobs.clone(), || JobCommand::Tick);
+        let jobs = JobActor::spawn_with_mailbox(jobs, mailbox::bounded(MAILBOX_CAPACITY));
+        send_ticks(jobs.clone(), || JobCommand::Tick);
         let _ = shared.jobs.set(jobs);
     }
     let fleet = FleetActor::new(shared.clone(), traffic, parts.membership, parts.datagrams);
-    let fleet = FleetActor::spawn_with_mailbox(fleet, mailbox::bounded(MAILBOX));
-    tick(fleet.clone(), || FleetCommand::Tick);
+    let fleet = FleetActor::spawn_with_mailbox(fleet, mailbox::bounded(MAILBOX_CAPACITY));
+    send_ticks(fleet.clone(), || FleetCommand::Tick);
     let _ = shared.fleet.set(fleet);
 }
 
 /// Sends an actor its tick for as long as it lives.
-fn tick<A, C>(actor: ActorRef<A>, command: impl Fn() -> C + Send + 'static)
+fn send_ticks<A, C>(actor: ActorRef<A>, command: impl Fn() -> C + Send + 'static)
 where
     A: Actor + Message<C>,
     C: Send + 'static,
 {
     tokio::spawn(async move {
-        let mut interval = tokio::time::interval(TICK);
+        let mut interval = tokio::time::interval(TICK_INTERVAL);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -33,13 +33,13 @@
 use crate::traffic::uploads::UploadTable;
 
 /// Changes that a slow watcher may lag behind.
-const CHANGE_QUEUE: usize = 4096;
+const CHANGE_QUEUE_CAPACITY: usize = 4096;
 /// Time that other processes take to learn that this one is leaving.
-const LEAVE_NOTICE: Duration = Duration::from_millis(2_500);
+const LEAVE_PROPAGATION_DELAY: Duration = Duration::from_millis(2_500);
 /// Interval at which a stop looks whether anything still runs.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for the last datagrams to leave.
-const FAREWELL_PAUSE: Duration = Duration::from_millis(50);
+const FINAL_DATAGRAM_DELAY: Duration = Duration::from_millis(50);
 
 /// Open ports of a daemon.
 pub struct Listeners {
@@ -169,7 +169,7 @@
 
     /// Stops as planned: leaves the routing, finishes or gives back what runs, then goes.
     pub async fn stop(self, drain: Duration) -> StopReport {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.health.set_ready(false);
         let _ = self.shared.fleet().tell(FleetCommand::Announce(MemberState::Leaving)).await;
         let _ = self.shared.dispatch().tell(DispatchCommand::PauseBatch).await;
@@ -180,18 +180,19 @@
                 idle_since = None;
             }
             let idle = busy.is_idle().then(|| *idle_since.get_or_insert_with(Instant::now));
-            let told = begun.elapsed() >= LEAVE_NOTICE;
-            if told && idle.is_some_and(|since: Instant| since.elapsed() >= DRAIN_INTERVAL * 4) {
+            let announced = started_at.elapsed() >= LEAVE_PROPAGATION_DELAY;
+            if announced && idle.is_some_and(|since: Instant| since.elapsed() >= DRAIN_INTERVAL * 4)
+            {
                 break true;
             }
-            if begun.elapsed() >= drain {
-                log_cut(&busy);
+            if started_at.elapsed() >= drain {
+                log_unfinished_work(&busy);
                 break false;
             }
             tokio::time::sleep(DRAIN_INTERVAL).await;
         };
         let _ = self.shared.fleet().tell(FleetCommand::Announce(MemberState::Dead)).await;
-        tokio::time::sleep(FAREWELL_PAUSE).await;
+        tokio::time::sleep(FINAL_DATAGRAM_DELAY).await;
         self.kill();
         StopReport { clean }
     }
@@ -204,7 +205,7 @@
     }
 }
 
-fn log_cut(busy: &BusyCounts) {
+fn log_unfinished_work(busy: &BusyCounts) {
     let message = format!("stopped with work left: {busy:?}");
     Event::new(Level::Error, "stop").write(message);
 }
@@ -270,7 +271,7 @@
         calls: Default::default(),
         executions: Default::default(),
         items: Default::default(),
-        changes: broadcast::channel(CHANGE_QUEUE).0,
+        changes: broadcast::channel(CHANGE_QUEUE_CAPACITY).0,
         store,
         storage_failed: Notify::new(),
         fleet: OnceLock::new(),
--- a/crates/daemon/src/ports/jobs.rs
+++ b/crates/daemon/src/ports/jobs.rs
@@ -46,7 +46,7 @@
             granted.map_or_else(journal_failed, PeerReply::Granted)
         }
         PeerRequest::ReturnItems(items) => {
-            let done = ask(shared, |reply| JobCommand::GiveBack { items, reply }).await;
+            let done = ask(shared, |reply| JobCommand::ReturnItems { items, reply }).await;
             done.map_or_else(journal_failed, |()| PeerReply::Done)
         }
         PeerRequest::CompleteItems(items) => {
--- a/crates/daemon/src/ports/platform.rs
+++ b/crates/daemon/src/ports/platform.rs
@@ -24,19 +24,20 @@
 /// Key under which the watchers of a region are chosen.
 const WATCHER_KEY: &[u8] = b"platform-watcher";
 /// Interval at which a daemon looks whether it is a watcher.
-const ROLE_INTERVAL: Duration = Duration::from_millis(250);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Bounds of the pause after a failed call.
-const RETRY_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(5));
+const RETRY_BACKOFF_RANGE: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(5));
 /// Namespace under which machines are held; no partner has this name.
 const MACHINE_NAMESPACE: &str = "";
 
 /// Whether this daemon reads the platform for its region.
 fn is_watcher(view: &FleetView) -> bool {
-    let Some(me) = view.member(&view.node) else { return true };
+    let Some(own) = view.member(&view.node) else { return true };
     let in_region: Vec<&NodeName> = view
         .members
         .iter()
-        .filter(|member| member.region == me.region && member.accepting)
+        .filter(|member| member.region == own.region && member.accepting)
         .map(|member| &member.node)
         .collect();
     let order = rendezvous_order(WATCHER_KEY, in_region);
@@ -45,19 +46,19 @@
 
 async fn until_watcher(shared: &Shared) {
     while !is_watcher(&shared.view.load()) {
-        tokio::time::sleep(ROLE_INTERVAL).await;
+        tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
     }
 }
 
 async fn until_not_watcher(shared: &Shared) {
     while is_watcher(&shared.view.load()) {
-        tokio::time::sleep(ROLE_INTERVAL).await;
+        tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
     }
 }
 
 /// Reads objects of one kind for as long as this daemon is a watcher, for ever.
 pub async fn watch_objects(shared: Arc<Shared>, kind: Kind) {
-    let mut pause = RETRY_RANGE.0;
+    let mut backoff = RETRY_BACKOFF_RANGE.0;
     loop {
         until_watcher(&shared).await;
         let reading = tokio::select! {
@@ -65,12 +66,12 @@
             () = until_not_watcher(&shared) => Ok(()),
         };
         match reading {
-            Ok(()) => pause = RETRY_RANGE.0,
+            Ok(()) => backoff = RETRY_BACKOFF_RANGE.0,
             Err(error) => {
                 let peer = error.peer.clone();
                 Event::new(Level::Warn, "watch objects").peer(peer).write(error);
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(RETRY_RANGE.1);
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(RETRY_BACKOFF_RANGE.1);
             }
         }
     }
@@ -96,7 +97,7 @@
                 }
             }
         }
-        tokio::time::sleep(RETRY_RANGE.0).await;
+        tokio::time::sleep(RETRY_BACKOFF_RANGE.0).await;
     }
 }
 
--- a/crates/daemon/src/ports/repair.rs
+++ b/crates/daemon/src/ports/repair.rs
@@ -19,13 +19,13 @@
 
 /// Compares with one member after another, for ever.
 pub async fn run(shared: Arc<Shared>, seed: u64) {
-    let mut generator = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     loop {
         tokio::time::sleep(REPAIR_INTERVAL).await;
         let view = shared.view.load_full();
         let others: Vec<&NodeName> =
             view.members.iter().map(|m| &m.node).filter(|node| **node != shared.node).collect();
-        if let Some(peer) = others.choose(&mut generator) {
+        if let Some(peer) = others.choose(&mut rng) {
             repair_with(&shared, peer).await;
         }
     }
@@ -33,8 +33,8 @@
 
 async fn repair_with(shared: &Shared, peer: &NodeName) {
     let Some(digest) = ask(shared, FleetCommand::Digest).await else { return };
-    let brief = PeerRequest::ConfigurationDigest { digest, versions: Vec::new() };
-    if let Ok(PeerReply::Repair { same: false, .. }) = call_peer(shared, peer, brief).await {
+    let digest_only = PeerRequest::ConfigurationDigest { digest, versions: Vec::new() };
+    if let Ok(PeerReply::Repair { same: false, .. }) = call_peer(shared, peer, digest_only).await {
         exchange(shared, peer, digest).await;
     }
 }
@@ -50,19 +50,21 @@
 
 async fn exchange(shared: &Shared, peer: &NodeName, digest: u64) {
     let Some(versions) = ask(shared, FleetCommand::Versions).await else { return };
-    let whole = PeerRequest::ConfigurationDigest { digest, versions };
-    let Ok(PeerReply::Repair { objects, wanted, .. }) = call_peer(shared, peer, whole).await else {
+    let with_versions = PeerRequest::ConfigurationDigest { digest, versions };
+    let Ok(PeerReply::Repair { objects, wanted, .. }) =
+        call_peer(shared, peer, with_versions).await
+    else {
         return;
     };
     if !objects.is_empty() {
         let _ = shared.fleet().tell(FleetCommand::Apply(objects)).await;
     }
     if !wanted.is_empty() {
-        give(shared, peer, &wanted).await;
+        push_objects(shared, peer, &wanted).await;
     }
 }
 
-async fn give(shared: &Shared, peer: &NodeName, wanted: &[ObjectKey]) {
+async fn push_objects(shared: &Shared, peer: &NodeName, wanted: &[ObjectKey]) {
     let Some(mut objects) = ask(shared, FleetCommand::Objects).await else { return };
     objects.retain(|object| wanted.contains(&object.key));
     let _ = call_peer(shared, peer, PeerRequest::PushObjects(objects)).await;
--- a/crates/daemon/src/traffic/batch.rs
+++ b/crates/daemon/src/traffic/batch.rs
@@ -21,11 +21,11 @@
 use crate::traffic::execution::{cancel_at_backend, service_spec};
 
 /// Tries to get an answer about start marks or returned items, and the pause between them.
-const TRIES: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(200);
+const MAX_ATTEMPTS: u32 = 20;
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts the work of one effect on the traffic threads.
-pub fn carry_out(shared: &Arc<Shared>, traffic: &Handle, effect: BatchEffect) {
+pub fn execute_effect(shared: &Arc<Shared>, traffic: &Handle, effect: BatchEffect) {
     let shared = shared.clone();
     match effect {
         BatchEffect::Lease { store, service, most } => {
@@ -58,9 +58,9 @@
     store: &NodeName,
     request: PeerRequest,
 ) -> Option<PeerReply> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match call_peer(shared, store, request.clone()).await {
-            Ok(PeerReply::Refused(_)) | Err(_) => tokio::time::sleep(PAUSE).await,
+            Ok(PeerReply::Refused(_)) | Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
             Ok(reply) => return Some(reply),
         }
     }
@@ -78,19 +78,19 @@
     let _ = shared.dispatch().tell(DispatchCommand::Leased { store, service, items }).await;
 }
 
-async fn start_items(shared: Arc<Shared>, store: NodeName, asked: Vec<LeasedItemRef>) {
-    let request = PeerRequest::StartItems(asked.clone());
+async fn start_items(shared: Arc<Shared>, store: NodeName, requested: Vec<LeasedItemRef>) {
+    let request = PeerRequest::StartItems(requested.clone());
     let granted = match call_until_answered(&shared, &store, request).await {
         Some(PeerReply::Granted(granted)) => granted,
         _ => Vec::new(),
     };
-    let _ = shared.dispatch().tell(DispatchCommand::StartAnswered { asked, granted }).await;
+    let _ = shared.dispatch().tell(DispatchCommand::StartAnswered { requested, granted }).await;
 }
 
-async fn extend(shared: Arc<Shared>, store: NodeName, asked: Vec<LeasedItemRef>) {
-    let request = PeerRequest::ExtendLeases(asked.clone());
+async fn extend(shared: Arc<Shared>, store: NodeName, requested: Vec<LeasedItemRef>) {
+    let request = PeerRequest::ExtendLeases(requested.clone());
     if let Ok(PeerReply::Granted(granted)) = call_peer(&shared, &store, request).await {
-        let _ = shared.dispatch().tell(DispatchCommand::Extended { asked, granted }).await;
+        let _ = shared.dispatch().tell(DispatchCommand::Extended { requested, granted }).await;
     }
 }
 
--- a/crates/daemon/src/traffic/home.rs
+++ b/crates/daemon/src/traffic/home.rs
@@ -18,13 +18,13 @@
 use crate::traffic::{call_peer, not_a_member};
 
 /// Tries to tell the holder of the copy, or an owner, of an end, and the pause between them.
-const TELL_TRIES: u32 = 4;
-const TELL_PAUSE: Duration = Duration::from_millis(150);
+const MAX_NOTIFY_ATTEMPTS: u32 = 4;
+const NOTIFY_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// Time for which an execution of another home daemon is followed, in milliseconds.
-const ADOPT_WAIT_MS: u64 = yokefall_types::limits::MAX_CALL_DEADLINE_MS;
+const ADOPT_TIMEOUT_MS: u64 = yokefall_types::limits::MAX_CALL_DEADLINE_MS;
 
 /// Starts the work of one effect on the traffic threads.
-pub fn carry_out(shared: &Arc<Shared>, traffic: &Handle, effect: CoordinatorEffect) {
+pub fn execute_effect(shared: &Arc<Shared>, traffic: &Handle, effect: CoordinatorEffect) {
     let shared = shared.clone();
     match effect {
         CoordinatorEffect::Copy { to, copy, handover: false } => {
@@ -50,30 +50,30 @@
         CoordinatorEffect::CancelExecution { request, owner } => {
             traffic.spawn(async move {
                 let order = PeerRequest::CancelExecution { request };
-                tell(&shared, &owner, order).await;
+                notify(&shared, &owner, order).await;
             });
         }
         CoordinatorEffect::End { request, outcome, holders } => {
             end(&shared, traffic, &request, outcome, holders);
         }
-        CoordinatorEffect::Forget { request } => shared.calls.remove(&request),
+        CoordinatorEffect::Expire { request } => shared.calls.remove(&request),
     }
 }
 
-async fn tell(shared: &Shared, node: &NodeName, request: PeerRequest) {
-    for _ in 0..TELL_TRIES {
+async fn notify(shared: &Shared, node: &NodeName, request: PeerRequest) {
+    for _ in 0..MAX_NOTIFY_ATTEMPTS {
         if call_peer(shared, node, request.clone()).await.is_ok() {
             return;
         }
-        tokio::time::sleep(TELL_PAUSE).await;
+        tokio::time::sleep(NOTIFY_RETRY_INTERVAL).await;
     }
 }
 
 async fn copy_record(shared: Arc<Shared>, to: NodeName, copy: RecordCopy) {
     let request = copy.request.clone();
     let command = match call_peer(&shared, &to, PeerRequest::HoldRecord(copy)).await {
-        Ok(PeerReply::RecordHeld(held_before)) => {
-            DispatchCommand::CopyHeld { request, holder: to, held_before }
+        Ok(PeerReply::RecordHeld(previous)) => {
+            DispatchCommand::CopyHeld { request, holder: to, previous }
         }
         answer => {
             let detail = answer.err().map_or_else(|| "unexpected reply".into(), |e| e.to_string());
@@ -110,7 +110,7 @@
         }
         RecordState::Running { owner } => {
             let (offset, _) = call.buffer().length();
-            let attach = PeerRequest::Attach { request, offset, wait_ms: ADOPT_WAIT_MS };
+            let attach = PeerRequest::Attach { request, offset, wait_ms: ADOPT_TIMEOUT_MS };
             let opened = open(&shared, &owner, attach).await;
             let target = Target { node: owner, base_offset: 0, base_tokens: 0 };
             relay(&shared, &call, attempt, target, opened).await;
@@ -192,9 +192,9 @@
     error: PeerError,
 ) {
     Event::new(Level::Warn, "execute").peer(owner).id(&request).write(&error);
-    let reached = !error.proves_not_sent();
+    let may_have_arrived = !error.proves_not_sent();
     let detail = format!("owner {owner}: {error}");
-    let command = DispatchCommand::ExecutionLost { request, attempt, reached, detail };
+    let command = DispatchCommand::ExecutionLost { request, attempt, may_have_arrived, detail };
     let _ = shared.dispatch().tell(command).await;
 }
 
@@ -247,7 +247,7 @@
     let Some(copy) = ended_copy(shared, &call) else { return };
     for holder in holders {
         let (shared, copy) = (shared.clone(), copy.clone());
-        traffic.spawn(async move { tell(&shared, &holder, PeerRequest::HoldRecord(copy)).await });
+        traffic.spawn(async move { notify(&shared, &holder, PeerRequest::HoldRecord(copy)).await });
     }
 }
 
--- a/crates/daemon/src/traffic/uploads.rs
+++ b/crates/daemon/src/traffic/uploads.rs
@@ -12,7 +12,7 @@
 use yokefall_types::{Refusal, RefusalReason};
 
 /// Time without a new item after which an upload is given up.
-const IDLE_LIMIT: Duration = Duration::from_secs(60);
+const UPLOAD_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Bits of the upload number below the store's epoch.
 const EPOCH_SHIFT: u32 = 32;
 
@@ -30,7 +30,7 @@
     header: JobHeader,
     hasher: Xxh3,
     items: u32,
-    touched: Instant,
+    last_append_at: Instant,
 }
 
 /// Uploads in progress, by number.
@@ -56,7 +56,7 @@
         hasher.update(header.service.as_str().as_bytes());
         hasher.update(&[0, header.repeat as u8]);
         hasher.update(&header.max_tokens.to_le_bytes());
-        let upload = Upload { header, hasher, items: 0, touched: Instant::now() };
+        let upload = Upload { header, hasher, items: 0, last_append_at: Instant::now() };
         self.lock().insert(number, upload);
         number
     }
@@ -91,7 +91,7 @@
     /// Removes uploads that were given up, and returns their numbers and items.
     pub fn expire(&self) -> Vec<(u64, u32)> {
         let mut uploads = self.lock();
-        let idle = |upload: &Upload| upload.touched.elapsed() > IDLE_LIMIT;
+        let idle = |upload: &Upload| upload.last_append_at.elapsed() > UPLOAD_IDLE_TIMEOUT;
         let expired: Vec<(u64, u32)> =
             uploads.iter().filter(|(_, u)| idle(u)).map(|(n, u)| (*n, u.items)).collect();
         for (number, _) in &expired {
@@ -120,7 +120,7 @@
             self.hasher.update(body);
         }
         self.items += bodies.len() as u32;
-        self.touched = Instant::now();
+        self.last_append_at = Instant::now();
         Ok(first_index)
     }
 }
