--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -189,7 +189,7 @@
         deadline: Timestamp,
     ) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
-        if let Some(refusal) = self.refusal_at_arrival(now, service, deadline) {
+        if let Some(refusal) = self.refusal_on_arrival(now, service, deadline) {
             effects.push(AdmissionEffect::Refuse { ticket, refusal });
             return effects;
         }
@@ -204,7 +204,7 @@
 
     /// Rejects a call on arrival if the queue is full or its deadline would pass in the queue, so that
     /// the caller can try another owner at once.
-    fn refusal_at_arrival(
+    fn refusal_on_arrival(
         &self,
         now: Timestamp,
         service: &ServiceId,
--- a/crates/core/src/jobs/ends.rs
+++ b/crates/core/src/jobs/ends.rs
@@ -96,9 +96,9 @@
         records: &mut Vec<JobRecord>,
     ) {
         let Some(job) = self.jobs.get(&number) else { return };
-        let unstarted = |item: &Item| matches!(item, Item::Waiting | Item::Leased { .. });
+        let is_unstarted = |item: &Item| matches!(item, Item::Waiting | Item::Leased { .. });
         let indexes: Vec<u32> =
-            (0..job.items.len() as u32).filter(|i| unstarted(&job.items[*i as usize])).collect();
+            (0..job.items.len() as u32).filter(|i| is_unstarted(&job.items[*i as usize])).collect();
         for index in indexes {
             self.end_item(number, index, outcome, Vec::new(), records);
         }
--- a/crates/core/tests/coordinator.rs
+++ b/crates/core/tests/coordinator.rs
@@ -33,7 +33,7 @@
     let view = view(3, 2, 4, 0);
     let mut coordinator = Coordinator::new(home(0), 1, RETENTION_MS);
     // Per request: attempts sent and not proven not to have run, and number of ends.
-    let mut unproven: HashMap<RequestId, Vec<u32>> = HashMap::new();
+    let mut possibly_run: HashMap<RequestId, Vec<u32>> = HashMap::new();
     let mut ends: HashMap<RequestId, u32> = HashMap::new();
     let mut now = Timestamp(1);
     for (kind, id, choice) in steps {
@@ -41,7 +41,7 @@
         let header = header(&format!("r{}", id % 3), RepeatPolicy::Forbidden);
         let request = header.request.clone();
         // Reports of earlier attempts may arrive late or twice.
-        let newest = unproven.get(&request).and_then(|sent| sent.last().copied()).unwrap_or(1);
+        let newest = possibly_run.get(&request).and_then(|sent| sent.last().copied()).unwrap_or(1);
         let attempt = if choice % 3 == 0 { newest.max(2) - 1 } else { newest };
         let mut proven = None;
         let effects = match kind % 8 {
@@ -72,10 +72,10 @@
             _ => coordinator.cancel(now, &view, &request).1,
         };
         if let Some(attempt) = proven {
-            unproven.entry(request).or_default().retain(|sent| *sent != attempt);
+            possibly_run.entry(request).or_default().retain(|sent| *sent != attempt);
         }
         for (request, attempt) in executions(&effects) {
-            let sent = unproven.entry(request).or_default();
+            let sent = possibly_run.entry(request).or_default();
             if !sent.is_empty() {
                 return false;
             }
@@ -91,7 +91,7 @@
                 }
                 CoordinatorEffect::Expire { request } => {
                     ends.remove(&request);
-                    unproven.remove(&request);
+                    possibly_run.remove(&request);
                 }
                 _ => {}
             }
--- a/crates/core/tests/execution.rs
+++ b/crates/core/tests/execution.rs
@@ -9,13 +9,13 @@
 
 #[test]
 fn a_no_repeat_call_joins_any_execution_that_may_have_run() {
-    let unrun = Refusal::not_run(RefusalReason::Overloaded, "full");
+    let not_run = Refusal::not_run(RefusalReason::Overloaded, "full");
     let unknown = Refusal::unknown(RefusalReason::BackendFailed, "cut");
     let join = |ended| joins(&held(0, ended), RepeatPolicy::Forbidden, 1, 0);
     assert!(join(None));
     assert!(join(Some(Outcome::Completed)));
     assert!(join(Some(Outcome::Refused(unknown))));
-    assert!(!join(Some(Outcome::Refused(unrun))));
+    assert!(!join(Some(Outcome::Refused(not_run))));
 }
 
 #[test]
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -127,9 +127,9 @@
     fn start(&mut self, choice: u8) {
         let Some(item) = self.lease(choice).filter(|item| item.job == job("once")) else { return };
         let decision = self.store.start(self.now, vec![item.clone()]);
-        let fresh = !decision.records.is_empty();
+        let newly_started = !decision.records.is_empty();
         self.write(decision.records);
-        if fresh {
+        if newly_started {
             let sent = self.sent.entry((item.job, item.index)).or_default();
             *sent += 1;
             assert!(*sent <= 1, "a no-repeat item was sent twice");
--- a/crates/daemon/src/control/dispatch.rs
+++ b/crates/daemon/src/control/dispatch.rs
@@ -1,4 +1,4 @@
-//! Calls and items: one actor, which holds the coordinator, admission and the batch runner.
+//! The actor of calls and items, which runs the coordinator, admission and the batch runner.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,21 +17,21 @@
 use crate::traffic::buffer::Call;
 use crate::traffic::{batch, execution, home};
 
-/// What still runs, for a planned stop.
+/// Remaining work, checked during a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BusyCounts {
-    /// Requests of which this daemon is home and that have not ended.
+    /// Requests whose home is this daemon and that have not ended.
     pub requests: usize,
-    /// Calls and items that run or wait at this owner.
+    /// Calls and items that run or wait at this daemon as owner.
     pub admitted: usize,
-    /// Batch items whose end is not yet acknowledged.
+    /// Batch items held, including those whose result is not yet acknowledged.
     pub items: usize,
-    /// Records that their new holders have not yet acknowledged.
+    /// Record handovers that are not yet acknowledged.
     pub handovers: usize,
 }
 
 impl BusyCounts {
-    /// Whether nothing runs.
+    /// Whether no work remains.
     pub fn is_idle(&self) -> bool {
         *self == Self::default()
     }
@@ -39,15 +39,15 @@
 
 /// Commands to the actor.
 pub enum DispatchCommand {
-    /// Time passes.
+    /// Handle timeouts and periodic work.
     Tick,
-    /// The view of the fleet was replaced.
+    /// The fleet view was replaced.
     ViewChanged,
-    /// A call arrives at its home daemon.
+    /// Submit a call to its home daemon.
     Submit {
-        /// The call; its table entry is made by the actor.
+        /// The call; the actor adds it to the call table.
         call: Arc<Call>,
-        /// What became of it.
+        /// Result of the submission.
         reply: oneshot::Sender<Submission>,
     },
     /// Cancel a request.
@@ -57,16 +57,16 @@
         /// Whether it had not ended.
         reply: oneshot::Sender<bool>,
     },
-    /// A daemon holds the copy of a record.
+    /// A daemon confirmed that it holds the copy of a record.
     CopyHeld {
         /// The request.
         request: RequestId,
         /// The daemon.
         holder: NodeName,
-        /// What it held before.
+        /// The copy of another home that it held before.
         previous: Option<RecordCopy>,
     },
-    /// A daemon could not hold the copy of a record.
+    /// The copy of a record could not be stored at a daemon.
     CopyFailed {
         /// The request.
         request: RequestId,
@@ -82,7 +82,7 @@
         /// Whether it holds the record.
         acknowledged: bool,
     },
-    /// A back end runs the call.
+    /// A back end started the call.
     Started {
         /// The request.
         request: RequestId,
@@ -100,34 +100,34 @@
         /// The owner's load.
         load: Option<OwnerLoad>,
     },
-    /// An owner was lost.
+    /// The connection to an owner was lost.
     ExecutionLost {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
-        /// Whether the order can have reached it.
+        /// Whether the owner may have received the call.
         may_have_arrived: bool,
         /// The cause.
         detail: String,
     },
-    /// Hold a copy of another daemon's record.
+    /// Store a copy of another daemon's record.
     Hold {
         /// The copy.
         copy: RecordCopy,
-        /// What was held before.
+        /// The record of another home that this daemon held before.
         reply: oneshot::Sender<Option<RecordCopy>>,
     },
-    /// Tell the copy held of a request.
+    /// Get the copy held for a request.
     CopyOf {
         /// The request.
         request: RequestId,
         /// The copy.
         reply: oneshot::Sender<Option<RecordCopy>>,
     },
-    /// A call arrives at an owner.
+    /// Admit a call at its owner.
     Arrive {
-        /// The execution; its table entry exists.
+        /// The execution, which is already in the execution table.
         execution: Arc<Call>,
     },
     /// An online execution ended at the back end.
@@ -136,26 +136,26 @@
         ticket: Ticket,
         /// Whether the back end failed.
         failed: bool,
-        /// The load after it.
+        /// The load after its end.
         reply: oneshot::Sender<OwnerLoad>,
     },
-    /// Cancel an execution ordered by a home daemon.
+    /// Cancel an execution on behalf of a home daemon.
     CancelExecution {
         /// The request.
         request: RequestId,
         /// Whether it was waiting or running.
         reply: oneshot::Sender<bool>,
     },
-    /// A store answered a lease request; none means that it could not be asked.
+    /// A store answered a lease request, or the request failed.
     Leased {
         /// The store's daemon.
         store: NodeName,
         /// The service.
         service: ServiceId,
-        /// The items.
+        /// The items; `None` if the request failed.
         items: Option<Vec<LeasedItem>>,
     },
-    /// A store has items of a service that wait.
+    /// A store announced waiting items of a service.
     WorkAvailable {
         /// The store's daemon.
         store: NodeName,
@@ -164,16 +164,16 @@
     },
     /// A store answered a request for start marks.
     StartAnswered {
-        /// The items asked for.
+        /// The requested items.
         requested: Vec<LeasedItemRef>,
-        /// Those granted.
+        /// The granted items.
         granted: Vec<LeasedItemRef>,
     },
-    /// A store answered an extension.
+    /// A store answered a lease extension.
     Extended {
-        /// The items asked for.
+        /// The requested items.
         requested: Vec<LeasedItemRef>,
-        /// Those granted.
+        /// The granted items.
         granted: Vec<LeasedItemRef>,
     },
     /// An item's execution ended.
@@ -188,13 +188,13 @@
         /// The item's ticket.
         ticket: Ticket,
     },
-    /// Take no more batch items.
+    /// Stop leasing batch items.
     PauseBatch,
-    /// Tell what runs.
+    /// Get the remaining work.
     Busy(oneshot::Sender<BusyCounts>),
 }
 
-/// Holds all state of calls and items.
+/// Owns all control state of calls and items.
 #[derive(Actor)]
 pub struct DispatchActor {
     shared: Arc<Shared>,
--- a/crates/daemon/src/control/fleet.rs
+++ b/crates/daemon/src/control/fleet.rs
@@ -1,4 +1,4 @@
-//! Membership and configuration: one actor, which publishes the view of the fleet.
+//! The actor of membership and configuration, which publishes the view of the fleet.
 
 use std::sync::Arc;
 
@@ -20,21 +20,21 @@
 use crate::shared::Shared;
 use crate::traffic::call_peer;
 
-/// Members to which a change is pushed by each daemon that learns of it.
+/// Number of members to which each daemon pushes a new change.
 const PUSH_FANOUT: usize = 3;
 
-/// What operators are told of the fleet.
+/// Fleet status as reported to operators.
 #[derive(Clone, Debug)]
 pub struct FleetStatus {
     /// Highest configuration version in force here.
     pub configuration_version: u64,
-    /// Members with the version that each is known to have in force.
+    /// Members with the configuration version in force at each, as far as known.
     pub members: Vec<(MemberRecord, u64)>,
 }
 
 /// Commands to the actor.
 pub enum FleetCommand {
-    /// Time passes.
+    /// Run the periodic work of membership.
     Tick,
     /// A datagram arrived.
     Received {
@@ -43,9 +43,9 @@
         /// Its source, `IP:PORT`.
         source: String,
     },
-    /// Objects were read from the object API, or told by a peer.
+    /// Apply objects received from the object API or a peer.
     Apply(Vec<VersionedObject>),
-    /// All objects of one kind were listed.
+    /// Apply a complete listing of one kind.
     ApplyListing {
         /// The kind.
         kind: Kind,
@@ -58,20 +58,20 @@
     Compare {
         /// The peer's digest.
         digest: u64,
-        /// The peer's versions; empty to compare digests only.
+        /// The peer's versions; empty to compare only digests.
         versions: Vec<ObjectVersion>,
-        /// Whether the digests are equal, and the difference.
+        /// Whether the digests are equal, and the difference of the stores.
         reply: oneshot::Sender<(bool, Repair)>,
     },
-    /// Tell the digest over all objects.
+    /// Get the digest over all objects.
     Digest(oneshot::Sender<u64>),
-    /// Tell the versions of all objects.
+    /// Get the versions of all objects.
     Versions(oneshot::Sender<Vec<ObjectVersion>>),
-    /// Tell all objects, deleted ones included.
+    /// Get all objects, including deleted ones.
     Objects(oneshot::Sender<Vec<VersionedObject>>),
-    /// Tell the state of the fleet.
+    /// Get the status of the fleet.
     Status(oneshot::Sender<FleetStatus>),
-    /// Announce that this daemon is stopping or gone.
+    /// Announce a state of this daemon, such as leaving or dead.
     Announce(MemberState),
 }
 
@@ -126,7 +126,7 @@
         self.changed(changed);
     }
 
-    /// Publishes changes, and pushes them on: each daemon passes news on once.
+    /// Publishes changed objects and pushes them to other members. Each daemon forwards a change once.
     fn changed(&mut self, changed: Vec<VersionedObject>) {
         if changed.is_empty() {
             return;
--- a/crates/daemon/src/control/jobs.rs
+++ b/crates/daemon/src/control/jobs.rs
@@ -1,4 +1,4 @@
-//! The job store: one actor, whose replies wait for the journal.
+//! The job store actor. Replies are sent once the records that they depend on are durable.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use crate::shared::Shared;
 use crate::traffic::call_peer;
 
-/// Least interval at which the owners of a service are told of waiting items, in milliseconds.
+/// Minimum interval between notices of waiting items to the owners of a service, in milliseconds.
 const WORK_NOTICE_INTERVAL_MS: u64 = 500;
 
-/// Commands to the actor. A dropped reply means that the journal failed.
+/// Commands to the actor. A dropped reply channel means that the journal failed.
 pub enum JobCommand {
-    /// Time passes.
+    /// Handle expired leases and deadlines.
     Tick,
     /// Accept an upload.
     Accept {
@@ -34,14 +34,14 @@
         items: u32,
         /// The upload.
         upload: u64,
-        /// Sent once durable.
+        /// Whether it was accepted, once durable.
         reply: oneshot::Sender<Acceptance>,
     },
     /// Lease waiting items.
     Lease {
         /// The service.
         service: ServiceId,
-        /// Most items.
+        /// Maximum number of items.
         most: u32,
         /// The leases.
         reply: oneshot::Sender<Vec<LeaseGrant>>,
@@ -50,24 +50,24 @@
     Start {
         /// The items.
         items: Vec<LeasedItemRef>,
-        /// Those granted, once durable.
+        /// The granted items, once durable.
         reply: oneshot::Sender<Vec<LeasedItemRef>>,
     },
     /// Extend leases.
     Extend {
         /// The items.
         items: Vec<LeasedItemRef>,
-        /// Those granted.
+        /// The extended items.
         reply: oneshot::Sender<Vec<LeasedItemRef>>,
     },
-    /// Take items back.
+    /// Handle returned items.
     ReturnItems {
         /// The items.
         items: Vec<ReturnedItem>,
         /// Sent once durable.
         reply: oneshot::Sender<()>,
     },
-    /// Take results.
+    /// Record results.
     Complete {
         /// The items.
         items: Vec<CompletedItem>,
@@ -81,18 +81,18 @@
         /// Its progress, once durable.
         reply: oneshot::Sender<Option<JobProgress>>,
     },
-    /// Tell the progress of a job.
+    /// Get the progress of a job.
     Progress {
         /// The job.
         job: JobId,
-        /// Its progress, once all that it tells is durable.
+        /// Its progress, once all changes included in it are durable.
         reply: oneshot::Sender<Option<JobProgress>>,
     },
-    /// Tell the number and the count of items of a job.
+    /// Get the number of a job and its number of items.
     Find {
         /// The job.
         job: JobId,
-        /// Number and items.
+        /// Number of the job and its number of items.
         reply: oneshot::Sender<Option<(JobNumber, u32)>>,
     },
 }
@@ -112,8 +112,8 @@
         Self { shared, traffic, store, notified_at: HashMap::new(), unnotified: HashSet::new() }
     }
 
-    /// Tells the owners of a service's back ends that items wait, at most once an interval: items
-    /// that yield and wait again in a burst must not become a burst of messages.
+    /// Notifies the owners of a service's back ends of waiting items, at most once per interval, so
+    /// that a burst of preempted items does not cause a burst of messages.
     fn notify_owners(&mut self, now: Timestamp) {
         self.unnotified.extend(self.store.take_newly_ready());
         let notified_at = &self.notified_at;
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Sends a reply once its records, and all before them, are durable.
+    /// Sends a reply once its records, and all records before them, are durable.
     fn reply_when_durable<T: Send + 'static>(
         &self,
         decision: Decision<T>,
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: one thread, one actor a concern.
+//! The control thread: a single thread that runs one actor per concern.
 
 mod dispatch;
 mod fleet;
@@ -23,12 +23,12 @@
 use crate::error::StartError;
 use crate::shared::Shared;
 
-/// Interval of the machines' ticks.
+/// Interval between ticks of the state machines.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Commands that may wait at one actor.
+/// Maximum number of commands queued at one actor.
 const MAILBOX_CAPACITY: usize = 65_536;
 
-/// What the control thread starts with.
+/// Initial state and settings of the control thread.
 pub struct ControlParts {
     /// The member list.
     pub membership: Membership,
@@ -36,11 +36,11 @@
     pub jobs: Option<JobStore>,
     /// Datagrams to be sent.
     pub datagrams: mpsc::UnboundedSender<Outgoing>,
-    /// Time for which ended requests can be read, in milliseconds.
+    /// Retention period of ended requests, in milliseconds.
     pub retention_ms: u64,
-    /// Seed of the generators.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Whether batch items run here.
+    /// Whether this daemon runs batch items.
     pub batch: bool,
     /// Names of the data daemons.
     pub data_nodes: Vec<yokefall_types::NodeName>,
@@ -51,7 +51,7 @@
     _stop: oneshot::Sender<()>,
 }
 
-/// Starts the control thread and its actors, which are set in `shared` when this returns.
+/// Starts the control thread and its actors, which are set in `shared` when this function returns.
 pub async fn start(shared: Arc<Shared>, parts: ControlParts) -> Result<ControlThread, StartError> {
     let (stop, stopped) = oneshot::channel::<()>();
     let (started, wait) = oneshot::channel::<()>();
@@ -96,7 +96,7 @@
     let _ = shared.fleet.set(fleet);
 }
 
-/// Sends an actor its tick for as long as it lives.
+/// Sends ticks to an actor until it stops.
 fn send_ticks<A, C>(actor: ActorRef<A>, command: impl Fn() -> C + Send + 'static)
 where
     A: Actor + Message<C>,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Assembles a daemon, and stops it in order.
+//! Start and graceful shutdown of a daemon.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -32,13 +32,13 @@
 use crate::shared::{Shared, Store};
 use crate::traffic::uploads::UploadTable;
 
-/// Changes that a slow watcher may lag behind.
+/// Capacity of the change broadcast: a watcher that lags further behind loses its watch.
 const CHANGE_QUEUE_CAPACITY: usize = 4096;
-/// Time that other processes take to learn that this one is leaving.
+/// Time for other processes to learn that this one is leaving.
 const LEAVE_PROPAGATION_DELAY: Duration = Duration::from_millis(2_500);
-/// Interval at which a stop looks whether anything still runs.
+/// Interval at which a shutdown checks for remaining work.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for the last datagrams to leave.
+/// Time for the last datagrams to be sent.
 const FINAL_DATAGRAM_DELAY: Duration = Duration::from_millis(50);
 
 /// Open ports of a daemon.
@@ -54,8 +54,8 @@
 }
 
 impl Listeners {
-    /// Opens the ports that the settings name. The UDP port follows the TCP port, so that port 0
-    /// gives one number for both.
+    /// Opens the ports given in the settings. The UDP port takes the number of the bound TCP port, so
+    /// that port 0 results in the same number for both.
     pub async fn open(settings: &Settings) -> Result<Self, StartError> {
         let peer = listen("peer", settings.listen.peer).await?;
         let bound = peer.local_addr().unwrap_or(settings.listen.peer);
@@ -86,10 +86,10 @@
     })
 }
 
-/// How a planned stop went.
+/// Result of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopReport {
-    /// Whether everything that ran was finished or handed back.
+    /// Whether all work was finished, returned or handed over.
     pub clean: bool,
 }
 
@@ -156,18 +156,19 @@
         self.rpc_address
     }
 
-    /// Back ends in force in this daemon's view, and members believed alive.
+    /// Number of back ends with an owner in this daemon's view, and of members considered alive.
     pub fn view_size(&self) -> (usize, usize) {
         let view = self.shared.view.load();
         (view.owners.len(), view.members.len())
     }
 
-    /// Resolves when the data folder failed and the process must stop.
+    /// Resolves when the data folder has failed and the process must stop.
     pub async fn storage_failed(&self) {
         self.shared.storage_failed.notified().await;
     }
 
-    /// Stops as planned: leaves the routing, finishes or gives back what runs, then goes.
+    /// Shuts down gracefully: leaves the routing, waits up to `drain` for running work to finish or be
+    /// returned, then announces its departure and stops.
     pub async fn stop(self, drain: Duration) -> StopReport {
         let started_at = Instant::now();
         self.health.set_ready(false);
@@ -197,7 +198,7 @@
         StopReport { clean }
     }
 
-    /// Stops at once, as a crash would.
+    /// Stops at once, without draining, like a crash.
     pub fn kill(self) {
         for task in &self.tasks {
             task.abort();
@@ -206,7 +207,7 @@
 }
 
 fn log_unfinished_work(busy: &BusyCounts) {
-    let message = format!("stopped with work left: {busy:?}");
+    let message = format!("stopped with unfinished work: {busy:?}");
     Event::new(Level::Error, "stop").write(message);
 }
 
@@ -232,7 +233,7 @@
 
 type OpenStore = (Option<Store>, Option<JobStore>, Option<mpsc::UnboundedReceiver<StorageError>>);
 
-/// Opens the data folder, if there is one, and recovers the jobs in it.
+/// Opens the data folder, if one is configured, and recovers its jobs.
 fn open_store(settings: &Settings, clock: Clock) -> Result<OpenStore, StartError> {
     let Some(data) = &settings.data else { return Ok((None, None, None)) };
     let failed = |error: StorageError| StartError::Storage(error.to_string());
@@ -280,7 +281,7 @@
     })
 }
 
-/// What the ports are opened with.
+/// Resources for opening the ports.
 struct Ports {
     listeners: Listeners,
     secret: String,
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,8 +1,8 @@
-//! Why a daemon could not start.
+//! Errors on start-up.
 
 use std::fmt;
 
-/// A daemon that could not start: the step, and the port, file or peer concerned.
+/// The daemon could not start. Names the failed step and the port, file or peer concerned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartError {
     /// A port could not be opened.
@@ -18,7 +18,7 @@
     File(String),
     /// The data folder could not be opened.
     Storage(String),
-    /// A client of the platform could not be made.
+    /// A client of the platform could not be created.
     Platform(String),
     /// A thread could not be started.
     Thread(String),
--- a/crates/daemon/src/ports/calls.rs
+++ b/crates/daemon/src/ports/calls.rs
@@ -1,4 +1,4 @@
-//! Online calls: at the home daemon, at the owner, and at whoever holds a record.
+//! Requests for online calls, handled as home daemon, owner or holder of a copy.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::traffic::buffer::Call;
 use crate::traffic::execution::retain;
 
-/// Runs or joins a call at its home daemon, and sends its answer.
+/// Runs or joins a call at its home daemon and streams its answer.
 pub async fn submit(shared: &Shared, call: OnlineCall, offset: u64, responder: &Responder) {
     let request = call.header.request.clone();
     let call = Call::at_home(call);
@@ -43,7 +43,7 @@
     call.buffer().follow(offset, |event| responder.send(PeerReply::Call(event))).await;
 }
 
-/// Follows a call that this daemon is home of, runs, or holds a copy of.
+/// Streams the answer of a call that this daemon knows as home, owner or holder of a copy.
 pub async fn attach(
     shared: &Shared,
     request: RequestId,
@@ -68,7 +68,7 @@
     if let Some(call) = shared.calls.get(request) {
         return send_answer(&call, offset, responder).await;
     }
-    // An execution that resumes an earlier one holds only the later part of the answer.
+    // An execution that resumes an earlier one has only the later part of the answer.
     let execution = shared.executions.get(request).filter(|call| call.resume_from_token() == 0);
     if let Some(call) = execution {
         return send_answer(&call, offset, responder).await;
@@ -115,8 +115,8 @@
     }
 }
 
-/// Runs a call on an owned back end, by order of a home daemon, or joins the execution held, and
-/// sends its answer.
+/// Runs a call on an owned back end on behalf of a home daemon, or joins the existing execution, and
+/// streams its answer.
 pub async fn execute(
     shared: &Arc<Shared>,
     home: &NodeName,
--- a/crates/daemon/src/ports/datagrams.rs
+++ b/crates/daemon/src/ports/datagrams.rs
@@ -11,10 +11,10 @@
 use crate::control::FleetCommand;
 use crate::shared::Shared;
 
-/// Greatest datagram read, in bytes.
+/// Size of the receive buffer; longer datagrams are truncated and dropped as malformed.
 const MAX_DATAGRAM_BYTES: usize = 8192;
 
-/// Sends what membership orders, for as long as it lives.
+/// Sends the datagrams of membership until its channel closes.
 pub async fn send(socket: Arc<UdpSocket>, mut outgoing: mpsc::UnboundedReceiver<Outgoing>) {
     while let Some(Outgoing { to, datagram }) = outgoing.recv().await {
         let Ok(address) = to.parse::<SocketAddr>() else { continue };
@@ -24,11 +24,12 @@
     }
 }
 
-/// Hands what arrives to membership. Malformed datagrams are dropped.
+/// Passes received datagrams to membership. Malformed datagrams are dropped.
 pub async fn receive(socket: Arc<UdpSocket>, shared: Arc<Shared>) {
     let mut buffer = vec![0u8; MAX_DATAGRAM_BYTES];
     loop {
-        // A send to a port that is closed makes the next read fail: that is no reason to stop.
+        // A datagram sent to a closed port can make the next receive fail (ICMP port unreachable);
+        // the socket stays usable.
         let Ok((length, source)) = socket.recv_from(&mut buffer).await else { continue };
         let Ok(datagram) = Datagram::try_from_slice(&buffer[..length]) else { continue };
         let command = FleetCommand::Received { datagram, source: source.to_string() };
--- a/crates/daemon/src/ports/jobs.rs
+++ b/crates/daemon/src/ports/jobs.rs
@@ -1,4 +1,4 @@
-//! Requests to the job store.
+//! Peer requests to the job store.
 
 use tokio::sync::oneshot;
 use yokefall_core::jobs::{Acceptance, LeaseGrant};
@@ -10,7 +10,7 @@
 use crate::control::JobCommand;
 use crate::shared::{Shared, Store};
 
-/// Answers a request to the job store.
+/// Handles a request to the job store.
 pub async fn answer(shared: &Shared, request: PeerRequest) -> PeerReply {
     let Some(store) = &shared.store else {
         let detail = format!("{} has no data folder", shared.node);
@@ -133,7 +133,7 @@
 async fn lease(shared: &Shared, store: &Store, service: ServiceId, most: u32) -> PeerReply {
     let command = |reply| JobCommand::Lease { service: service.clone(), most, reply };
     let Some(grants) = ask(shared, command).await else { return journal_failed() };
-    // A body that cannot be read leaves its lease to lapse, and the item to another try.
+    // If a body cannot be read, the lease expires and the item is leased again.
     let items = grants.into_iter().filter_map(|grant| leased(store, &service, grant)).collect();
     PeerReply::Leased(items)
 }
@@ -157,7 +157,7 @@
         Some(None) => return unknown_job(),
         None => return journal_failed(),
     };
-    // Read behind the writer's queue: what is seen is on disk.
+    // Reads in the queue of the writer, so that only durable results are returned.
     let (reply, page) = oneshot::channel();
     let read = move |journal: &Journal| {
         let most = MAX_RESULT_PAGE as usize;
--- a/crates/daemon/src/ports/mod.rs
+++ b/crates/daemon/src/ports/mod.rs
@@ -1,4 +1,4 @@
-//! What reaches the daemon from outside.
+//! Interfaces of the daemon to the outside: peers, operators and the platform.
 
 pub mod calls;
 pub mod datagrams;
--- a/crates/daemon/src/ports/operator.rs
+++ b/crates/daemon/src/ports/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's gRPC port.
+//! The gRPC service for operators.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 use crate::control::{FleetCommand, FleetStatus};
 use crate::shared::Shared;
 
-/// Serves operators.
+/// The operator service.
 pub struct OperatorPort {
-    /// The process's state.
+    /// State shared by the process.
     pub shared: Arc<Shared>,
-    /// Who a call comes from.
+    /// Authenticates callers.
     pub authenticator: Authenticator,
 }
 
@@ -50,8 +50,8 @@
         Ok(objects)
     }
 
-    /// Checks references between objects against the configuration in force, the operator's own
-    /// last change included.
+    /// Checks references between objects against the configuration in force, including the operator's
+    /// own previous changes.
     async fn check_references(&self, change: &Change) -> Result<(), Status> {
         let objects = self.live_objects(&change.key.partner).await?;
         match &change.value {
@@ -194,7 +194,7 @@
     ) -> Result<Response<EventStream>, Status> {
         let partner = self.partner(&request)?;
         let after = request.into_inner().after_version;
-        // Subscribe before reading, so that no change falls between the two.
+        // Subscribes before reading, so that no change in between is lost.
         let changes = BroadcastStream::new(self.shared.changes.subscribe());
         let held = self.objects(&partner).await?;
         let held = futures::stream::iter(held).map(Ok);
--- a/crates/daemon/src/ports/peers.rs
+++ b/crates/daemon/src/ports/peers.rs
@@ -1,4 +1,4 @@
-//! Requests of other processes.
+//! Dispatch of requests from other processes.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 use crate::ports::{calls, jobs};
 use crate::shared::Shared;
 
-/// Carries out requests of peers.
+/// Handles requests from peers.
 pub struct PeerPort {
-    /// The process's state.
+    /// State shared by the process.
     pub shared: Arc<Shared>,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Asks the control of calls. None means that it has ended.
+/// Sends a command to the dispatch actor and waits for its reply; `None` if the actor has stopped.
 pub async fn ask<T>(
     shared: &Shared,
     command: impl FnOnce(oneshot::Sender<T>) -> DispatchCommand,
--- a/crates/daemon/src/ports/platform.rs
+++ b/crates/daemon/src/ports/platform.rs
@@ -1,5 +1,5 @@
-//! Reading of the platform: a few daemons a region watch the object API and the machine list; the
-//! others learn from them.
+//! Watches of the platform: a few daemons per region watch the object API and the machine list, and
+//! push changes to the others.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 use crate::control::FleetCommand;
 use crate::shared::Shared;
 
-/// Daemons of a region that read the platform.
+/// Number of daemons per region that watch the platform.
 const WATCHERS_PER_REGION: usize = 2;
-/// Key under which the watchers of a region are chosen.
+/// Rendezvous hashing key that selects the watchers of a region.
 const WATCHER_KEY: &[u8] = b"platform-watcher";
-/// Interval at which a daemon looks whether it is a watcher.
+/// Interval at which a daemon checks whether it is a watcher.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Bounds of the pause after a failed call.
+/// Bounds of the exponential backoff after a failed call.
 const RETRY_BACKOFF_RANGE: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_secs(5));
-/// Namespace under which machines are held; no partner has this name.
+/// Partner name under which machines are stored; no partner has this name.
 const MACHINE_NAMESPACE: &str = "";
 
-/// Whether this daemon reads the platform for its region.
+/// Whether this daemon watches the platform for its region.
 fn is_watcher(view: &FleetView) -> bool {
     let Some(own) = view.member(&view.node) else { return true };
     let in_region: Vec<&NodeName> = view
@@ -44,26 +44,26 @@
     order.iter().take(WATCHERS_PER_REGION).any(|node| **node == view.node)
 }
 
-async fn until_watcher(shared: &Shared) {
+async fn wait_until_watcher(shared: &Shared) {
     while !is_watcher(&shared.view.load()) {
         tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
     }
 }
 
-async fn until_not_watcher(shared: &Shared) {
+async fn wait_until_not_watcher(shared: &Shared) {
     while is_watcher(&shared.view.load()) {
         tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
     }
 }
 
-/// Reads objects of one kind for as long as this daemon is a watcher, for ever.
+/// Watches objects of one kind whenever this daemon is a watcher. Never returns.
 pub async fn watch_objects(shared: Arc<Shared>, kind: Kind) {
     let mut backoff = RETRY_BACKOFF_RANGE.0;
     loop {
-        until_watcher(&shared).await;
+        wait_until_watcher(&shared).await;
         let reading = tokio::select! {
             result = list_and_watch(&shared, kind) => result,
-            () = until_not_watcher(&shared) => Ok(()),
+            () = wait_until_not_watcher(&shared) => Ok(()),
         };
         match reading {
             Ok(()) => backoff = RETRY_BACKOFF_RANGE.0,
@@ -82,7 +82,7 @@
     let command = FleetCommand::ApplyListing { kind, version, objects };
     let _ = shared.fleet().tell(command).await;
     let mut seen = version;
-    // A watch ends by itself from time to time and goes on from the last version seen.
+    // The server ends watches from time to time; the next one resumes at the last version received.
     loop {
         let mut events = Box::pin(shared.objects.watch(kind, seen).await?);
         while let Some(event) = events.next().await {
@@ -101,11 +101,11 @@
     }
 }
 
-/// Reads the machine list for as long as this daemon is a watcher, for ever.
+/// Polls the machine list whenever this daemon is a watcher. Never returns.
 pub async fn watch_machines(shared: Arc<Shared>, url: String, interval: Duration) {
     let client = MachineListClient::new(&url);
     loop {
-        until_watcher(&shared).await;
+        wait_until_watcher(&shared).await;
         match client.read().await {
             Ok(listing) => {
                 let command = machine_objects(listing);
--- a/crates/daemon/src/ports/repair.rs
+++ b/crates/daemon/src/ports/repair.rs
@@ -1,4 +1,4 @@
-//! Repair of configuration between peers: digests, then what differs.
+//! Anti-entropy of configuration between peers: compares digests, then exchanges differing objects.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::shared::Shared;
 use crate::traffic::call_peer;
 
-/// Interval between two comparisons with a member drawn at random.
+/// Interval between comparisons, each with a randomly chosen member.
 const REPAIR_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Compares with one member after another, for ever.
+/// Periodically compares configuration with a random member. Never returns.
 pub async fn run(shared: Arc<Shared>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     loop {
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What control and traffic share: identities, clients, snapshots and tables.
+//! State shared by control and traffic: identities, clients, snapshots and tables.
 
 use std::net::SocketAddr;
 use std::sync::OnceLock;
@@ -21,9 +21,9 @@
 
 /// The job store of a daemon with a data folder.
 pub struct Store {
-    /// Reads.
+    /// Read access to the journal.
     pub journal: Journal,
-    /// Writes.
+    /// Write access to the journal.
     pub writer: JournalWriter,
     /// Uploads in progress.
     pub uploads: UploadTable,
@@ -33,7 +33,7 @@
 pub struct Shared {
     /// Name of this daemon.
     pub node: NodeName,
-    /// This start of this daemon, as home of requests.
+    /// Name and incarnation of this daemon, as home of requests.
     pub home: HomeId,
     /// The process's clock.
     pub clock: Clock,
@@ -43,40 +43,40 @@
     pub backends: BackendClient,
     /// The object API.
     pub objects: ObjectApi,
-    /// The fleet, replaced when it changes.
+    /// Snapshot of the fleet, replaced on every change.
     pub view: ArcSwap<FleetView>,
-    /// Calls of which this daemon is home.
+    /// Calls whose home is this daemon.
     pub calls: CallTable,
     /// Calls that this daemon runs as owner.
     pub executions: CallTable,
-    /// Batch items that run now.
+    /// Running batch items.
     pub items: ItemTable,
-    /// Configuration changes as they come into force.
+    /// Configuration changes as they take effect.
     pub changes: broadcast::Sender<VersionedObject>,
     /// The job store, on machines with a data folder.
     pub store: Option<Store>,
-    /// Told when the data folder failed: the process must stop.
+    /// Notified when the data folder failed: the process must stop.
     pub storage_failed: Notify,
-    /// Control of membership and configuration.
+    /// Actor of membership and configuration.
     pub fleet: OnceLock<ActorRef<FleetActor>>,
-    /// Control of calls and items.
+    /// Actor of calls and items.
     pub dispatch: OnceLock<ActorRef<DispatchActor>>,
-    /// Control of jobs.
+    /// Actor of jobs.
     pub jobs: OnceLock<ActorRef<JobActor>>,
 }
 
 impl Shared {
-    /// Peer address of a member, if it is known and well formed.
+    /// Peer address of a member, if the member is known and its address is valid.
     pub fn address_of(&self, node: &NodeName) -> Option<SocketAddr> {
         self.view.load().member(node)?.address.parse().ok()
     }
 
-    /// Control of calls and items. Set before any port is open.
+    /// Actor of calls and items. Set before any port opens.
     pub fn dispatch(&self) -> &ActorRef<DispatchActor> {
         self.dispatch.get().expect("control starts before ports open")
     }
 
-    /// Control of membership and configuration. Set before any port is open.
+    /// Actor of membership and configuration. Set before any port opens.
     pub fn fleet(&self) -> &ActorRef<FleetActor> {
         self.fleet.get().expect("control starts before ports open")
     }
--- a/crates/daemon/src/traffic/batch.rs
+++ b/crates/daemon/src/traffic/batch.rs
@@ -1,4 +1,4 @@
-//! Carries out what the batch runner orders.
+//! Carries out the effects of the batch runner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,12 @@
 use crate::traffic::call_peer;
 use crate::traffic::execution::{cancel_at_backend, service_spec};
 
-/// Tries to get an answer about start marks or returned items, and the pause between them.
+/// Maximum number of attempts to deliver start mark requests and returned items.
 const MAX_ATTEMPTS: u32 = 20;
+/// Pause between these attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Starts the work of one effect on the traffic threads.
+/// Carries out one effect on the traffic threads.
 pub fn execute_effect(shared: &Arc<Shared>, traffic: &Handle, effect: BatchEffect) {
     let shared = shared.clone();
     match effect {
@@ -126,7 +127,7 @@
     let _ = shared.dispatch().tell(DispatchCommand::ItemEnded { ticket, end }).await;
 }
 
-/// Id of an item's attempt at an engine.
+/// Engine request id of one attempt of an item.
 fn engine_item_id(item: &LeasedItem) -> String {
     let reference = &item.item;
     let token = reference.token;
--- a/crates/daemon/src/traffic/buffer.rs
+++ b/crates/daemon/src/traffic/buffer.rs
@@ -1,4 +1,4 @@
-//! Calls and their answers, as they grow.
+//! Calls and the buffers of their streamed answers.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,16 +21,16 @@
     ended: Option<(Outcome, Option<OwnerLoad>)>,
 }
 
-/// An answer that grows by one writer and is followed by many readers.
+/// An append-only answer with one writer and many readers.
 ///
-/// Invariant: bytes once held never change, so that every reader sees the same answer.
+/// Invariant: bytes never change once appended, so that every reader sees the same answer.
 #[derive(Debug)]
 pub struct AnswerBuffer {
     state: Mutex<State>,
     changed: watch::Sender<()>,
 }
 
-/// Readiness of more to read, as `AnswerBuffer::read` finds it.
+/// State of the answer from an offset on, as returned by `AnswerBuffer::read`.
 struct Reading {
     backend: Option<BackendId>,
     chunk: Vec<u8>,
@@ -43,18 +43,19 @@
         Self { state: Mutex::default(), changed: watch::Sender::new(()) }
     }
 
-    /// Whether a back end is known to have taken the call.
+    /// Whether a back end is known to have started the call.
     pub fn is_started(&self) -> bool {
         lock(&self.state).backend.is_some()
     }
 
-    /// Notes the back end that has taken the call.
+    /// Records the back end that started the call.
     pub fn start(&self, backend: BackendId) {
         lock(&self.state).backend = Some(backend);
         self.changed.send_replace(());
     }
 
-    /// Adds bytes at an offset. Bytes already held are skipped; a gap is refused with `false`.
+    /// Appends bytes at an offset and skips those already present. Returns `false` if there is a gap or
+    /// the answer has ended.
     pub fn push(&self, offset: u64, text: &[u8], tokens_total: u32) -> bool {
         let mut state = lock(&self.state);
         let held = state.bytes.len() as u64;
@@ -81,19 +82,19 @@
         self.changed.send_replace(());
     }
 
-    /// Bytes and tokens held.
+    /// Number of bytes and tokens received so far.
     pub fn length(&self) -> (u64, u32) {
         let state = lock(&self.state);
         (state.bytes.len() as u64, state.tokens)
     }
 
-    /// The whole answer held.
+    /// The answer received so far.
     pub fn answer(&self) -> Answer {
         let state = lock(&self.state);
         Answer { body: state.bytes.clone(), tokens: state.tokens }
     }
 
-    /// How the answer ended, and the owner's load after it.
+    /// The outcome, and the owner's load after the end; `None` while the answer is incomplete.
     pub fn ended(&self) -> Option<(Outcome, Option<OwnerLoad>)> {
         lock(&self.state).ended.clone()
     }
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Emits every step from an offset on until the end, which is emitted last, or until `emit`
-    /// returns `false`.
+    /// Emits all events from an offset on, up to and including the end, or until `emit` returns
+    /// `false`.
     pub async fn follow(&self, mut offset: u64, mut emit: impl FnMut(CallEvent) -> bool) {
         let mut changes = self.changed.subscribe();
         let mut started = false;
@@ -180,12 +181,12 @@
         })
     }
 
-    /// What the call carries besides its body.
+    /// Header of the call.
     pub fn header(&self) -> &CallHeader {
         &self.header
     }
 
-    /// Prompt, or body for a plain service; empty once the call has ended at home.
+    /// The prompt, or the body for a plain service. Empty once the call has ended at its home daemon.
     pub fn body(&self) -> Arc<Vec<u8>> {
         lock(&self.body).clone()
     }
@@ -195,22 +196,22 @@
         self.body_bytes
     }
 
-    /// Lets go of the body, which is not needed after the end.
+    /// Frees the body, which is not needed after the end.
     pub fn release_body(&self) {
         *lock(&self.body) = Arc::default();
     }
 
-    /// Digest of everything that makes the call what it is.
+    /// Digest that identifies the content of the call.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Number of the attempt, for executions.
+    /// Number of the attempt; zero at the home daemon.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// Tokens of the answer that an earlier attempt produced.
+    /// Number of tokens of the answer already produced by earlier attempts.
     pub fn resume_from_token(&self) -> u32 {
         self.resume_from_token
     }
@@ -220,18 +221,19 @@
         &self.buffer
     }
 
-    /// Orders the execution to stop.
+    /// Signals the execution to stop.
     pub fn stop(&self) {
         self.stop.cancel();
     }
 
-    /// Resolves once the execution was ordered to stop.
+    /// Resolves once the execution was signalled to stop.
     pub async fn stopped(&self) {
         self.stop.cancelled().await;
     }
 }
 
-/// Digest over service, limits and body. The deadline is left out: a resend may have less time.
+/// Digest over service, repeat policy, token limit and body. The deadline is excluded, since a resend
+/// may have less time left.
 fn digest_of(call: &OnlineCall) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(call.header.service.as_str().as_bytes());
@@ -253,12 +255,12 @@
         lock(&self.calls).get(request).cloned()
     }
 
-    /// Adds a call unless its request has one.
+    /// Adds a call unless its request already has one.
     pub fn insert_if_absent(&self, call: Arc<Call>) {
         lock(&self.calls).entry(call.header.request.clone()).or_insert(call);
     }
 
-    /// Sets the call of a request, and returns the one before.
+    /// Sets the call of a request, and returns the previous one.
     pub fn replace(&self, call: Arc<Call>) -> Option<Arc<Call>> {
         lock(&self.calls).insert(call.header.request.clone(), call)
     }
@@ -268,7 +270,7 @@
         lock(&self.calls).remove(request);
     }
 
-    /// Removes this very call, not one that took its place.
+    /// Removes this call, unless it was replaced by another one.
     pub fn remove_same(&self, call: &Arc<Call>) {
         let mut calls = lock(&self.calls);
         if calls.get(&call.header.request).is_some_and(|held| Arc::ptr_eq(held, call)) {
--- a/crates/daemon/src/traffic/execution.rs
+++ b/crates/daemon/src/traffic/execution.rs
@@ -1,4 +1,4 @@
-//! One online call at a back end.
+//! Execution of an online call at a back end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 use crate::shared::Shared;
 use crate::traffic::buffer::Call;
 
-/// Time for which an ended execution can still be attached to.
+/// Retention period of ended executions, during which peers can still attach to them.
 const EXECUTION_RETENTION: Duration = Duration::from_secs(60);
 
-/// Runs a call on a back end and ends its buffer.
+/// Runs a call on a back end and completes its buffer.
 pub async fn run(
     shared: Arc<Shared>,
     call: Arc<Call>,
@@ -109,7 +109,7 @@
         stream: true,
     };
     let mut stream = shared.backends.complete(address, &order).await?;
-    // Only now is it known that the engine has taken the call.
+    // The successful response proves that the engine has accepted the call.
     call.buffer().start(backend.clone());
     loop {
         match stream.next().await? {
@@ -129,17 +129,19 @@
     }
 }
 
-/// The declaration of a service in force here.
+/// The declaration of a service in this daemon's view.
 pub fn service_spec(shared: &Shared, service: &ServiceId) -> Option<ServiceSpec> {
     shared.view.load().services.get(service).map(|view| view.spec.clone())
 }
 
-/// Id of one attempt at an engine, so that a cancellation never hits another attempt.
+/// Engine request id of one attempt, distinct per attempt so that a cancellation never affects
+/// another attempt.
 fn engine_request_id(call: &Call) -> String {
     format!("{}#{}", call.header().request, call.attempt())
 }
 
-/// Tells an engine to stop. One that cannot be told stops when it finds the connection closed.
+/// Cancels a request at an engine. If this fails, the engine stops the request when it detects the
+/// closed connection.
 pub async fn cancel_at_backend(shared: &Shared, address: &str, request_id: String) {
     if let Err(error) = shared.backends.cancel(address, &request_id).await {
         Event::new(Level::Warn, "cancel at back end").peer(address).id(request_id).write(error);
@@ -160,7 +162,7 @@
     Refusal { reason, executed, retry_after_ms: None, detail: error.to_string() }
 }
 
-/// Keeps an execution attachable for a while after its end, then lets go of it.
+/// Keeps an execution attachable for `EXECUTION_RETENTION` after its end, then removes it.
 pub async fn retain(shared: Arc<Shared>, call: Arc<Call>) {
     call.buffer().follow(0, |_| true).await;
     call.release_body();
--- a/crates/daemon/src/traffic/home.rs
+++ b/crates/daemon/src/traffic/home.rs
@@ -1,4 +1,4 @@
-//! Carries out what the coordinator orders.
+//! Carries out the effects of the coordinator.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,13 +17,14 @@
 use crate::traffic::buffer::Call;
 use crate::traffic::{call_peer, not_a_member};
 
-/// Tries to tell the holder of the copy, or an owner, of an end, and the pause between them.
+/// Maximum number of attempts to notify a holder of a copy of an end, or an owner of a cancellation.
 const MAX_NOTIFY_ATTEMPTS: u32 = 4;
+/// Pause between these attempts.
 const NOTIFY_RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Time for which an execution of another home daemon is followed, in milliseconds.
+/// Maximum time for which an execution of another home daemon is followed, in milliseconds.
 const ADOPT_TIMEOUT_MS: u64 = yokefall_types::limits::MAX_CALL_DEADLINE_MS;
 
-/// Starts the work of one effect on the traffic threads.
+/// Carries out one effect on the traffic threads.
 pub fn execute_effect(shared: &Arc<Shared>, traffic: &Handle, effect: CoordinatorEffect) {
     let shared = shared.clone();
     match effect {
@@ -84,7 +85,7 @@
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// Runs one attempt at an owner and reports its end.
+/// Runs one attempt at an owner and reports its outcome.
 async fn execute(shared: Arc<Shared>, call: Arc<Call>, attempt: u32, owner: NodeName) {
     let (base_offset, base_tokens) = call.buffer().length();
     let order = PeerRequest::Execute(ExecuteCall {
@@ -97,7 +98,7 @@
     relay(&shared, &call, attempt, target, opened).await;
 }
 
-/// Follows an execution that another home daemon ordered, or takes its end.
+/// Follows an execution that another home daemon started, or takes over its outcome.
 async fn adopt(shared: Arc<Shared>, call: Arc<Call>, attempt: u32, state: RecordState) {
     let request = call.header().request.clone();
     match state {
@@ -118,7 +119,7 @@
     }
 }
 
-/// Where an answer comes from, and where it begins within the whole answer.
+/// The source of an answer, and the offset of its first byte and token within the whole answer.
 struct Target {
     node: NodeName,
     base_offset: u64,
@@ -134,7 +135,7 @@
     shared.peers.open(address, request).await
 }
 
-/// Moves an answer from an owner into the call's buffer until its end, and reports the end.
+/// Copies an answer from an owner into the call's buffer, and reports its outcome.
 async fn relay(
     shared: &Shared,
     call: &Call,
@@ -198,7 +199,7 @@
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// Gives a record to a daemon that became one of its holders.
+/// Hands over a record to a daemon that became one of its holders.
 async fn hand_over(
     shared: Arc<Shared>,
     to: NodeName,
@@ -210,14 +211,14 @@
             let reply = call_peer(&shared, &to, PeerRequest::HoldRecord(copy)).await;
             matches!(reply, Ok(PeerReply::RecordHeld(_)))
         }
-        // The record was forgotten meanwhile.
+        // The record expired in the meantime.
         None => true,
     };
     let command = DispatchCommand::HandedOver { request, holder: to, acknowledged };
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// The copy of an ended call, with its answer.
+/// A copy of the record of an ended call, with its answer.
 fn ended_copy(shared: &Shared, call: &Call) -> Option<RecordCopy> {
     let state = match call.buffer().ended()?.0 {
         Outcome::Completed => RecordState::Answered(call.buffer().answer()),
@@ -232,7 +233,7 @@
     })
 }
 
-/// Gives those who wait the end, and the holders of copies the answer.
+/// Ends the call for its waiting readers, and sends the ended record to the holders of copies.
 fn end(
     shared: &Arc<Shared>,
     traffic: &Handle,
--- a/crates/daemon/src/traffic/items.rs
+++ b/crates/daemon/src/traffic/items.rs
@@ -1,4 +1,4 @@
-//! Batch items that run now, so that they can be stopped.
+//! Running batch items and their stop signals.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -24,7 +24,7 @@
         stop
     }
 
-    /// Orders an item to stop.
+    /// Signals an item to stop.
     pub fn stop(&self, ticket: Ticket) {
         if let Some(stop) = self.lock().get(&ticket) {
             stop.cancel();
--- a/crates/daemon/src/traffic/mod.rs
+++ b/crates/daemon/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! Movement of calls, items and their bytes.
+//! Execution of calls and items, and transfer of their bytes.
 
 pub mod batch;
 pub mod buffer;
@@ -14,10 +14,10 @@
 
 use crate::shared::Shared;
 
-/// Time within which a peer must answer a request with a single reply.
+/// Timeout of peer requests with a single reply.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Sends a member a request and waits for its only reply.
+/// Sends a request to a member and waits for its single reply.
 pub async fn call_peer(
     shared: &Shared,
     node: &NodeName,
@@ -27,7 +27,7 @@
     shared.peers.call(address, request, PEER_TIMEOUT).await
 }
 
-/// The error of a call to a node that is not a live member: nothing was sent.
+/// The error of a request to a node that is not a live member. Nothing was sent.
 pub fn not_a_member(node: &NodeName) -> PeerError {
     PeerError {
         step: PeerStep::Connect,
--- a/crates/daemon/src/traffic/uploads.rs
+++ b/crates/daemon/src/traffic/uploads.rs
@@ -1,4 +1,4 @@
-//! Uploads of jobs: items go to disk as they come; a digest is all that is kept in memory.
+//! Uploads of jobs. Items are written to disk as they arrive; only a running digest is kept in memory.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,12 +11,12 @@
 use yokefall_types::limits::{MAX_JOB_ITEMS, MAX_PROMPT_BYTES};
 use yokefall_types::{Refusal, RefusalReason};
 
-/// Time without a new item after which an upload is given up.
+/// Time without new items after which an upload is discarded.
 const UPLOAD_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Bits of the upload number below the store's epoch.
+/// Number of low-order bits of an upload number that count uploads; the epoch is above them.
 const EPOCH_SHIFT: u32 = 32;
 
-/// An upload that is whole.
+/// A complete upload.
 pub struct FinishedUpload {
     /// Header.
     pub header: JobHeader,
@@ -40,7 +40,7 @@
 }
 
 impl UploadTable {
-    /// An empty table; numbers are never used twice in one data folder.
+    /// Creates an empty table. The epoch makes upload numbers unique within a data folder.
     pub fn new(epoch: u64) -> Self {
         Self { next: AtomicU64::new(epoch << EPOCH_SHIFT), uploads: Mutex::default() }
     }
@@ -49,7 +49,7 @@
         self.uploads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins an upload.
+    /// Starts an upload and returns its number.
     pub fn open(&self, header: JobHeader) -> u64 {
         let number = self.next.fetch_add(1, Ordering::Relaxed) + 1;
         let mut hasher = Xxh3::new();
@@ -61,7 +61,7 @@
         number
     }
 
-    /// Adds items.
+    /// Appends items to an upload.
     pub fn append(
         &self,
         journal: &Journal,
@@ -77,7 +77,7 @@
         written.map_err(|e| Refusal::not_run(RefusalReason::Unreachable, e.to_string()))
     }
 
-    /// Takes an upload out of the table, whole.
+    /// Finishes an upload and removes it from the table.
     pub fn finish(&self, number: u64) -> Result<FinishedUpload, Refusal> {
         let upload = self.lock().remove(&number).ok_or_else(unknown_upload)?;
         if upload.items == 0 {
@@ -88,7 +88,7 @@
         Ok(FinishedUpload { header: upload.header, digest, items: upload.items })
     }
 
-    /// Removes uploads that were given up, and returns their numbers and items.
+    /// Removes idle uploads, and returns their numbers and numbers of items.
     pub fn expire(&self) -> Vec<(u64, u32)> {
         let mut uploads = self.lock();
         let idle = |upload: &Upload| upload.last_append_at.elapsed() > UPLOAD_IDLE_TIMEOUT;
@@ -102,7 +102,7 @@
 }
 
 impl Upload {
-    /// Checks and counts items; returns the index of the first.
+    /// Validates and counts items; returns the index of the first.
     fn add(&mut self, bodies: &[Vec<u8>]) -> Result<u32, Refusal> {
         let invalid = |detail: String| Refusal::not_run(RefusalReason::InvalidArgument, detail);
         let first_index = self.items;
