--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -202,8 +202,8 @@
         effects
     }
 
-    /// Rejects a call on arrival if the queue is full or its deadline would pass in the queue, so that
-    /// the caller can try another owner at once.
+    /// Rejects a call on arrival if the queue is full or its deadline would pass in the queue, so
+    /// that the caller can try another owner at once.
     fn refusal_on_arrival(
         &self,
         now: Timestamp,
@@ -279,8 +279,8 @@
         }
     }
 
-    /// Preempts batch items on a back end until it holds no more than its slots. Items that must not
-    /// be repeated keep running: the engine runs them at a lower priority.
+    /// Preempts batch items on a back end until it holds no more than its slots. Items that must
+    /// not be repeated keep running: the engine runs them at a lower priority.
     fn preempt_batch(&mut self, id: &BackendId, excess: u32, effects: &mut Vec<AdmissionEffect>) {
         if excess == 0 {
             return;
@@ -306,7 +306,10 @@
     }
 
     fn preempting_on(&self, id: &BackendId) -> u32 {
-        let is_preempting = |state: &&TicketState| matches!(state, TicketState::Batch { backend, preempting: true, .. } if backend == id);
+        let is_preempting = |state: &&TicketState| {
+            matches!(state, TicketState::Batch { backend, preempting: true, .. }
+                if backend == id)
+        };
         self.tickets.values().filter(is_preempting).count() as u32
     }
 
@@ -330,7 +333,8 @@
         with_capacity.filter(|(_, capacity)| *capacity > 0).collect()
     }
 
-    /// Starts a batch item if there is capacity for it; otherwise returns `None` and changes nothing.
+    /// Starts a batch item if there is capacity for it; otherwise returns `None` and changes
+    /// nothing.
     pub fn try_start_batch(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/batch.rs
+++ b/crates/core/src/batch.rs
@@ -13,8 +13,8 @@
 const EXTEND_INTERVAL_MS: u64 = 1_000;
 /// Interval after which an unacknowledged report is sent again, in milliseconds.
 const REPORT_RETRY_INTERVAL_MS: u64 = 500;
-/// Bounds of the exponential backoff after an empty lease response, in milliseconds. Stores announce
-/// new work; polling covers lost announcements.
+/// Bounds of the exponential backoff after an empty lease response, in milliseconds. Stores
+/// announce new work; polling covers lost announcements.
 const EMPTY_BACKOFF_RANGE_MS: (u64, u64) = (100, 10_000);
 /// Time after which an unanswered lease request is considered lost, in milliseconds.
 const LEASE_REQUEST_TIMEOUT_MS: u64 = 2_000;
@@ -223,8 +223,8 @@
         effects
     }
 
-    /// Handles a store's announcement of work for a service: cancels the backoff, so that the store is
-    /// polled as soon as slots are idle.
+    /// Handles a store's announcement of work for a service: cancels the backoff, so that the store
+    /// is polled as soon as slots are idle.
     pub fn work_available(&mut self, store: &NodeName, service: &ServiceId) {
         if let Some(poll) = self.polls.get_mut(&(store.clone(), service.clone())) {
             poll.backoff_ms = 0;
@@ -283,8 +283,8 @@
         BatchEffect::Run { ticket, item, address }
     }
 
-    /// Handles a store's response to a request for start marks. Items without a mark are returned as
-    /// not sent, since the mark may be stored although the response was lost.
+    /// Handles a store's response to a request for start marks. Items without a mark are returned
+    /// as not sent, since the mark may be stored although the response was lost.
     pub fn start_answered(
         &mut self,
         now: Timestamp,
@@ -371,8 +371,8 @@
         self.held.remove(&ticket);
     }
 
-    /// Handles a store's response to a lease extension. Running items whose lease was not extended are
-    /// stopped: their job was cancelled, or they were leased to another owner.
+    /// Handles a store's response to a lease extension. Running items whose lease was not extended
+    /// are stopped: their job was cancelled, or they were leased to another owner.
     pub fn extended(
         &mut self,
         requested: &[LeasedItemRef],
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -14,8 +14,8 @@
 
 /// Objects by key, each at the highest version received.
 ///
-/// Invariant: the version of a key never decreases. Otherwise a slow peer or a restarted reader could
-/// revert an accepted change.
+/// Invariant: the version of a key never decreases. Otherwise a slow peer or a restarted reader
+/// could revert an accepted change.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationStore {
     entries: BTreeMap<ObjectKey, Entry>,
--- a/crates/core/src/coordinator/attempts.rs
+++ b/crates/core/src/coordinator/attempts.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Handles the loss of the owner. `may_have_arrived` tells whether the owner may have received the
-    /// call.
+    /// Handles the loss of the owner. `may_have_arrived` tells whether the owner may have received
+    /// the call.
     pub fn execution_lost(
         &mut self,
         now: Timestamp,
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Handles a refused attempt: retries if that is safe and within the retry budget, otherwise ends
-    /// the request.
+    /// Handles a refused attempt: retries if that is safe and within the retry budget, otherwise
+    /// ends the request.
     fn refused(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/coordinator/copies.rs
+++ b/crates/core/src/coordinator/copies.rs
@@ -74,8 +74,8 @@
         self.end(now, view, request, Outcome::Refused(refusal))
     }
 
-    /// Handles a daemon's confirmation that it holds the copy. `previous` is the copy of another home
-    /// that it held before.
+    /// Handles a daemon's confirmation that it holds the copy. `previous` is the copy of another
+    /// home that it held before.
     pub fn copy_held(
         &mut self,
         now: Timestamp,
@@ -141,9 +141,9 @@
         self.handover_at = Some(now.plus_millis(HANDOVER_INTERVAL_MS));
     }
 
-    /// Schedules the handover of records to their new holders after a fleet change, a batch per tick.
-    /// Without handover, successive restarts would lose every copy although no two daemons were ever
-    /// down at the same time.
+    /// Schedules the handover of records to their new holders after a fleet change, a batch per
+    /// tick. Without handover, successive restarts would lose every copy although no two daemons
+    /// were ever down at the same time.
     pub fn view_changed(&mut self, view: &FleetView) {
         if self.placed_members_digest != view.members_digest {
             self.placed_members_digest = view.members_digest;
@@ -170,7 +170,8 @@
 
     fn place_record(&mut self, view: &FleetView, request: &RequestId) -> Vec<CoordinatorEffect> {
         let Some(record) = self.records.get_mut(request) else { return Vec::new() };
-        // In the other stages, copies are still being sent, or another home's execution is followed.
+        // In the other stages, copies are still being sent, or another home's execution is
+        // followed.
         if !matches!(record.stage, Stage::Ended | Stage::Executing { .. }) {
             return Vec::new();
         }
@@ -210,8 +211,8 @@
         self.handovers + self.pending_placement.len() + usize::from(self.handover_at.is_some())
     }
 
-    /// Stores a copy for another home daemon. Returns the record that this daemon already had from a
-    /// different home, as holder or as home itself: that home may have run the call.
+    /// Stores a copy for another home daemon. Returns the record that this daemon already had from
+    /// a different home, as holder or as home itself: that home may have run the call.
     pub fn hold(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -1,8 +1,8 @@
 //! The home daemon of online requests: keeps one record per request and one answer per record.
 //!
 //! The record of a no-repeat call is copied to two other daemons before the call is sent to its
-//! owner, and handed over to new holders when the fleet changes. A second call with the same id joins
-//! the first.
+//! owner, and handed over to new holders when the fleet changes. A second call with the same id
+//! joins the first.
 
 mod attempts;
 mod copies;
@@ -54,8 +54,8 @@
         /// Whether the daemon became a holder through a fleet change.
         handover: bool,
     },
-    /// Copy an ended record with its answer to a daemon that became a holder through a fleet change;
-    /// answered by `handed_over`.
+    /// Copy an ended record with its answer to a daemon that became a holder through a fleet
+    /// change; answered by `handed_over`.
     CopyEnded {
         /// The request.
         request: RequestId,
@@ -187,8 +187,8 @@
         self.records.insert(record.header.request.clone(), record);
     }
 
-    /// Takes over as home of a request of which this daemon holds a copy. It follows the execution that
-    /// the previous home started, so that the call does not run twice.
+    /// Takes over as home of a request of which this daemon holds a copy. It follows the execution
+    /// that the previous home started, so that the call does not run twice.
     fn adopt_own_copy(
         &mut self,
         now: Timestamp,
@@ -284,8 +284,8 @@
         (self.records.len(), self.copies.len())
     }
 
-    /// Retries calls whose backoff is over, ends requests past their deadline, hands over records, and
-    /// discards expired records.
+    /// Retries calls whose backoff is over, ends requests past their deadline, hands over records,
+    /// and discards expired records.
     pub fn tick(&mut self, now: Timestamp, view: &FleetView) -> Vec<CoordinatorEffect> {
         let mut effects = Vec::new();
         let requests: Vec<RequestId> = self.open.iter().cloned().collect();
--- a/crates/core/src/coordinator/record.rs
+++ b/crates/core/src/coordinator/record.rs
@@ -96,8 +96,8 @@
     }
 }
 
-/// Whether either of two attempts ran: true if one is known to have run, false if both are known not
-/// to have run, otherwise unknown.
+/// Whether either of two attempts ran: true if one is known to have run, false if both are known
+/// not to have run, otherwise unknown.
 pub(super) fn either_executed(left: Option<bool>, right: Option<bool>) -> Option<bool> {
     match (left, right) {
         (Some(true), _) | (_, Some(true)) => Some(true),
--- a/crates/core/src/execution.rs
+++ b/crates/core/src/execution.rs
@@ -15,10 +15,10 @@
 
 /// Whether a request joins the existing execution instead of starting a new one.
 ///
-/// Invariants: a no-repeat call starts again only if the existing execution is proven not to have run,
-/// since two home daemons may both consider themselves home of the call. A repeatable call joins only
-/// an execution that begins at the same token: otherwise its bytes would land at the wrong offset of
-/// the answer.
+/// Invariants: a no-repeat call starts again only if the existing execution is proven not to have
+/// run, since two home daemons may both consider themselves home of the call. A repeatable call
+/// joins only an execution that begins at the same token: otherwise its bytes would land at the
+/// wrong offset of the answer.
 pub fn joins(
     held: &HeldExecution,
     repeat: RepeatPolicy,
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -130,8 +130,8 @@
         self.owners.insert(id, owner.node);
     }
 
-    /// The owner of a back end: the first in rendezvous order among the accepting members of its zone,
-    /// or among all accepting members if the zone has none.
+    /// The owner of a back end: the first in rendezvous order among the accepting members of its
+    /// zone, or among all accepting members if the zone has none.
     fn owner_of(&self, id: &BackendId, zone: &str) -> Option<&MemberInfo> {
         let accepting = || self.members.iter().filter(|member| member.accepting);
         let in_zone: Vec<&NodeName> =
@@ -186,9 +186,9 @@
         .collect()
 }
 
-/// The daemons that hold a request's record, in order of preference: the home daemon, then the holder
-/// of the first copy, which is in another zone if there is one, then the others. Returns at most
-/// `MAX_HOLDERS`, since this runs for every call and need not sort the whole fleet.
+/// The daemons that hold a request's record, in order of preference: the home daemon, then the
+/// holder of the first copy, which is in another zone if there is one, then the others. Returns at
+/// most `MAX_HOLDERS`, since this runs for every call and need not sort the whole fleet.
 pub fn record_holders(request: &RequestId, members: &[MemberInfo]) -> Vec<NodeName> {
     let score = rendezvous_score(request.to_string().as_bytes());
     let accepting = members.iter().filter(|member| member.accepting);
--- a/crates/core/src/jobs/ends.rs
+++ b/crates/core/src/jobs/ends.rs
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Ends the started items of a cancelled job whose lease has expired: their answers are no longer
-    /// needed.
+    /// Ends the started items of a cancelled job whose lease has expired: their answers are no
+    /// longer needed.
     fn end_expired_starts(
         &mut self,
         now: Timestamp,
@@ -121,8 +121,9 @@
         }
     }
 
-    /// Handles an expired lease. An item that was not started is queued again. A started item is never
-    /// sent again, and its answer is accepted until the deadline unless its job was cancelled.
+    /// Handles an expired lease. An item that was not started is queued again. A started item is
+    /// never sent again, and its answer is accepted until the deadline unless its job was
+    /// cancelled.
     pub(super) fn expire_lease(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/jobs/leases.rs
+++ b/crates/core/src/jobs/leases.rs
@@ -48,8 +48,8 @@
         Some(grant)
     }
 
-    /// Marks no-repeat items as started if their lease is still valid. A repeated request is granted
-    /// again, which is safe because a holder starts an item only once.
+    /// Marks no-repeat items as started if their lease is still valid. A repeated request is
+    /// granted again, which is safe because a holder starts an item only once.
     pub fn start(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,7 +1,7 @@
 //! The job store's state: jobs, item leases, attempts and outcomes.
 //!
-//! Every method that changes durable state returns the records to persist. The caller sends no reply
-//! before those records are on disk, and stops if it cannot write them.
+//! Every method that changes durable state returns the records to persist. The caller sends no
+//! reply before those records are on disk, and stops if it cannot write them.
 
 mod ends;
 mod leases;
@@ -58,8 +58,8 @@
 
 /// Jobs held by one data daemon.
 ///
-/// Invariants: an item ends once. A no-repeat item has at most one start mark, unless the item of the
-/// earlier mark was proven not sent, and is not leased while it has one.
+/// Invariants: an item ends once. A no-repeat item has at most one start mark, unless the item of
+/// the earlier mark was proven not sent, and is not leased while it has one.
 #[derive(Debug)]
 pub struct JobStore {
     epoch: u64,
@@ -77,8 +77,8 @@
 }
 
 impl JobStore {
-    /// Creates an empty store. `epoch` must be greater than that of every earlier incarnation of this
-    /// store.
+    /// Creates an empty store. `epoch` must be greater than that of every earlier incarnation of
+    /// this store.
     pub fn new(epoch: u64) -> Self {
         Self {
             epoch,
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Replays one durable record on start-up. `now` and `unix_ms` are the same instant on the monotonic
-    /// and the wall clock.
+    /// Replays one durable record on start-up. `now` and `unix_ms` are the same instant on the
+    /// monotonic and the wall clock.
     pub fn recover(&mut self, now: Timestamp, unix_ms: u64, record: JobRecord) {
         match record {
             JobRecord::Accepted { number, upload, header, digest, items, accepted_unix_ms } => {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! Deterministic state machines without I/O or clocks; random generators are seeded by the caller.
 //!
-//! Each machine takes the current time and an event, and returns effects for the caller to carry out.
-//! Thousands of nodes can therefore be simulated in one process under virtual time.
+//! Each machine takes the current time and an event, and returns effects for the caller to carry
+//! out. Thousands of nodes can therefore be simulated in one process under virtual time.
 
 pub mod admission;
 pub mod batch;
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -72,9 +72,9 @@
         );
     }
 
-    /// With two back ends, one may exceed its slots with items that are not preemptible while the other
-    /// still runs preemptible ones. The model does not track items per back end, so it accepts this
-    /// state whenever any item is not preemptible.
+    /// With two back ends, one may exceed its slots with items that are not preemptible while the
+    /// other still runs preemptible ones. The model does not track items per back end, so it
+    /// accepts this state whenever any item is not preemptible.
     fn has_non_preemptible_items(&self) -> bool {
         self.batch.values().any(|preemptible| !preemptible)
     }
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -122,8 +122,8 @@
         }
     }
 
-    /// A holder requests a start mark and sends the item once the mark is granted. Resends of the same
-    /// request are granted again but do not send the item again.
+    /// A holder requests a start mark and sends the item once the mark is granted. Resends of the
+    /// same request are granted again but do not send the item again.
     fn start(&mut self, choice: u8) {
         let Some(item) = self.lease(choice).filter(|item| item.job == job("once")) else { return };
         let decision = self.store.start(self.now, vec![item.clone()]);
--- a/crates/daemon/src/control/fleet.rs
+++ b/crates/daemon/src/control/fleet.rs
@@ -126,7 +126,8 @@
         self.changed(changed);
     }
 
-    /// Publishes changed objects and pushes them to other members. Each daemon forwards a change once.
+    /// Publishes changed objects and pushes them to other members. Each daemon forwards a change
+    /// once.
     fn changed(&mut self, changed: Vec<VersionedObject>) {
         if changed.is_empty() {
             return;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -54,8 +54,8 @@
 }
 
 impl Listeners {
-    /// Opens the ports given in the settings. The UDP port takes the number of the bound TCP port, so
-    /// that port 0 results in the same number for both.
+    /// Opens the ports given in the settings. The UDP port takes the number of the bound TCP port,
+    /// so that port 0 results in the same number for both.
     pub async fn open(settings: &Settings) -> Result<Self, StartError> {
         let peer = listen("peer", settings.listen.peer).await?;
         let bound = peer.local_addr().unwrap_or(settings.listen.peer);
@@ -167,8 +167,8 @@
         self.shared.storage_failed.notified().await;
     }
 
-    /// Shuts down gracefully: leaves the routing, waits up to `drain` for running work to finish or be
-    /// returned, then announces its departure and stops.
+    /// Shuts down gracefully: leaves the routing, waits up to `drain` for running work to finish or
+    /// be returned, then announces its departure and stops.
     pub async fn stop(self, drain: Duration) -> StopReport {
         let started_at = Instant::now();
         self.health.set_ready(false);
--- a/crates/daemon/src/ports/calls.rs
+++ b/crates/daemon/src/ports/calls.rs
@@ -115,8 +115,8 @@
     }
 }
 
-/// Runs a call on an owned back end on behalf of a home daemon, or joins the existing execution, and
-/// streams its answer.
+/// Runs a call on an owned back end on behalf of a home daemon, or joins the existing execution,
+/// and streams its answer.
 pub async fn execute(
     shared: &Arc<Shared>,
     home: &NodeName,
--- a/crates/daemon/src/ports/operator.rs
+++ b/crates/daemon/src/ports/operator.rs
@@ -50,8 +50,8 @@
         Ok(objects)
     }
 
-    /// Checks references between objects against the configuration in force, including the operator's
-    /// own previous changes.
+    /// Checks references between objects against the configuration in force, including the
+    /// operator's own previous changes.
     async fn check_references(&self, change: &Change) -> Result<(), Status> {
         let objects = self.live_objects(&change.key.partner).await?;
         match &change.value {
--- a/crates/daemon/src/traffic/buffer.rs
+++ b/crates/daemon/src/traffic/buffer.rs
@@ -54,8 +54,8 @@
         self.changed.send_replace(());
     }
 
-    /// Appends bytes at an offset and skips those already present. Returns `false` if there is a gap or
-    /// the answer has ended.
+    /// Appends bytes at an offset and skips those already present. Returns `false` if there is a
+    /// gap or the answer has ended.
     pub fn push(&self, offset: u64, text: &[u8], tokens_total: u32) -> bool {
         let mut state = lock(&self.state);
         let held = state.bytes.len() as u64;
@@ -186,7 +186,8 @@
         &self.header
     }
 
-    /// The prompt, or the body for a plain service. Empty once the call has ended at its home daemon.
+    /// The prompt, or the body for a plain service. Empty once the call has ended at its home
+    /// daemon.
     pub fn body(&self) -> Arc<Vec<u8>> {
         lock(&self.body).clone()
     }
@@ -232,8 +233,8 @@
     }
 }
 
-/// Digest over service, repeat policy, token limit and body. The deadline is excluded, since a resend
-/// may have less time left.
+/// Digest over service, repeat policy, token limit and body. The deadline is excluded, since a
+/// resend may have less time left.
 fn digest_of(call: &OnlineCall) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(call.header.service.as_str().as_bytes());
--- a/crates/daemon/src/traffic/home.rs
+++ b/crates/daemon/src/traffic/home.rs
@@ -17,7 +17,8 @@
 use crate::traffic::buffer::Call;
 use crate::traffic::{call_peer, not_a_member};
 
-/// Maximum number of attempts to notify a holder of a copy of an end, or an owner of a cancellation.
+/// Maximum number of attempts to notify a holder of a copy of an end, or an owner of a
+/// cancellation.
 const MAX_NOTIFY_ATTEMPTS: u32 = 4;
 /// Pause between these attempts.
 const NOTIFY_RETRY_INTERVAL: Duration = Duration::from_millis(150);
--- a/crates/daemon/src/traffic/uploads.rs
+++ b/crates/daemon/src/traffic/uploads.rs
@@ -1,4 +1,5 @@
-//! Uploads of jobs. Items are written to disk as they arrive; only a running digest is kept in memory.
+//! Uploads of jobs. Items are written to disk as they arrive; only a running digest is kept in
+//! memory.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
