--- a/crates/core/src/batch.rs
+++ b/crates/core/src/batch.rs
@@ -46,7 +46,7 @@
         /// Service with idle slots.
         service: ServiceId,
         /// Maximum number of items.
-        most: u32,
+        max_items: u32,
     },
     /// Request durable start marks; answered by `start_answered`.
     StartItems {
@@ -176,10 +176,10 @@
             if poll.not_before > now || is_pending(now, poll) {
                 continue;
             }
-            let most = capacity.min(MAX_ITEMS_PER_LEASE);
-            poll.requested = Some((now, most));
-            capacity -= most;
-            effects.push(BatchEffect::Lease { store, service: service.clone(), most });
+            let max_items = capacity.min(MAX_ITEMS_PER_LEASE);
+            poll.requested = Some((now, max_items));
+            capacity -= max_items;
+            effects.push(BatchEffect::Lease { store, service: service.clone(), max_items });
         }
         effects
     }
@@ -187,7 +187,7 @@
     fn pending_items(&self, now: Timestamp, service: &ServiceId) -> u32 {
         let polls = self.polls.iter().filter(|((_, polled), _)| polled == service);
         let requested = polls.filter(|(_, poll)| is_pending(now, poll));
-        requested.filter_map(|(_, poll)| poll.requested).map(|(_, most)| most).sum()
+        requested.filter_map(|(_, poll)| poll.requested).map(|(_, max_items)| max_items).sum()
     }
 
     /// Handles a store's response to a lease request. Items without a free slot are returned.
@@ -214,7 +214,7 @@
                 Some(AdmissionEffect::Start { address, .. }) => {
                     effects.push(self.begin(now, ticket, store, item, address));
                 }
-                _ => returned.push(ReturnedItem { item: item.item, cause: ReturnCause::Yielded }),
+                _ => returned.push(ReturnedItem { item: item.item, cause: ReturnCause::Preempted }),
             }
         }
         if !returned.is_empty() {
@@ -339,7 +339,7 @@
             ItemEnd::Stopped if no_repeat => {
                 self.report(now, ticket, ItemOutcome::Cancelled, Vec::new())
             }
-            ItemEnd::Stopped => self.return_item(ticket, ReturnCause::Yielded),
+            ItemEnd::Stopped => self.return_item(ticket, ReturnCause::Preempted),
         };
         (effect.into_iter().collect(), admitted)
     }
--- a/crates/core/src/jobs/ends.rs
+++ b/crates/core/src/jobs/ends.rs
@@ -134,7 +134,7 @@
         let Some(job) = self.jobs.get(&number) else { return };
         match job.items[index as usize] {
             Item::Leased { .. } => {
-                self.requeue(number, index, ReturnCause::Yielded, records);
+                self.requeue(number, index, ReturnCause::Preempted, records);
             }
             Item::Started { .. } if job.cancelled => self.end_expired_starts(now, number, records),
             _ => {}
--- a/crates/core/src/jobs/leases.rs
+++ b/crates/core/src/jobs/leases.rs
@@ -12,9 +12,14 @@
 
 impl JobStore {
     /// Leases waiting items of a service, ordered by priority and then deadline of their job.
-    pub fn lease(&mut self, now: Timestamp, service: &ServiceId, most: u32) -> Vec<LeaseGrant> {
+    pub fn lease(
+        &mut self,
+        now: Timestamp,
+        service: &ServiceId,
+        max_items: u32,
+    ) -> Vec<LeaseGrant> {
         let mut grants = Vec::new();
-        while (grants.len() as u32) < most {
+        while (grants.len() as u32) < max_items {
             let first = self.ready.get(service).and_then(|ready_jobs| ready_jobs.first());
             let Some(number) = first.map(|key| key.number) else { break };
             match self.lease_one(now, number) {
