--- a/crates/core/src/batch.rs
+++ b/crates/core/src/batch.rs
@@ -247,8 +247,8 @@
         let poll = self.polls.entry((store.clone(), service.clone())).or_default();
         poll.requested = None;
         if empty {
-            let (min, max) = EMPTY_BACKOFF_RANGE_MS;
-            poll.backoff_ms = (poll.backoff_ms * 2).clamp(min, max);
+            let (min_ms, max_ms) = EMPTY_BACKOFF_RANGE_MS;
+            poll.backoff_ms = (poll.backoff_ms * 2).clamp(min_ms, max_ms);
             poll.not_before = now.plus_millis(poll.backoff_ms);
         } else {
             poll.backoff_ms = 0;
--- a/crates/daemon/src/traffic/batch.rs
+++ b/crates/daemon/src/traffic/batch.rs
@@ -164,7 +164,7 @@
     prompt: &str,
     model: String,
 ) -> Result<Vec<u8>, BackendError> {
-    let order = CompletionRequest {
+    let request = CompletionRequest {
         request_id: engine_id.to_owned(),
         attempt: item.item.token.attempt,
         model,
@@ -174,7 +174,7 @@
         priority: ENGINE_PRIORITY_BATCH,
         stream: true,
     };
-    let mut stream = shared.backends.complete(address, &order).await?;
+    let mut stream = shared.backends.complete(address, &request).await?;
     let mut answer = Vec::new();
     loop {
         match stream.next().await? {
--- a/crates/daemon/src/traffic/execution.rs
+++ b/crates/daemon/src/traffic/execution.rs
@@ -98,7 +98,7 @@
     address: &str,
     model: String,
 ) -> Result<(), End> {
-    let order = CompletionRequest {
+    let request = CompletionRequest {
         request_id: engine_request_id(call),
         attempt: call.attempt(),
         model,
@@ -108,7 +108,7 @@
         priority: ENGINE_PRIORITY_ONLINE,
         stream: true,
     };
-    let mut stream = shared.backends.complete(address, &order).await?;
+    let mut stream = shared.backends.complete(address, &request).await?;
     // The successful response proves that the engine has accepted the call.
     call.buffer().start(backend.clone());
     loop {
