--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -53,8 +53,11 @@
     address: String,
     slots: u32,
     leaving: bool,
+    /// End of the backoff after a failure.
     paused_until: Timestamp,
+    /// Number of running online calls.
     online: u32,
+    /// Number of running batch items.
     batch: u32,
 }
 
@@ -74,7 +77,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
-    order: std::cmp::Reverse<Priority>,
+    priority: std::cmp::Reverse<Priority>,
     ticket: Ticket,
 }
 
@@ -193,7 +196,7 @@
             effects.push(AdmissionEffect::Refuse { ticket, refusal });
             return effects;
         }
-        let key = QueueKey { order: std::cmp::Reverse(priority), ticket };
+        let key = QueueKey { priority: std::cmp::Reverse(priority), ticket };
         if let Some(state) = self.services.get_mut(service) {
             state.queue.insert(key, deadline);
         }
--- a/crates/core/src/batch.rs
+++ b/crates/core/src/batch.rs
@@ -199,7 +199,7 @@
         service: &ServiceId,
         items: Vec<LeasedItem>,
     ) -> Vec<BatchEffect> {
-        self.record_answer(now, store, service, items.is_empty());
+        self.record_lease_response(now, store, service, items.is_empty());
         let mut effects = Vec::new();
         let mut returned = Vec::new();
         for item in items {
@@ -234,10 +234,10 @@
 
     /// Handles a failed lease request.
     pub fn lease_failed(&mut self, now: Timestamp, store: &NodeName, service: &ServiceId) {
-        self.record_answer(now, store, service, true);
+        self.record_lease_response(now, store, service, true);
     }
 
-    fn record_answer(
+    fn record_lease_response(
         &mut self,
         now: Timestamp,
         store: &NodeName,
--- a/crates/core/src/coordinator/attempts.rs
+++ b/crates/core/src/coordinator/attempts.rs
@@ -5,7 +5,7 @@
 use yokefall_types::{Outcome, Refusal, RefusalReason, RepeatPolicy, RequestId, ServiceId};
 
 use super::record::{either_executed, Stage};
-use super::{Coordinator, CoordinatorEffect, RETRY_BUDGET_RESERVE};
+use super::{Coordinator, CoordinatorEffect, INITIAL_RETRY_TOKENS};
 use crate::fleet::FleetView;
 use crate::time::Timestamp;
 
@@ -127,7 +127,7 @@
         record.earlier_executed = either_executed(record.earlier_executed, ran);
         record.sent = false;
         record.started = false;
-        // This attempt did not run, but an earlier one may have.
+        // Proof that this attempt did not run says nothing about earlier attempts.
         let refusal = Refusal { executed: record.earlier_executed, ..refusal };
         let may_repeat = not_run || record.header.repeat == RepeatPolicy::Allowed;
         let retryable = !matches!(
@@ -152,11 +152,11 @@
     }
 
     fn take_retry_token(&mut self, service: &ServiceId) -> bool {
-        let budget = self.budgets.entry(service.clone()).or_insert(RETRY_BUDGET_RESERVE);
-        if *budget < 1.0 {
+        let tokens = self.retry_tokens.entry(service.clone()).or_insert(INITIAL_RETRY_TOKENS);
+        if *tokens < 1.0 {
             return false;
         }
-        *budget -= 1.0;
+        *tokens -= 1.0;
         true
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// Retries a repeatable call, preferably at an owner not yet tried.
-    pub(super) fn repeat(
+    pub(super) fn retry_after_backoff(
         &mut self,
         now: Timestamp,
         view: &FleetView,
--- a/crates/core/src/coordinator/copies.rs
+++ b/crates/core/src/coordinator/copies.rs
@@ -12,7 +12,7 @@
 /// simultaneous loss of any two of its three daemons.
 const COPIES: usize = 2;
 /// Interval after which failed handovers are retried, in milliseconds.
-const HANDOVER_INTERVAL_MS: u64 = 500;
+const HANDOVER_RETRY_INTERVAL_MS: u64 = 500;
 /// Maximum number of records whose holders are recomputed per tick after a fleet change. Bounds the
 /// time for which a change delays calls.
 const MAX_PLACEMENTS_PER_TICK: usize = 200;
@@ -40,14 +40,14 @@
             });
             record.copied_to.push(holder);
         }
-        effects.extend(self.execute_if_held(now, view, request));
+        effects.extend(self.execute_if_copies_confirmed(now, view, request));
         effects
     }
 
     /// Sends the call to its owner once all copies are confirmed. A repeatable call does not wait,
     /// and a single-member fleet needs no copies. A no-repeat call is refused if none of the other
     /// holders can be reached, since it could run again at another home daemon.
-    fn execute_if_held(
+    fn execute_if_copies_confirmed(
         &mut self,
         now: Timestamp,
         view: &FleetView,
@@ -90,7 +90,7 @@
             return Vec::new();
         }
         let Some(copy) = previous else {
-            return self.execute_if_held(now, view, request);
+            return self.execute_if_copies_confirmed(now, view, request);
         };
         if copy.digest != record.digest {
             let detail = "request_id: used before with other content";
@@ -138,7 +138,7 @@
         if let Some(held) = self.copies.get_mut(request) {
             held.holders.retain(|known| known.node != *holder);
         }
-        self.handover_at = Some(now.plus_millis(HANDOVER_INTERVAL_MS));
+        self.handover_retry_at = Some(now.plus_millis(HANDOVER_RETRY_INTERVAL_MS));
     }
 
     /// Schedules the handover of records to their new holders after a fleet change, a batch per
@@ -208,7 +208,9 @@
 
     /// Number of handovers that are pending or not yet acknowledged.
     pub fn open_handovers(&self) -> usize {
-        self.handovers + self.pending_placement.len() + usize::from(self.handover_at.is_some())
+        self.handovers
+            + self.pending_placement.len()
+            + usize::from(self.handover_retry_at.is_some())
     }
 
     /// Stores a copy for another home daemon. Returns the record that this daemon already had from
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -24,11 +24,11 @@
 use crate::time::Timestamp;
 
 /// Retry tokens added per accepted call.
-const RETRY_BUDGET_RATIO: f64 = 0.2;
+const RETRY_TOKENS_PER_CALL: f64 = 0.2;
 /// Initial retry tokens of a service.
-const RETRY_BUDGET_RESERVE: f64 = 10.0;
+const INITIAL_RETRY_TOKENS: f64 = 10.0;
 /// Upper bound of the retry tokens of a service.
-const MAX_RETRY_BUDGET: f64 = 200.0;
+const MAX_RETRY_TOKENS: f64 = 200.0;
 
 /// Result of submitting a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -114,14 +114,17 @@
     copies: HashMap<RequestId, HeldCopy>,
     /// Handovers sent but not yet acknowledged.
     handovers: usize,
-    handover_at: Option<Timestamp>,
+    /// Time at which failed handovers are retried.
+    handover_retry_at: Option<Timestamp>,
     /// Requests whose holders have to be recomputed after a fleet change.
     pending_placement: BTreeSet<RequestId>,
     /// Digest of the member list for which holders were last recomputed.
     placed_members_digest: u64,
+    /// Records (`true`) and copies (`false`) to discard, by time and sequence number.
     expiry: BTreeMap<(Timestamp, u64), (RequestId, bool)>,
     next_expiry: u64,
-    budgets: HashMap<ServiceId, f64>,
+    /// Retry tokens left, by service.
+    retry_tokens: HashMap<ServiceId, f64>,
     router: Router,
     rng: SmallRng,
     retention_ms: u64,
@@ -137,12 +140,12 @@
             open: BTreeSet::new(),
             copies: HashMap::new(),
             handovers: 0,
-            handover_at: None,
+            handover_retry_at: None,
             pending_placement: BTreeSet::new(),
             placed_members_digest: 0,
             expiry: BTreeMap::new(),
             next_expiry: 0,
-            budgets: HashMap::new(),
+            retry_tokens: HashMap::new(),
             router: Router::new(seed),
             rng: SmallRng::seed_from_u64(seed.wrapping_add(1)),
             retention_ms,
@@ -173,8 +176,8 @@
             let refusal = Refusal::not_run(RefusalReason::NoBackend, detail).retry_after(1_000);
             return (Submission::Refused(refusal), Vec::new());
         };
-        let budget = self.budgets.entry(service).or_insert(RETRY_BUDGET_RESERVE);
-        *budget = (*budget + RETRY_BUDGET_RATIO).min(MAX_RETRY_BUDGET);
+        let tokens = self.retry_tokens.entry(service).or_insert(INITIAL_RETRY_TOKENS);
+        *tokens = (*tokens + RETRY_TOKENS_PER_CALL).min(MAX_RETRY_TOKENS);
         let request = header.request.clone();
         let record = new_record(now, header, digest, Stage::Copying { owner });
         self.insert(record);
@@ -259,9 +262,9 @@
         vec![CoordinatorEffect::End { request: request.clone(), outcome, holders }]
     }
 
-    fn expire_at(&mut self, at: Timestamp, request: RequestId, record: bool) {
+    fn expire_at(&mut self, at: Timestamp, request: RequestId, is_record: bool) {
         self.next_expiry += 1;
-        self.expiry.insert((at, self.next_expiry), (request, record));
+        self.expiry.insert((at, self.next_expiry), (request, is_record));
     }
 
     /// Name and incarnation of this daemon.
@@ -295,11 +298,11 @@
                 let refusal = record.refusal(RefusalReason::DeadlineExceeded, "deadline passed");
                 effects.extend(self.stop(now, view, &request, refusal));
             } else if matches!(record.stage, Stage::Backoff { until } if until <= now) {
-                effects.extend(self.repeat(now, view, &request));
+                effects.extend(self.retry_after_backoff(now, view, &request));
             }
         }
-        if self.handover_at.is_some_and(|at| at <= now) {
-            self.handover_at = None;
+        if self.handover_retry_at.is_some_and(|at| at <= now) {
+            self.handover_retry_at = None;
             self.schedule_placement();
         }
         effects.extend(self.place_next(view));
--- a/crates/core/src/coordinator/record.rs
+++ b/crates/core/src/coordinator/record.rs
@@ -7,10 +7,20 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    Copying { owner: NodeName },
-    Executing { owner: NodeName },
+    /// Copies are being sent; the call is sent to `owner` next.
+    Copying {
+        owner: NodeName,
+    },
+    /// Sent to `owner`.
+    Executing {
+        owner: NodeName,
+    },
+    /// Follows an execution that another home daemon started.
     Adopting,
-    Backoff { until: Timestamp },
+    /// Retried at `until`.
+    Backoff {
+        until: Timestamp,
+    },
     Ended,
 }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -200,14 +200,14 @@
     if scored.len() > MAX_HOLDERS {
         scored.select_nth_unstable_by(MAX_HOLDERS, by_score);
     }
-    let first = scored.len().min(MAX_HOLDERS);
-    let (order, rest) = scored.split_at_mut(first);
+    let count = scored.len().min(MAX_HOLDERS);
+    let (order, rest) = scored.split_at_mut(count);
     order.sort_unstable_by(by_score);
     let Some((_, home)) = order.first() else { return Vec::new() };
     let in_other_zone = |(_, member): &&(u64, &MemberInfo)| member.zone != home.zone;
-    let nearest = order.iter().find(in_other_zone).copied();
+    let second_in_order = order.iter().find(in_other_zone).copied();
     // Rarely, all of the first members are in the home daemon's zone.
-    let second = nearest
+    let second = second_in_order
         .or_else(|| rest.iter().filter(in_other_zone).min_by(|l, r| by_score(l, r)).copied());
     let second = second.map(|(_, member)| &member.node);
     let others = order.iter().skip(1).map(|(_, m)| &m.node).filter(|node| Some(*node) != second);
--- a/crates/core/src/jobs/ends.rs
+++ b/crates/core/src/jobs/ends.rs
@@ -37,7 +37,7 @@
             outcome: completed.result.outcome,
             body: completed.result.body,
         };
-        self.end_with(number, result, records);
+        self.end_with_result(number, result, records);
         true
     }
 
@@ -51,10 +51,15 @@
     ) {
         let attempts = self.jobs.get(&number).and_then(|job| job.attempts.get(&index));
         let attempt = attempts.copied().unwrap_or(0);
-        self.end_with(number, ItemResult { index, outcome, attempt, body }, records);
+        self.end_with_result(number, ItemResult { index, outcome, attempt, body }, records);
     }
 
-    fn end_with(&mut self, number: JobNumber, result: ItemResult, records: &mut Vec<JobRecord>) {
+    fn end_with_result(
+        &mut self,
+        number: JobNumber,
+        result: ItemResult,
+        records: &mut Vec<JobRecord>,
+    ) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         let index = result.index;
         match job.items[index as usize] {
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -43,7 +43,9 @@
     deadline: Timestamp,
     cancelled: bool,
     items: Vec<Item>,
+    /// Number of leases granted in this epoch, by index of items that have not ended.
     attempts: HashMap<u32, u32>,
+    /// Number of failures, by index of items that have not ended.
     failures: HashMap<u32, u8>,
     waiting: VecDeque<u32>,
     open_items: u32,
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -19,8 +19,10 @@
 #[derive(Default)]
 struct Model {
     online: HashSet<Ticket>,
+    /// Running batch items, and whether each is preemptible.
     batch: HashMap<Ticket, bool>,
     waiting: HashSet<Ticket>,
+    /// Batch items that are being preempted and have not ended.
     preempting: HashSet<Ticket>,
 }
 
@@ -29,16 +31,16 @@
         for effect in effects {
             match effect {
                 AdmissionEffect::Start { ticket, .. } => {
-                    assert!(self.waiting.remove(&ticket), "only waiting calls start");
+                    assert!(self.waiting.remove(&ticket), "a call started that was not waiting");
                     self.online.insert(ticket);
                 }
                 AdmissionEffect::Preempt { ticket } => {
                     assert_eq!(
                         self.batch.get(&ticket),
                         Some(&true),
-                        "only preemptible items are preempted"
+                        "an item was preempted that is not preemptible"
                     );
-                    assert!(self.preempting.insert(ticket), "an item is preempted only once");
+                    assert!(self.preempting.insert(ticket), "an item was preempted twice");
                 }
                 AdmissionEffect::Refuse { ticket, refusal } => {
                     assert!(self.waiting.remove(&ticket));
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn versions_increase_and_stores_converge() {
+fn stores_never_revert_and_converge() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, SEED))
         .tests(500)
--- a/crates/core/tests/coordinator.rs
+++ b/crates/core/tests/coordinator.rs
@@ -61,12 +61,12 @@
                 coordinator.execution_ended(now, &view, &request, attempt, outcome, None)
             }
             5 => {
-                let reached = choice % 2 == 0;
-                if !reached {
+                let may_have_arrived = choice % 2 == 0;
+                if !may_have_arrived {
                     proven = Some(attempt);
                 }
                 let detail = "lost".to_owned();
-                coordinator.execution_lost(now, &view, &request, attempt, reached, detail)
+                coordinator.execution_lost(now, &view, &request, attempt, may_have_arrived, detail)
             }
             6 => coordinator.tick(now, &view),
             _ => coordinator.cancel(now, &view, &request).1,
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -90,7 +90,8 @@
         self.store = store;
     }
 
-    fn lease(&self, choice: u8) -> Option<LeasedItemRef> {
+    /// A lease chosen among all leases ever granted.
+    fn pick(&self, choice: u8) -> Option<LeasedItemRef> {
         let length = self.leases.len().max(1);
         self.leases.get(choice as usize % length).cloned()
     }
@@ -116,8 +117,8 @@
                 self.write(decision.records);
             }
             _ => {
-                let asked = self.lease(choice).into_iter().collect();
-                self.store.extend(self.now, asked);
+                let requested = self.pick(choice).into_iter().collect();
+                self.store.extend(self.now, requested);
             }
         }
     }
@@ -125,7 +126,7 @@
     /// A holder requests a start mark and sends the item once the mark is granted. Resends of the
     /// same request are granted again but do not send the item again.
     fn start(&mut self, choice: u8) {
-        let Some(item) = self.lease(choice).filter(|item| item.job == job("once")) else { return };
+        let Some(item) = self.pick(choice).filter(|item| item.job == job("once")) else { return };
         let decision = self.store.start(self.now, vec![item.clone()]);
         let newly_started = !decision.records.is_empty();
         self.write(decision.records);
@@ -137,7 +138,7 @@
     }
 
     fn complete(&mut self, choice: u8) {
-        let Some(item) = self.lease(choice) else { return };
+        let Some(item) = self.pick(choice) else { return };
         if item.job == job("once") && !self.sent.contains_key(&(item.job.clone(), item.index)) {
             return;
         }
@@ -147,7 +148,7 @@
     }
 
     fn return_items(&mut self, choice: u8, cause: ReturnCause) {
-        let Some(item) = self.lease(choice) else { return };
+        let Some(item) = self.pick(choice) else { return };
         let decision = self.store.return_items(vec![ReturnedItem { item, cause }]);
         self.write(decision.records);
     }
--- a/crates/daemon/src/control/dispatch.rs
+++ b/crates/daemon/src/control/dispatch.rs
@@ -367,7 +367,7 @@
         self.execute_admission_effects(admitted);
     }
 
-    fn active_tickets(&self) -> BusyCounts {
+    fn busy_counts(&self) -> BusyCounts {
         BusyCounts {
             requests: self.coordinator.open_requests(),
             admitted: self.admission.active_tickets(),
@@ -465,7 +465,7 @@
             DispatchCommand::Reported { ticket } => self.runner.reported(ticket),
             DispatchCommand::PauseBatch => self.runner.pause(),
             DispatchCommand::Busy(reply) => {
-                let _ = reply.send(self.active_tickets());
+                let _ = reply.send(self.busy_counts());
             }
         }
     }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -32,7 +32,7 @@
 pub struct ControlParts {
     /// The member list.
     pub membership: Membership,
-    /// The job store, on machines with a data folder.
+    /// The job store, on daemons with a data folder.
     pub jobs: Option<JobStore>,
     /// Datagrams to be sent.
     pub datagrams: mpsc::UnboundedSender<Outgoing>,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -27,7 +27,7 @@
 };
 use crate::error::StartError;
 use crate::ports::operator::OperatorPort;
-use crate::ports::peers::{ask, PeerPort};
+use crate::ports::peers::{ask_dispatch, PeerPort};
 use crate::ports::{datagrams, platform, repair};
 use crate::shared::{Shared, Store};
 use crate::traffic::uploads::UploadTable;
@@ -176,7 +176,7 @@
         let _ = self.shared.dispatch().tell(DispatchCommand::PauseBatch).await;
         let mut idle_since = None;
         let clean = loop {
-            let busy = ask(&self.shared, DispatchCommand::Busy).await.unwrap_or_default();
+            let busy = ask_dispatch(&self.shared, DispatchCommand::Busy).await.unwrap_or_default();
             if !busy.is_idle() {
                 idle_since = None;
             }
--- a/crates/daemon/src/ports/calls.rs
+++ b/crates/daemon/src/ports/calls.rs
@@ -11,7 +11,7 @@
 use yokefall_types::{NodeName, Outcome, Refusal, RefusalReason, RequestId};
 
 use crate::control::DispatchCommand;
-use crate::ports::peers::ask;
+use crate::ports::peers::ask_dispatch;
 use crate::shared::Shared;
 use crate::traffic::buffer::Call;
 use crate::traffic::execution::retain;
@@ -20,7 +20,7 @@
 pub async fn submit(shared: &Shared, call: OnlineCall, offset: u64, responder: &Responder) {
     let request = call.header.request.clone();
     let call = Call::at_home(call);
-    let submitted = ask(shared, |reply| DispatchCommand::Submit { call, reply }).await;
+    let submitted = ask_dispatch(shared, |reply| DispatchCommand::Submit { call, reply }).await;
     match submitted {
         Some(Submission::Accepted | Submission::Joined) => match shared.calls.get(&request) {
             Some(call) => send_answer(&call, offset, responder).await,
@@ -73,7 +73,8 @@
     if let Some(call) = execution {
         return send_answer(&call, offset, responder).await;
     }
-    let copy = ask(shared, |reply| DispatchCommand::CopyOf { request: request.clone(), reply });
+    let copy =
+        ask_dispatch(shared, |reply| DispatchCommand::CopyOf { request: request.clone(), reply });
     match copy.await.flatten().map(|copy| copy.state) {
         Some(RecordState::Answered(answer)) => {
             let text = answer.body.get(offset as usize..).unwrap_or_default().to_vec();
@@ -83,8 +84,8 @@
         }
         Some(RecordState::Refused(refusal)) => refuse(responder, refusal),
         Some(RecordState::Running { owner }) if owner != shared.node => {
-            let order = PeerRequest::Attach { request: request.clone(), offset, wait_ms };
-            forward(shared, &owner, order, responder).await;
+            let peer_request = PeerRequest::Attach { request: request.clone(), offset, wait_ms };
+            forward(shared, &owner, peer_request, responder).await;
         }
         _ => {
             let detail = format!("{} holds no record of {request}", shared.node);
@@ -93,12 +94,17 @@
     }
 }
 
-async fn forward(shared: &Shared, node: &NodeName, order: PeerRequest, responder: &Responder) {
+async fn forward(
+    shared: &Shared,
+    node: &NodeName,
+    peer_request: PeerRequest,
+    responder: &Responder,
+) {
     let lost = |detail: String| Refusal::unknown(RefusalReason::Unreachable, detail);
     let Some(address) = shared.address_of(node) else {
         return refuse(responder, lost(format!("{node}, which ran it, is not a live member")));
     };
-    let mut replies = match shared.peers.open(address, order).await {
+    let mut replies = match shared.peers.open(address, peer_request).await {
         Ok(replies) => replies,
         Err(error) => return refuse(responder, lost(error.to_string())),
     };
@@ -120,26 +126,33 @@
 pub async fn execute(
     shared: &Arc<Shared>,
     home: &NodeName,
-    order: ExecuteCall,
+    execute_call: ExecuteCall,
     responder: &Responder,
 ) {
-    let held = shared.executions.get(&order.call.header.request);
-    let repeat = order.call.header.repeat;
+    let held = shared.executions.get(&execute_call.call.header.request);
+    let repeat = execute_call.call.header.repeat;
     let call = match held {
-        Some(held) if joins(&describe(&held), repeat, order.attempt, order.resume_from_token) => {
+        Some(held)
+            if joins(
+                &held_execution(&held),
+                repeat,
+                execute_call.attempt,
+                execute_call.resume_from_token,
+            ) =>
+        {
             held
         }
         held => {
             if let Some(earlier) = held {
                 earlier.stop();
             }
-            begin_execution(shared, home, order).await
+            begin_execution(shared, home, execute_call).await
         }
     };
     send_execution(&call, responder).await;
 }
 
-fn describe(call: &Call) -> HeldExecution {
+fn held_execution(call: &Call) -> HeldExecution {
     HeldExecution {
         attempt: call.attempt(),
         resume_from_token: call.resume_from_token(),
@@ -147,8 +160,13 @@
     }
 }
 
-async fn begin_execution(shared: &Arc<Shared>, home: &NodeName, order: ExecuteCall) -> Arc<Call> {
-    let call = Call::execution(order.call, order.attempt, order.resume_from_token);
+async fn begin_execution(
+    shared: &Arc<Shared>,
+    home: &NodeName,
+    execute_call: ExecuteCall,
+) -> Arc<Call> {
+    let call =
+        Call::execution(execute_call.call, execute_call.attempt, execute_call.resume_from_token);
     shared.executions.replace(call.clone());
     let execution = call.clone();
     let arrived = shared.dispatch().tell(DispatchCommand::Arrive { execution }).await;
--- a/crates/daemon/src/ports/jobs.rs
+++ b/crates/daemon/src/ports/jobs.rs
@@ -26,11 +26,11 @@
         }
         PeerRequest::CommitJob { upload } => commit(shared, store, upload).await,
         PeerRequest::GetJob(job) => {
-            let progress = ask(shared, |reply| JobCommand::Progress { job, reply }).await;
+            let progress = ask_jobs(shared, |reply| JobCommand::Progress { job, reply }).await;
             found(progress, PeerReply::Job)
         }
         PeerRequest::CancelJob(job) => {
-            let progress = ask(shared, |reply| JobCommand::Cancel { job, reply }).await;
+            let progress = ask_jobs(shared, |reply| JobCommand::Cancel { job, reply }).await;
             found(progress, PeerReply::Job)
         }
         PeerRequest::ListResults { job, from_index } => {
@@ -40,19 +40,19 @@
             lease(shared, store, service, max_items).await
         }
         PeerRequest::StartItems(items) => {
-            let granted = ask(shared, |reply| JobCommand::Start { items, reply }).await;
+            let granted = ask_jobs(shared, |reply| JobCommand::Start { items, reply }).await;
             granted.map_or_else(journal_failed, PeerReply::Granted)
         }
         PeerRequest::ExtendLeases(items) => {
-            let granted = ask(shared, |reply| JobCommand::Extend { items, reply }).await;
+            let granted = ask_jobs(shared, |reply| JobCommand::Extend { items, reply }).await;
             granted.map_or_else(journal_failed, PeerReply::Granted)
         }
         PeerRequest::ReturnItems(items) => {
-            let done = ask(shared, |reply| JobCommand::ReturnItems { items, reply }).await;
+            let done = ask_jobs(shared, |reply| JobCommand::ReturnItems { items, reply }).await;
             done.map_or_else(journal_failed, |()| PeerReply::Done)
         }
         PeerRequest::CompleteItems(items) => {
-            let done = ask(shared, |reply| JobCommand::Complete { items, reply }).await;
+            let done = ask_jobs(shared, |reply| JobCommand::Complete { items, reply }).await;
             done.map_or_else(journal_failed, |()| PeerReply::Done)
         }
         _ => PeerReply::Refused(Refusal::not_run(
@@ -62,7 +62,7 @@
     }
 }
 
-async fn ask<T>(
+async fn ask_jobs<T>(
     shared: &Shared,
     command: impl FnOnce(oneshot::Sender<T>) -> JobCommand,
 ) -> Option<T> {
@@ -117,7 +117,7 @@
     let (digest, items) = (finished.digest, finished.items);
     let header = finished.header;
     let command = |reply| JobCommand::Accept { header, digest, items, upload, reply };
-    match ask(shared, command).await {
+    match ask_jobs(shared, command).await {
         Some(Acceptance::New { accepted }) => PeerReply::JobAccepted { accepted, joined: false },
         Some(Acceptance::Joined { accepted }) => {
             let _ = store.journal.discard_bodies(upload, items);
@@ -134,7 +134,7 @@
 
 async fn lease(shared: &Shared, store: &Store, service: ServiceId, max_items: u32) -> PeerReply {
     let command = |reply| JobCommand::Lease { service: service.clone(), max_items, reply };
-    let Some(grants) = ask(shared, command).await else { return journal_failed() };
+    let Some(grants) = ask_jobs(shared, command).await else { return journal_failed() };
     // If a body cannot be read, the lease expires and the item is leased again.
     let items = grants.into_iter().filter_map(|grant| leased(store, &service, grant)).collect();
     PeerReply::Leased(items)
@@ -154,7 +154,7 @@
 }
 
 async fn list_results(shared: &Shared, store: &Store, job: JobId, from_index: u32) -> PeerReply {
-    let (number, items) = match ask(shared, |reply| JobCommand::Find { job, reply }).await {
+    let (number, items) = match ask_jobs(shared, |reply| JobCommand::Find { job, reply }).await {
         Some(Some(found)) => found,
         Some(None) => return unknown_job(),
         None => return journal_failed(),
--- a/crates/daemon/src/ports/operator.rs
+++ b/crates/daemon/src/ports/operator.rs
@@ -116,7 +116,7 @@
     Ok(Change { key, value, expected_version, change_id: request.change_id })
 }
 
-fn object_to(object: &VersionedObject) -> v1::Object {
+fn to_api_object(object: &VersionedObject) -> v1::Object {
     v1::Object {
         kind: object.key.kind.name().to_owned(),
         name: object.key.name.clone(),
@@ -171,7 +171,7 @@
         let objects = self.live_objects(&partner).await?;
         let wanted = |o: &&VersionedObject| o.key.kind == kind && o.key.name == reference.name;
         match objects.iter().find(wanted) {
-            Some(object) => Ok(Response::new(object_to(object))),
+            Some(object) => Ok(Response::new(to_api_object(object))),
             None => Err(Status::not_found(format!("name: no {} of this name", kind.name()))),
         }
     }
@@ -185,7 +185,7 @@
         let kind = if kind.is_empty() { None } else { Some(parse_kind(&kind)?) };
         let objects = self.live_objects(&partner).await?;
         let wanted = objects.iter().filter(|o| kind.is_none_or(|kind| o.key.kind == kind));
-        Ok(Response::new(v1::ListResponse { objects: wanted.map(object_to).collect() }))
+        Ok(Response::new(v1::ListResponse { objects: wanted.map(to_api_object).collect() }))
     }
 
     async fn watch(
@@ -201,7 +201,7 @@
         let events = held.chain(changes).filter_map(move |object| {
             let event = match object {
                 Ok(object) if object.key.partner == partner && object.version > after => {
-                    Some(Ok(v1::WatchEvent { object: Some(object_to(&object)) }))
+                    Some(Ok(v1::WatchEvent { object: Some(to_api_object(&object)) }))
                 }
                 Ok(_) => None,
                 Err(_) => Some(Err(Status::data_loss("watch fell behind; watch again"))),
--- a/crates/daemon/src/ports/peers.rs
+++ b/crates/daemon/src/ports/peers.rs
@@ -34,19 +34,20 @@
             }
             PeerRequest::CancelCall { request } => {
                 let cancelled =
-                    ask(shared, |reply| DispatchCommand::Cancel { request, reply }).await;
+                    ask_dispatch(shared, |reply| DispatchCommand::Cancel { request, reply }).await;
                 responder.send(PeerReply::Cancelled(cancelled.unwrap_or(false)));
             }
-            PeerRequest::Execute(order) => {
-                calls::execute(shared, &from, order, &responder).await;
+            PeerRequest::Execute(execute_call) => {
+                calls::execute(shared, &from, execute_call, &responder).await;
             }
             PeerRequest::CancelExecution { request } => {
                 let command = |reply| DispatchCommand::CancelExecution { request, reply };
-                let cancelled = ask(shared, command).await;
+                let cancelled = ask_dispatch(shared, command).await;
                 responder.send(PeerReply::Cancelled(cancelled.unwrap_or(false)));
             }
             PeerRequest::HoldRecord(copy) => {
-                let held = ask(shared, |reply| DispatchCommand::Hold { copy, reply }).await;
+                let held =
+                    ask_dispatch(shared, |reply| DispatchCommand::Hold { copy, reply }).await;
                 responder.send(held.map_or_else(stopping, PeerReply::RecordHeld));
             }
             PeerRequest::ConfigurationDigest { digest, versions } => {
@@ -77,7 +78,7 @@
 }
 
 /// Sends a command to the dispatch actor and waits for its reply; `None` if the actor has stopped.
-pub async fn ask<T>(
+pub async fn ask_dispatch<T>(
     shared: &Shared,
     command: impl FnOnce(oneshot::Sender<T>) -> DispatchCommand,
 ) -> Option<T> {
--- a/crates/daemon/src/ports/platform.rs
+++ b/crates/daemon/src/ports/platform.rs
@@ -61,11 +61,11 @@
     let mut backoff = RETRY_BACKOFF_RANGE.0;
     loop {
         wait_until_watcher(&shared).await;
-        let reading = tokio::select! {
+        let result = tokio::select! {
             result = list_and_watch(&shared, kind) => result,
             () = wait_until_not_watcher(&shared) => Ok(()),
         };
-        match reading {
+        match result {
             Ok(()) => backoff = RETRY_BACKOFF_RANGE.0,
             Err(error) => {
                 let peer = error.peer.clone();
@@ -81,14 +81,14 @@
     let (version, objects) = shared.objects.list(kind).await?;
     let command = FleetCommand::ApplyListing { kind, version, objects };
     let _ = shared.fleet().tell(command).await;
-    let mut seen = version;
+    let mut last_version = version;
     // The server ends watches from time to time; the next one resumes at the last version received.
     loop {
-        let mut events = Box::pin(shared.objects.watch(kind, seen).await?);
+        let mut events = Box::pin(shared.objects.watch(kind, last_version).await?);
         while let Some(event) = events.next().await {
             match event {
                 ObjectEvent::Changed(object) => {
-                    seen = seen.max(object.version);
+                    last_version = last_version.max(object.version);
                     let _ = shared.fleet().tell(FleetCommand::Apply(vec![object])).await;
                 }
                 ObjectEvent::Restart(cause) => {
--- a/crates/daemon/src/ports/repair.rs
+++ b/crates/daemon/src/ports/repair.rs
@@ -32,14 +32,14 @@
 }
 
 async fn repair_with(shared: &Shared, peer: &NodeName) {
-    let Some(digest) = ask(shared, FleetCommand::Digest).await else { return };
+    let Some(digest) = ask_fleet(shared, FleetCommand::Digest).await else { return };
     let digest_only = PeerRequest::ConfigurationDigest { digest, versions: Vec::new() };
     if let Ok(PeerReply::Repair { same: false, .. }) = call_peer(shared, peer, digest_only).await {
         exchange(shared, peer, digest).await;
     }
 }
 
-async fn ask<T>(
+async fn ask_fleet<T>(
     shared: &Shared,
     command: impl FnOnce(oneshot::Sender<T>) -> FleetCommand,
 ) -> Option<T> {
@@ -49,7 +49,7 @@
 }
 
 async fn exchange(shared: &Shared, peer: &NodeName, digest: u64) {
-    let Some(versions) = ask(shared, FleetCommand::Versions).await else { return };
+    let Some(versions) = ask_fleet(shared, FleetCommand::Versions).await else { return };
     let with_versions = PeerRequest::ConfigurationDigest { digest, versions };
     let Ok(PeerReply::Repair { objects, wanted, .. }) =
         call_peer(shared, peer, with_versions).await
@@ -65,7 +65,7 @@
 }
 
 async fn push_objects(shared: &Shared, peer: &NodeName, wanted: &[ObjectKey]) {
-    let Some(mut objects) = ask(shared, FleetCommand::Objects).await else { return };
+    let Some(mut objects) = ask_fleet(shared, FleetCommand::Objects).await else { return };
     objects.retain(|object| wanted.contains(&object.key));
     let _ = call_peer(shared, peer, PeerRequest::PushObjects(objects)).await;
 }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -19,7 +19,7 @@
 use crate::traffic::items::ItemTable;
 use crate::traffic::uploads::UploadTable;
 
-/// The job store of a daemon with a data folder.
+/// Files and uploads of the job store, on daemons with a data folder.
 pub struct Store {
     /// Read access to the journal.
     pub journal: Journal,
@@ -53,7 +53,7 @@
     pub items: ItemTable,
     /// Configuration changes as they take effect.
     pub changes: broadcast::Sender<VersionedObject>,
-    /// The job store, on machines with a data folder.
+    /// Files and uploads of the job store, on daemons with a data folder.
     pub store: Option<Store>,
     /// Notified when the data folder failed: the process must stop.
     pub storage_failed: Notify,
--- a/crates/daemon/src/traffic/buffer.rs
+++ b/crates/daemon/src/traffic/buffer.rs
@@ -31,7 +31,7 @@
 }
 
 /// State of the answer from an offset on, as returned by `AnswerBuffer::read`.
-struct Reading {
+struct AnswerSnapshot {
     backend: Option<BackendId>,
     chunk: Vec<u8>,
     tokens_total: u32,
@@ -99,9 +99,9 @@
         lock(&self.state).ended.clone()
     }
 
-    fn read(&self, offset: u64) -> Reading {
+    fn read(&self, offset: u64) -> AnswerSnapshot {
         let state = lock(&self.state);
-        Reading {
+        AnswerSnapshot {
             backend: state.backend.clone(),
             chunk: state.bytes.get(offset as usize..).unwrap_or_default().to_vec(),
             tokens_total: state.tokens,
@@ -116,23 +116,23 @@
         let mut started = false;
         loop {
             changes.mark_unchanged();
-            let reading = self.read(offset);
-            if let Some(backend) = reading.backend.filter(|_| !started) {
+            let snapshot = self.read(offset);
+            if let Some(backend) = snapshot.backend.filter(|_| !started) {
                 started = true;
                 if !emit(CallEvent::Started { backend }) {
                     return;
                 }
             }
-            if !reading.chunk.is_empty() {
-                let length = reading.chunk.len() as u64;
-                let tokens_total = reading.tokens_total;
-                let event = CallEvent::Chunk { offset, text: reading.chunk, tokens_total };
+            if !snapshot.chunk.is_empty() {
+                let length = snapshot.chunk.len() as u64;
+                let tokens_total = snapshot.tokens_total;
+                let event = CallEvent::Chunk { offset, text: snapshot.chunk, tokens_total };
                 offset += length;
                 if !emit(event) {
                     return;
                 }
             }
-            if let Some(outcome) = reading.ended {
+            if let Some(outcome) = snapshot.ended {
                 emit(CallEvent::Ended(outcome));
                 return;
             }
--- a/crates/daemon/src/traffic/home.rs
+++ b/crates/daemon/src/traffic/home.rs
@@ -51,8 +51,8 @@
         }
         CoordinatorEffect::CancelExecution { request, owner } => {
             traffic.spawn(async move {
-                let order = PeerRequest::CancelExecution { request };
-                notify(&shared, &owner, order).await;
+                let peer_request = PeerRequest::CancelExecution { request };
+                notify(&shared, &owner, peer_request).await;
             });
         }
         CoordinatorEffect::End { request, outcome, holders } => {
@@ -89,14 +89,14 @@
 /// Runs one attempt at an owner and reports its outcome.
 async fn execute(shared: Arc<Shared>, call: Arc<Call>, attempt: u32, owner: NodeName) {
     let (base_offset, base_tokens) = call.buffer().length();
-    let order = PeerRequest::Execute(ExecuteCall {
+    let peer_request = PeerRequest::Execute(ExecuteCall {
         call: OnlineCall { header: call.header().clone(), body: call.body().to_vec() },
         attempt,
         resume_from_token: base_tokens,
     });
-    let target = Target { node: owner, base_offset, base_tokens };
-    let opened = open(&shared, &target.node, order).await;
-    relay(&shared, &call, attempt, target, opened).await;
+    let source = AnswerSource { node: owner, base_offset, base_tokens };
+    let opened = open(&shared, &source.node, peer_request).await;
+    relay(&shared, &call, attempt, source, opened).await;
 }
 
 /// Follows an execution that another home daemon started, or takes over its outcome.
@@ -114,14 +114,14 @@
             let (offset, _) = call.buffer().length();
             let attach = PeerRequest::Attach { request, offset, wait_ms: ADOPT_TIMEOUT_MS };
             let opened = open(&shared, &owner, attach).await;
-            let target = Target { node: owner, base_offset: 0, base_tokens: 0 };
-            relay(&shared, &call, attempt, target, opened).await;
+            let source = AnswerSource { node: owner, base_offset: 0, base_tokens: 0 };
+            relay(&shared, &call, attempt, source, opened).await;
         }
     }
 }
 
 /// The source of an answer, and the offset of its first byte and token within the whole answer.
-struct Target {
+struct AnswerSource {
     node: NodeName,
     base_offset: u64,
     base_tokens: u32,
@@ -141,13 +141,13 @@
     shared: &Shared,
     call: &Call,
     attempt: u32,
-    target: Target,
+    source: AnswerSource,
     opened: Result<ReplyStream, PeerError>,
 ) {
     let request = call.header().request.clone();
     let mut replies = match opened {
         Ok(replies) => replies,
-        Err(error) => return report_lost(shared, request, attempt, &target.node, error).await,
+        Err(error) => return report_lost(shared, request, attempt, &source.node, error).await,
     };
     loop {
         match replies.next().await {
@@ -157,8 +157,8 @@
                 let _ = shared.dispatch().tell(started).await;
             }
             Ok(PeerReply::Call(CallEvent::Chunk { offset, text, tokens_total })) => {
-                let tokens = target.base_tokens + tokens_total;
-                call.buffer().push(target.base_offset + offset, &text, tokens);
+                let tokens = source.base_tokens + tokens_total;
+                call.buffer().push(source.base_offset + offset, &text, tokens);
             }
             Ok(PeerReply::Executed { outcome, load }) => {
                 return report_end(shared, request, attempt, outcome, Some(load)).await;
@@ -170,7 +170,7 @@
                 return report_end(shared, request, attempt, Outcome::Refused(refusal), None).await;
             }
             Ok(_) => {}
-            Err(error) => return report_lost(shared, request, attempt, &target.node, error).await,
+            Err(error) => return report_lost(shared, request, attempt, &source.node, error).await,
         }
     }
 }
