--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,15 @@
-//! Pure state machines: no input or output, no clock, no randomness of their own.
+//! Deterministic state machines without I/O or clocks; random generators are seeded by the caller.
 //!
-//! Each machine takes the time and an event and returns effects for the shell to carry out, so
-//! that thousands of nodes can be driven in one process under virtual time.
+//! Each machine takes the current time and an event, and returns effects for the caller to carry
+//! out. Thousands of nodes can therefore be simulated in one process under virtual time.
+//!
+//! Roles of a daemon:
+//!
+//! - The *home* daemon of an online request keeps its record and its answer.
+//! - The *holders* of a record keep copies of it for the case that the home daemon fails.
+//! - The *owner* of a back end decides what runs on it. It is also the holder of the leases of the
+//!   batch items that it runs.
+//! - A *data daemon* stores jobs.
 
 pub mod admission;
 pub mod batch;
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: one thread, one actor a concern.
+//! The control thread: a single thread that runs one actor per concern.
 
 mod dispatch;
 mod fleet;
@@ -23,24 +23,24 @@
 use crate::error::StartError;
 use crate::shared::Shared;
 
-/// Interval of the machines' ticks.
-const TICK: Duration = Duration::from_millis(20);
-/// Commands that may wait at one actor.
-const MAILBOX: usize = 65_536;
+/// Interval between ticks of the state machines.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of commands queued at one actor.
+const MAILBOX_CAPACITY: usize = 65_536;
 
-/// What the control thread starts with.
+/// Initial state and settings of the control thread.
 pub struct ControlParts {
     /// The member list.
     pub membership: Membership,
-    /// The job store, on machines with a data folder.
+    /// The job store, on daemons with a data folder.
     pub jobs: Option<JobStore>,
     /// Datagrams to be sent.
     pub datagrams: mpsc::UnboundedSender<Outgoing>,
-    /// Time for which ended requests can be read, in milliseconds.
+    /// Retention period of ended requests, in milliseconds.
     pub retention_ms: u64,
-    /// Seed of the generators.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Whether batch items run here.
+    /// Whether this daemon runs batch items.
     pub batch: bool,
     /// Names of the data daemons.
     pub data_nodes: Vec<yokefall_types::NodeName>,
@@ -51,7 +51,7 @@
     _stop: oneshot::Sender<()>,
 }
 
-/// Starts the control thread and its actors, which are set in `shared` when this returns.
+/// Starts the control thread and its actors, which are set in `shared` when this function returns.
 pub async fn start(shared: Arc<Shared>, parts: ControlParts) -> Result<ControlThread, StartError> {
     let (stop, stopped) = oneshot::channel::<()>();
     let (started, wait) = oneshot::channel::<()>();
@@ -81,29 +81,29 @@
         parts.retention_ms,
         runner_stores,
     );
-    let dispatch = DispatchActor::spawn_with_mailbox(dispatch, mailbox::bounded(MAILBOX));
-    tick(dispatch.clone(), || DispatchCommand::Tick);
+    let dispatch = DispatchActor::spawn_with_mailbox(dispatch, mailbox::bounded(MAILBOX_CAPACITY));
+    send_ticks(dispatch.clone(), || DispatchCommand::Tick);
     let _ = shared.dispatch.set(dispatch);
     if let Some(store) = parts.jobs {
         let jobs = JobActor::new(shared.clone(), traffic.clone(), store);
-        let jobs = JobActor::spawn_with_mailbox(jobs, mailbox::bounded(MAILBOX));
-        tick(jobs.clone(), || JobCommand::Tick);
+        let jobs = JobActor::spawn_with_mailbox(jobs, mailbox::bounded(MAILBOX_CAPACITY));
+        send_ticks(jobs.clone(), || JobCommand::Tick);
         let _ = shared.jobs.set(jobs);
     }
     let fleet = FleetActor::new(shared.clone(), traffic, parts.membership, parts.datagrams);
-    let fleet = FleetActor::spawn_with_mailbox(fleet, mailbox::bounded(MAILBOX));
-    tick(fleet.clone(), || FleetCommand::Tick);
+    let fleet = FleetActor::spawn_with_mailbox(fleet, mailbox::bounded(MAILBOX_CAPACITY));
+    send_ticks(fleet.clone(), || FleetCommand::Tick);
     let _ = shared.fleet.set(fleet);
 }
 
-/// Sends an actor its tick for as long as it lives.
-fn tick<A, C>(actor: ActorRef<A>, command: impl Fn() -> C + Send + 'static)
+/// Sends ticks to an actor until it stops.
+fn send_ticks<A, C>(actor: ActorRef<A>, command: impl Fn() -> C + Send + 'static)
 where
     A: Actor + Message<C>,
     C: Send + 'static,
 {
     tokio::spawn(async move {
-        let mut interval = tokio::time::interval(TICK);
+        let mut interval = tokio::time::interval(TICK_INTERVAL);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
--- a/crates/daemon/src/ports/operator.rs
+++ b/crates/daemon/src/ports/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's gRPC port.
+//! The gRPC service for operators.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 use crate::control::{FleetCommand, FleetStatus};
 use crate::shared::Shared;
 
-/// Serves operators.
+/// The operator service.
 pub struct OperatorPort {
-    /// The process's state.
+    /// State shared by the process.
     pub shared: Arc<Shared>,
-    /// Who a call comes from.
+    /// Authenticates callers.
     pub authenticator: Authenticator,
 }
 
@@ -50,8 +50,8 @@
         Ok(objects)
     }
 
-    /// Checks references between objects against the configuration in force, the operator's own
-    /// last change included.
+    /// Checks references between objects against the configuration in force, including the
+    /// operator's own previous changes.
     async fn check_references(&self, change: &Change) -> Result<(), Status> {
         let objects = self.live_objects(&change.key.partner).await?;
         match &change.value {
@@ -116,7 +116,7 @@
     Ok(Change { key, value, expected_version, change_id: request.change_id })
 }
 
-fn object_to(object: &VersionedObject) -> v1::Object {
+fn to_api_object(object: &VersionedObject) -> v1::Object {
     v1::Object {
         kind: object.key.kind.name().to_owned(),
         name: object.key.name.clone(),
@@ -171,7 +171,7 @@
         let objects = self.live_objects(&partner).await?;
         let wanted = |o: &&VersionedObject| o.key.kind == kind && o.key.name == reference.name;
         match objects.iter().find(wanted) {
-            Some(object) => Ok(Response::new(object_to(object))),
+            Some(object) => Ok(Response::new(to_api_object(object))),
             None => Err(Status::not_found(format!("name: no {} of this name", kind.name()))),
         }
     }
@@ -185,7 +185,7 @@
         let kind = if kind.is_empty() { None } else { Some(parse_kind(&kind)?) };
         let objects = self.live_objects(&partner).await?;
         let wanted = objects.iter().filter(|o| kind.is_none_or(|kind| o.key.kind == kind));
-        Ok(Response::new(v1::ListResponse { objects: wanted.map(object_to).collect() }))
+        Ok(Response::new(v1::ListResponse { objects: wanted.map(to_api_object).collect() }))
     }
 
     async fn watch(
@@ -194,14 +194,14 @@
     ) -> Result<Response<EventStream>, Status> {
         let partner = self.partner(&request)?;
         let after = request.into_inner().after_version;
-        // Subscribe before reading, so that no change falls between the two.
+        // Subscribes before reading, so that no change in between is lost.
         let changes = BroadcastStream::new(self.shared.changes.subscribe());
         let held = self.objects(&partner).await?;
         let held = futures::stream::iter(held).map(Ok);
         let events = held.chain(changes).filter_map(move |object| {
             let event = match object {
                 Ok(object) if object.key.partner == partner && object.version > after => {
-                    Some(Ok(v1::WatchEvent { object: Some(object_to(&object)) }))
+                    Some(Ok(v1::WatchEvent { object: Some(to_api_object(&object)) }))
                 }
                 Ok(_) => None,
                 Err(_) => Some(Err(Status::data_loss("watch fell behind; watch again"))),
--- a/crates/daemon/src/ports/peers.rs
+++ b/crates/daemon/src/ports/peers.rs
@@ -1,4 +1,4 @@
-//! Requests of other processes.
+//! Dispatch of requests from other processes.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 use crate::ports::{calls, jobs};
 use crate::shared::Shared;
 
-/// Carries out requests of peers.
+/// Handles requests from peers.
 pub struct PeerPort {
-    /// The process's state.
+    /// State shared by the process.
     pub shared: Arc<Shared>,
 }
 
@@ -34,19 +34,20 @@
             }
             PeerRequest::CancelCall { request } => {
                 let cancelled =
-                    ask(shared, |reply| DispatchCommand::Cancel { request, reply }).await;
+                    ask_dispatch(shared, |reply| DispatchCommand::Cancel { request, reply }).await;
                 responder.send(PeerReply::Cancelled(cancelled.unwrap_or(false)));
             }
-            PeerRequest::Execute(order) => {
-                calls::execute(shared, &from, order, &responder).await;
+            PeerRequest::Execute(execute_call) => {
+                calls::execute(shared, &from, execute_call, &responder).await;
             }
             PeerRequest::CancelExecution { request } => {
                 let command = |reply| DispatchCommand::CancelExecution { request, reply };
-                let cancelled = ask(shared, command).await;
+                let cancelled = ask_dispatch(shared, command).await;
                 responder.send(PeerReply::Cancelled(cancelled.unwrap_or(false)));
             }
             PeerRequest::HoldRecord(copy) => {
-                let held = ask(shared, |reply| DispatchCommand::Hold { copy, reply }).await;
+                let held =
+                    ask_dispatch(shared, |reply| DispatchCommand::Hold { copy, reply }).await;
                 responder.send(held.map_or_else(stopping, PeerReply::RecordHeld));
             }
             PeerRequest::ConfigurationDigest { digest, versions } => {
@@ -76,8 +77,8 @@
     }
 }
 
-/// Asks the control of calls. None means that it has ended.
-pub async fn ask<T>(
+/// Sends a command to the dispatch actor and waits for its reply; `None` if the actor has stopped.
+pub async fn ask_dispatch<T>(
     shared: &Shared,
     command: impl FnOnce(oneshot::Sender<T>) -> DispatchCommand,
 ) -> Option<T> {
--- a/crates/daemon/src/ports/platform.rs
+++ b/crates/daemon/src/ports/platform.rs
@@ -1,5 +1,5 @@
-//! Reading of the platform: a few daemons a region watch the object API and the machine list; the
-//! others learn from them.
+//! Watches of the platform: a few daemons per region watch the object API and the machine list, and
+//! push changes to the others.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,58 +19,59 @@
 use crate::control::FleetCommand;
 use crate::shared::Shared;
 
-/// Daemons of a region that read the platform.
+/// Number of daemons per region that watch the platform.
 const WATCHERS_PER_REGION: usize = 2;
-/// Key under which the watchers of a region are chosen.
+/// Rendezvous hashing key that selects the watchers of a region.
 const WATCHER_KEY: &[u8] = b"platform-watcher";
-/// Interval at which a daemon looks whether it is a watcher.
-const ROLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Bounds of the pause after a failed call.
-const RETRY_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(5));
-/// Namespace under which machines are held; no partner has this name.
+/// Interval at which a daemon checks whether it is a watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Bounds of the exponential backoff after a failed call.
+const RETRY_BACKOFF_RANGE: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(5));
+/// Partner name under which machines are stored; no partner has this name.
 const MACHINE_NAMESPACE: &str = "";
 
-/// Whether this daemon reads the platform for its region.
+/// Whether this daemon watches the platform for its region.
 fn is_watcher(view: &FleetView) -> bool {
-    let Some(me) = view.member(&view.node) else { return true };
+    let Some(own) = view.member(&view.node) else { return true };
     let in_region: Vec<&NodeName> = view
         .members
         .iter()
-        .filter(|member| member.region == me.region && member.accepting)
+        .filter(|member| member.region == own.region && member.accepting)
         .map(|member| &member.node)
         .collect();
     let order = rendezvous_order(WATCHER_KEY, in_region);
     order.iter().take(WATCHERS_PER_REGION).any(|node| **node == view.node)
 }
 
-async fn until_watcher(shared: &Shared) {
+async fn wait_until_watcher(shared: &Shared) {
     while !is_watcher(&shared.view.load()) {
-        tokio::time::sleep(ROLE_INTERVAL).await;
+        tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
     }
 }
 
-async fn until_not_watcher(shared: &Shared) {
+async fn wait_until_not_watcher(shared: &Shared) {
     while is_watcher(&shared.view.load()) {
-        tokio::time::sleep(ROLE_INTERVAL).await;
+        tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
     }
 }
 
-/// Reads objects of one kind for as long as this daemon is a watcher, for ever.
+/// Watches objects of one kind whenever this daemon is a watcher. Never returns.
 pub async fn watch_objects(shared: Arc<Shared>, kind: Kind) {
-    let mut pause = RETRY_RANGE.0;
+    let mut backoff = RETRY_BACKOFF_RANGE.0;
     loop {
-        until_watcher(&shared).await;
-        let reading = tokio::select! {
+        wait_until_watcher(&shared).await;
+        let result = tokio::select! {
             result = list_and_watch(&shared, kind) => result,
-            () = until_not_watcher(&shared) => Ok(()),
+            () = wait_until_not_watcher(&shared) => Ok(()),
         };
-        match reading {
-            Ok(()) => pause = RETRY_RANGE.0,
+        match result {
+            Ok(()) => backoff = RETRY_BACKOFF_RANGE.0,
             Err(error) => {
                 let peer = error.peer.clone();
                 Event::new(Level::Warn, "watch objects").peer(peer).write(error);
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(RETRY_RANGE.1);
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(RETRY_BACKOFF_RANGE.1);
             }
         }
     }
@@ -80,14 +81,14 @@
     let (version, objects) = shared.objects.list(kind).await?;
     let command = FleetCommand::ApplyListing { kind, version, objects };
     let _ = shared.fleet().tell(command).await;
-    let mut seen = version;
-    // A watch ends by itself from time to time and goes on from the last version seen.
+    let mut last_version = version;
+    // The server ends watches from time to time; the next one resumes at the last version received.
     loop {
-        let mut events = Box::pin(shared.objects.watch(kind, seen).await?);
+        let mut events = Box::pin(shared.objects.watch(kind, last_version).await?);
         while let Some(event) = events.next().await {
             match event {
                 ObjectEvent::Changed(object) => {
-                    seen = seen.max(object.version);
+                    last_version = last_version.max(object.version);
                     let _ = shared.fleet().tell(FleetCommand::Apply(vec![object])).await;
                 }
                 ObjectEvent::Restart(cause) => {
@@ -96,15 +97,15 @@
                 }
             }
         }
-        tokio::time::sleep(RETRY_RANGE.0).await;
+        tokio::time::sleep(RETRY_BACKOFF_RANGE.0).await;
     }
 }
 
-/// Reads the machine list for as long as this daemon is a watcher, for ever.
+/// Polls the machine list whenever this daemon is a watcher. Never returns.
 pub async fn watch_machines(shared: Arc<Shared>, url: String, interval: Duration) {
     let client = MachineListClient::new(&url);
     loop {
-        until_watcher(&shared).await;
+        wait_until_watcher(&shared).await;
         match client.read().await {
             Ok(listing) => {
                 let command = machine_objects(listing);
--- a/crates/daemon/src/traffic/batch.rs
+++ b/crates/daemon/src/traffic/batch.rs
@@ -1,4 +1,4 @@
-//! Carries out what the batch runner orders.
+//! Carries out the effects of the batch runner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,13 @@
 use crate::traffic::call_peer;
 use crate::traffic::execution::{cancel_at_backend, service_spec};
 
-/// Tries to get an answer about start marks or returned items, and the pause between them.
-const TRIES: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(200);
+/// Maximum number of attempts to deliver start mark requests and returned items.
+const MAX_ATTEMPTS: u32 = 20;
+/// Pause between these attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Starts the work of one effect on the traffic threads.
-pub fn carry_out(shared: &Arc<Shared>, traffic: &Handle, effect: BatchEffect) {
+/// Carries out one effect on the traffic threads.
+pub fn execute_effect(shared: &Arc<Shared>, traffic: &Handle, effect: BatchEffect) {
     let shared = shared.clone();
     match effect {
         BatchEffect::Lease { store, service, max_items } => {
@@ -58,9 +59,9 @@
     store: &NodeName,
     request: PeerRequest,
 ) -> Option<PeerReply> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match call_peer(shared, store, request.clone()).await {
-            Ok(PeerReply::Refused(_)) | Err(_) => tokio::time::sleep(PAUSE).await,
+            Ok(PeerReply::Refused(_)) | Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
             Ok(reply) => return Some(reply),
         }
     }
@@ -78,19 +79,19 @@
     let _ = shared.dispatch().tell(DispatchCommand::Leased { store, service, items }).await;
 }
 
-async fn start_items(shared: Arc<Shared>, store: NodeName, asked: Vec<LeasedItemRef>) {
-    let request = PeerRequest::StartItems(asked.clone());
+async fn start_items(shared: Arc<Shared>, store: NodeName, requested: Vec<LeasedItemRef>) {
+    let request = PeerRequest::StartItems(requested.clone());
     let granted = match call_until_answered(&shared, &store, request).await {
         Some(PeerReply::Granted(granted)) => granted,
         _ => Vec::new(),
     };
-    let _ = shared.dispatch().tell(DispatchCommand::StartAnswered { asked, granted }).await;
+    let _ = shared.dispatch().tell(DispatchCommand::StartAnswered { requested, granted }).await;
 }
 
-async fn extend(shared: Arc<Shared>, store: NodeName, asked: Vec<LeasedItemRef>) {
-    let request = PeerRequest::ExtendLeases(asked.clone());
+async fn extend(shared: Arc<Shared>, store: NodeName, requested: Vec<LeasedItemRef>) {
+    let request = PeerRequest::ExtendLeases(requested.clone());
     if let Ok(PeerReply::Granted(granted)) = call_peer(&shared, &store, request).await {
-        let _ = shared.dispatch().tell(DispatchCommand::Extended { asked, granted }).await;
+        let _ = shared.dispatch().tell(DispatchCommand::Extended { requested, granted }).await;
     }
 }
 
@@ -126,7 +127,7 @@
     let _ = shared.dispatch().tell(DispatchCommand::ItemEnded { ticket, end }).await;
 }
 
-/// Id of an item's attempt at an engine.
+/// Engine request id of one attempt of an item.
 fn engine_item_id(item: &LeasedItem) -> String {
     let reference = &item.item;
     let token = reference.token;
@@ -163,7 +164,7 @@
     prompt: &str,
     model: String,
 ) -> Result<Vec<u8>, BackendError> {
-    let order = CompletionRequest {
+    let request = CompletionRequest {
         request_id: engine_id.to_owned(),
         attempt: item.item.token.attempt,
         model,
@@ -173,7 +174,7 @@
         priority: ENGINE_PRIORITY_BATCH,
         stream: true,
     };
-    let mut stream = shared.backends.complete(address, &order).await?;
+    let mut stream = shared.backends.complete(address, &request).await?;
     let mut answer = Vec::new();
     loop {
         match stream.next().await? {
--- a/crates/daemon/src/traffic/home.rs
+++ b/crates/daemon/src/traffic/home.rs
@@ -1,4 +1,4 @@
-//! Carries out what the coordinator orders.
+//! Carries out the effects of the coordinator.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,16 @@
 use crate::traffic::buffer::Call;
 use crate::traffic::{call_peer, not_a_member};
 
-/// Tries to tell the holder of the copy, or an owner, of an end, and the pause between them.
-const TELL_TRIES: u32 = 4;
-const TELL_PAUSE: Duration = Duration::from_millis(150);
-/// Time for which an execution of another home daemon is followed, in milliseconds.
-const ADOPT_WAIT_MS: u64 = yokefall_types::limits::MAX_CALL_DEADLINE_MS;
+/// Maximum number of attempts to notify a holder of a copy of an end, or an owner of a
+/// cancellation.
+const MAX_NOTIFY_ATTEMPTS: u32 = 4;
+/// Pause between these attempts.
+const NOTIFY_RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Maximum time for which an execution of another home daemon is followed, in milliseconds.
+const ADOPT_TIMEOUT_MS: u64 = yokefall_types::limits::MAX_CALL_DEADLINE_MS;
 
-/// Starts the work of one effect on the traffic threads.
-pub fn carry_out(shared: &Arc<Shared>, traffic: &Handle, effect: CoordinatorEffect) {
+/// Carries out one effect on the traffic threads.
+pub fn execute_effect(shared: &Arc<Shared>, traffic: &Handle, effect: CoordinatorEffect) {
     let shared = shared.clone();
     match effect {
         CoordinatorEffect::Copy { to, copy, handover: false } => {
@@ -49,31 +51,31 @@
         }
         CoordinatorEffect::CancelExecution { request, owner } => {
             traffic.spawn(async move {
-                let order = PeerRequest::CancelExecution { request };
-                tell(&shared, &owner, order).await;
+                let peer_request = PeerRequest::CancelExecution { request };
+                notify(&shared, &owner, peer_request).await;
             });
         }
         CoordinatorEffect::End { request, outcome, holders } => {
             end(&shared, traffic, &request, outcome, holders);
         }
-        CoordinatorEffect::Forget { request } => shared.calls.remove(&request),
+        CoordinatorEffect::Expire { request } => shared.calls.remove(&request),
     }
 }
 
-async fn tell(shared: &Shared, node: &NodeName, request: PeerRequest) {
-    for _ in 0..TELL_TRIES {
+async fn notify(shared: &Shared, node: &NodeName, request: PeerRequest) {
+    for _ in 0..MAX_NOTIFY_ATTEMPTS {
         if call_peer(shared, node, request.clone()).await.is_ok() {
             return;
         }
-        tokio::time::sleep(TELL_PAUSE).await;
+        tokio::time::sleep(NOTIFY_RETRY_INTERVAL).await;
     }
 }
 
 async fn copy_record(shared: Arc<Shared>, to: NodeName, copy: RecordCopy) {
     let request = copy.request.clone();
     let command = match call_peer(&shared, &to, PeerRequest::HoldRecord(copy)).await {
-        Ok(PeerReply::RecordHeld(held_before)) => {
-            DispatchCommand::CopyHeld { request, holder: to, held_before }
+        Ok(PeerReply::RecordHeld(previous)) => {
+            DispatchCommand::CopyHeld { request, holder: to, previous }
         }
         answer => {
             let detail = answer.err().map_or_else(|| "unexpected reply".into(), |e| e.to_string());
@@ -84,20 +86,20 @@
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// Runs one attempt at an owner and reports its end.
+/// Runs one attempt at an owner and reports its outcome.
 async fn execute(shared: Arc<Shared>, call: Arc<Call>, attempt: u32, owner: NodeName) {
     let (base_offset, base_tokens) = call.buffer().length();
-    let order = PeerRequest::Execute(ExecuteCall {
+    let peer_request = PeerRequest::Execute(ExecuteCall {
         call: OnlineCall { header: call.header().clone(), body: call.body().to_vec() },
         attempt,
         resume_from_token: base_tokens,
     });
-    let target = Target { node: owner, base_offset, base_tokens };
-    let opened = open(&shared, &target.node, order).await;
-    relay(&shared, &call, attempt, target, opened).await;
+    let source = AnswerSource { node: owner, base_offset, base_tokens };
+    let opened = open(&shared, &source.node, peer_request).await;
+    relay(&shared, &call, attempt, source, opened).await;
 }
 
-/// Follows an execution that another home daemon ordered, or takes its end.
+/// Follows an execution that another home daemon started, or takes over its outcome.
 async fn adopt(shared: Arc<Shared>, call: Arc<Call>, attempt: u32, state: RecordState) {
     let request = call.header().request.clone();
     match state {
@@ -110,16 +112,16 @@
         }
         RecordState::Running { owner } => {
             let (offset, _) = call.buffer().length();
-            let attach = PeerRequest::Attach { request, offset, wait_ms: ADOPT_WAIT_MS };
+            let attach = PeerRequest::Attach { request, offset, wait_ms: ADOPT_TIMEOUT_MS };
             let opened = open(&shared, &owner, attach).await;
-            let target = Target { node: owner, base_offset: 0, base_tokens: 0 };
-            relay(&shared, &call, attempt, target, opened).await;
+            let source = AnswerSource { node: owner, base_offset: 0, base_tokens: 0 };
+            relay(&shared, &call, attempt, source, opened).await;
         }
     }
 }
 
-/// Where an answer comes from, and where it begins within the whole answer.
-struct Target {
+/// The source of an answer, and the offset of its first byte and token within the whole answer.
+struct AnswerSource {
     node: NodeName,
     base_offset: u64,
     base_tokens: u32,
@@ -134,18 +136,18 @@
     shared.peers.open(address, request).await
 }
 
-/// Moves an answer from an owner into the call's buffer until its end, and reports the end.
+/// Copies an answer from an owner into the call's buffer, and reports its outcome.
 async fn relay(
     shared: &Shared,
     call: &Call,
     attempt: u32,
-    target: Target,
+    source: AnswerSource,
     opened: Result<ReplyStream, PeerError>,
 ) {
     let request = call.header().request.clone();
     let mut replies = match opened {
         Ok(replies) => replies,
-        Err(error) => return report_lost(shared, request, attempt, &target.node, error).await,
+        Err(error) => return report_lost(shared, request, attempt, &source.node, error).await,
     };
     loop {
         match replies.next().await {
@@ -155,8 +157,8 @@
                 let _ = shared.dispatch().tell(started).await;
             }
             Ok(PeerReply::Call(CallEvent::Chunk { offset, text, tokens_total })) => {
-                let tokens = target.base_tokens + tokens_total;
-                call.buffer().push(target.base_offset + offset, &text, tokens);
+                let tokens = source.base_tokens + tokens_total;
+                call.buffer().push(source.base_offset + offset, &text, tokens);
             }
             Ok(PeerReply::Executed { outcome, load }) => {
                 return report_end(shared, request, attempt, outcome, Some(load)).await;
@@ -168,7 +170,7 @@
                 return report_end(shared, request, attempt, Outcome::Refused(refusal), None).await;
             }
             Ok(_) => {}
-            Err(error) => return report_lost(shared, request, attempt, &target.node, error).await,
+            Err(error) => return report_lost(shared, request, attempt, &source.node, error).await,
         }
     }
 }
@@ -192,13 +194,13 @@
     error: PeerError,
 ) {
     Event::new(Level::Warn, "execute").peer(owner).id(&request).write(&error);
-    let reached = !error.proves_not_sent();
+    let may_have_arrived = !error.proves_not_sent();
     let detail = format!("owner {owner}: {error}");
-    let command = DispatchCommand::ExecutionLost { request, attempt, reached, detail };
+    let command = DispatchCommand::ExecutionLost { request, attempt, may_have_arrived, detail };
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// Gives a record to a daemon that became one of its holders.
+/// Hands over a record to a daemon that became one of its holders.
 async fn hand_over(
     shared: Arc<Shared>,
     to: NodeName,
@@ -210,14 +212,14 @@
             let reply = call_peer(&shared, &to, PeerRequest::HoldRecord(copy)).await;
             matches!(reply, Ok(PeerReply::RecordHeld(_)))
         }
-        // The record was forgotten meanwhile.
+        // The record expired in the meantime.
         None => true,
     };
     let command = DispatchCommand::HandedOver { request, holder: to, acknowledged };
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// The copy of an ended call, with its answer.
+/// A copy of the record of an ended call, with its answer.
 fn ended_copy(shared: &Shared, call: &Call) -> Option<RecordCopy> {
     let state = match call.buffer().ended()?.0 {
         Outcome::Completed => RecordState::Answered(call.buffer().answer()),
@@ -232,7 +234,7 @@
     })
 }
 
-/// Gives those who wait the end, and the holders of copies the answer.
+/// Ends the call for its waiting readers, and sends the ended record to the holders of copies.
 fn end(
     shared: &Arc<Shared>,
     traffic: &Handle,
@@ -247,7 +249,7 @@
     let Some(copy) = ended_copy(shared, &call) else { return };
     for holder in holders {
         let (shared, copy) = (shared.clone(), copy.clone());
-        traffic.spawn(async move { tell(&shared, &holder, PeerRequest::HoldRecord(copy)).await });
+        traffic.spawn(async move { notify(&shared, &holder, PeerRequest::HoldRecord(copy)).await });
     }
 }
 
