--- a/crates/app/build.rs
+++ b/crates/app/build.rs
@@ -1,21 +1,22 @@
-//! Tells the program from which commit it is built, by the files of the repository alone.
+//! Passes the checked-out commit to the build as `YOKEFALL_BUILD`, read from the files under `.git`
+//! without running git.
 
 use std::fs;
 use std::path::Path;
 
-/// Characters of a commit that are kept: enough to name it.
-const COMMIT_CHARACTERS: usize = 12;
+/// Length of the abbreviated commit hash: long enough to be unambiguous.
+const COMMIT_HASH_CHARS: usize = 12;
 
 fn main() {
     let git = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.git");
     println!("cargo:rerun-if-changed={}", git.join("logs/HEAD").display());
-    let commit = commit(&git).unwrap_or_else(|| "unknown".to_owned());
-    let short: String = commit.chars().take(COMMIT_CHARACTERS).collect();
+    let commit = head_commit(&git).unwrap_or_else(|| "unknown".to_owned());
+    let short: String = commit.chars().take(COMMIT_HASH_CHARS).collect();
     println!("cargo:rustc-env=YOKEFALL_BUILD={short}");
 }
 
-/// The commit that is checked out; `None` where the sources come without their history.
-fn commit(git: &Path) -> Option<String> {
+/// Hash of the checked-out commit, or `None` if the sources are not in a git repository.
+fn head_commit(git: &Path) -> Option<String> {
     let head = fs::read_to_string(git.join("HEAD")).ok()?;
     let Some(reference) = head.trim().strip_prefix("ref: ") else {
         return Some(head.trim().to_owned());
--- a/crates/app/src/commands/ask.rs
+++ b/crates/app/src/commands/ask.rs
@@ -1,27 +1,27 @@
-//! `yokefall ask`: online requests.
+//! `yokefall ask`: sends online requests.
 
 use std::io::Write;
 
 use clap::{Args, Subcommand};
 use yokefall_api::v1;
 
-use super::connect::{fail_status, ConnectArguments};
+use super::connect::{fail_with_status, ConnectArguments};
 use crate::exit::{fail, ExitStatus};
 
 /// Online requests.
 #[derive(Debug, Subcommand)]
 pub enum AskCommand {
-    /// Ask a model service for text, and print it as it comes.
+    /// Generate text with a model service and print it as it arrives.
     Generate(GenerateArguments),
-    /// Call a plain service, and print its answer.
+    /// Call a plain service and print its response.
     Call(CallArguments),
-    /// Print the stored answer of an earlier request.
+    /// Print the stored response of an earlier request.
     Result(RequestArguments),
     /// Cancel a request.
     Cancel(RequestArguments),
 }
 
-/// What every request carries.
+/// Arguments common to all requests.
 #[derive(Debug, Args)]
 pub struct HeaderArguments {
     #[command(flatten)]
@@ -35,16 +35,17 @@
     /// Service.
     #[arg(long)]
     service: String,
-    /// Milliseconds to wait.
+    /// Milliseconds until the request times out.
     #[arg(long, default_value_t = 30_000)]
     deadline_ms: u64,
-    /// Whether a person waits for the answer.
+    /// Give the request high priority because a person is waiting for the response.
     #[arg(long)]
     urgent: bool,
-    /// Whether the request may be executed again after a failure; otherwise it runs at most once.
+    /// Allow the request to be executed again after a failure; otherwise it runs at most once.
     #[arg(long)]
     repeatable: bool,
-    /// An earlier request with this id may have been sent: join it, and say "not run" only on proof.
+    /// An earlier request with this id may have been sent: join it, and report "not run" only if
+    /// that is proven.
     #[arg(long)]
     resend: bool,
 }
@@ -70,7 +71,7 @@
 pub struct GenerateArguments {
     #[command(flatten)]
     header: HeaderArguments,
-    /// Greatest number of tokens.
+    /// Maximum number of tokens to generate.
     #[arg(long, default_value_t = 64)]
     max_tokens: u32,
     /// Prompt.
@@ -82,11 +83,11 @@
 pub struct CallArguments {
     #[command(flatten)]
     header: HeaderArguments,
-    /// Body.
+    /// Request body.
     body: String,
 }
 
-/// Arguments that name a request.
+/// Arguments that identify a request.
 #[derive(Debug, Args)]
 pub struct RequestArguments {
     #[command(flatten)]
@@ -97,7 +98,7 @@
     /// Request id.
     #[arg(long)]
     id: String,
-    /// Milliseconds to wait for its end.
+    /// Milliseconds to wait until the request has ended.
     #[arg(long, default_value_t = 30_000)]
     deadline_ms: u64,
 }
@@ -113,14 +114,14 @@
     done.unwrap_or_else(|status| status)
 }
 
-fn bad_input(error: String) -> ExitStatus {
-    fail(ExitStatus::BadInput, error)
+fn invalid_input(error: String) -> ExitStatus {
+    fail(ExitStatus::InvalidInput, error)
 }
 
-fn refused(refusal: &v1::Refusal) -> ExitStatus {
+fn fail_with_refusal(refusal: &v1::Refusal) -> ExitStatus {
     let retry = match refusal.retry_after_ms {
         0 => String::new(),
-        milliseconds => format!(", come back in {milliseconds} ms"),
+        milliseconds => format!(", retry after {milliseconds} ms"),
     };
     let message = format!(
         "{}: {} ({}{retry})",
@@ -130,14 +131,14 @@
     );
     let status = match refusal.executed() {
         v1::Executed::No => ExitStatus::Failed,
-        _ => ExitStatus::Unknown,
+        _ => ExitStatus::OutcomeUnknown,
     };
     fail(status, message)
 }
 
 async fn generate(arguments: GenerateArguments) -> Result<ExitStatus, ExitStatus> {
     use v1::generate_response::Step;
-    let target = arguments.header.connect.target().map_err(bad_input)?;
+    let target = arguments.header.connect.target().map_err(invalid_input)?;
     let mut caller = target.caller().await.map_err(|error| fail(ExitStatus::Failed, error))?;
     let request = v1::GenerateRequest {
         header: Some(arguments.header.header()),
@@ -145,10 +146,10 @@
         max_tokens: arguments.max_tokens,
         offset: 0,
     };
-    let response = caller.generate(request).await.map_err(|status| fail_status(&status))?;
+    let response = caller.generate(request).await.map_err(|status| fail_with_status(&status))?;
     let mut steps = response.into_inner();
     loop {
-        let step = steps.message().await.map_err(|status| fail_status(&status))?;
+        let step = steps.message().await.map_err(|status| fail_with_status(&status))?;
         match step.and_then(|response| response.step) {
             Some(Step::Chunk(chunk)) => {
                 let mut output = std::io::stdout();
@@ -156,10 +157,15 @@
             }
             Some(Step::Completed(_)) => {
                 println!();
-                return Ok(ExitStatus::Done);
+                return Ok(ExitStatus::Success);
+            }
+            Some(Step::Refusal(refusal)) => return Err(fail_with_refusal(&refusal)),
+            None => {
+                return Err(fail(
+                    ExitStatus::OutcomeUnknown,
+                    "the response ended before it was complete",
+                ))
             }
-            Some(Step::Refusal(refusal)) => return Err(refused(&refusal)),
-            None => return Err(fail(ExitStatus::Unknown, "the answer broke off")),
         }
     }
 }
@@ -169,42 +175,42 @@
     match response.outcome {
         Some(Outcome::Body(body)) => {
             println!("{}", String::from_utf8_lossy(&body));
-            Ok(ExitStatus::Done)
+            Ok(ExitStatus::Success)
         }
-        Some(Outcome::Refusal(refusal)) => Err(refused(&refusal)),
-        None => Err(fail(ExitStatus::Unknown, "an empty response")),
+        Some(Outcome::Refusal(refusal)) => Err(fail_with_refusal(&refusal)),
+        None => Err(fail(ExitStatus::OutcomeUnknown, "the response is empty")),
     }
 }
 
 async fn call(arguments: CallArguments) -> Result<ExitStatus, ExitStatus> {
-    let target = arguments.header.connect.target().map_err(bad_input)?;
+    let target = arguments.header.connect.target().map_err(invalid_input)?;
     let mut caller = target.caller().await.map_err(|error| fail(ExitStatus::Failed, error))?;
     let header = Some(arguments.header.header());
     let request = v1::CallRequest { header, body: arguments.body.into_bytes() };
-    let response = caller.call(request).await.map_err(|status| fail_status(&status))?;
+    let response = caller.call(request).await.map_err(|status| fail_with_status(&status))?;
     print_response(response.into_inner())
 }
 
 async fn result(arguments: RequestArguments) -> Result<ExitStatus, ExitStatus> {
-    let target = arguments.connect.target().map_err(bad_input)?;
+    let target = arguments.connect.target().map_err(invalid_input)?;
     let mut caller = target.caller().await.map_err(|error| fail(ExitStatus::Failed, error))?;
     let request = v1::GetResultRequest {
         tenant: arguments.tenant,
         request_id: arguments.id,
         deadline_ms: arguments.deadline_ms,
     };
-    let response = caller.get_result(request).await.map_err(|status| fail_status(&status))?;
+    let response = caller.get_result(request).await.map_err(|status| fail_with_status(&status))?;
     print_response(response.into_inner())
 }
 
 async fn cancel(arguments: RequestArguments) -> Result<ExitStatus, ExitStatus> {
-    let target = arguments.connect.target().map_err(bad_input)?;
+    let target = arguments.connect.target().map_err(invalid_input)?;
     let mut caller = target.caller().await.map_err(|error| fail(ExitStatus::Failed, error))?;
     let request = v1::CancelRequest { tenant: arguments.tenant, request_id: arguments.id };
-    let response = caller.cancel(request).await.map_err(|status| fail_status(&status))?;
+    let response = caller.cancel(request).await.map_err(|status| fail_with_status(&status))?;
     if response.into_inner().cancelled {
         println!("cancelled");
-        return Ok(ExitStatus::Done);
+        return Ok(ExitStatus::Success);
     }
-    Err(fail(ExitStatus::Failed, "no request of this id is running"))
+    Err(fail(ExitStatus::Failed, "no request with this id is running"))
 }
--- a/crates/app/src/commands/check.rs
+++ b/crates/app/src/commands/check.rs
@@ -19,52 +19,52 @@
     file: PathBuf,
 }
 
-/// Checks a settings file.
+/// Validates a settings file, and the catalog file that it refers to.
 pub fn run(arguments: &CheckArguments) -> ExitStatus {
-    if is_serving(&arguments.file) {
+    if has_serving_role(&arguments.file) {
         return match ServingSettings::load(&arguments.file) {
             Ok(settings) => check_catalog(arguments, &settings),
-            Err(error) => fail(ExitStatus::BadInput, error),
+            Err(error) => fail(ExitStatus::InvalidInput, error),
         };
     }
     match Settings::load(&arguments.file) {
         Ok(settings) => {
             println!("{}: good, role {:?}", arguments.file.display(), settings.role);
-            ExitStatus::Done
+            ExitStatus::Success
         }
-        Err(error) => fail(ExitStatus::BadInput, error),
+        Err(error) => fail(ExitStatus::InvalidInput, error),
     }
 }
 
-/// Checks the catalog file that settings name, where they name one: routes, back ends and tenants.
+/// Validates the catalog file (routes, back ends and tenants) if the settings name one.
 fn check_catalog(arguments: &CheckArguments, settings: &ServingSettings) -> ExitStatus {
     if let Some(catalog) = &settings.platform.catalog {
         let file = match yokefall_standalone::catalog::read(catalog) {
             Ok(file) => file,
             Err(error) => {
-                return fail(ExitStatus::BadInput, format!("{}: {error}", catalog.display()));
+                return fail(ExitStatus::InvalidInput, format!("{}: {error}", catalog.display()));
             }
         };
         let zones = ZoneMap::new(settings.zones.clone());
         let unknown = unknown_regions_of(&file, &zones);
         if !unknown.is_empty() {
             let text = format!("allowed_regions: no zone of [zones] is in {}", unknown.join(", "));
-            return fail(ExitStatus::BadInput, format!("{}: {text}", catalog.display()));
+            return fail(ExitStatus::InvalidInput, format!("{}: {text}", catalog.display()));
         }
     }
     println!("{}: good, role {:?}", arguments.file.display(), settings.role);
-    ExitStatus::Done
+    ExitStatus::Success
 }
 
-/// Routes and tenants of a catalog file with a region that no zone has.
+/// Routes and tenants of a catalog file that allow a region to which no configured zone belongs.
 fn unknown_regions_of(file: &CatalogFile, zones: &ZoneMap) -> Vec<String> {
     let configurations = configurations(file).into_iter();
     configurations.flat_map(|(_, configuration)| unknown_regions(&configuration, zones)).collect()
 }
 
-/// Whether a file names a role of the serving processes, or is near enough to one that its mistakes
-/// are best told as theirs.
-fn is_serving(file: &std::path::Path) -> bool {
+/// Whether the `role` line of a file mentions a serving role, even if the value is not exactly one:
+/// such a file is validated as serving settings, which gives the more useful error messages.
+fn has_serving_role(file: &std::path::Path) -> bool {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let role = text.lines().find(|line| line.trim_start().starts_with("role"));
     role.is_some_and(|role| role.contains("gateway") || role.contains("job-store"))
@@ -75,7 +75,7 @@
 pub enum RoleArgument {
     /// Serves calls and jobs.
     Daemon,
-    /// Stands beside a caller.
+    /// Runs next to a caller.
     Agent,
 }
 
@@ -86,17 +86,17 @@
     role: RoleArgument,
 }
 
-/// Prints an example.
+/// Prints a settings file with every key of a role.
 pub fn example(arguments: &ExampleArguments) -> ExitStatus {
     let role = match arguments.role {
         RoleArgument::Daemon => Role::Daemon,
         RoleArgument::Agent => Role::Agent,
     };
     print!("{}", example::example(role));
-    ExitStatus::Done
+    ExitStatus::Success
 }
 
-/// A key's role on the command line.
+/// What a key permits, as given on the command line.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum KeyRole {
     /// Calls services and submits jobs.
@@ -114,23 +114,23 @@
     role: KeyRole,
 }
 
-/// Prints a line for a key file.
+/// Reads a secret from standard input and prints its line for a key file.
 pub fn key_line(arguments: &KeyLineArguments) -> ExitStatus {
     if let Err(error) = check_name("partner", &arguments.partner) {
-        return fail(ExitStatus::BadInput, error);
+        return fail(ExitStatus::InvalidInput, error);
     }
     let mut secret = String::new();
     if let Err(error) = std::io::stdin().read_line(&mut secret) {
-        return fail(ExitStatus::BadInput, format!("read secret: {error}"));
+        return fail(ExitStatus::InvalidInput, format!("read secret: {error}"));
     }
     let secret = secret.trim_end();
     if secret.is_empty() {
-        return fail(ExitStatus::BadInput, "secret: standard input is empty");
+        return fail(ExitStatus::InvalidInput, "secret: standard input is empty");
     }
     let role = match arguments.role {
         KeyRole::Caller => "caller",
         KeyRole::Operator => "operator",
     };
     println!("{} {role} {}", arguments.partner, KeyDigest::of(secret).hex());
-    ExitStatus::Done
+    ExitStatus::Success
 }
--- a/crates/app/src/commands/connect.rs
+++ b/crates/app/src/commands/connect.rs
@@ -1,4 +1,4 @@
-//! Arguments that tell how to reach a gRPC port.
+//! Command-line arguments for connecting to a gRPC port.
 
 use std::path::PathBuf;
 
@@ -8,28 +8,28 @@
 
 use crate::exit::{fail, ExitStatus};
 
-/// How to reach a port.
+/// Connection arguments.
 #[derive(Debug, Args)]
 pub struct ConnectArguments {
     /// URL of the port, such as http://127.0.0.1:7200.
     #[arg(long, env = "YOKEFALL_SERVER")]
     server: String,
-    /// File with the key; or set YOKEFALL_KEY.
+    /// File that contains the key; without it, the key is read from YOKEFALL_KEY.
     #[arg(long, value_name = "FILE")]
     key_file: Option<PathBuf>,
-    /// Certificate of the authority that signed the port's certificate, PEM.
+    /// PEM certificate of the authority that signed the server's certificate.
     #[arg(long, value_name = "FILE")]
     authority: Option<PathBuf>,
-    /// Name in the port's certificate, where it is not that of the URL.
+    /// Name in the server's certificate, if it differs from the host in the URL.
     #[arg(long)]
     server_name: Option<String>,
 }
 
-/// Variable that holds the key where no file is named.
+/// Environment variable that holds the key if no key file is given.
 const KEY_VARIABLE: &str = "YOKEFALL_KEY";
 
 impl ConnectArguments {
-    /// The port to connect to.
+    /// Connection target with the key and the certificate read from their files.
     pub fn target(&self) -> Result<Target, String> {
         let key = match &self.key_file {
             Some(file) => std::fs::read_to_string(file)
@@ -50,11 +50,11 @@
     }
 }
 
-/// Prints a status and gives its exit status.
-pub fn fail_status(status: &Status) -> ExitStatus {
+/// Prints a gRPC status and returns the matching exit status.
+pub fn fail_with_status(status: &Status) -> ExitStatus {
     let exit = match status.code() {
-        Code::Unknown => ExitStatus::Unknown,
-        Code::InvalidArgument | Code::FailedPrecondition => ExitStatus::BadInput,
+        Code::Unknown => ExitStatus::OutcomeUnknown,
+        Code::InvalidArgument | Code::FailedPrecondition => ExitStatus::InvalidInput,
         _ => ExitStatus::Failed,
     };
     fail(exit, format!("{:?}: {}", status.code(), status.message()))
--- a/crates/app/src/commands/ctl.rs
+++ b/crates/app/src/commands/ctl.rs
@@ -1,4 +1,4 @@
-//! `yokefall ctl`: configuration, as an operator.
+//! `yokefall ctl`: applies and inspects configuration as an operator.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,27 +10,28 @@
 use yokefall_rpc::client::Operator;
 use yokefall_types::{Declaration, Kind};
 
-use super::connect::{fail_status, ConnectArguments};
+use super::connect::{fail_with_status, ConnectArguments};
 use super::declarations::{self, DeclaredObject};
 use crate::exit::{fail, ExitStatus};
 
-/// Tries of one change whose effect is not known; each carries the same change id.
-const APPLY_TRIES: u32 = 3;
+/// Maximum attempts to apply one change while its outcome is unknown. All attempts carry the same
+/// change id, so that the change takes effect at most once.
+const MAX_APPLY_ATTEMPTS: u32 = 3;
 
 /// Configuration.
 #[derive(Debug, Subcommand)]
 pub enum CtlCommand {
-    /// Bring the objects declared in files into force.
+    /// Create and update the objects declared in files.
     Apply(FilesArguments),
     /// Show what `apply` would change.
     Diff(FilesArguments),
-    /// Print objects in force, as declarations.
+    /// Print the objects in force as declarations.
     Get(GetArguments),
     /// Delete one object.
     Delete(DeleteArguments),
     /// Print the state of daemons and back ends.
     Status(ConnectArguments),
-    /// Print changes as they come into force.
+    /// Print changes as they take effect.
     Watch(WatchArguments),
 }
 
@@ -42,7 +43,7 @@
     /// A declaration file, or a folder of them.
     #[arg(short, long, value_name = "PATH")]
     file: PathBuf,
-    /// Delete objects in force that no file declares.
+    /// Delete objects that are in force but not declared in any file.
     #[arg(long)]
     prune: bool,
 }
@@ -52,9 +53,9 @@
 pub struct GetArguments {
     #[command(flatten)]
     connect: ConnectArguments,
-    /// Service or Backend; every kind when not given.
+    /// Service or Backend; all kinds if omitted.
     kind: Option<String>,
-    /// Name; every object when not given.
+    /// Name; all objects if omitted.
     name: Option<String>,
 }
 
@@ -74,45 +75,45 @@
 pub struct WatchArguments {
     #[command(flatten)]
     connect: ConnectArguments,
-    /// Only changes above this version.
+    /// Print only changes with a version greater than this.
     #[arg(long, default_value_t = 0)]
     after: u64,
 }
 
-/// What is to be done about one object.
+/// Planned change of one object.
 #[derive(Clone, Debug)]
-enum Step {
+enum PlannedChange {
     Create(DeclaredObject),
     Change(DeclaredObject, v1::Object),
     Delete(v1::Object),
 }
 
-impl Step {
+impl PlannedChange {
     fn describe(&self) -> String {
         match self {
-            Step::Create(object) => format!("+ {} {}", object.kind.name(), object.name),
-            Step::Change(object, held) => format!(
+            PlannedChange::Create(object) => format!("+ {} {}", object.kind.name(), object.name),
+            PlannedChange::Change(object, current) => format!(
                 "~ {} {}\n    in force: {}\n    declared: {}",
                 object.kind.name(),
                 object.name,
-                held.spec_json,
+                current.spec_json,
                 object.declaration.spec_json(),
             ),
-            Step::Delete(held) => format!("- {} {}", held.kind, held.name),
+            PlannedChange::Delete(current) => format!("- {} {}", current.kind, current.name),
         }
     }
 
     fn request(&self, change_id: String) -> v1::ApplyRequest {
         let (kind, name, spec_json, expected_version, delete) = match self {
-            Step::Create(object) => {
+            PlannedChange::Create(object) => {
                 (object.kind.name(), &object.name, object.declaration.spec_json(), 0, false)
             }
-            Step::Change(object, held) => {
+            PlannedChange::Change(object, current) => {
                 let spec = object.declaration.spec_json();
-                (object.kind.name(), &object.name, spec, held.version, false)
+                (object.kind.name(), &object.name, spec, current.version, false)
             }
-            Step::Delete(held) => {
-                (held.kind.as_str(), &held.name, String::new(), held.version, true)
+            PlannedChange::Delete(current) => {
+                (current.kind.as_str(), &current.name, String::new(), current.version, true)
             }
         };
         let object =
@@ -135,99 +136,100 @@
 }
 
 async fn connect(arguments: &ConnectArguments) -> Result<Operator, ExitStatus> {
-    let target = arguments.target().map_err(|error| fail(ExitStatus::BadInput, error))?;
+    let target = arguments.target().map_err(|error| fail(ExitStatus::InvalidInput, error))?;
     target.operator().await.map_err(|error| fail(ExitStatus::Failed, error))
 }
 
 async fn list(operator: &mut Operator, kind: &str) -> Result<Vec<v1::Object>, ExitStatus> {
     let request = v1::ListRequest { kind: kind.to_owned() };
-    let response = operator.list(request).await.map_err(|status| fail_status(&status))?;
+    let response = operator.list(request).await.map_err(|status| fail_with_status(&status))?;
     Ok(response.into_inner().objects)
 }
 
-/// Compares files with what is in force. Steps are in an order in which references hold.
+/// Changes that bring the declared objects into force, ordered so that no object refers to one that
+/// does not exist at that moment.
 async fn plan(
     operator: &mut Operator,
     arguments: &FilesArguments,
-) -> Result<Vec<Step>, ExitStatus> {
-    let declared =
-        declarations::read(&arguments.file).map_err(|error| fail(ExitStatus::BadInput, error))?;
-    let mut held: BTreeMap<(String, String), v1::Object> = BTreeMap::new();
+) -> Result<Vec<PlannedChange>, ExitStatus> {
+    let declared = declarations::read(&arguments.file)
+        .map_err(|error| fail(ExitStatus::InvalidInput, error))?;
+    let mut current: BTreeMap<(String, String), v1::Object> = BTreeMap::new();
     for object in list(operator, "").await? {
-        held.insert((object.kind.clone(), object.name.clone()), object);
+        current.insert((object.kind.clone(), object.name.clone()), object);
     }
-    let mut steps = Vec::new();
+    let mut changes = Vec::new();
     for object in declared {
         let key = (object.kind.name().to_owned(), object.name.clone());
-        match held.remove(&key) {
-            None => steps.push(Step::Create(object)),
-            Some(in_force) if differs(&object, &in_force) => {
-                steps.push(Step::Change(object, in_force));
+        match current.remove(&key) {
+            None => changes.push(PlannedChange::Create(object)),
+            Some(in_force) if is_changed(&object, &in_force) => {
+                changes.push(PlannedChange::Change(object, in_force));
             }
             Some(_) => {}
         }
     }
     if arguments.prune {
-        // Back ends go before the services that they run.
-        let mut rest: Vec<v1::Object> = held.into_values().collect();
+        // Back ends are deleted before the services that they refer to.
+        let mut rest: Vec<v1::Object> = current.into_values().collect();
         rest.sort_by_key(|object| object.kind != Kind::Backend.name());
-        steps.extend(rest.into_iter().map(Step::Delete));
+        changes.extend(rest.into_iter().map(PlannedChange::Delete));
     }
-    Ok(steps)
+    Ok(changes)
 }
 
-fn differs(declared: &DeclaredObject, held: &v1::Object) -> bool {
-    let in_force = Declaration::from_spec_json(declared.kind, &held.spec_json);
+fn is_changed(declared: &DeclaredObject, current: &v1::Object) -> bool {
+    let in_force = Declaration::from_spec_json(declared.kind, &current.spec_json);
     in_force.ok().as_ref() != Some(&declared.declaration)
 }
 
 async fn diff(arguments: FilesArguments) -> Result<ExitStatus, ExitStatus> {
     let mut operator = connect(&arguments.connect).await?;
-    let steps = plan(&mut operator, &arguments).await?;
-    for step in &steps {
-        println!("{}", step.describe());
+    let changes = plan(&mut operator, &arguments).await?;
+    for change in &changes {
+        println!("{}", change.describe());
     }
-    if steps.is_empty() {
+    if changes.is_empty() {
         println!("nothing to change");
     }
-    Ok(ExitStatus::Done)
+    Ok(ExitStatus::Success)
 }
 
 async fn apply(arguments: FilesArguments) -> Result<ExitStatus, ExitStatus> {
     let mut operator = connect(&arguments.connect).await?;
-    let steps = plan(&mut operator, &arguments).await?;
-    if steps.is_empty() {
+    let changes = plan(&mut operator, &arguments).await?;
+    if changes.is_empty() {
         println!("nothing to change");
     }
-    let run = run_id();
-    for (number, step) in steps.iter().enumerate() {
-        let version = apply_step(&mut operator, step, format!("{run}-{number}")).await?;
-        println!("{}\n  in force at version {version}", step.describe());
+    let run = change_id_prefix();
+    for (number, change) in changes.iter().enumerate() {
+        let version = apply_change(&mut operator, change, format!("{run}-{number}")).await?;
+        println!("{}\n  in force at version {version}", change.describe());
     }
-    Ok(ExitStatus::Done)
+    Ok(ExitStatus::Success)
 }
 
-async fn apply_step(
+async fn apply_change(
     operator: &mut Operator,
-    step: &Step,
+    change: &PlannedChange,
     change_id: String,
 ) -> Result<u64, ExitStatus> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
-        match operator.apply(step.request(change_id.clone())).await {
+        attempts += 1;
+        match operator.apply(change.request(change_id.clone())).await {
             Ok(response) => return Ok(response.into_inner().version),
-            Err(status) if status.code() == Code::Unknown && tries < APPLY_TRIES => {}
+            Err(status) if status.code() == Code::Unknown && attempts < MAX_APPLY_ATTEMPTS => {}
             Err(status) => {
-                eprintln!("{}", step.describe());
-                return Err(fail_status(&status));
+                eprintln!("{}", change.describe());
+                return Err(fail_with_status(&status));
             }
         }
     }
 }
 
-/// An id for the changes of one run: time and process.
-fn run_id() -> String {
+/// Prefix of the change ids of one invocation, unique by time and process id.
+fn change_id_prefix() -> String {
     let nanos = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     format!("ctl-{nanos:x}-{:x}", std::process::id())
 }
@@ -245,7 +247,7 @@
     for object in objects {
         println!("{}", declaration_text(&object));
     }
-    Ok(ExitStatus::Done)
+    Ok(ExitStatus::Success)
 }
 
 fn declaration_text(object: &v1::Object) -> String {
@@ -260,17 +262,17 @@
 async fn delete(arguments: DeleteArguments) -> Result<ExitStatus, ExitStatus> {
     let mut operator = connect(&arguments.connect).await?;
     let reference = v1::ObjectRef { kind: arguments.kind, name: arguments.name };
-    let held = operator.get(reference).await.map_err(|status| fail_status(&status))?;
-    let step = Step::Delete(held.into_inner());
-    let version = apply_step(&mut operator, &step, run_id()).await?;
-    println!("{}\n  in force at version {version}", step.describe());
-    Ok(ExitStatus::Done)
+    let current = operator.get(reference).await.map_err(|status| fail_with_status(&status))?;
+    let change = PlannedChange::Delete(current.into_inner());
+    let version = apply_change(&mut operator, &change, change_id_prefix()).await?;
+    println!("{}\n  in force at version {version}", change.describe());
+    Ok(ExitStatus::Success)
 }
 
 async fn status(arguments: ConnectArguments) -> Result<ExitStatus, ExitStatus> {
     let mut operator = connect(&arguments).await?;
     let response = operator.status(v1::StatusRequest {}).await;
-    let status = response.map_err(|status| fail_status(&status))?.into_inner();
+    let status = response.map_err(|status| fail_with_status(&status))?.into_inner();
     println!("configuration version {}\n", status.configuration_version);
     println!("{:<32} {:<20} {:<8} {:>8}  data", "daemon", "zone", "state", "version");
     for node in &status.nodes {
@@ -290,18 +292,18 @@
         let leaving = if backend.leaving { "yes" } else { "no" };
         println!("{:<24} {:<16} {:<32} {leaving}", backend.name, backend.service, backend.owner);
     }
-    Ok(ExitStatus::Done)
+    Ok(ExitStatus::Success)
 }
 
 async fn watch(arguments: WatchArguments) -> Result<ExitStatus, ExitStatus> {
     let mut operator = connect(&arguments.connect).await?;
     let request = v1::WatchRequest { after_version: arguments.after };
-    let response = operator.watch(request).await.map_err(|status| fail_status(&status))?;
+    let response = operator.watch(request).await.map_err(|status| fail_with_status(&status))?;
     let mut events = response.into_inner();
-    while let Some(event) = events.message().await.map_err(|status| fail_status(&status))? {
+    while let Some(event) = events.message().await.map_err(|status| fail_with_status(&status))? {
         let Some(object) = event.object else { continue };
         let change = if object.spec_json.is_empty() { "deleted" } else { &object.spec_json };
         println!("{} {} {} {change}", object.version, object.kind, object.name);
     }
-    Ok(ExitStatus::Done)
+    Ok(ExitStatus::Success)
 }
--- a/crates/app/src/commands/declarations.rs
+++ b/crates/app/src/commands/declarations.rs
@@ -1,4 +1,4 @@
-//! Declaration files: JSON objects with `kind`, `name` and `spec`, one file or many a folder.
+//! Declaration toml_files: TOML with an `[[object]]` table of `kind`, `name` and `spec` for each object.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -6,16 +6,16 @@
 use serde::Deserialize;
 use yokefall_types::{Declaration, Kind};
 
-/// One declaration of a file.
+/// An object declared in a file.
 #[derive(Clone, Debug)]
 pub struct DeclaredObject {
-    /// File in which it stands.
+    /// File that declares it.
     pub file: PathBuf,
     /// Kind.
     pub kind: Kind,
     /// Name.
     pub name: String,
-    /// Content.
+    /// Parsed specification.
     pub declaration: Declaration,
 }
 
@@ -34,10 +34,11 @@
     object: Vec<FileObject>,
 }
 
-/// Reads every `.toml` file of a folder, or one file. Services come before back ends.
+/// Reads one file, or every `.toml` file of a folder. Returns services before the back ends that
+/// refer to them, and rejects objects that are declared more than once.
 pub fn read(path: &Path) -> Result<Vec<DeclaredObject>, String> {
     let mut objects = Vec::new();
-    for file in files(path)? {
+    for file in toml_files(path)? {
         objects.extend(read_file(&file)?);
     }
     let mut seen: BTreeMap<(Kind, String), PathBuf> = BTreeMap::new();
@@ -45,7 +46,7 @@
         let key = (object.kind, object.name.clone());
         if let Some(first) = seen.insert(key, object.file.clone()) {
             return Err(format!(
-                "{}: {} {} is declared in {} too",
+                "{}: {} {} is also declared in {}",
                 object.file.display(),
                 object.kind.name(),
                 object.name,
@@ -57,21 +58,21 @@
     Ok(objects)
 }
 
-fn files(path: &Path) -> Result<Vec<PathBuf>, String> {
+fn toml_files(path: &Path) -> Result<Vec<PathBuf>, String> {
     if path.is_file() {
         return Ok(vec![path.to_owned()]);
     }
     let entries =
         std::fs::read_dir(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    let mut files: Vec<PathBuf> = entries
+    let mut toml_files: Vec<PathBuf> = entries
         .filter_map(|entry| entry.ok().map(|entry| entry.path()))
         .filter(|file| file.extension().is_some_and(|extension| extension == "toml"))
         .collect();
-    files.sort();
-    if files.is_empty() {
-        return Err(format!("{}: holds no .toml file", path.display()));
+    toml_files.sort();
+    if toml_files.is_empty() {
+        return Err(format!("{}: contains no .toml file", path.display()));
     }
-    Ok(files)
+    Ok(toml_files)
 }
 
 fn read_file(file: &Path) -> Result<Vec<DeclaredObject>, String> {
@@ -79,15 +80,16 @@
         std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
     let parsed: File = toml::from_str(&text)
         .map_err(|error| format!("{}: {}", file.display(), error.to_string().trim_end()))?;
-    parsed.object.into_iter().map(|object| check(file, object)).collect()
+    parsed.object.into_iter().map(|object| parse_object(file, object)).collect()
 }
 
-fn check(file: &Path, object: FileObject) -> Result<DeclaredObject, String> {
-    let place = format!("{}: {} {}", file.display(), object.kind, object.name);
+fn parse_object(file: &Path, object: FileObject) -> Result<DeclaredObject, String> {
+    let context = format!("{}: {} {}", file.display(), object.kind, object.name);
     let kind = Kind::from_name(&object.kind)
-        .ok_or_else(|| format!("{place}: kind: give Service or Backend"))?;
-    let spec = serde_json::to_string(&object.spec).map_err(|error| format!("{place}: {error}"))?;
+        .ok_or_else(|| format!("{context}: kind: must be Service or Backend"))?;
+    let spec =
+        serde_json::to_string(&object.spec).map_err(|error| format!("{context}: {error}"))?;
     let declaration =
-        Declaration::from_spec_json(kind, &spec).map_err(|error| format!("{place}: {error}"))?;
+        Declaration::from_spec_json(kind, &spec).map_err(|error| format!("{context}: {error}"))?;
     Ok(DeclaredObject { file: file.to_owned(), kind, name: object.name, declaration })
 }
--- a/crates/app/src/commands/demo.rs
+++ b/crates/app/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `yokefall demo`: a whole fleet in one process.
+//! `yokefall demo`: runs a complete fleet under load in one process.
 
 use std::io::Write;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 /// Arguments of `demo`.
 #[derive(Debug, Args)]
 pub struct DemoArguments {
-    /// Seconds for which load is offered.
+    /// Duration of the load in seconds.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Seed of arrivals and sizes.
+    /// Random seed of the arrival times and request sizes.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Print one JSON object on the last line in place of the table.
+    /// Print the report as one JSON object on the last line instead of a table.
     #[arg(long)]
     json: bool,
-    /// Model requests a second of each partner.
+    /// Model requests per second of each partner.
     #[arg(long, default_value_t = 30.0)]
     model_rate: f64,
-    /// Plain requests a second of each partner.
+    /// Plain requests per second of each partner.
     #[arg(long, default_value_t = 40.0)]
     plain_rate: f64,
-    /// Jobs in each heap of each partner; a heap comes every 10 seconds.
+    /// Jobs that each partner submits at once, every 10 seconds.
     #[arg(long, default_value_t = 6)]
     jobs_per_heap: usize,
-    /// Write log lines of the fleet to standard error.
+    /// Write the fleet's log lines to standard error.
     #[arg(long)]
     logs: bool,
 }
@@ -79,7 +79,10 @@
         println!("{}", report.table());
     }
     if report.is_broken() {
-        return fail(ExitStatus::Broken, "something was lost, doubled or cut off");
+        return fail(
+            ExitStatus::IntegrityViolated,
+            "something was lost, duplicated or interrupted",
+        );
     }
-    ExitStatus::Done
+    ExitStatus::Success
 }
--- a/crates/app/src/commands/explain.rs
+++ b/crates/app/src/commands/explain.rs
@@ -1,4 +1,5 @@
-//! `yokefall explain`: the story of one request, job or item, out of the lines of all processes.
+//! `yokefall explain`: prints the history of one request, job or item from the log lines of all
+//! processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Read};
@@ -9,11 +10,11 @@
 
 use crate::exit::{fail, ExitStatus};
 
-/// Fields that every line has, which the story does not repeat.
+/// Fields present on every line, which are not listed among its details.
 const COMMON_FIELDS: [&str; 7] =
     ["time_ms", "uptime_ms", "level", "role", "process", "event", "id"];
-/// Events that end the story of a request or an item.
-const ENDS: [&str; 10] = [
+/// Events that end a request, an item or a job.
+const END_EVENTS: [&str; 10] = [
     "request-answered",
     "request-refused",
     "region-refused",
@@ -25,8 +26,8 @@
     "job-ended",
     "job-forgotten",
 ];
-/// Events that may be why something else is missing.
-const GAPS: [&str; 7] = [
+/// Events that may explain missing log lines.
+const GAP_EVENTS: [&str; 7] = [
     "lines-omitted",
     "started",
     "stopped",
@@ -41,35 +42,38 @@
 pub struct ExplainArguments {
     /// Id of a request, job, item, back end or member.
     id: String,
-    /// Files with lines of any processes; standard input without one.
+    /// Log files of any number of processes; standard input if none is given.
     files: Vec<PathBuf>,
 }
 
 type JsonLine = Map<String, Value>;
 
-/// Prints the story, the oldest line first, and what is missing in it.
+/// Prints the lines that mention the id, oldest first, then what may be missing among them.
 pub fn run(arguments: &ExplainArguments) -> ExitStatus {
     let lines = match read_all(&arguments.files) {
         Ok(lines) => lines,
-        Err(error) => return fail(ExitStatus::BadInput, error),
+        Err(error) => return fail(ExitStatus::InvalidInput, error),
     };
-    let mut story: Vec<&JsonLine> =
+    let mut timeline: Vec<&JsonLine> =
         lines.iter().filter(|line| mentions(line, &arguments.id)).collect();
-    if story.is_empty() {
-        let processes = processes(&lines);
-        let text = format!("no line names {:?}; lines of: {processes}", arguments.id);
+    if timeline.is_empty() {
+        let process_names = process_names(&lines);
+        let text = format!(
+            "no log line mentions {:?}; processes in the input: {process_names}",
+            arguments.id
+        );
         return fail(ExitStatus::Failed, text);
     }
-    story.sort_by_key(|line| time_of(line));
-    for line in &story {
-        println!("{}", show(line));
+    timeline.sort_by_key(|line| time_of(line));
+    for line in &timeline {
+        println!("{}", format_line(line));
     }
-    let ended = story.iter().any(|line| ENDS.contains(&text(line, "event")));
+    let ended = timeline.iter().any(|line| END_EVENTS.contains(&text(line, "event")));
     if !ended {
         println!("missing: no line tells the end of {}", arguments.id);
     }
-    print_gaps(&lines, &story);
-    ExitStatus::Done
+    print_gaps(&lines, &timeline);
+    ExitStatus::Success
 }
 
 fn read_all(files: &[PathBuf]) -> Result<Vec<JsonLine>, String> {
@@ -85,8 +89,8 @@
     Ok(lines)
 }
 
-/// Lines that are JSON objects; whatever stands before the brace, such as a collector's time, is
-/// passed over, and so are other lines.
+/// Parses the lines that contain a JSON object and skips all others. Text before the opening brace,
+/// such as a timestamp added by a log collector, is ignored.
 fn read(source: impl Read) -> Vec<JsonLine> {
     let lines = BufReader::new(source).lines().map_while(Result::ok);
     lines.filter_map(|line| serde_json::from_str(&line[line.find('{')?..]).ok()).collect()
@@ -109,7 +113,7 @@
     line.values().any(names)
 }
 
-fn show(line: &JsonLine) -> String {
+fn format_line(line: &JsonLine) -> String {
     let details: Vec<String> = line
         .iter()
         .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()))
@@ -125,23 +129,23 @@
     )
 }
 
-fn processes(lines: &[JsonLine]) -> String {
+fn process_names(lines: &[JsonLine]) -> String {
     let names: BTreeSet<&str> = lines.iter().map(|line| text(line, "process")).collect();
     names.into_iter().collect::<Vec<_>>().join(", ")
 }
 
-/// Restarts, losses and left-out lines of the story's processes within its time.
-fn print_gaps(lines: &[JsonLine], story: &[&JsonLine]) {
-    let (Some(first), Some(last)) = (story.first(), story.last()) else { return };
+/// Prints events that may explain missing lines, of the processes and the time range of the timeline.
+fn print_gaps(lines: &[JsonLine], timeline: &[&JsonLine]) {
+    let (Some(first), Some(last)) = (timeline.first(), timeline.last()) else { return };
     let span = time_of(first)..=time_of(last);
-    let involved: BTreeSet<&str> = story.iter().map(|line| text(line, "process")).collect();
+    let involved: BTreeSet<&str> = timeline.iter().map(|line| text(line, "process")).collect();
     let mut gaps: BTreeMap<u64, String> = BTreeMap::new();
     for line in lines {
-        let is_gap = GAPS.contains(&text(line, "event"))
+        let is_gap = GAP_EVENTS.contains(&text(line, "event"))
             && span.contains(&time_of(line))
             && involved.contains(text(line, "process"));
         if is_gap {
-            gaps.insert(time_of(line), show(line));
+            gaps.insert(time_of(line), format_line(line));
         }
     }
     for gap in gaps.values() {
--- a/crates/app/src/commands/job.rs
+++ b/crates/app/src/commands/job.rs
@@ -1,4 +1,4 @@
-//! `yokefall job`: batch jobs.
+//! `yokefall job`: submits, follows and cancels batch jobs.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::path::PathBuf;
@@ -6,26 +6,26 @@
 use clap::{Args, Subcommand};
 use yokefall_api::v1;
 
-use super::connect::{fail_status, ConnectArguments};
+use super::connect::{fail_with_status, ConnectArguments};
 use crate::exit::{fail, ExitStatus};
 
-/// Items read ahead of the upload.
-const UPLOAD_QUEUE: usize = 256;
+/// Items that are read ahead of the upload.
+const UPLOAD_QUEUE_ITEMS: usize = 256;
 
 /// Batch jobs.
 #[derive(Debug, Subcommand)]
 pub enum JobCommand {
-    /// Submit a job: one item a line. The same key again joins the first job.
+    /// Submit a job with one item per line. A repeated key joins the job submitted first.
     Submit(SubmitArguments),
     /// Print the progress of a job.
     Status(JobArguments),
-    /// Print the results of a job, one JSON object a line.
+    /// Print the results of a job, one JSON object per line.
     Results(ResultsArguments),
     /// Cancel a job.
     Cancel(JobArguments),
 }
 
-/// Arguments that name a job.
+/// Arguments that identify a job.
 #[derive(Debug, Args)]
 pub struct JobArguments {
     #[command(flatten)]
@@ -46,19 +46,19 @@
     /// Service.
     #[arg(long)]
     service: String,
-    /// Seconds until the job must have ended.
+    /// Deadline of the job in seconds from now.
     #[arg(long, default_value_t = 6 * 3600)]
     deadline_seconds: u64,
-    /// Order among the partner's jobs, greater first.
+    /// Priority among the partner's jobs; greater values run first.
     #[arg(long, default_value_t = 0)]
     priority: u32,
-    /// Whether an item may be executed again after a failure; otherwise it runs at most once.
+    /// Allow items to be executed again after a failure; otherwise each runs at most once.
     #[arg(long)]
     repeatable: bool,
-    /// Greatest number of tokens of each answer.
+    /// Maximum number of tokens of each response.
     #[arg(long, default_value_t = 64)]
     max_tokens: u32,
-    /// File with one item a line; standard input when not given.
+    /// File with one item per line; standard input if omitted.
     file: Option<PathBuf>,
 }
 
@@ -67,10 +67,10 @@
 pub struct ResultsArguments {
     #[command(flatten)]
     job: JobArguments,
-    /// First item wanted.
+    /// Index of the first item to print.
     #[arg(long, default_value_t = 0)]
     from: u32,
-    /// Wait for items that have not ended.
+    /// Wait for items that have not finished.
     #[arg(long)]
     follow: bool,
 }
@@ -88,7 +88,8 @@
 
 impl JobArguments {
     async fn connect(&self) -> Result<yokefall_rpc::client::Caller, ExitStatus> {
-        let target = self.connect.target().map_err(|error| fail(ExitStatus::BadInput, error))?;
+        let target =
+            self.connect.target().map_err(|error| fail(ExitStatus::InvalidInput, error))?;
         target.caller().await.map_err(|error| fail(ExitStatus::Failed, error))
     }
 
@@ -103,7 +104,7 @@
         Some(path) => match std::fs::File::open(path) {
             Ok(file) => Ok(Box::new(file)),
             Err(error) => {
-                Err(fail(ExitStatus::BadInput, format!("open {}: {error}", path.display())))
+                Err(fail(ExitStatus::InvalidInput, format!("open {}: {error}", path.display())))
             }
         },
     }
@@ -123,9 +124,9 @@
         repeat: repeat as i32,
         max_tokens: arguments.max_tokens,
     };
-    // Items are read as they are sent: a job is never held in memory.
-    let (parts, queue) = tokio::sync::mpsc::channel(UPLOAD_QUEUE);
-    let reading = tokio::task::spawn_blocking(move || -> std::io::Result<()> {
+    // Items are streamed as they are read, so that the whole job is never in memory.
+    let (parts, queue) = tokio::sync::mpsc::channel(UPLOAD_QUEUE_ITEMS);
+    let reader = tokio::task::spawn_blocking(move || -> std::io::Result<()> {
         let send = |part| parts.blocking_send(v1::SubmitJobRequest { part: Some(part) }).is_ok();
         if !send(Part::Header(header)) {
             return Ok(());
@@ -139,13 +140,13 @@
     });
     let stream = tokio_stream::wrappers::ReceiverStream::new(queue);
     let submitted = caller.submit_job(stream).await;
-    if let Ok(Err(error)) = reading.await {
-        return Err(fail(ExitStatus::BadInput, format!("read items: {error}")));
+    if let Ok(Err(error)) = reader.await {
+        return Err(fail(ExitStatus::InvalidInput, format!("read items: {error}")));
     }
-    let response = submitted.map_err(|status| fail_status(&status))?.into_inner();
+    let response = submitted.map_err(|status| fail_with_status(&status))?.into_inner();
     let joined = if response.joined { ", joined the job submitted before" } else { "" };
     println!("accepted {} items{joined}", response.accepted);
-    Ok(ExitStatus::Done)
+    Ok(ExitStatus::Success)
 }
 
 fn print_status(status: &v1::JobStatus) {
@@ -164,15 +165,15 @@
 async fn status(arguments: JobArguments) -> Result<ExitStatus, ExitStatus> {
     let mut caller = arguments.connect().await?;
     let response = caller.get_job(arguments.reference()).await;
-    print_status(&response.map_err(|status| fail_status(&status))?.into_inner());
-    Ok(ExitStatus::Done)
+    print_status(&response.map_err(|status| fail_with_status(&status))?.into_inner());
+    Ok(ExitStatus::Success)
 }
 
 async fn cancel(arguments: JobArguments) -> Result<ExitStatus, ExitStatus> {
     let mut caller = arguments.connect().await?;
     let response = caller.cancel_job(arguments.reference()).await;
-    print_status(&response.map_err(|status| fail_status(&status))?.into_inner());
-    Ok(ExitStatus::Done)
+    print_status(&response.map_err(|status| fail_with_status(&status))?.into_inner());
+    Ok(ExitStatus::Success)
 }
 
 async fn results(arguments: ResultsArguments) -> Result<ExitStatus, ExitStatus> {
@@ -182,10 +183,11 @@
         from_index: arguments.from,
         follow: arguments.follow,
     };
-    let response = caller.list_results(request).await.map_err(|status| fail_status(&status))?;
+    let response =
+        caller.list_results(request).await.map_err(|status| fail_with_status(&status))?;
     let mut results = response.into_inner();
     let mut output = std::io::stdout().lock();
-    while let Some(result) = results.message().await.map_err(|status| fail_status(&status))? {
+    while let Some(result) = results.message().await.map_err(|status| fail_with_status(&status))? {
         let line = serde_json::json!({
             "index": result.index,
             "outcome": result.outcome().as_str_name().trim_start_matches("ITEM_OUTCOME_"),
@@ -196,5 +198,5 @@
             break;
         }
     }
-    Ok(ExitStatus::Done)
+    Ok(ExitStatus::Success)
 }
--- a/crates/app/src/commands/serve.rs
+++ b/crates/app/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `yokefall daemon` and `yokefall agent`.
+//! `yokefall daemon` and `yokefall agent`: run the daemon and the agent.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,16 +13,16 @@
 
 use crate::exit::{fail, ExitStatus};
 
-/// Arguments of `daemon` and `agent`. A flag beats the settings file.
+/// Arguments of `daemon` and `agent`. Flags override the settings file.
 #[derive(Debug, Args)]
 pub struct ServeArguments {
     /// Settings file; `yokefall example` prints one with every key.
     #[arg(long, value_name = "FILE")]
     settings: PathBuf,
-    /// Name, unique in the fleet (node.name).
+    /// Name of the process, unique in the fleet (node.name).
     #[arg(long)]
     name: Option<String>,
-    /// Zone in which the process stands (node.zone).
+    /// Zone in which the process runs (node.zone).
     #[arg(long)]
     zone: Option<String>,
     /// Region of the zone (node.region).
@@ -84,11 +84,11 @@
     }
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until SIGTERM or SIGINT.
 pub async fn run_daemon(arguments: ServeArguments) -> ExitStatus {
     let settings = match arguments.load(Role::Daemon) {
         Ok(settings) => settings,
-        Err(error) => return fail(ExitStatus::BadInput, error),
+        Err(error) => return fail(ExitStatus::InvalidInput, error),
     };
     start_logs("daemon", &settings);
     let listeners = match Listeners::open(&settings).await {
@@ -103,22 +103,22 @@
         () = stop_signal() => {}
         () = daemon.storage_failed() => {
             daemon.kill();
-            return fail(ExitStatus::StorageFailed, "the data folder failed");
+            return fail(ExitStatus::StorageFailed, "storage in the data folder failed");
         }
     }
     let drain = Duration::from_secs(settings.stop.drain_seconds);
     if daemon.stop(drain).await.clean {
-        Event::new(Level::Info, "stop").write("daemon stopped, nothing was cut off");
-        return ExitStatus::Done;
+        Event::new(Level::Info, "stop").write("daemon stopped, no work was interrupted");
+        return ExitStatus::Success;
     }
-    ExitStatus::StopCut
+    ExitStatus::WorkInterrupted
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until SIGTERM or SIGINT.
 pub async fn run_agent(arguments: ServeArguments) -> ExitStatus {
     let settings = match arguments.load(Role::Agent) {
         Ok(settings) => settings,
-        Err(error) => return fail(ExitStatus::BadInput, error),
+        Err(error) => return fail(ExitStatus::InvalidInput, error),
     };
     start_logs("agent", &settings);
     let listeners = match AgentListeners::open(&settings).await {
@@ -131,8 +131,8 @@
     };
     stop_signal().await;
     if agent.stop(Duration::from_secs(settings.stop.drain_seconds)).await {
-        Event::new(Level::Info, "stop").write("agent stopped, nothing was cut off");
-        return ExitStatus::Done;
+        Event::new(Level::Info, "stop").write("agent stopped, no work was interrupted");
+        return ExitStatus::Success;
     }
-    ExitStatus::StopCut
+    ExitStatus::WorkInterrupted
 }
--- a/crates/app/src/commands/serving.rs
+++ b/crates/app/src/commands/serving.rs
@@ -1,5 +1,5 @@
-//! `yokefall gateway` and `yokefall job-store`. Each has one thread for its sockets, so that a
-//! process at rest is woken by its deadlines alone.
+//! `yokefall gateway` and `yokefall job-store`. Each serves its sockets on one thread, so that an
+//! idle process is woken only by its own timers.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -21,23 +21,27 @@
 
 use crate::exit::{fail, ExitStatus};
 
-/// Seeds that may change.
-type Seeds = watch::Receiver<Vec<SocketAddr>>;
+/// Current seed addresses; the value changes when the settings are reloaded.
+type SeedUpdates = watch::Receiver<Vec<SocketAddr>>;
 
-/// Part of the memory that bodies of requests may take.
-const BODY_MEMORY_SHARE: f64 = 0.4;
-/// Parts of memory and disk that jobs may take: encoding and rewriting need as much again.
-const JOB_MEMORY_SHARE: f64 = 0.32;
-const JOB_DISK_SHARE: f64 = 0.35;
-/// Part of the memory that the newest entries of the log may take, and its bounds in MB.
-const LOG_MEMORY_SHARE: f64 = 0.05;
-const LOG_MB: std::ops::RangeInclusive<f64> = 1.0..=16.0;
-/// Part of the memory that results on their way to readers may take.
-const PAGE_MEMORY_SHARE: f64 = 0.06;
-/// Part of the memory that running items may take, and about the bytes of one: buffers of its
-/// connection and its output of a second.
-const RUN_MEMORY_SHARE: f64 = 0.25;
-const RUN_BYTES: f64 = 40_000.0;
+/// Fraction of the memory limit available to buffered request bodies.
+const BODY_MEMORY_FRACTION: f64 = 0.4;
+/// Fraction of the memory limit available to stored jobs: encoding and rewriting them needs as much
+/// again.
+const JOB_MEMORY_FRACTION: f64 = 0.32;
+/// Fraction of the disk limit available to stored jobs: encoding and rewriting them needs as much
+/// again.
+const JOB_DISK_FRACTION: f64 = 0.35;
+/// Fraction of the memory limit available to the newest entries of the replicated log.
+const LOG_MEMORY_FRACTION: f64 = 0.05;
+/// Bounds of the memory for log entries, in MB.
+const LOG_MEMORY_RANGE_MB: std::ops::RangeInclusive<f64> = 1.0..=16.0;
+/// Fraction of the memory limit available to pages of results that are being sent to readers.
+const RESULT_PAGE_MEMORY_FRACTION: f64 = 0.06;
+/// Fraction of the memory limit available to running items.
+const RUNNING_ITEM_MEMORY_FRACTION: f64 = 0.25;
+/// Approximate memory of one running item: its connection buffers and the output of one second.
+const RUNNING_ITEM_BYTES: f64 = 40_000.0;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
 /// Arguments of `gateway` and `job-store`.
@@ -66,24 +70,24 @@
     init_log_lines(role, &settings.node.name, level);
 }
 
-/// Interval at which the settings file is looked at: it may change without a signal.
-const FILE_LOOK_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes, which need no signal to take effect.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Puts changed settings in force: the seeds. The others need a restart.
-struct Reload {
+/// Reloads the settings file. Only the seeds take effect; all other settings need a restart.
+struct SettingsReloader {
     file: PathBuf,
     role: ServingRole,
     seeds: watch::Sender<Vec<SocketAddr>>,
-    seen: Option<SystemTime>,
+    last_modified: Option<SystemTime>,
 }
 
-impl Reload {
+impl SettingsReloader {
     fn modified(&self) -> Option<SystemTime> {
         std::fs::metadata(&self.file).and_then(|metadata| metadata.modified()).ok()
     }
 
     fn reload(&mut self) {
-        self.seen = self.modified();
+        self.last_modified = self.modified();
         match load(&self.file, self.role) {
             Ok(settings) => {
                 let seeds = settings.fleet.seeds;
@@ -91,10 +95,10 @@
                     .field("accepted", true)
                     .field("seeds", seeds.len())
                     .write();
-                self.seeds.send_if_modified(|held| {
-                    let differ = *held != seeds;
-                    *held = seeds;
-                    differ
+                self.seeds.send_if_modified(|current| {
+                    let changed = *current != seeds;
+                    *current = seeds;
+                    changed
                 });
             }
             Err(error) => LogLine::new(EventName::Reloaded)
@@ -104,16 +108,16 @@
         }
     }
 
-    fn look(&mut self) {
-        if self.modified() != self.seen {
+    fn reload_if_modified(&mut self) {
+        if self.modified() != self.last_modified {
             self.reload();
         }
     }
 }
 
-/// Turns `stop` true at SIGTERM or SIGINT; reads the settings again at SIGHUP, and when their file
-/// has changed.
-async fn watch_signals(mut reload: Reload, stop: watch::Sender<bool>) {
+/// Sets `stop` to true on SIGTERM or SIGINT. Reloads the settings on SIGHUP, and when the file has
+/// changed.
+async fn watch_signals(mut reloader: SettingsReloader, stop: watch::Sender<bool>) {
     let signals = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -126,8 +130,8 @@
         tokio::select! {
             _ = terminate.recv() => { stop.send_replace(true); }
             _ = interrupt.recv() => { stop.send_replace(true); }
-            _ = hangup.recv() => reload.reload(),
-            () = tokio::time::sleep(FILE_LOOK_INTERVAL) => reload.look(),
+            _ = hangup.recv() => reloader.reload(),
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => reloader.reload_if_modified(),
         }
     }
 }
@@ -135,11 +139,11 @@
 fn run<E: std::fmt::Display>(
     arguments: &ServingArguments,
     role: ServingRole,
-    process: impl AsyncFnOnce(ServingSettings, Seeds, watch::Receiver<bool>) -> Result<(), E>,
+    process: impl AsyncFnOnce(ServingSettings, SeedUpdates, watch::Receiver<bool>) -> Result<(), E>,
 ) -> ExitStatus {
     let settings = match load(&arguments.settings, role) {
         Ok(settings) => settings,
-        Err(error) => return fail(ExitStatus::BadInput, error),
+        Err(error) => return fail(ExitStatus::InvalidInput, error),
     };
     let name = match role {
         ServingRole::Gateway => "gateway",
@@ -150,25 +154,26 @@
         Ok(runtime) => runtime,
         Err(error) => return fail(ExitStatus::Failed, format!("start runtime: {error}")),
     };
-    let (stop, stopping) = watch::channel(false);
-    let (seeds, told_seeds) = watch::channel(settings.fleet.seeds.clone());
-    let mut reload = Reload { file: arguments.settings.clone(), role, seeds, seen: None };
-    reload.seen = reload.modified();
-    let signals = watch_signals(reload, stop);
+    let (stop, stop_requested) = watch::channel(false);
+    let (seeds, seed_updates) = watch::channel(settings.fleet.seeds.clone());
+    let mut reloader =
+        SettingsReloader { file: arguments.settings.clone(), role, seeds, last_modified: None };
+    reloader.last_modified = reloader.modified();
+    let signals = watch_signals(reloader, stop);
     let ended = LocalSet::new().block_on(&runtime, async move {
         tokio::task::spawn_local(signals);
         serve_metrics(settings.listen.metrics).await;
-        process(settings, told_seeds, stopping).await
+        process(settings, seed_updates, stop_requested).await
     });
-    // Tasks that are still waiting must not hold up the exit.
+    // Exits without waiting for tasks that are still pending.
     runtime.shutdown_background();
     match ended {
-        Ok(()) => ExitStatus::Done,
+        Ok(()) => ExitStatus::Success,
         Err(error) => fail(ExitStatus::Failed, error),
     }
 }
 
-/// Serves counters and histograms. A process whose figures cannot be read still serves.
+/// Serves metrics. If the metrics port cannot be opened, logs this and the process runs without it.
 async fn serve_metrics(address: std::net::SocketAddr) {
     let started = match tokio::net::TcpListener::bind(address).await {
         Ok(listener) => MetricsServer::start(listener, Arc::new(HealthState::default())),
@@ -183,14 +188,14 @@
     }
 }
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until SIGTERM or SIGINT.
 pub fn run_gateway(arguments: &ServingArguments) -> ExitStatus {
     run(arguments, ServingRole::Gateway, async |settings, seeds, stop| {
         let platform = settings.platform.clone();
         let gateway = Gateway::bind(gateway_options(settings, seeds)).await?;
         match (platform.store, platform.catalog) {
             (Some(store), _) => gateway.run(MetadataPlatform::new(store), stop).await,
-            // The settings were checked: one of the two is there.
+            // Validation of the settings ensures that one of the two is set.
             (None, catalog) => {
                 gateway.run(Standalone::new(catalog.unwrap_or_default()), stop).await
             }
@@ -198,7 +203,7 @@
     })
 }
 
-fn gateway_options(settings: ServingSettings, seeds: Seeds) -> GatewayOptions {
+fn gateway_options(settings: ServingSettings, seeds: SeedUpdates) -> GatewayOptions {
     let listen = settings.listen;
     let memory = settings.limits.memory_mb * BYTES_PER_MB;
     GatewayOptions {
@@ -207,7 +212,7 @@
         region: settings.node.region,
         zones: Arc::new(ZoneMap::new(settings.zones)),
         placement: settings.placement,
-        // The settings were checked: a gateway has all of its ports.
+        // Validation of the settings ensures that a gateway has all of these addresses.
         ingress: listen.ingress.unwrap_or(listen.peer),
         readiness: listen.readiness.unwrap_or(listen.peer),
         directory: listen.directory.unwrap_or(listen.peer),
@@ -215,7 +220,7 @@
         exchange: listen.exchange_address(),
         bootstrap: settings.fleet.bootstrap,
         seeds,
-        max_buffered_body_bytes: (memory * BODY_MEMORY_SHARE) as usize,
+        max_buffered_body_bytes: (memory * BODY_MEMORY_FRACTION) as usize,
         stop_time: Duration::from_secs_f64(settings.stop.seconds),
         policy: settings.policy,
         quota: settings.quota,
@@ -223,7 +228,7 @@
     }
 }
 
-/// Runs a job store until it is told to stop.
+/// Runs a job store until SIGTERM or SIGINT.
 pub fn run_job_store(arguments: &ServingArguments) -> ExitStatus {
     run(arguments, ServingRole::JobStore, async |settings, seeds, stop| {
         let platform = settings.platform.clone();
@@ -237,8 +242,8 @@
     })
 }
 
-fn job_store_options(settings: ServingSettings, seeds: Seeds) -> JobStoreOptions {
-    // The settings were checked: a job store has a folder.
+fn job_store_options(settings: ServingSettings, seeds: SeedUpdates) -> JobStoreOptions {
+    // Validation of the settings ensures that a job store has a data folder.
     let data = settings.data.unwrap_or(yokefall_settings::ServingData {
         folder: "data".into(),
         bootstrap: false,
@@ -246,9 +251,10 @@
         disk_mb: None,
     });
     let memory_mb = settings.limits.memory_mb;
-    let log_mb = (memory_mb * LOG_MEMORY_SHARE).clamp(*LOG_MB.start(), *LOG_MB.end());
-    let disk_share = data.disk_mb.map_or(f64::MAX, |room| room * JOB_DISK_SHARE);
-    let job_mb = (memory_mb * JOB_MEMORY_SHARE).min(disk_share);
+    let log_mb = (memory_mb * LOG_MEMORY_FRACTION)
+        .clamp(*LOG_MEMORY_RANGE_MB.start(), *LOG_MEMORY_RANGE_MB.end());
+    let disk_job_mb = data.disk_mb.map_or(f64::MAX, |disk_mb| disk_mb * JOB_DISK_FRACTION);
+    let job_mb = (memory_mb * JOB_MEMORY_FRACTION).min(disk_job_mb);
     JobStoreOptions {
         name: settings.node.name,
         zone: settings.node.zone,
@@ -264,10 +270,12 @@
         retention: Duration::from_secs_f64(data.retention_seconds),
         log_bytes: (log_mb * BYTES_PER_MB) as usize,
         job_bytes: (job_mb * BYTES_PER_MB) as usize,
-        page_bytes: (memory_mb * BYTES_PER_MB * PAGE_MEMORY_SHARE) as usize,
+        page_bytes: (memory_mb * BYTES_PER_MB * RESULT_PAGE_MEMORY_FRACTION) as usize,
         policy: settings.policy,
         quota: settings.quota,
         suspension: SuspensionSource::Machine,
-        max_runs: (memory_mb * BYTES_PER_MB * RUN_MEMORY_SHARE / RUN_BYTES) as usize + 1,
+        max_runs: (memory_mb * BYTES_PER_MB * RUNNING_ITEM_MEMORY_FRACTION / RUNNING_ITEM_BYTES)
+            as usize
+            + 1,
     }
 }
--- a/crates/app/src/main.rs
+++ b/crates/app/src/main.rs
@@ -1,4 +1,4 @@
-//! The yokefall binary: one subcommand a role.
+//! The yokefall binary: one subcommand per role.
 
 mod commands;
 mod exit;
@@ -19,34 +19,34 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Start a whole fleet in one process, with stand-ins, load and a table at the end.
+    /// Start a complete fleet with simulated external systems in one process, apply load and print a summary table.
     Demo(demo::DemoArguments),
     /// Serve calls and jobs.
     Daemon(serve::ServeArguments),
-    /// Stand beside a caller.
+    /// Run the agent next to a caller, through which it reaches the daemons.
     Agent(serve::ServeArguments),
-    /// Serve clients: take requests and forward them to back ends.
+    /// Accept client requests and forward them to back ends.
     Gateway(serving::ServingArguments),
-    /// Keep batch jobs on a replicated log and run their items.
+    /// Store batch jobs in a replicated log and run their items.
     JobStore(serving::ServingArguments),
-    /// Check a settings file, and name what is wrong and what would do.
+    /// Validate a settings file; errors name the invalid value and what is accepted.
     Check(check::CheckArguments),
     /// Print a settings file with every key, its meaning, unit and default.
     Example(check::ExampleArguments),
-    /// Print the key-file line of a secret read from standard input.
+    /// Read a secret from standard input and print its line for the key file.
     KeyLine(check::KeyLineArguments),
-    /// Declare and look at configuration, as an operator.
+    /// Apply and inspect configuration as an operator.
     #[command(subcommand)]
     Ctl(ctl::CtlCommand),
-    /// Submit, follow and cancel batch jobs, as a caller.
+    /// Submit, follow and cancel batch jobs as a caller.
     #[command(subcommand)]
     Job(job::JobCommand),
-    /// Make online requests, as a caller.
+    /// Send online requests as a caller.
     #[command(subcommand)]
     Ask(ask::AskCommand),
-    /// Tell the story of one request, job or item from lines of any processes.
+    /// Print the history of a request, job or item from the log lines of any number of processes.
     Explain(explain::ExplainArguments),
-    /// Print completions for a shell.
+    /// Print shell completions.
     Completions {
         /// The shell.
         shell: Shell,
@@ -68,7 +68,7 @@
         }
     };
     let status = runtime.block_on(run(command));
-    // Connections that are still open must not hold up the exit.
+    // Exits without waiting for connections that are still open.
     runtime.shutdown_background();
     status.into()
 }
@@ -78,8 +78,8 @@
         Command::Demo(arguments) => demo::run(arguments).await,
         Command::Daemon(arguments) => serve::run_daemon(arguments).await,
         Command::Agent(arguments) => serve::run_agent(arguments).await,
-        // These have runtimes of their own; `main` ran them.
-        Command::Gateway(_) | Command::JobStore(_) => ExitStatus::BadInput,
+        // `main` runs these two before it starts this runtime: they create their own.
+        Command::Gateway(_) | Command::JobStore(_) => ExitStatus::InvalidInput,
         Command::Check(arguments) => check::run(&arguments),
         Command::Example(arguments) => check::example(&arguments),
         Command::KeyLine(arguments) => check::key_line(&arguments),
@@ -90,7 +90,7 @@
         Command::Completions { shell } => {
             let mut command = Arguments::command();
             clap_complete::generate(shell, &mut command, "yokefall", &mut std::io::stdout());
-            ExitStatus::Done
+            ExitStatus::Success
         }
     }
 }
