--- a/crates/app/src/main.rs
+++ b/crates/app/src/main.rs
@@ -23,7 +23,7 @@
     Demo(demo::DemoArguments),
     /// Serve calls and jobs.
     Daemon(serve::ServeArguments),
-    /// Run the agent next to a caller, through which it reaches the daemons.
+    /// Run the agent beside a caller: it authenticates calls and forwards them to daemons.
     Agent(serve::ServeArguments),
     /// Accept client requests and forward them to back ends.
     Gateway(serving::ServingArguments),
--- a/crates/app/tests/catalog.rs
+++ b/crates/app/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! `yokefall check` names what is wrong with the tenants of a catalog.
+//! `yokefall check` reports invalid tenants, quotas and regions of a catalog file.
 
 use std::process::Command;
 
@@ -25,7 +25,7 @@
 seconds = 4
 "#;
 
-/// Exit code and errors of a check of these settings with this catalog.
+/// Runs `yokefall check` on these settings and this catalog; returns the exit code and the errors.
 fn check(settings: &str, catalog: &str) -> (Option<i32>, String) {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("gateway.toml");
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn good_tenants_are_accepted() {
+fn valid_tenants_are_accepted() {
     let catalog = format!("version = 1\n{}", tenant("a", &[DIGEST], "requests_per_second = 5.0"));
     assert_eq!(check(GATEWAY, &catalog), (Some(0), String::new()));
 }
 
 #[test]
-fn bad_tenants_are_named() {
+fn invalid_tenants_are_reported() {
     let other = DIGEST.replace('e', "f");
     let cases = [
         (tenant("a", &["xyz"], ""), "tenant[0].key_digests[0] (a): must be 64"),
@@ -60,26 +60,26 @@
         (tenant("a", &[], "requests_per_second = 0.0"), "tenant[0].requests_per_second (a)"),
         (tenant("a", &[], "keys = []"), "keys"),
     ];
-    for (tenants, wanted) in cases {
+    for (tenants, expected) in cases {
         let (code, message) = check(GATEWAY, &format!("version = 1\n{tenants}"));
         assert_eq!(code, Some(2), "{message}");
-        assert!(message.contains("catalog.toml") && message.contains(wanted), "{message}");
+        assert!(message.contains("catalog.toml") && message.contains(expected), "{message}");
     }
 }
 
 #[test]
-fn bad_bounds_of_quotas_are_named() {
-    for (setting, wanted) in
+fn invalid_quota_bounds_are_reported() {
+    for (setting, expected) in
         [("window_seconds = 0.0", "quota.window_seconds"), ("overage = -0.5", "quota.overage")]
     {
         let settings = format!("{GATEWAY}[quota]\n{setting}\n");
         let (code, message) = check(&settings, "version = 1\n");
         assert_eq!(code, Some(2), "{message}");
-        assert!(message.contains(wanted), "{message}");
+        assert!(message.contains(expected), "{message}");
     }
 }
 
-fn restricted_to(region: &str) -> String {
+fn catalog_restricted_to(region: &str) -> String {
     let route = format!(
         "[[route]]\nname = \"proofs\"\nhost = \"a.example\"\npath_prefix = \"/\"\nservice = \"pages\"\n\
          kind = \"repeatable\"\nallowed_regions = [{region:?}]\n"
@@ -88,19 +88,22 @@
     format!("version = 1\n{route}{tenant}")
 }
 
-fn in_one_region() -> String {
+fn gateway_with_one_zone() -> String {
     format!("{GATEWAY}[zones]\n\"hall-1\" = \"region-1\"\n")
 }
 
 #[test]
-fn regions_that_zones_have_are_accepted() {
-    assert_eq!(check(&in_one_region(), &restricted_to("region-1")), (Some(0), String::new()));
+fn regions_of_configured_zones_are_accepted() {
+    assert_eq!(
+        check(&gateway_with_one_zone(), &catalog_restricted_to("region-1")),
+        (Some(0), String::new())
+    );
 }
 
-/// A region with a slip of the pen would have every request of its route or tenant refused.
+/// With a misspelled region, every request of the route or tenant would be refused.
 #[test]
-fn a_region_that_no_zone_has_is_named_with_its_route_and_tenant() {
-    let (code, errors) = check(&in_one_region(), &restricted_to("regoin-1"));
+fn a_region_without_a_zone_is_reported_with_its_route_and_tenant() {
+    let (code, errors) = check(&gateway_with_one_zone(), &catalog_restricted_to("regoin-1"));
     assert_eq!(code, Some(2), "{errors}");
     for part in ["allowed_regions", "route proofs: regoin-1", "tenant school: regoin-1"] {
         assert!(errors.contains(part), "{part} in {errors}");
--- a/crates/app/tests/walk.rs
+++ b/crates/app/tests/walk.rs
@@ -1,4 +1,4 @@
-//! The walk of `docs/RUNNING.md`: its blocks, as they stand, on free ports.
+//! Runs the shell blocks of `docs/RUNNING.md` unchanged, except that ports are replaced by free ones.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -6,24 +6,25 @@
 use std::process::Command;
 
 const PAGE: &str = include_str!("../../../docs/RUNNING.md");
-/// Prefix of every port that the page and the examples name.
+/// Prefix of every address in the page and the examples.
 const ADDRESS_PREFIX: &str = "127.0.0.1:7";
-/// Ends what the page leaves running, whatever happened.
-const SCRIPT_HEAD: &str = "set -euo pipefail\ntrap 'kill $(jobs -p) 2>/dev/null || true' EXIT\n";
+/// Stops processes that the page leaves running, also when a command fails.
+const SCRIPT_PROLOGUE: &str =
+    "set -euo pipefail\ntrap 'kill $(jobs -p) 2>/dev/null || true' EXIT\n";
 
-fn blocks() -> String {
-    let mut script = SCRIPT_HEAD.to_owned();
+fn shell_blocks() -> String {
+    let mut script = SCRIPT_PROLOGUE.to_owned();
     for block in PAGE.split("```sh\n").skip(1) {
         script.push_str(block.split("```").next().unwrap_or_default());
     }
     script
 }
 
-/// Gives every port that a text names a free one, the same in every text.
+/// Replaces the ports in texts by free ones, with the same replacement in every text.
 #[derive(Default)]
 struct Ports {
-    free: BTreeMap<String, u16>,
-    /// Held until all are drawn, so that no port is drawn twice.
+    replacements: BTreeMap<String, u16>,
+    /// Kept open until all ports are allocated, so that no port is allocated twice.
     listeners: Vec<TcpListener>,
 }
 
@@ -41,13 +42,13 @@
     }
 
     fn port(&mut self, digits: &str) -> u16 {
-        if let Some(port) = self.free.get(digits) {
+        if let Some(port) = self.replacements.get(digits) {
             return *port;
         }
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let port = listener.local_addr().expect("an address").port();
         self.listeners.push(listener);
-        self.free.insert(digits.to_owned(), port);
+        self.replacements.insert(digits.to_owned(), port);
         port
     }
 }
@@ -68,8 +69,8 @@
     }
 }
 
-/// Folder of the binaries, the bench among them.
-fn binaries() -> PathBuf {
+/// Folder of the binaries, which must include `yokefall-bench`.
+fn binary_folder() -> PathBuf {
     let yokefall = PathBuf::from(env!("CARGO_BIN_EXE_yokefall"));
     let folder = yokefall.parent().expect("a folder").to_owned();
     let bench = folder.join("yokefall-bench");
@@ -78,14 +79,15 @@
 }
 
 #[test]
-fn the_page_runs_as_it_stands() {
+fn the_commands_of_the_page_run_unchanged() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     let mut ports = Ports::default();
     copy_examples(&examples, folder.path(), &mut ports);
-    let script = ports.replace(&blocks());
+    let script = ports.replace(&shell_blocks());
     drop(ports);
-    let path = format!("{}:{}", binaries().display(), std::env::var("PATH").unwrap_or_default());
+    let path =
+        format!("{}:{}", binary_folder().display(), std::env::var("PATH").unwrap_or_default());
     let output = Command::new("timeout")
         .args(["100", "bash", "-c", &script])
         .current_dir(folder.path())
@@ -105,7 +107,7 @@
     }
 }
 
-/// Every line of a log is a JSON object that names role, step, peer and id.
+/// Checks that every line of a log is a JSON object with role, step, peer and id.
 fn check_log(file: &Path) {
     let log = std::fs::read_to_string(file).expect("a log");
     assert!(!log.is_empty(), "{} is empty", file.display());
@@ -118,7 +120,7 @@
 }
 
 #[test]
-fn the_examples_with_every_key_are_those_of_the_code() {
+fn the_example_files_match_the_output_of_the_example_command() {
     for role in ["daemon", "agent"] {
         let output = Command::new(env!("CARGO_BIN_EXE_yokefall"))
             .args(["example", role])
@@ -126,7 +128,11 @@
             .expect("the binary runs");
         let file = format!("{}/../../examples/all-keys-{role}.toml", env!("CARGO_MANIFEST_DIR"));
         let committed = std::fs::read_to_string(&file).expect("the example");
-        assert_eq!(String::from_utf8_lossy(&output.stdout), committed, "{file} is stale");
+        assert_eq!(
+            String::from_utf8_lossy(&output.stdout),
+            committed,
+            "{file} differs from the output"
+        );
     }
 }
 
@@ -139,15 +145,15 @@
 }
 
 #[test]
-fn what_is_missing_or_in_use_is_named() {
+fn missing_files_and_ports_in_use_are_reported() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("daemon.toml");
     let file = file.to_str().expect("a path");
     let (code, message) = run(&["check", file]);
     assert_eq!(code, Some(2));
     assert!(message.contains("daemon.toml: cannot be read"), "{message}");
-    let holder = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let used = holder.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let used = listener.local_addr().expect("an address").to_string();
     std::fs::write(
         file,
         format!(
--- a/crates/standalone/src/catalog.rs
+++ b/crates/standalone/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog file: routes, services and back ends, as TOML.
+//! The catalog file: routes, back ends and tenants in TOML.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
     SplitPart, Tenant, TenantName, WatchResponse,
 };
 
-/// Interval at which the file is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the file is checked for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A whole catalog file.
+/// Contents of a catalog file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CatalogFile {
-    /// Version; a higher one replaces a lower one.
+    /// Version of the configuration; a higher version replaces a lower one.
     pub version: u64,
     /// Routes.
     #[serde(default)]
@@ -28,13 +28,14 @@
     /// Back ends.
     #[serde(default)]
     pub backend: Vec<BackendEntry>,
-    /// Machines that are to be emptied.
+    /// Machines to be retired.
     #[serde(default)]
     pub retire: Vec<String>,
-    /// Zones whose back ends are to get nothing new. Followed where `placement.evacuation_ms` is set.
+    /// Zones whose back ends receive no new requests. Takes effect in processes that have
+    /// `placement.evacuation_ms` set.
     #[serde(default)]
     pub evacuate: Vec<String>,
-    /// Tenants; where there are none, requests need no key.
+    /// Tenants; if empty, requests need no key.
     #[serde(default)]
     pub tenant: Vec<TenantEntry>,
 }
@@ -45,14 +46,14 @@
 pub struct TenantEntry {
     /// Name.
     pub name: String,
-    /// SHA-256 of each key, in hexadecimal digits.
+    /// SHA-256 digest of each key in hexadecimal.
     #[serde(default)]
     pub key_digests: Vec<String>,
-    /// Rank of its requests in place of the route's, 0 the highest.
+    /// Rank of its requests, overriding that of the route; 0 is the highest.
     pub rank: Option<u32>,
-    /// Requests a second over all gateways; none for no limit.
+    /// Rate limit in requests per second over all gateways; unlimited if omitted.
     pub requests_per_second: Option<f64>,
-    /// Requests beyond the rate that may come at once.
+    /// Burst size: requests accepted at once beyond the rate.
     #[serde(default)]
     pub burst: u64,
     /// Regions in which its requests may be served and kept; empty for all.
@@ -68,22 +69,22 @@
     pub name: String,
     /// Host.
     pub host: String,
-    /// Path prefix; begins and ends with a slash.
+    /// Path prefix, which begins and ends with a slash.
     pub path_prefix: String,
     /// `repeatable`, `at_most_once`, `stream` or `batch`.
     pub kind: KindEntry,
-    /// Service that gets the requests.
+    /// Service that receives the requests.
     pub service: String,
-    /// Longest time a request is held, in milliseconds.
+    /// Maximum time that a request waits, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Most back ends that one request may be sent to.
+    /// Maximum number of back ends to which one request is sent.
     #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
     /// Whether a stream may continue at another back end.
     #[serde(default)]
     pub resumable: bool,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     #[serde(default)]
     pub auth_exempt: bool,
     /// Regions in which its requests may be served and kept; empty for all.
@@ -91,7 +92,7 @@
     pub allowed_regions: Vec<String>,
 }
 
-/// What a route allows to be repeated.
+/// Kind of a route, which determines how often a request may be executed.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KindEntry {
@@ -101,7 +102,7 @@
     AtMostOnce,
     /// Answers with a stream of events.
     Stream,
-    /// Takes batch jobs.
+    /// Accepts batch jobs.
     Batch,
 }
 
@@ -118,14 +119,14 @@
     /// Zone.
     #[serde(default)]
     pub zone: String,
-    /// Requests it works on at once.
+    /// Number of requests that it processes concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// When it started, in milliseconds since the Unix epoch. A process that starts again under its id is told
-    /// from the one before by it; 0 where that is never told.
+    /// Start time in milliseconds since the Unix epoch, which distinguishes the incarnations of a
+    /// process that restarts under the same id. With 0 they are not distinguished.
     #[serde(default)]
     pub started_ms: u64,
-    /// Whether it is to get nothing new.
+    /// Whether it receives no new requests.
     #[serde(default)]
     pub draining: bool,
 }
@@ -142,15 +143,15 @@
     8
 }
 
-/// Connections that a back end accepts.
+/// Maximum number of connections to a back end.
 const MAX_CONNECTIONS: u32 = 256;
-/// Time after which an item may be given up, in milliseconds.
+/// Time that an item may be queued before it may be abandoned, in milliseconds.
 const MAX_QUEUE_MS: u64 = 24 * 3_600_000;
 
-/// Takes objects of one kind, with their names, out of the file.
+/// Extracts the objects of one kind from the file, with their names.
 type Extract<T> = fn(&CatalogFile) -> Vec<(String, T)>;
 
-/// The configuration in a file.
+/// Returns the configuration defined by a file.
 pub fn configurations(file: &CatalogFile) -> Vec<(String, Configuration)> {
     let mut names: Vec<&str> = file.route.iter().map(|route| route.service.as_str()).collect();
     names.sort_unstable();
@@ -200,7 +201,7 @@
     }
 }
 
-/// A tenant; `read` has checked its digests.
+/// Converts a tenant, whose digests [`read`] has validated.
 fn tenant(entry: &TenantEntry) -> Tenant {
     let limit = entry
         .requests_per_second
@@ -214,7 +215,7 @@
     }
 }
 
-/// The back ends in a file.
+/// Returns the back ends listed in a file.
 pub fn backends(file: &CatalogFile) -> Vec<(String, Backend)> {
     let backend = |entry: &BackendEntry| {
         let state = if entry.draining { BackendState::Draining } else { BackendState::Ready };
@@ -233,30 +234,30 @@
     file.backend.iter().map(backend).collect()
 }
 
-/// The zones to be evacuated in a file.
+/// Returns the evacuations requested by a file.
 pub fn evacuations(file: &CatalogFile) -> Vec<(String, Evacuation)> {
     let evacuation = |zone: &String| (zone.clone(), Evacuation { zone: zone.clone() });
     file.evacuate.iter().map(evacuation).collect()
 }
 
-/// The machines to be emptied in a file.
+/// Returns the machines that a file marks for retirement.
 pub fn retirements(file: &CatalogFile) -> Vec<(String, Retirement)> {
     file.retire.iter().map(|name| (name.clone(), Retirement { completed: false })).collect()
 }
 
-/// Objects of one kind in the catalog file.
+/// Source of the objects of one kind in a catalog file.
 #[derive(Debug)]
 pub struct FileSource<T> {
     path: PathBuf,
     extract: Extract<T>,
-    seen: Option<SystemTime>,
+    last_modified: Option<SystemTime>,
     revision: Revision,
 }
 
 impl<T> FileSource<T> {
-    /// A source that reads `path`.
+    /// Creates a source that reads `path`.
     pub fn new(path: PathBuf, extract: Extract<T>) -> Self {
-        Self { path, extract, seen: None, revision: 0 }
+        Self { path, extract, last_modified: None, revision: 0 }
     }
 
     fn failed(&self, step: &'static str, cause: impl std::fmt::Display) -> SourceError {
@@ -265,12 +266,13 @@
     }
 
     fn modified(&self) -> Result<SystemTime, SourceError> {
-        let metadata = std::fs::metadata(&self.path).map_err(|e| self.failed("look at", e))?;
-        metadata.modified().map_err(|error| self.failed("look at", error))
+        let metadata =
+            std::fs::metadata(&self.path).map_err(|e| self.failed("read metadata of", e))?;
+        metadata.modified().map_err(|error| self.failed("read metadata of", error))
     }
 }
 
-/// Reads a catalog file; the error names the key.
+/// Reads and validates a catalog file; errors name the invalid key.
 pub fn read(path: &Path) -> Result<CatalogFile, String> {
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
     let file: CatalogFile = toml::from_str(&text).map_err(|error| error.to_string())?;
@@ -278,21 +280,21 @@
     Ok(file)
 }
 
-/// Names the first tenant, key or rate that cannot be in force.
+/// Validates the tenants; the error names the first invalid name, key or rate.
 fn check_tenants(tenants: &[TenantEntry]) -> Result<(), String> {
     let mut names = HashSet::new();
     let mut keys = HashSet::new();
     for (index, tenant) in tenants.iter().enumerate() {
         let field = |field: &str| format!("tenant[{index}].{field} ({})", tenant.name);
         if tenant.name.is_empty() || !names.insert(tenant.name.as_str()) {
-            return Err(format!("{}: give a name that no other tenant has", field("name")));
+            return Err(format!("{}: must be a name that no other tenant has", field("name")));
         }
         for (number, hex) in tenant.key_digests.iter().enumerate() {
             let field = field(&format!("key_digests[{number}]"));
             let digest = KeyDigest::parse(hex)
                 .ok_or_else(|| format!("{field}: must be 64 hexadecimal digits"))?;
             if !keys.insert(digest) {
-                return Err(format!("{field}: the key stands in the file before"));
+                return Err(format!("{field}: the same key is already listed"));
             }
         }
         let rate = tenant.requests_per_second;
@@ -310,12 +312,12 @@
 
     async fn list(&mut self, _after: Option<&str>) -> Result<ListPage<T>, SourceError> {
         let modified = self.modified()?;
-        self.seen = Some(modified);
+        self.last_modified = Some(modified);
         let file = read(&self.path).map_err(|error| self.failed("read", error))?;
-        // Processes that read the same file tell each other what they read: a count of their own would say nothing
-        // to the others.
-        let age = modified.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        self.revision = self.revision.max(age.as_millis() as u64);
+        // Processes that share the file compare revisions with each other, so the revision is derived
+        // from the modification time of the file: a counter in each process would not be comparable.
+        let since_epoch = modified.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        self.revision = self.revision.max(since_epoch.as_millis() as u64);
         let revision = self.revision;
         let change = |(name, value)| Change { name, revision, value: Some(value) };
         let items = (self.extract)(&file).into_iter().map(change).collect();
@@ -327,11 +329,11 @@
         revision: Revision,
         wait: Duration,
     ) -> Result<WatchResponse<T>, SourceError> {
-        let end = tokio::time::Instant::now() + wait;
-        while tokio::time::Instant::now() < end {
-            tokio::time::sleep(LOOK_INTERVAL.min(wait)).await;
-            if Some(self.modified()?) != self.seen {
-                // The file is read whole: what is gone from it is gone.
+        let deadline = tokio::time::Instant::now() + wait;
+        while tokio::time::Instant::now() < deadline {
+            tokio::time::sleep(POLL_INTERVAL.min(wait)).await;
+            if Some(self.modified()?) != self.last_modified {
+                // Forces a full list, which also removes objects that are no longer in the file.
                 return Ok(WatchResponse::HistoryLost);
             }
         }
@@ -339,6 +341,6 @@
     }
 
     fn reset(&mut self) {
-        self.seen = None;
+        self.last_modified = None;
     }
 }
--- a/crates/standalone/src/claims.rs
+++ b/crates/standalone/src/claims.rs
@@ -1,4 +1,5 @@
-//! Claims as files in a folder beside the catalog: the first one to make a file has the claim.
+//! Claims stored as files in a folder next to the catalog: the first process to create the file for
+//! a key holds the claim.
 
 use std::fs::OpenOptions;
 use std::io::{ErrorKind, Write};
@@ -6,14 +7,14 @@
 
 use yokefall_serving::{Claim, Registry, SourceError};
 
-/// A folder of claims. All processes must see the same folder.
+/// Registry of claims in a folder, which must be shared by all processes.
 #[derive(Debug)]
 pub struct FileRegistry {
     folder: PathBuf,
 }
 
 impl FileRegistry {
-    /// Claims in a folder, which is made when it is needed.
+    /// Stores claims in a folder, which is created on first use.
     pub fn new(folder: PathBuf) -> Self {
         Self { folder }
     }
@@ -26,9 +27,10 @@
 
 impl Registry for FileRegistry {
     async fn claim(&mut self, key: &str, claimant: &str) -> Result<Claim, SourceError> {
-        std::fs::create_dir_all(&self.folder).map_err(|e| self.failed("make folder", e))?;
+        std::fs::create_dir_all(&self.folder).map_err(|e| self.failed("create folder", e))?;
         let path = self.folder.join(key);
-        // The content is written beside first, so that nobody reads a claim without its claimant.
+        // The claimant is written to a draft that is then linked to its final name, so that no process
+        // can read a claim without its claimant.
         let draft = self.folder.join(format!("{key}.{}.draft", claimant.replace('/', "-")));
         let mut options = OpenOptions::new();
         let mut file = options
@@ -54,7 +56,7 @@
         machine: &str,
         completed: bool,
     ) -> Result<(), SourceError> {
-        std::fs::create_dir_all(&self.folder).map_err(|e| self.failed("make folder", e))?;
+        std::fs::create_dir_all(&self.folder).map_err(|e| self.failed("create folder", e))?;
         let path = self.folder.join(format!("retired-{machine}"));
         let state = if completed { "completed" } else { "active" };
         std::fs::write(path, state).map_err(|error| self.failed("report", error))
--- a/crates/standalone/src/dialect.rs
+++ b/crates/standalone/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The product's own names and formats of HTTP calls.
+//! Yokefall's native header names, paths and body formats for HTTP calls.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -11,13 +11,13 @@
     ResultPage,
 };
 
-/// The product's own names.
+/// Native header names, paths and body formats.
 #[derive(Debug)]
-pub struct OwnDialect {
+pub struct NativeDialect {
     names: HeaderNames,
 }
 
-impl Default for OwnDialect {
+impl Default for NativeDialect {
     fn default() -> Self {
         let names = HeaderNames {
             request_id: HeaderName::from_static("yokefall-request"),
@@ -54,7 +54,7 @@
     path: String,
     #[serde(default)]
     headers: std::collections::BTreeMap<String, String>,
-    /// Base64.
+    /// Encoded as base64.
     #[serde(default)]
     body: String,
     #[serde(default)]
@@ -75,7 +75,7 @@
     text: &'a str,
 }
 
-impl Dialect for OwnDialect {
+impl Dialect for NativeDialect {
     fn headers(&self) -> &HeaderNames {
         &self.names
     }
@@ -102,8 +102,8 @@
     }
 
     fn format_addresses(&self, addresses: &[String], lifetime_s: f64) -> Bytes {
-        let answer = Gateways { gateways: addresses, lifetime_seconds: lifetime_s };
-        serde_json::to_vec(&answer).unwrap_or_default().into()
+        let response = Gateways { gateways: addresses, lifetime_seconds: lifetime_s };
+        serde_json::to_vec(&response).unwrap_or_default().into()
     }
 
     fn job_call(&self, method: &Method, uri: &Uri) -> Option<JobCall> {
@@ -155,7 +155,7 @@
             outcome: outcome(result.state),
             text: &result.text,
         });
-        let answer = Results { total: page.total, next: page.next, results: results.collect() };
-        serde_json::to_vec(&answer).unwrap_or_default().into()
+        let response = Results { total: page.total, next: page.next, results: results.collect() };
+        serde_json::to_vec(&response).unwrap_or_default().into()
     }
 }
--- a/crates/standalone/src/lib.rs
+++ b/crates/standalone/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs gateways and job stores without a platform: routes and back ends come from a file, and HTTP
-//! calls have the product's own names.
+//! Runs gateways and job stores without a platform: routes and back ends come from a catalog file,
+//! and HTTP calls use Yokefall's native headers and formats.
 
 pub mod catalog;
 pub mod claims;
@@ -12,16 +12,16 @@
 
 use crate::catalog::FileSource;
 use crate::claims::FileRegistry;
-use crate::dialect::OwnDialect;
+use crate::dialect::NativeDialect;
 
-/// A catalog file in the place of a platform.
+/// Platform that is backed by a catalog file.
 #[derive(Clone, Debug)]
 pub struct Standalone {
     catalog: PathBuf,
 }
 
 impl Standalone {
-    /// Reads routes, services and back ends from a file, and again whenever it changes.
+    /// Uses the routes, services and back ends in a file, which is reread whenever it changes.
     pub fn new(catalog: PathBuf) -> Self {
         Self { catalog }
     }
@@ -55,6 +55,6 @@
     }
 
     fn dialect(&self) -> Arc<dyn Dialect> {
-        Arc::new(OwnDialect::default())
+        Arc::new(NativeDialect::default())
     }
 }
--- a/crates/standalone/tests/evacuations.rs
+++ b/crates/standalone/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Requests to evacuate zones that stand in a catalog file.
+//! Evacuation requests in a catalog file.
 
 use yokefall_serving::{Evacuation, ListPage, Platform, Source};
 use yokefall_standalone::Standalone;
@@ -11,10 +11,11 @@
     page.items.iter().filter_map(|item| Some(item.value.as_ref()?.zone.as_str())).collect()
 }
 
-/// What failed: each process counted its own readings of the file, so that the one that had read it less often took
-/// nothing from it any more once a peer had told it something.
+/// Revisions must be comparable between processes. If each process counts its own reads of the
+/// file, one that has read it less often than a peer ignores the file after receiving the state of
+/// that peer.
 #[tokio::test]
-async fn processes_that_read_the_same_file_name_the_same_revision() {
+async fn processes_that_read_the_same_file_report_the_same_revision() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("catalog.toml");
     std::fs::write(&path, "version = 1\n").expect("a file");
@@ -24,7 +25,7 @@
     assert!(empty.items.is_empty() && empty.revision > 0);
     list(&mut first).await;
     assert_eq!(list(&mut second).await.revision, list(&mut first).await.revision);
-    // The time of a file's change has milliseconds here.
+    // Revisions have millisecond resolution: the modification times must differ by more than that.
     tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     std::fs::write(&path, "version = 2\nevacuate = [\"hall-1\", \"hall-2\"]\n").expect("a file");
     let full = list(&mut second).await;
--- a/tools/api-codegen/src/main.rs
+++ b/tools/api-codegen/src/main.rs
@@ -1,5 +1,5 @@
-//! Writes `crates/api/src/generated` from the schema. With `--check` it writes nothing and exits
-//! with 1 when the committed code differs from what the schema gives.
+//! Generates `crates/api/src/generated` from the protobuf schema. With `--check` it leaves the
+//! committed code unchanged, and exits with 1 if that differs from the generated code.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -26,10 +26,10 @@
     if !check {
         return ExitCode::SUCCESS;
     }
-    let fresh = std::fs::read(scratch.join(GENERATED_FILE)).ok();
-    let held = std::fs::read(committed.join(GENERATED_FILE)).ok();
+    let generated = std::fs::read(scratch.join(GENERATED_FILE)).ok();
+    let existing = std::fs::read(committed.join(GENERATED_FILE)).ok();
     let _ = std::fs::remove_dir_all(&scratch);
-    if fresh.is_some() && fresh == held {
+    if generated.is_some() && generated == existing {
         return ExitCode::SUCCESS;
     }
     eprintln!(
