--- a/crates/standalone/src/claims.rs
+++ b/crates/standalone/src/claims.rs
@@ -47,8 +47,8 @@
             Err(error) if error.kind() == ErrorKind::AlreadyExists => {}
             Err(error) => return Err(self.failed("claim", error)),
         }
-        let held = std::fs::read_to_string(&path).map_err(|error| self.failed("read", error))?;
-        Ok(if held == claimant { Claim::Mine } else { Claim::Another })
+        let holder = std::fs::read_to_string(&path).map_err(|error| self.failed("read", error))?;
+        Ok(if holder == claimant { Claim::Mine } else { Claim::Another })
     }
 
     async fn report_retirement(
