--- a/crates/app/src/commands/declarations.rs
+++ b/crates/app/src/commands/declarations.rs
@@ -1,4 +1,4 @@
-//! Declaration toml_files: TOML with an `[[object]]` table of `kind`, `name` and `spec` for each object.
+//! Declaration files: TOML with an `[[object]]` table of `kind`, `name` and `spec` for each object.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
