--- a/crates/app/src/commands/ctl.rs
+++ b/crates/app/src/commands/ctl.rs
@@ -35,7 +35,7 @@
     Watch(WatchArguments),
 }
 
-/// Arguments that name declaration files.
+/// Arguments of `apply` and `diff`.
 #[derive(Debug, Args)]
 pub struct FilesArguments {
     #[command(flatten)]
@@ -146,8 +146,8 @@
     Ok(response.into_inner().objects)
 }
 
-/// Changes that bring the declared objects into force, ordered so that no object refers to one that
-/// does not exist at that moment.
+/// Compares the declared objects with those in force and returns the changes to apply, ordered so
+/// that no change leaves a reference to an object that does not exist.
 async fn plan(
     operator: &mut Operator,
     arguments: &FilesArguments,
@@ -201,9 +201,9 @@
     if changes.is_empty() {
         println!("nothing to change");
     }
-    let run = change_id_prefix();
+    let prefix = change_id_prefix();
     for (number, change) in changes.iter().enumerate() {
-        let version = apply_change(&mut operator, change, format!("{run}-{number}")).await?;
+        let version = apply_change(&mut operator, change, format!("{prefix}-{number}")).await?;
         println!("{}\n  in force at version {version}", change.describe());
     }
     Ok(ExitStatus::Success)
--- a/crates/app/src/commands/explain.rs
+++ b/crates/app/src/commands/explain.rs
@@ -48,7 +48,8 @@
 
 type JsonLine = Map<String, Value>;
 
-/// Prints the lines that mention the id, oldest first, then what may be missing among them.
+/// Prints the lines that mention the id, oldest first. Then reports if none of them ends the request,
+/// item or job, and prints events that may explain missing lines.
 pub fn run(arguments: &ExplainArguments) -> ExitStatus {
     let lines = match read_all(&arguments.files) {
         Ok(lines) => lines,
@@ -70,7 +71,7 @@
     }
     let ended = timeline.iter().any(|line| END_EVENTS.contains(&text(line, "event")));
     if !ended {
-        println!("missing: no line tells the end of {}", arguments.id);
+        println!("missing: no line records the end of {}", arguments.id);
     }
     print_gaps(&lines, &timeline);
     ExitStatus::Success
@@ -105,12 +106,12 @@
 }
 
 fn mentions(line: &JsonLine, id: &str) -> bool {
-    let names = |value: &Value| match value {
+    let contains_id = |value: &Value| match value {
         Value::String(text) => text == id || text.split('/').any(|part| part == id),
         Value::Array(values) => values.iter().any(|value| value.as_str() == Some(id)),
         _ => false,
     };
-    line.values().any(names)
+    line.values().any(contains_id)
 }
 
 fn format_line(line: &JsonLine) -> String {
@@ -134,7 +135,8 @@
     names.into_iter().collect::<Vec<_>>().join(", ")
 }
 
-/// Prints events that may explain missing lines, of the processes and the time range of the timeline.
+/// Prints events that may explain missing lines, limited to the processes and the time range of the
+/// timeline.
 fn print_gaps(lines: &[JsonLine], timeline: &[&JsonLine]) {
     let (Some(first), Some(last)) = (timeline.first(), timeline.last()) else { return };
     let span = time_of(first)..=time_of(last);
--- a/crates/app/src/commands/serving.rs
+++ b/crates/app/src/commands/serving.rs
@@ -70,7 +70,8 @@
     init_log_lines(role, &settings.node.name, level);
 }
 
-/// Interval at which the settings file is checked for changes, which need no signal to take effect.
+/// Interval at which the settings file is checked for changes, so that they take effect without
+/// SIGHUP.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reloads the settings file. Only the seeds take effect; all other settings need a restart.
@@ -173,7 +174,8 @@
     }
 }
 
-/// Serves metrics. If the metrics port cannot be opened, logs this and the process runs without it.
+/// Serves metrics. If the metrics port cannot be opened, logs the failure and lets the process run
+/// without metrics.
 async fn serve_metrics(address: std::net::SocketAddr) {
     let started = match tokio::net::TcpListener::bind(address).await {
         Ok(listener) => MetricsServer::start(listener, Arc::new(HealthState::default())),
--- a/crates/app/src/exit.rs
+++ b/crates/app/src/exit.rs
@@ -28,7 +28,7 @@
     StorageFailed,
     /// It is unknown whether the change or the call took effect.
     OutcomeUnknown,
-    /// A load run found lost, duplicated or interrupted work.
+    /// A demo or a load run found lost, duplicated or interrupted work.
     IntegrityViolated,
 }
 
--- a/crates/app/src/main.rs
+++ b/crates/app/src/main.rs
@@ -19,7 +19,8 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Start a complete fleet with simulated external systems in one process, apply load and print a summary table.
+    /// Start a complete fleet with simulated external systems in one process, apply load and print
+    /// a summary table.
     Demo(demo::DemoArguments),
     /// Serve calls and jobs.
     Daemon(serve::ServeArguments),
--- a/crates/standalone/src/catalog.rs
+++ b/crates/standalone/src/catalog.rs
@@ -75,7 +75,7 @@
     pub kind: KindEntry,
     /// Service that receives the requests.
     pub service: String,
-    /// Maximum time that a request waits, in milliseconds.
+    /// Maximum time that a request is held, in milliseconds; 0 for no limit.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
     /// Maximum number of back ends to which one request is sent.
@@ -143,9 +143,9 @@
     8
 }
 
-/// Maximum number of connections to a back end.
+/// Maximum number of connections that a back end accepts from all callers.
 const MAX_CONNECTIONS: u32 = 256;
-/// Time that an item may be queued before it may be abandoned, in milliseconds.
+/// Time after the first submission at which an item may be abandoned, in milliseconds.
 const MAX_QUEUE_MS: u64 = 24 * 3_600_000;
 
 /// Extracts the objects of one kind from the file, with their names.
@@ -294,7 +294,7 @@
             let digest = KeyDigest::parse(hex)
                 .ok_or_else(|| format!("{field}: must be 64 hexadecimal digits"))?;
             if !keys.insert(digest) {
-                return Err(format!("{field}: the same key is already listed"));
+                return Err(format!("{field}: the same key is already listed in the file"));
             }
         }
         let rate = tenant.requests_per_second;
--- a/crates/standalone/src/lib.rs
+++ b/crates/standalone/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs gateways and job stores without a platform: routes and back ends come from a catalog file,
-//! and HTTP calls use Yokefall's native headers and formats.
+//! Runs gateways and job stores without a platform: routes, back ends and tenants come from a
+//! catalog file, and HTTP calls use Yokefall's native headers and formats.
 
 pub mod catalog;
 pub mod claims;
@@ -21,7 +21,7 @@
 }
 
 impl Standalone {
-    /// Uses the routes, services and back ends in a file, which is reread whenever it changes.
+    /// Uses the routes, back ends and tenants in a catalog file, which is reread whenever it changes.
     pub fn new(catalog: PathBuf) -> Self {
         Self { catalog }
     }
