--- a/crates/app/src/commands/explain.rs
+++ b/crates/app/src/commands/explain.rs
@@ -71,7 +71,7 @@
     }
     let ended = timeline.iter().any(|line| END_EVENTS.contains(&text(line, "event")));
     if !ended {
-        println!("missing: no line records the end of {}", arguments.id);
+        println!("missing: no line tells the end of {}", arguments.id);
     }
     print_gaps(&lines, &timeline);
     ExitStatus::Success
--- a/crates/daemon/src/control/fleet.rs
+++ b/crates/daemon/src/control/fleet.rs
@@ -221,8 +221,8 @@
             }
             FleetCommand::Announce(state) => {
                 self.membership.announce(state);
-                let farewell = self.membership.farewell();
-                self.send(farewell);
+                let announce_to_all = self.membership.announce_to_all();
+                self.send(announce_to_all);
             }
         }
         self.publish().await;
