--- a/crates/bench/src/soak/oracle.rs
+++ b/crates/bench/src/soak/oracle.rs
@@ -134,9 +134,9 @@
     /// Accepted jobs that were not cancelled, with the number of their results read so far.
     pub fn accepted_jobs(&self) -> Vec<(String, usize)> {
         let observed = self.observed();
-        let taken =
+        let accepted =
             observed.jobs.iter().filter(|(_, job)| job.is_accepted && !job.cancel_requested);
-        taken.map(|(id, job)| (id.clone(), job.results.len())).collect()
+        accepted.map(|(id, job)| (id.clone(), job.results.len())).collect()
     }
 
     /// Whether every accepted job is finished or cancelled.
@@ -178,10 +178,10 @@
         for back_end in ledger.idle_back_ends().1 {
             violations.push(format!("{back_end} restarted under its id and received no request"));
         }
-        for (path, ends) in
-            ledger.crashes().into_iter().filter(|(_, ends)| *ends > MAX_CRASHES_PER_CALL)
+        for (path, crashes) in
+            ledger.crashes().into_iter().filter(|(_, crashes)| *crashes > MAX_CRASHES_PER_CALL)
         {
-            violations.push(format!("{ends} back ends crashed under {path}"));
+            violations.push(format!("{crashes} back ends crashed under {path}"));
         }
         violations
     }
@@ -189,8 +189,9 @@
     /// Counts for the report, by name.
     pub fn counts(&self, ledger: &Ledger) -> Vec<(&'static str, usize)> {
         let observed = self.observed();
-        let calls =
-            |end: CallOutcome| observed.calls.values().filter(|(_, other)| *other == end).count();
+        let calls = |end: CallOutcome| {
+            observed.calls.values().filter(|(_, outcome)| *outcome == end).count()
+        };
         let jobs =
             |test: fn(&JobState) -> bool| observed.jobs.values().filter(|job| test(job)).count();
         let max_crashes = ledger.crashes().into_values().max().unwrap_or(0);
--- a/crates/bench/src/soak/proxy.rs
+++ b/crates/bench/src/soak/proxy.rs
@@ -107,8 +107,8 @@
         self.restarts.load(Ordering::Relaxed) + 1
     }
 
-    async fn wait_for_state(&self, wanted: impl Fn(LinkState) -> bool) {
-        while !wanted(self.state()) {
+    async fn wait_for_state(&self, expected: impl Fn(LinkState) -> bool) {
+        while !expected(self.state()) {
             tokio::time::sleep(STATE_POLL_INTERVAL).await;
         }
     }
