--- a/crates/backend/src/schema.rs
+++ b/crates/backend/src/schema.rs
@@ -22,7 +22,7 @@
 
 /// An order to complete a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CompletionOrder {
+pub struct CompletionRequest {
     /// Id of the request, for cancelling and for the engine's own records.
     pub request_id: String,
     /// Attempt number.
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -74,7 +74,7 @@
 }
 
 /// The deployments of the partners Board and Trasovka.
-pub fn today() -> Vec<PartnerPlan> {
+pub fn reference_deployments() -> Vec<PartnerPlan> {
     vec![
         PartnerPlan {
             partner: "board",
--- a/crates/bench/src/load/batch.rs
+++ b/crates/bench/src/load/batch.rs
@@ -32,7 +32,7 @@
     /// Service name.
     pub service: String,
     /// Jobs in a burst.
-    pub jobs_per_heap: usize,
+    pub jobs_per_burst: usize,
     /// Range of the number of items in a job.
     pub items_per_job: std::ops::RangeInclusive<u32>,
     /// Tokens in an item's answer.
@@ -81,7 +81,7 @@
     let mut burst = 0u32;
     while BURST_INTERVAL * burst < load.duration {
         tokio::time::sleep_until(begun + BURST_INTERVAL * burst).await;
-        for number in 0..load.jobs_per_heap {
+        for number in 0..load.jobs_per_burst {
             let plan = JobPlan {
                 key: format!("{}-{burst}-{number}", load.seed),
                 items: generator.random_range(load.items_per_job.clone()),
@@ -189,7 +189,7 @@
     let mut total = OutcomeCounts::default();
     for record in records {
         let outcome_counts = verify_job(record, &counts, verbose);
-        if verbose && outcome_counts.is_broken() {
+        if verbose && outcome_counts.has_violations() {
             eprintln!("violation: job {} {outcome_counts:?}", record.ledger_id);
         }
         total.add(&outcome_counts);
--- a/crates/bench/src/load/online.rs
+++ b/crates/bench/src/load/online.rs
@@ -312,7 +312,7 @@
     for observation in observations {
         let ran = counts.get(&observation.ledger_id).copied().unwrap_or_default();
         let outcome_counts = verify_one(observation, ran);
-        if verbose && outcome_counts.is_broken() {
+        if verbose && outcome_counts.has_violations() {
             eprintln!("violation: {observation:?}, ran {ran:?}");
         }
         total.add(&outcome_counts);
--- a/crates/bench/src/soak/back_end.rs
+++ b/crates/bench/src/soak/back_end.rs
@@ -14,7 +14,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::proxy::Link;
-use yokefall_bench::standin::http::{read_body, streaming, whole, Body, Handler, HttpServer};
+use yokefall_bench::standin::http::{
+    full_response, read_body, streaming, Body, Handler, HttpServer,
+};
 
 /// Duration of a call, and interval between the events of an item.
 const CALL_DURATION: Duration = Duration::from_millis(15);
@@ -145,15 +147,15 @@
     let headers = request.headers().clone();
     let path = request.uri().path().to_owned();
     let Some(id) = header_text(&headers, "yokefall-request").map(str::to_owned) else {
-        return whole(StatusCode::OK, "healthy");
+        return full_response(StatusCode::OK, "healthy");
     };
     if header_text(&headers, "yokefall-backend").is_some_and(|expected| expected != own_id) {
-        let mut refusal = whole(StatusCode::MISDIRECTED_REQUEST, "another back end");
+        let mut refusal = full_response(StatusCode::MISDIRECTED_REQUEST, "another back end");
         refusal.headers_mut().insert("yokefall-not-run", HeaderValue::from_static("1"));
         return refusal;
     }
     if read_body(request).await.is_err() {
-        return whole(StatusCode::BAD_REQUEST, "incomplete request body");
+        return full_response(StatusCode::BAD_REQUEST, "incomplete request body");
     }
     ledger.record_run(own_id, &id);
     if path.starts_with(FATAL_PATH) {
@@ -166,7 +168,7 @@
         return stream(id, after.unwrap_or(0));
     }
     tokio::time::sleep(CALL_DURATION).await;
-    whole(StatusCode::OK, expected_answer(&id))
+    full_response(StatusCode::OK, expected_answer(&id))
 }
 
 /// Streams the events of an item that follow event `after`.
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -261,7 +261,7 @@
         /// The service, with the partner whose jobs are asked for.
         service: ServiceId,
         /// Most items wanted.
-        most: u32,
+        max_items: u32,
         /// The daemon that will run them.
         holder: NodeName,
     },
@@ -295,7 +295,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ReturnCause {
     /// It gave its slot to an online call, or never got one.
-    Yielded,
+    Preempted,
     /// The execution failed.
     Failed(String),
     /// Proven: nothing was sent to a back end after the start mark.
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -16,7 +16,7 @@
     /// Records; may be empty, to wait for those before.
     pub records: Vec<JobRecord>,
     /// Called on the writer's thread once they are durable.
-    pub then: Box<dyn FnOnce(&Journal) + Send>,
+    pub on_durable: Box<dyn FnOnce(&Journal) + Send>,
 }
 
 /// Hands tasks to the writer's thread.
@@ -62,7 +62,7 @@
             journal.write(&records)?;
         }
         for task in tasks {
-            (task.then)(journal);
+            (task.on_durable)(journal);
         }
     }
     Ok(())
