--- a/crates/bench/src/measure/overhead.rs
+++ b/crates/bench/src/measure/overhead.rs
@@ -104,7 +104,7 @@
         let answer = client.call_plain(address, &id, 1, bytes::Bytes::from_static(b"body")).await;
         return answer.map(|_| ()).map_err(|error| error.to_string());
     }
-    let order = CompletionRequest {
+    let request = CompletionRequest {
         request_id: id,
         attempt: 1,
         model: MODEL_SERVICE.to_owned(),
@@ -114,7 +114,7 @@
         priority: ENGINE_PRIORITY_ONLINE,
         stream: true,
     };
-    let mut stream = client.complete(address, &order).await.map_err(|error| error.to_string())?;
+    let mut stream = client.complete(address, &request).await.map_err(|error| error.to_string())?;
     loop {
         match stream.next().await.map_err(|error| error.to_string())? {
             CompletionEvent::Finished => return Ok(()),
--- a/crates/bench/src/standin/engine/server.rs
+++ b/crates/bench/src/standin/engine/server.rs
@@ -299,7 +299,7 @@
     let path = request.uri().path().to_owned();
     match (request.method().clone(), path.as_str()) {
         (Method::POST, COMPLETIONS_PATH) => match read_json(request).await {
-            Ok(order) => complete(&state, order),
+            Ok(request) => complete(&state, request),
             Err(response) => *response,
         },
         (Method::DELETE, path) if path.starts_with(REQUESTS_PATH) => cancel(&state, path),
@@ -336,24 +336,24 @@
     }
 }
 
-fn complete(state: &Arc<State>, order: CompletionRequest) -> Response<Body> {
-    if !lock(&state.control).models.contains_key(&order.model) {
+fn complete(state: &Arc<State>, request: CompletionRequest) -> Response<Body> {
+    if !lock(&state.control).models.contains_key(&request.model) {
         return full_response(
             StatusCode::NOT_FOUND,
-            format!("model: {} is not loaded", order.model),
+            format!("model: {} is not loaded", request.model),
         );
     }
-    if order.max_tokens == 0 {
+    if request.max_tokens == 0 {
         return full_response(StatusCode::BAD_REQUEST, "max_tokens: must be at least 1");
     }
     let (chunks, receiver) = mpsc::unbounded_channel();
     let sequence = Sequence {
-        prompt: order.prompt.into_bytes(),
-        max_tokens: order.max_tokens,
-        resume_from_token: order.resume_from_token,
-        priority: order.priority,
+        prompt: request.prompt.into_bytes(),
+        max_tokens: request.max_tokens,
+        resume_from_token: request.resume_from_token,
+        priority: request.priority,
     };
-    let already_complete = order.resume_from_token >= order.max_tokens;
+    let already_complete = request.resume_from_token >= request.max_tokens;
     // The lock is held across the submission, so that no token is emitted before its stream is
     // registered.
     let mut streams = lock(&state.streams);
@@ -361,12 +361,12 @@
     let Some(number) = submitted else {
         return full_response(StatusCode::TOO_MANY_REQUESTS, "queue is full; nothing was started");
     };
-    let execution = state.ledger.begin(&order.request_id);
+    let execution = state.ledger.begin(&request.request_id);
     state.begun.fetch_add(1, Ordering::Relaxed);
     if already_complete {
-        state.ledger.end(execution, ExecutionEnd::Finished, order.max_tokens);
+        state.ledger.end(execution, ExecutionEnd::Finished, request.max_tokens);
         let last = CompletionChunk {
-            id: order.request_id,
+            id: request.request_id,
             choices: vec![CompletionChoice {
                 text: String::new(),
                 tokens: 0,
@@ -379,7 +379,7 @@
         return streaming(receiver);
     }
     let stream =
-        Stream { engine_id: order.request_id, execution, chunks: chunks.clone(), lost: false };
+        Stream { engine_id: request.request_id, execution, chunks: chunks.clone(), lost: false };
     streams.insert(number, stream);
     drop(streams);
     state.wake.notify_one();
