--- a/crates/bench/src/chaos.rs
+++ b/crates/bench/src/chaos.rs
@@ -76,23 +76,24 @@
     plan: &FaultPlan,
     duration: Duration,
 ) -> Result<(), String> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut generator = SmallRng::seed_from_u64(plan.seed);
     let mut active: Vec<ActiveFault> = Vec::new();
-    let mut next = begun;
-    while begun.elapsed() < duration || !active.is_empty() {
+    let mut next = started;
+    while started.elapsed() < duration || !active.is_empty() {
         tokio::time::sleep(TICK_INTERVAL).await;
         let now = Instant::now();
-        if now >= next && begun.elapsed() < duration {
+        if now >= next && started.elapsed() < duration {
             next = now + Duration::from_millis(generator.random_range(FAULT_INTERVAL_MS));
             let fault = draw_fault(fleet, plan, &mut generator);
             if !active.iter().any(|other| conflicts(other.fault, fault)) {
                 if plan.verbose {
-                    eprintln!("{:>6.2} s  {fault:?}", begun.elapsed().as_secs_f64());
+                    eprintln!("{:>6.2} s  {fault:?}", started.elapsed().as_secs_f64());
                 }
                 start_fault(fleet, fault).await;
-                let lasts = Duration::from_millis(generator.random_range(FAULT_DURATION_MS));
-                active.push(ActiveFault { fault, ends: now + lasts });
+                let fault_duration =
+                    Duration::from_millis(generator.random_range(FAULT_DURATION_MS));
+                active.push(ActiveFault { fault, ends: now + fault_duration });
             }
         }
         let (expired, remaining): (Vec<ActiveFault>, Vec<ActiveFault>) =
--- a/crates/bench/src/commands/load.rs
+++ b/crates/bench/src/commands/load.rs
@@ -67,9 +67,9 @@
         seed: arguments.seed,
     };
     let before: Vec<f64> = arguments.process.iter().map(|(_, pid)| cpu_seconds(*pid)).collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     let record = online::send(load, caller).await;
-    let elapsed = begun.elapsed().as_secs_f64();
+    let elapsed = started.elapsed().as_secs_f64();
     let right = CallerOutcome::Answer { right: true };
     let answered = record.observations.iter().filter(|o| o.seen == right).count();
     let sent = record.observations.len();
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -399,14 +399,14 @@
     }
 
     async fn wait_until_ready(&self) -> Result<(), String> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let expected = (self.backends.len(), self.daemons.len());
         let ready = || {
             self.view_sizes().into_iter().all(|size| size == expected)
                 && self.agents.iter().all(|agent| agent.member_count() == expected.1)
         };
         while !ready() {
-            if begun.elapsed() > READY_TIMEOUT {
+            if started.elapsed() > READY_TIMEOUT {
                 let sizes = self.view_sizes();
                 return Err(format!(
                     "fleet not ready within {READY_TIMEOUT:?}: (back ends, daemons) must be \
--- a/crates/bench/src/load/batch.rs
+++ b/crates/bench/src/load/batch.rs
@@ -75,12 +75,12 @@
 
 /// Submits bursts of jobs, follows every job to its end and returns the records.
 pub async fn send(load: BatchLoad, caller: Caller, completed: CompletedCounter) -> Vec<JobRecord> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut generator = SmallRng::seed_from_u64(load.seed);
     let mut jobs = Vec::new();
     let mut burst = 0u32;
     while BURST_INTERVAL * burst < load.duration {
-        tokio::time::sleep_until(begun + BURST_INTERVAL * burst).await;
+        tokio::time::sleep_until(started + BURST_INTERVAL * burst).await;
         for number in 0..load.jobs_per_burst {
             let plan = JobPlan {
                 key: format!("{}-{burst}-{number}", load.seed),
@@ -88,7 +88,7 @@
                 // Every third job must run each item at most once.
                 no_repeat: number % 3 == 2,
             };
-            let end = begun + load.duration + load.grace;
+            let end = started + load.duration + load.grace;
             let (load, caller, completed) = (load.clone(), caller.clone(), completed.clone());
             jobs.push(tokio::spawn(run_job(load, caller, plan, end, completed)));
         }
--- a/crates/bench/src/load/online.rs
+++ b/crates/bench/src/load/online.rs
@@ -144,13 +144,13 @@
 
 /// Sends the load and waits for the end of every request.
 pub async fn send(load: OnlineLoad, caller: Caller) -> OnlineRecord {
-    let begun = Instant::now();
+    let started = Instant::now();
     let (done, mut finished) = mpsc::unbounded_channel();
     for plan in draw_plans(&load) {
-        tokio::time::sleep_until(begun + plan.arrival).await;
+        tokio::time::sleep_until(started + plan.arrival).await;
         let (load, caller, done) = (load.clone(), caller.clone(), done.clone());
         tokio::spawn(async move {
-            let _ = done.send(send_one(&load, caller, plan, begun).await);
+            let _ = done.send(send_one(&load, caller, plan, started).await);
         });
     }
     drop(done);
@@ -176,9 +176,9 @@
     load: &OnlineLoad,
     mut caller: Caller,
     plan: RequestPlan,
-    begun: Instant,
+    started: Instant,
 ) -> RequestResult {
-    let mut finished = send_once(load, &mut caller, &plan, begun, false).await;
+    let mut finished = send_once(load, &mut caller, &plan, started, false).await;
     for _ in 0..MAX_RESENDS {
         let known = match &finished.0.seen {
             CallerOutcome::Answer { .. } => true,
@@ -189,7 +189,7 @@
             break;
         }
         tokio::time::sleep(RESEND_BACKOFF).await;
-        finished = send_once(load, &mut caller, &plan, begun, true).await;
+        finished = send_once(load, &mut caller, &plan, started, true).await;
     }
     finished
 }
@@ -198,10 +198,10 @@
     load: &OnlineLoad,
     caller: &mut Caller,
     plan: &RequestPlan,
-    begun: Instant,
+    started: Instant,
     resend: bool,
 ) -> RequestResult {
-    let intended = begun + plan.arrival;
+    let scheduled = started + plan.arrival;
     let service = if plan.model { &load.model_service } else { &load.plain_service };
     let repeat = if plan.no_repeat { v1::Repeat::Forbidden } else { v1::Repeat::Allowed };
     let header = v1::CallHeader {
@@ -217,14 +217,14 @@
     let mut first_token = None;
     let seen = if plan.model {
         generate(caller, header, plan, &ledger_id, || {
-            first_token.get_or_insert_with(|| intended.elapsed());
+            first_token.get_or_insert_with(|| scheduled.elapsed());
         })
         .await
     } else {
         call(caller, header, plan, &ledger_id).await
     };
     let answered = matches!(seen, CallerOutcome::Answer { .. });
-    let whole = answered.then(|| intended.elapsed());
+    let whole = answered.then(|| scheduled.elapsed());
     let observation = Observation { ledger_id, no_repeat: plan.no_repeat, seen };
     (observation, first_token.filter(|_| answered), whole)
 }
@@ -259,9 +259,11 @@
                     answer.extend_from_slice(&chunk.text);
                 }
                 Some(Step::Completed(completed)) => {
-                    let whole = completed.length == answer.len() as u64;
+                    let is_complete = completed.length == answer.len() as u64;
                     let expected = model_answer(ledger_id, plan.tokens);
-                    return CallerOutcome::Answer { right: whole && answer == expected.as_bytes() };
+                    return CallerOutcome::Answer {
+                        right: is_complete && answer == expected.as_bytes(),
+                    };
                 }
                 Some(Step::Refusal(refusal)) => {
                     return CallerOutcome::Refused { executed: refusal.executed() };
--- a/crates/bench/src/load/run.rs
+++ b/crates/bench/src/load/run.rs
@@ -61,7 +61,7 @@
     faults: Option<FaultPlan>,
     mut progress: impl FnMut(Duration, u64, usize),
 ) -> Result<RunReport, String> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let completed = Arc::new(AtomicU64::new(0));
     let mut online_tasks = Vec::new();
     let mut batch_tasks = Vec::new();
@@ -85,20 +85,20 @@
             online.whole.add(&record.whole);
         }
         if options.verbose {
-            eprintln!("{:>6.2} s  every request has ended", begun.elapsed().as_secs_f64());
+            eprintln!("{:>6.2} s  every request has ended", started.elapsed().as_secs_f64());
         }
         for task in batch_tasks {
             jobs.extend(task.await.map_err(|error| error.to_string())?);
         }
         if options.verbose {
-            eprintln!("{:>6.2} s  every job has ended", begun.elapsed().as_secs_f64());
+            eprintln!("{:>6.2} s  every job has ended", started.elapsed().as_secs_f64());
         }
         Ok::<(), String>(())
     };
     let reporting = async {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            let elapsed = begun.elapsed();
+            let elapsed = started.elapsed();
             let items = completed.load(Ordering::Relaxed);
             if elapsed <= options.duration + Duration::from_millis(500) {
                 rate = items as f64 / elapsed.as_secs_f64();
@@ -118,7 +118,7 @@
         () = reporting => {}
     }
     if rate == 0.0 {
-        rate = completed.load(Ordering::Relaxed) as f64 / begun.elapsed().as_secs_f64();
+        rate = completed.load(Ordering::Relaxed) as f64 / started.elapsed().as_secs_f64();
     }
     let clean_stop = fleet.stop().await;
     Ok(RunReport {
--- a/crates/bench/src/measure/digest.rs
+++ b/crates/bench/src/measure/digest.rs
@@ -33,11 +33,11 @@
         tenant: "guides",
         body: &body,
     };
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..count {
         black_box(RequestDigest::of(black_box(&identity)));
     }
-    let microseconds = began.elapsed().as_secs_f64() * 1e6 / f64::from(count.max(1));
+    let microseconds = started.elapsed().as_secs_f64() * 1e6 / f64::from(count.max(1));
     DigestRow { bytes, microseconds }
 }
 
--- a/crates/bench/src/measure/overhead.rs
+++ b/crates/bench/src/measure/overhead.rs
@@ -179,9 +179,9 @@
     let worker = |mut path: CallPath| async move {
         let mut latencies = Latencies::default();
         for _ in 0..calls {
-            let begun = Instant::now();
+            let started = Instant::now();
             path.call(kind).await?;
-            latencies.record(begun.elapsed());
+            latencies.record(started.elapsed());
         }
         Ok::<Latencies, String>(latencies)
     };
--- a/crates/bench/src/soak/faults.rs
+++ b/crates/bench/src/soak/faults.rs
@@ -95,22 +95,22 @@
     options: &SoakOptions,
     until: Instant,
 ) -> Result<Vec<String>, String> {
-    let (began, seed) = (Instant::now(), options.seed);
+    let (started, seed) = (Instant::now(), options.seed);
     let mut schedule = Schedule {
         random: StdRng::seed_from_u64(seed.rotate_left(33)),
         pending_ends: Vec::new(),
-        last_store_fault: began,
-        recovering_until: began,
+        last_store_fault: started,
+        recovering_until: started,
         kinds: options.faults.clone(),
         log: Vec::new(),
     };
-    let mut next = began + Duration::from_secs(1);
+    let mut next = started + Duration::from_secs(1);
     while Instant::now() < until {
         schedule.end_due_faults(fleet).await?;
         fleet.publish_incarnations()?;
         if Instant::now() >= next && next + FAULT_FREE_TAIL < until {
             let log = schedule.start_fault(fleet, oracle, (ledger, until)).await?;
-            let second = began.elapsed().as_secs_f64();
+            let second = started.elapsed().as_secs_f64();
             schedule.log.push(format!("{second:.1} {log}"));
             next = Instant::now() + schedule.draw(FAULT_INTERVAL_MS);
         }
--- a/crates/bench/src/standin/engine/cache.rs
+++ b/crates/bench/src/standin/engine/cache.rs
@@ -50,8 +50,8 @@
     /// Hashes of the full blocks of a prompt; a partial last block is not cached.
     pub fn prompt_blocks(prompt: &[u8], block_bytes: usize) -> Vec<BlockHash> {
         let mut hash = 0;
-        let whole = prompt.chunks_exact(block_bytes.max(1));
-        whole
+        let full_blocks = prompt.chunks_exact(block_bytes.max(1));
+        full_blocks
             .map(|block| {
                 hash = xxh3_64_with_seed(block, hash);
                 hash
--- a/crates/bench/src/standin/engine/server.rs
+++ b/crates/bench/src/standin/engine/server.rs
@@ -69,7 +69,7 @@
     wake: Notify,
     ledger: Arc<Ledger>,
     weight_store: Option<SocketAddr>,
-    begun: AtomicU64,
+    executions_started: AtomicU64,
 }
 
 #[derive(Clone, Copy)]
@@ -120,7 +120,7 @@
             wake: Notify::new(),
             ledger: ledger.clone(),
             weight_store,
-            begun: AtomicU64::new(0),
+            executions_started: AtomicU64::new(0),
         });
         let (fault_sender, mut fault_queue) = mpsc::unbounded_channel();
         let handler_state = state.clone();
@@ -153,8 +153,8 @@
     }
 
     /// Number of executions started.
-    pub fn executions_begun(&self) -> u64 {
-        self.state.begun.load(Ordering::Relaxed)
+    pub fn executions_started(&self) -> u64 {
+        self.state.executions_started.load(Ordering::Relaxed)
     }
 
     /// Prompt tokens found in the prefix cache, and all prompt tokens, of admitted sequences.
@@ -362,7 +362,7 @@
         return full_response(StatusCode::TOO_MANY_REQUESTS, "queue is full; nothing was started");
     };
     let execution = state.ledger.begin(&request.request_id);
-    state.begun.fetch_add(1, Ordering::Relaxed);
+    state.executions_started.fetch_add(1, Ordering::Relaxed);
     if already_complete {
         state.ledger.end(execution, ExecutionEnd::Finished, request.max_tokens);
         let last = CompletionChunk {
--- a/crates/bench/tests/batch.rs
+++ b/crates/bench/tests/batch.rs
@@ -49,7 +49,7 @@
     }
     let status = caller.cancel_job(job("job")).await.expect("the job is known").into_inner();
     assert_eq!(status.state(), v1::JobState::Cancelled);
-    let begun = fleet.ledger.entries().len();
+    let started = fleet.ledger.entries().len();
     while support::engines(&fleet)[0].is_busy() {
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
@@ -58,7 +58,7 @@
     // Items already on their way to the engine when the job was cancelled may still start; no
     // others do.
     let after = fleet.ledger.entries().len();
-    assert!(after <= begun + 4, "{begun} executions before, {after} after");
+    assert!(after <= started + 4, "{started} executions before, {after} after");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/bench/tests/control.rs
+++ b/crates/bench/tests/control.rs
@@ -169,12 +169,12 @@
     }
     // What one daemon knows reaches all others within seconds.
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let before = support::engines(&fleet)[0].executions_begun();
+    let before = support::engines(&fleet)[0].executions_started();
     for number in 0..20 {
         let request = request(&format!("r{number}"), v1::Repeat::Allowed);
         generate(&mut caller, request).await.expect("answered");
     }
-    assert_eq!(support::engines(&fleet)[0].executions_begun(), before);
+    assert_eq!(support::engines(&fleet)[0].executions_started(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
