--- a/crates/bench/src/chaos.rs
+++ b/crates/bench/src/chaos.rs
@@ -32,7 +32,7 @@
     All,
     /// Back ends and the platform's services.
     Outside,
-    /// Daemons alone; they crash and are stopped continually.
+    /// Only daemons; they crash and are stopped gracefully, continually.
     Daemons,
 }
 
@@ -54,11 +54,15 @@
     EngineHangs(usize),
     EngineSlows(usize),
     EngineLosesAnswers(usize),
+    /// The engine sends malformed JSON.
     EngineTalksNonsense(usize),
     EngineCutsStreams(usize),
     PlainLosesAnswers(usize),
+    /// The machine of the back end is marked as leaving.
     MachineLeaves(usize),
+    /// The object API answers every request with 503.
     PlatformDown,
+    /// The object API delays every response.
     PlatformSlow,
     DaemonCrashes(usize),
     DaemonStops(usize),
@@ -67,7 +71,7 @@
 /// A fault in progress.
 struct ActiveFault {
     fault: Fault,
-    ends: Instant,
+    ends_at: Instant,
 }
 
 /// Injects faults for `duration`, then ends all of them.
@@ -93,11 +97,12 @@
                 start_fault(fleet, fault).await;
                 let fault_duration =
                     Duration::from_millis(generator.random_range(FAULT_DURATION_MS));
-                active.push(ActiveFault { fault, ends: now + fault_duration });
+                active.push(ActiveFault { fault, ends_at: now + fault_duration });
             }
         }
-        let (expired, remaining): (Vec<ActiveFault>, Vec<ActiveFault>) =
-            active.into_iter().partition(|fault| fault.ends <= now && !is_stopping(fleet, fault));
+        let (expired, remaining): (Vec<ActiveFault>, Vec<ActiveFault>) = active
+            .into_iter()
+            .partition(|fault| fault.ends_at <= now && !is_stopping(fleet, fault));
         active = remaining;
         for fault in expired {
             end_fault(fleet, fault.fault).await?;
--- a/crates/bench/src/load/batch.rs
+++ b/crates/bench/src/load/batch.rs
@@ -85,7 +85,7 @@
             let plan = JobPlan {
                 key: format!("{}-{burst}-{number}", load.seed),
                 items: generator.random_range(load.items_per_job.clone()),
-                // Every third job must run each item at most once.
+                // Every third job has items that may run at most once, as advisories do.
                 no_repeat: number % 3 == 2,
             };
             let end = started + load.duration + load.grace;
--- a/crates/bench/src/load/online.rs
+++ b/crates/bench/src/load/online.rs
@@ -17,7 +17,8 @@
 
 /// Number of tenants of a partner that send online requests.
 const TENANTS: u32 = 20;
-/// Number of distinct shared prompt prefixes.
+/// Number of distinct prompt prefixes that requests share, as prompts about the same guide book or
+/// depot do.
 const PROMPT_PREFIXES: u32 = 16;
 /// Approximate length of a shared prefix.
 const PROMPT_PREFIX_BYTES: usize = 512;
--- a/crates/bench/src/soak/back_end.rs
+++ b/crates/bench/src/soak/back_end.rs
@@ -98,11 +98,12 @@
     pub fn idle_back_ends(&self) -> (usize, Vec<String>) {
         let expected = self.expected.lock().unwrap_or_else(PoisonError::into_inner);
         let arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
-        let got = |(id, from, until): &&(String, Instant, Instant)| {
+        let has_arrival = |(id, from, until): &&(String, Instant, Instant)| {
             let own = arrivals.get(id).map(Vec::as_slice).unwrap_or_default();
             own.iter().any(|at| at >= from && at <= until)
         };
-        let idle = expected.iter().filter(|one| !got(one)).map(|(id, ..)| id.clone()).collect();
+        let idle =
+            expected.iter().filter(|one| !has_arrival(one)).map(|(id, ..)| id.clone()).collect();
         (expected.len(), idle)
     }
 
--- a/crates/bench/src/soak/clients.rs
+++ b/crates/bench/src/soak/clients.rs
@@ -105,7 +105,7 @@
             let path = if runs_once { format!("/once/{id}") } else { format!("/call/{id}") };
             let answer =
                 self.send_request(&mut random, Method::POST, &path, &id, Bytes::new()).await;
-            let end = match answer {
+            let outcome = match answer {
                 Some(Answer { status: StatusCode::OK, body }) => {
                     if body != expected_answer(&id) {
                         self.oracle.record_violation(format!(
@@ -117,7 +117,7 @@
                 Some(answer) if is_refusal(answer.status) => CallOutcome::Refused,
                 Some(_) | None => CallOutcome::Unknown,
             };
-            self.oracle.record_call(id, runs_once, end);
+            self.oracle.record_call(id, runs_once, outcome);
             tokio::time::sleep(CALL_INTERVAL.mul_f64(random.random_range(0.2..2.0))).await;
         }
     }
--- a/crates/bench/src/soak/faults.rs
+++ b/crates/bench/src/soak/faults.rs
@@ -110,8 +110,8 @@
         fleet.publish_incarnations()?;
         if Instant::now() >= next && next + FAULT_FREE_TAIL < until {
             let log = schedule.start_fault(fleet, oracle, (ledger, until)).await?;
-            let second = started.elapsed().as_secs_f64();
-            schedule.log.push(format!("{second:.1} {log}"));
+            let seconds = started.elapsed().as_secs_f64();
+            schedule.log.push(format!("{seconds:.1} {log}"));
             next = Instant::now() + schedule.draw(FAULT_INTERVAL_MS);
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -166,7 +166,7 @@
                 false => "nothing: a job store is still recovering a lost disk".to_owned(),
             });
         }
-        let is_quiet = self.last_store_fault.elapsed() > STORE_RECOVERY_TIME;
+        let no_recent_store_fault = self.last_store_fault.elapsed() > STORE_RECOVERY_TIME;
         if is_store {
             self.last_store_fault = until;
         }
@@ -183,7 +183,7 @@
                 format!("{name} is killed for {duration:?}")
             }
             FaultKind::KillAll => self.kill_all(fleet).await?,
-            FaultKind::LoseDisk if is_store && is_quiet => {
+            FaultKind::LoseDisk if is_store && no_recent_store_fault => {
                 fleet.kill(number).await?;
                 fleet.remove_data(number)?;
                 self.pending_ends.push((Instant::now(), FaultEnd::Start(number)));
--- a/crates/bench/src/soak/fleet.rs
+++ b/crates/bench/src/soak/fleet.rs
@@ -18,7 +18,7 @@
 use yokefall_bench::standin::http::HttpServer;
 
 /// Configured drain timeout of a graceful stop, in seconds, and the time limit for a process to
-/// exit after `SIGTERM`.
+/// exit after `SIGTERM`, after which it is killed.
 const DRAIN_TIMEOUT_SECONDS: u64 = 4;
 const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 /// Retention time of the results of finished jobs, in seconds; must exceed the duration of a run.
@@ -175,7 +175,7 @@
         match std::fs::remove_dir_all(self.folder.join(format!("{name}.data"))) {
             Ok(()) => Ok(()),
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(()),
-            Err(error) => Err(format!("wipe {name}: {error}")),
+            Err(error) => Err(format!("remove the data folder of {name}: {error}")),
         }
     }
 
--- a/crates/bench/src/soak/oracle.rs
+++ b/crates/bench/src/soak/oracle.rs
@@ -74,8 +74,8 @@
     }
 
     /// Records the outcome of a call.
-    pub fn record_call(&self, id: String, runs_once: bool, end: CallOutcome) {
-        self.observed().calls.insert(id, (runs_once, end));
+    pub fn record_call(&self, id: String, runs_once: bool, outcome: CallOutcome) {
+        self.observed().calls.insert(id, (runs_once, outcome));
     }
 
     /// Records a submitted job and the outcome of the submission.
@@ -148,13 +148,13 @@
     pub fn verify(&self, ledger: &Ledger) -> Vec<String> {
         let observed = self.observed();
         let mut violations = observed.violations.clone();
-        for (id, (runs_once, end)) in &observed.calls {
+        for (id, (runs_once, outcome)) in &observed.calls {
             let runs = ledger.runs_of(id).len();
             if *runs_once && runs > 1 {
-                violations.push(format!("call {id} may run at most once and ran {runs} times"));
+                violations.push(format!("call {id} may run at most once but ran {runs} times"));
             }
-            if *end == CallOutcome::Refused && *runs_once && runs > 0 {
-                violations.push(format!("call {id} was refused and ran"));
+            if *outcome == CallOutcome::Refused && *runs_once && runs > 0 {
+                violations.push(format!("call {id} was refused but ran"));
             }
         }
         for (id, job) in &observed.jobs {
@@ -166,12 +166,12 @@
             for item in &job.items {
                 let runs = ledger.runs_of(item);
                 if job.is_rejected && !runs.is_empty() {
-                    violations.push(format!("job {id} was refused and item {item} ran"));
+                    violations.push(format!("job {id} was refused but item {item} ran"));
                 }
                 let Some(cancelled_at) = job.cancelled_at else { continue };
                 if runs.iter().any(|run| *run > cancelled_at + CANCEL_GRACE) {
                     violations
-                        .push(format!("job {id} was cancelled and item {item} ran afterwards"));
+                        .push(format!("job {id} was cancelled but item {item} ran afterwards"));
                 }
             }
         }
@@ -206,7 +206,7 @@
             ("runs at back ends", ledger.runs()),
             ("back ends that had to receive a request after a restart", ledger.idle_back_ends().0),
             ("calls that crash back ends", ledger.crashes().len()),
-            ("back ends crashed by one of them, at most", max_crashes),
+            ("most back ends crashed by one such call", max_crashes),
         ]
     }
 }
--- a/crates/bench/src/standin/engine/cache.rs
+++ b/crates/bench/src/standin/engine/cache.rs
@@ -29,7 +29,9 @@
     /// Number of blocks of generated text; these are not shared.
     private_blocks: usize,
     blocks: HashMap<BlockHash, Block>,
+    /// Blocks without users, ordered by their last use.
     idle: BTreeSet<(u64, BlockHash)>,
+    /// Logical clock of block uses.
     tick: u64,
     events: Vec<CacheEvent>,
 }
--- a/crates/bench/src/standin/engine/fault.rs
+++ b/crates/bench/src/standin/engine/fault.rs
@@ -22,17 +22,17 @@
     },
     /// Every open stream is cut before its end.
     CutStreams,
-    /// Work is executed but its answers are not sent, or are sent again.
+    /// Work is executed but its answers are not sent, until the fault ends.
     LoseAnswers {
         /// Whether answers are lost.
         on: bool,
     },
-    /// Events contain malformed JSON, or are well-formed again.
+    /// Events contain malformed JSON, until the fault ends.
     BadJson {
         /// Whether events are malformed.
         on: bool,
     },
-    /// Events contain malformed UTF-8, or are well-formed again.
+    /// Events contain malformed UTF-8, until the fault ends.
     BadText {
         /// Whether events are malformed.
         on: bool,
--- a/crates/bench/tests/control.rs
+++ b/crates/bench/tests/control.rs
@@ -167,7 +167,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // What one daemon knows reaches all others within seconds.
+    // The other daemons learn of the change within seconds.
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = support::engines(&fleet)[0].executions_started();
     for number in 0..20 {
--- a/crates/bench/tests/online.rs
+++ b/crates/bench/tests/online.rs
@@ -12,7 +12,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_are_whole_joined_resumed_and_readable_afterwards() {
+async fn answers_are_complete_joined_resumed_and_readable_afterwards() {
     let fleet = fleet(2).await;
     let mut caller = fleet.caller("board").await.expect("connect");
     let first = request("r1", v1::Repeat::Forbidden);
@@ -55,14 +55,14 @@
     let Some(v1::generate_response::Step::Chunk(first)) = first.step else {
         panic!("expected a chunk")
     };
-    // The engine that runs the request crashes; the others continue.
-    let running: Vec<String> = fleet
+    let model_backends: Vec<String> = fleet
         .backends
         .iter()
         .filter(|placed| placed.service == support::MODEL)
         .map(|placed| placed.name.clone())
         .collect();
-    assert_eq!(running.len(), 4);
+    assert_eq!(model_backends.len(), 4);
+    // The engine that runs the request crashes; the others continue.
     let busy = busy_engine(&fleet).await;
     engines(&fleet)[busy].inject(EngineFault::Die).await;
     let mut answer = first.text;
@@ -119,7 +119,7 @@
     let mut caller = fleet.caller("board").await.expect("connect");
     inject(&fleet, EngineFault::Die).await;
     let refusal = generate(&mut caller, request("r1", v1::Repeat::Forbidden)).await;
-    let refusal = refusal.expect_err("a dead engine answered");
+    let refusal = refusal.expect_err("a crashed engine answered");
     assert_eq!(refusal.executed(), v1::Executed::No);
     assert!(!fleet.ledger.counts().contains_key(&format!("board/{TENANT}/r1")));
 }
