--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! Assembles an agent, and stops it in order.
+//! Start-up and graceful shutdown of an agent.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,26 +17,26 @@
 use crate::calls::CallClient;
 use crate::jobs::JobClient;
 use crate::members::Members;
-use crate::port::{CallerPort, Gate};
+use crate::port::{CallerPort, InFlightCalls};
 
-/// Interval at which a stop looks whether anything still runs.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for the last responses to leave.
-const FAREWELL_PAUSE: Duration = Duration::from_millis(50);
+/// How often shutdown checks whether calls are still in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay before the server is aborted, so that the last responses can be flushed.
+const RESPONSE_FLUSH_DELAY: Duration = Duration::from_millis(50);
 
-/// Why an agent could not start.
+/// Error that prevented an agent from starting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentStartError {
     /// A port could not be opened.
     Listen {
-        /// The settings key of the port.
+        /// Settings key of the port, below `listen`.
         port: &'static str,
-        /// Its address.
+        /// Address to bind.
         address: SocketAddr,
         /// The cause.
         cause: String,
     },
-    /// A file could not be read.
+    /// A file could not be read, or a server could not be set up.
     File(String),
 }
 
@@ -59,16 +59,16 @@
     }
 }
 
-/// Open ports of an agent.
+/// Bound listeners of an agent.
 pub struct AgentListeners {
-    /// Callers.
+    /// gRPC port for callers.
     pub rpc: TcpListener,
-    /// Metrics and health.
+    /// HTTP port for metrics and health checks.
     pub metrics: TcpListener,
 }
 
 impl AgentListeners {
-    /// Opens the ports that the settings name.
+    /// Binds the addresses given in the settings.
     pub async fn open(settings: &Settings) -> Result<Self, AgentStartError> {
         Ok(Self {
             rpc: listen("rpc", settings.listen.rpc).await?,
@@ -87,7 +87,7 @@
 
 /// A running agent.
 pub struct Agent {
-    gate: Arc<Gate>,
+    in_flight: Arc<InFlightCalls>,
     health: Arc<HealthState>,
     members: Members,
     server: JoinHandle<()>,
@@ -95,7 +95,7 @@
 }
 
 impl Agent {
-    /// Starts an agent on open ports.
+    /// Starts an agent on bound listeners.
     pub async fn start(
         settings: &Settings,
         listeners: AgentListeners,
@@ -115,7 +115,7 @@
         MetricsServer::start(listeners.metrics, health.clone()).map_err(io_error)?;
         let peers = PeerClient::new(NodeName::new(&settings.node.name), secret.trim().to_owned());
         let members = Members::start(peers.clone(), settings.fleet.seeds.clone(), health.clone());
-        let gate = Arc::new(Gate::default());
+        let in_flight = Arc::new(InFlightCalls::default());
         let port = CallerPort {
             authenticator,
             calls: CallClient { peers: peers.clone(), members: members.clone() },
@@ -124,7 +124,7 @@
                 members: members.clone(),
                 data_nodes: settings.fleet.data_nodes.iter().map(NodeName::new).collect(),
             },
-            gate: gate.clone(),
+            in_flight: in_flight.clone(),
         };
         let serving = tonic::transport::Server::builder()
             .add_service(CallerServer::new(port))
@@ -133,31 +133,31 @@
             let _ = serving.await;
         });
         Event::new(Level::Info, "start").peer(rpc_address).write("agent started");
-        Ok(Self { gate, health, members, server, rpc_address })
+        Ok(Self { in_flight, health, members, server, rpc_address })
     }
 
-    /// Address for callers.
+    /// Bound address of the gRPC port for callers.
     pub fn rpc_address(&self) -> SocketAddr {
         self.rpc_address
     }
 
-    /// Daemons known.
+    /// Number of daemons in the current member list.
     pub fn member_count(&self) -> usize {
         self.members.load().len()
     }
 
-    /// Stops as planned: takes nothing new and finishes what runs. Returns whether everything was
-    /// finished.
+    /// Shuts down gracefully: rejects new calls and waits up to `drain` for calls in flight.
+    /// Returns whether all of them finished.
     pub async fn stop(self, drain: Duration) -> bool {
         self.health.set_ready(false);
-        self.gate.close();
-        let begun = Instant::now();
-        while self.gate.inside() > 0 && begun.elapsed() < drain {
-            tokio::time::sleep(DRAIN_INTERVAL).await;
+        self.in_flight.close();
+        let started_at = Instant::now();
+        while self.in_flight.count() > 0 && started_at.elapsed() < drain {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        let clean = self.gate.inside() == 0;
-        tokio::time::sleep(FAREWELL_PAUSE).await;
+        let drained = self.in_flight.count() == 0;
+        tokio::time::sleep(RESPONSE_FLUSH_DELAY).await;
         self.server.abort();
-        clean
+        drained
     }
 }
--- a/crates/agent/src/calls.rs
+++ b/crates/agent/src/calls.rs
@@ -1,4 +1,5 @@
-//! Online calls: submission to the home daemon, and recovery when it is lost.
+//! Online calls: submission to the home daemon, which keeps the record of the request, and
+//! failover when that daemon is lost.
 
 use std::time::{Duration, Instant};
 
@@ -10,73 +11,73 @@
 
 use crate::members::Members;
 
-/// Daemons that are tried for one call.
-const MAX_TRIES: usize = 4;
-/// Time that a daemon has, beyond the call's deadline, to tell the end.
+/// Maximum number of daemons tried for one call.
+const MAX_ATTEMPTS: usize = 4;
+/// Additional time after the call's deadline for a daemon to report the outcome.
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
-/// Pause before the next daemon is tried after one was lost in the middle of a call.
-const LOST_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next daemon is tried after the connection to one was lost during a call.
+const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What a caller is told of a call, in order; the end comes last.
+/// An event of a call as sent to its caller, in order. `Ended` is the last one.
 #[derive(Clone, Debug)]
 pub enum CallStep {
-    /// A piece of the answer.
+    /// Part of the answer.
     Chunk {
         /// Position of the first byte within the whole answer.
         offset: u64,
         /// The bytes.
         text: Vec<u8>,
     },
-    /// The end.
+    /// The call has ended.
     Ended {
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
-        /// Bytes of the whole answer.
+        /// Length of the whole answer, in bytes.
         length: u64,
-        /// Tokens of the whole answer.
+        /// Number of tokens in the whole answer.
         tokens: u32,
     },
 }
 
-/// Sees calls through.
+/// Runs online calls against the daemons, with failover.
 #[derive(Clone, Debug)]
 pub struct CallClient {
     /// Connections to daemons.
     pub peers: PeerClient,
-    /// The fleet.
+    /// Current members of the fleet.
     pub members: Members,
 }
 
-/// How far one call has come.
-struct Progress {
+/// Part of the answer already delivered to the caller.
+struct CallProgress {
     delivered: u64,
     tokens: u32,
     steps: mpsc::UnboundedSender<CallStep>,
 }
 
-/// How one try ended.
-enum Try {
+/// Result of an attempt at one daemon.
+enum Attempt {
     Ended(Outcome),
-    /// The daemon was lost; whether the call can have reached it.
+    /// The connection to the daemon failed; the error tells whether the call may have reached it.
     Lost(PeerError),
-    /// The caller is gone.
-    Abandoned,
+    /// The caller no longer receives events.
+    CallerGone,
 }
 
 impl CallClient {
-    /// Runs a call from an offset on and sends its steps.
+    /// Runs a call and sends its events, with the answer starting at byte `offset`.
     pub async fn run(
         &self,
         mut call: OnlineCall,
         offset: u64,
         steps: mpsc::UnboundedSender<CallStep>,
     ) {
-        let begun = Instant::now();
-        let whole = Duration::from_millis(call.header.deadline_ms);
-        let mut progress = Progress { delivered: offset, tokens: 0, steps };
+        let started_at = Instant::now();
+        let deadline = Duration::from_millis(call.header.deadline_ms);
+        let mut progress = CallProgress { delivered: offset, tokens: 0, steps };
         let resend = call.header.resend;
-        let running = self.run_tries(&mut call, begun, whole, &mut progress);
-        let outcome = match tokio::time::timeout(whole + DEADLINE_GRACE, running).await {
+        let running = self.run_attempts(&mut call, started_at, deadline, &mut progress);
+        let outcome = match tokio::time::timeout(deadline + DEADLINE_GRACE, running).await {
             Ok(outcome) => outcome,
             Err(_) => {
                 let detail = "no end was told within the deadline";
@@ -85,42 +86,48 @@
             }
         };
         if let Some(outcome) = outcome {
-            let outcome = if resend { settle_resend(outcome) } else { outcome };
+            let outcome = if resend { adjust_outcome_of_resend(outcome) } else { outcome };
             let (length, tokens) = (progress.delivered, progress.tokens);
             let _ = progress.steps.send(CallStep::Ended { outcome, length, tokens });
         }
     }
 
-    async fn run_tries(
+    async fn run_attempts(
         &self,
         call: &mut OnlineCall,
-        begun: Instant,
-        whole: Duration,
-        progress: &mut Progress,
+        started_at: Instant,
+        deadline: Duration,
+        progress: &mut CallProgress,
     ) -> Option<Outcome> {
         let mut tried: Vec<NodeName> = Vec::new();
-        let mut reached = false;
-        let mut last = None;
-        while tried.len() < MAX_TRIES {
-            let Some(home) = self.next_home(&call.header.request, &tried) else { break };
-            let left = whole.saturating_sub(begun.elapsed());
-            call.header.deadline_ms = left.as_millis() as u64;
+        let mut may_have_run = false;
+        let mut last_error = None;
+        while tried.len() < MAX_ATTEMPTS {
+            let Some(home) = self.next_holder(&call.header.request, &tried) else { break };
+            let remaining = deadline.saturating_sub(started_at.elapsed());
+            call.header.deadline_ms = remaining.as_millis() as u64;
             tried.push(home.clone());
-            let request = next_request(call, progress.delivered, reached);
-            match self.try_at(&home, request, progress).await {
-                Try::Ended(outcome) => return Some(settle(outcome, reached, progress.delivered)),
-                Try::Abandoned => return None,
-                Try::Lost(error) => {
+            let request = next_request(call, progress.delivered, may_have_run);
+            match self.attempt_at(&home, request, progress).await {
+                Attempt::Ended(outcome) => {
+                    return Some(adjust_outcome_after_loss(
+                        outcome,
+                        may_have_run,
+                        progress.delivered,
+                    ))
+                }
+                Attempt::CallerGone => return None,
+                Attempt::Lost(error) => {
                     let id = &call.header.request;
                     Event::new(Level::Warn, "submit call").peer(&home).id(id).write(&error);
-                    reached |= !error.proves_not_sent();
-                    last = Some(error);
-                    tokio::time::sleep(LOST_PAUSE).await;
+                    may_have_run |= !error.proves_not_sent();
+                    last_error = Some(error);
+                    tokio::time::sleep(RETRY_BACKOFF).await;
                 }
             }
         }
-        let detail = last.map_or_else(|| "no daemon is known".to_owned(), |e| e.to_string());
-        let refusal = if reached {
+        let detail = last_error.map_or_else(|| "no daemon is known".to_owned(), |e| e.to_string());
+        let refusal = if may_have_run {
             Refusal::unknown(RefusalReason::Unreachable, detail)
         } else {
             Refusal::not_run(RefusalReason::Unreachable, detail).retry_after(1_000)
@@ -128,65 +135,70 @@
         Some(Outcome::Refused(refusal))
     }
 
-    /// The first holder of the request's record that was not tried yet.
-    fn next_home(&self, request: &RequestId, tried: &[NodeName]) -> Option<NodeName> {
+    /// The first daemon responsible for the request's record that has not been tried yet.
+    fn next_holder(&self, request: &RequestId, tried: &[NodeName]) -> Option<NodeName> {
         let members = self.members.load();
         record_holders(request, &members).into_iter().find(|node| !tried.contains(node))
     }
 
-    async fn try_at(&self, home: &NodeName, request: PeerRequest, progress: &mut Progress) -> Try {
+    async fn attempt_at(
+        &self,
+        home: &NodeName,
+        request: PeerRequest,
+        progress: &mut CallProgress,
+    ) -> Attempt {
         let Some(address) = self.members.address_of(home) else {
-            return Try::Ended(Outcome::Refused(Refusal::not_run(
+            return Attempt::Ended(Outcome::Refused(Refusal::not_run(
                 RefusalReason::Unreachable,
                 format!("{home} has no address"),
             )));
         };
         let mut replies = match self.peers.open(address, request).await {
             Ok(replies) => replies,
-            Err(error) => return Try::Lost(error),
+            Err(error) => return Attempt::Lost(error),
         };
         loop {
             match replies.next().await {
                 Ok(PeerReply::Call(CallEvent::Chunk { offset, text, tokens_total })) => {
                     if !progress.deliver(offset, text, tokens_total) {
-                        return Try::Abandoned;
+                        return Attempt::CallerGone;
                     }
                 }
-                Ok(PeerReply::Call(CallEvent::Ended(outcome))) => return Try::Ended(outcome),
+                Ok(PeerReply::Call(CallEvent::Ended(outcome))) => return Attempt::Ended(outcome),
                 Ok(PeerReply::Refused(refusal)) => {
-                    return Try::Ended(Outcome::Refused(refusal));
+                    return Attempt::Ended(Outcome::Refused(refusal));
                 }
                 Ok(_) => {}
-                Err(error) => return Try::Lost(error),
+                Err(error) => return Attempt::Lost(error),
             }
         }
     }
 
-    /// Waits for the end of an earlier request and sends its steps.
+    /// Follows an earlier request until it ends and sends its events.
     pub async fn attach(
         &self,
         request: RequestId,
         wait_ms: u64,
         steps: mpsc::UnboundedSender<CallStep>,
     ) {
-        let mut progress = Progress { delivered: 0, tokens: 0, steps };
+        let mut progress = CallProgress { delivered: 0, tokens: 0, steps };
         let mut tried: Vec<NodeName> = Vec::new();
         let detail = format!("no daemon that was asked holds a record of {request}");
         let mut outcome = Outcome::Refused(Refusal::unknown(RefusalReason::NotFound, detail));
-        while tried.len() < MAX_TRIES {
-            let Some(holder) = self.next_home(&request, &tried) else { break };
+        while tried.len() < MAX_ATTEMPTS {
+            let Some(holder) = self.next_holder(&request, &tried) else { break };
             tried.push(holder.clone());
             let offset = progress.delivered;
             let attach = PeerRequest::Attach { request: request.clone(), offset, wait_ms };
-            match self.try_at(&holder, attach, &mut progress).await {
-                Try::Ended(Outcome::Refused(refusal))
+            match self.attempt_at(&holder, attach, &mut progress).await {
+                Attempt::Ended(Outcome::Refused(refusal))
                     if refusal.reason == RefusalReason::NotFound => {}
-                Try::Ended(ended) => {
+                Attempt::Ended(ended) => {
                     outcome = ended;
                     break;
                 }
-                Try::Abandoned => return,
-                Try::Lost(error) => {
+                Attempt::CallerGone => return,
+                Attempt::Lost(error) => {
                     let detail = error.to_string();
                     outcome =
                         Outcome::Refused(Refusal::unknown(RefusalReason::Unreachable, detail));
@@ -197,14 +209,15 @@
         let _ = progress.steps.send(CallStep::Ended { outcome, length, tokens });
     }
 
-    /// Cancels a request wherever its record is held. Returns whether it had not ended.
+    /// Cancels a request at the daemons that hold its record. Returns whether it was still running
+    /// and has been cancelled.
     pub async fn cancel(&self, request: RequestId) -> Result<bool, PeerError> {
         let members = self.members.load();
         let mut failure = None;
         for holder in record_holders(&request, &members).into_iter().take(2) {
             let Some(address) = self.members.address_of(&holder) else { continue };
-            let order = PeerRequest::CancelCall { request: request.clone() };
-            match self.peers.call(address, order, Duration::from_secs(2)).await {
+            let cancel = PeerRequest::CancelCall { request: request.clone() };
+            match self.peers.call(address, cancel, Duration::from_secs(2)).await {
                 Ok(PeerReply::Cancelled(true)) => return Ok(true),
                 Ok(_) => {}
                 Err(error) => failure = Some(error),
@@ -214,22 +227,23 @@
     }
 }
 
-/// What the next daemon is asked. Once a daemon that may have run the call was lost, a no-repeat
-/// call is only followed, and so is one of which the caller holds a part: a new execution could
-/// give another answer.
-fn next_request(call: &OnlineCall, delivered: u64, reached: bool) -> PeerRequest {
+/// The request to send to the next daemon. After the loss of a daemon that may have run the call,
+/// the call is attached to and not submitted again if repeating it is forbidden. The same applies
+/// if the caller has part of the answer, since a new execution could produce a different answer.
+fn next_request(call: &OnlineCall, delivered: u64, may_have_run: bool) -> PeerRequest {
     let repeatable = call.header.repeat == RepeatPolicy::Allowed && delivered == 0;
-    if !reached || repeatable {
+    if !may_have_run || repeatable {
         return PeerRequest::Submit { call: call.clone(), offset: delivered };
     }
     let wait_ms = call.header.deadline_ms;
     PeerRequest::Attach { request: call.header.request.clone(), offset: delivered, wait_ms }
 }
 
-/// An end told after an earlier daemon was lost: "not run" then only speaks of the later try.
-fn settle(outcome: Outcome, reached: bool, delivered: u64) -> Outcome {
+/// Adjusts an outcome reported after an earlier daemon was lost: "not run" then applies only to
+/// the later attempt.
+fn adjust_outcome_after_loss(outcome: Outcome, may_have_run: bool, delivered: u64) -> Outcome {
     match outcome {
-        Outcome::Refused(mut refusal) if reached && refusal.executed == Some(false) => {
+        Outcome::Refused(mut refusal) if may_have_run && refusal.executed == Some(false) => {
             refusal.executed = if delivered > 0 { Some(true) } else { None };
             Outcome::Refused(refusal)
         }
@@ -237,8 +251,9 @@
     }
 }
 
-/// An end of a resend: "not run" then only speaks of this call, not of the earlier one.
-fn settle_resend(outcome: Outcome) -> Outcome {
+/// Adjusts the outcome of a resent call: "not run" then applies only to this call and not to the
+/// earlier one.
+fn adjust_outcome_of_resend(outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::Refused(refusal) if refusal.executed == Some(false) => {
             Outcome::Refused(Refusal { executed: None, ..refusal })
@@ -247,15 +262,15 @@
     }
 }
 
-impl Progress {
-    /// Passes on the part of a piece that was not delivered yet. Returns `false` when the caller
-    /// is gone.
+impl CallProgress {
+    /// Sends the part of a chunk that has not been delivered yet. Returns `false` when the caller
+    /// no longer receives events.
     fn deliver(&mut self, offset: u64, mut text: Vec<u8>, tokens_total: u32) -> bool {
-        let known = self.delivered.saturating_sub(offset) as usize;
-        if offset > self.delivered || known >= text.len() {
+        let already_delivered = self.delivered.saturating_sub(offset) as usize;
+        if offset > self.delivered || already_delivered >= text.len() {
             return true;
         }
-        text.drain(..known);
+        text.drain(..already_delivered);
         let start = self.delivered;
         self.delivered += text.len() as u64;
         self.tokens = tokens_total;
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -16,30 +16,31 @@
 
 use crate::members::Members;
 
-/// Bytes of items sent to the store at once.
+/// Size at which a batch of items is sent to the job store.
 const UPLOAD_BATCH_BYTES: usize = 1024 * 1024;
-/// Items sent to the store at once.
+/// Number of items at which a batch is sent to the job store.
 const UPLOAD_BATCH_ITEMS: usize = 2_000;
-/// Time within which the store must answer.
+/// Timeout of a call to a job store.
 const STORE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause before a follower asks for results again.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(200);
-/// Tries of a read while the store is out of reach, and the pause between them.
-const READ_TRIES: u32 = 20;
-const READ_PAUSE: Duration = Duration::from_millis(500);
+/// Interval at which new results are polled when the caller follows a job.
+const FOLLOW_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of retries of a read while the job store is unavailable.
+const MAX_READ_RETRIES: u32 = 20;
+/// Interval between these retries.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Calls the job stores.
+/// Client of the job stores, which run on the data daemons.
 #[derive(Clone, Debug)]
 pub struct JobClient {
     /// Connections to daemons.
     pub peers: PeerClient,
-    /// The fleet.
+    /// Current members of the fleet.
     pub members: Members,
-    /// Names of the data daemons.
+    /// Names of the daemons with a data folder.
     pub data_nodes: Vec<NodeName>,
 }
 
-/// A job's identity from a schema reference.
+/// Validates a protobuf job reference and converts it to a job id.
 pub fn job_id(partner: PartnerName, reference: &v1::JobRef) -> Result<JobId, Status> {
     check_name("tenant", &reference.tenant).map_err(Status::invalid_argument)?;
     check_name("job_key", &reference.job_key).map_err(Status::invalid_argument)?;
@@ -66,14 +67,14 @@
         job,
         service: ServiceName::new(&header.service),
         priority: header.priority,
-        repeat: convert::repeat_from(header.repeat),
+        repeat: convert::repeat_policy_from_proto(header.repeat),
         deadline_ms: header.deadline_ms,
         max_tokens: header.max_tokens,
     })
 }
 
 impl JobClient {
-    fn store_of(&self, job: &JobId) -> Result<SocketAddr, Status> {
+    fn store_address(&self, job: &JobId) -> Result<SocketAddr, Status> {
         let Some(node) = job_home(job, &self.data_nodes) else {
             return Err(Status::failed_precondition("fleet.data_nodes: no data daemon is set"));
         };
@@ -83,16 +84,16 @@
     }
 
     async fn call(&self, job: &JobId, request: PeerRequest) -> Result<PeerReply, Status> {
-        let store = self.store_of(job)?;
+        let store = self.store_address(job)?;
         match self.peers.call(store, request, STORE_TIMEOUT).await {
-            Ok(PeerReply::Refused(refusal)) => Err(convert::status_from(&refusal)),
+            Ok(PeerReply::Refused(refusal)) => Err(convert::status_from_refusal(&refusal)),
             Ok(reply) => Ok(reply),
             Err(error) => Err(Status::unavailable(error.to_string())),
         }
     }
 
-    /// Uploads a job and has it accepted. After a lost answer the caller submits it again under
-    /// the same key and joins it.
+    /// Uploads a job and commits it. If the answer is lost, the caller can submit the job again
+    /// under the same key and joins the existing job.
     pub async fn submit(
         &self,
         partner: PartnerName,
@@ -105,13 +106,13 @@
         let header = job_header(partner, header)?;
         let job = header.job.clone();
         let opened = self.call(&job, PeerRequest::OpenJob(header)).await?;
-        let PeerReply::UploadOpened(upload) = opened else { return Err(unexpected()) };
+        let PeerReply::UploadOpened(upload) = opened else { return Err(unexpected_reply()) };
         self.upload_items(&job, upload, &mut parts).await?;
         match self.call(&job, PeerRequest::CommitJob { upload }).await? {
             PeerReply::JobAccepted { accepted, joined } => {
                 Ok(v1::SubmitJobResponse { accepted, joined })
             }
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 
@@ -133,38 +134,43 @@
             bytes += item.body.len();
             bodies.push(item.body);
             if bytes >= UPLOAD_BATCH_BYTES || bodies.len() >= UPLOAD_BATCH_ITEMS {
-                self.append(job, upload, std::mem::take(&mut bodies)).await?;
+                self.append_items(job, upload, std::mem::take(&mut bodies)).await?;
                 bytes = 0;
             }
         }
         if !bodies.is_empty() {
-            self.append(job, upload, bodies).await?;
+            self.append_items(job, upload, bodies).await?;
         }
         Ok(())
     }
 
-    async fn append(&self, job: &JobId, upload: u64, bodies: Vec<Vec<u8>>) -> Result<(), Status> {
+    async fn append_items(
+        &self,
+        job: &JobId,
+        upload: u64,
+        bodies: Vec<Vec<u8>>,
+    ) -> Result<(), Status> {
         self.call(job, PeerRequest::AppendItems { upload, bodies }).await.map(|_| ())
     }
 
     /// Progress of a job.
     pub async fn progress(&self, job: JobId) -> Result<v1::JobStatus, Status> {
         match self.call(&job.clone(), PeerRequest::GetJob(job)).await? {
-            PeerReply::Job(progress) => Ok(convert::progress_to(&progress)),
-            _ => Err(unexpected()),
+            PeerReply::Job(progress) => Ok(convert::progress_to_proto(&progress)),
+            _ => Err(unexpected_reply()),
         }
     }
 
     /// Cancels a job.
     pub async fn cancel(&self, job: JobId) -> Result<v1::JobStatus, Status> {
         match self.call(&job.clone(), PeerRequest::CancelJob(job)).await? {
-            PeerReply::Job(progress) => Ok(convert::progress_to(&progress)),
-            _ => Err(unexpected()),
+            PeerReply::Job(progress) => Ok(convert::progress_to_proto(&progress)),
+            _ => Err(unexpected_reply()),
         }
     }
 
-    /// Sends the results of a job in order of index. A follower gets every item; otherwise only
-    /// those that have ended are sent.
+    /// Sends the results of a job in order of index. With `follow`, it waits for every item;
+    /// otherwise only the items that have already ended are sent.
     pub async fn results(
         &self,
         job: JobId,
@@ -174,7 +180,7 @@
     ) {
         let mut next = from_index;
         loop {
-            let (page, items, last_page) = match self.page(&job, next).await {
+            let (page, items, last_page) = match self.fetch_page(&job, next).await {
                 Ok(page) => page,
                 Err(status) => {
                     let _ = results.send(Err(status)).await;
@@ -186,7 +192,7 @@
                     break;
                 }
                 next = result.index + 1;
-                if results.send(Ok(result_to(result))).await.is_err() {
+                if results.send(Ok(result_to_proto(result))).await.is_err() {
                     return;
                 }
             }
@@ -194,7 +200,7 @@
                 return;
             }
             if last_page {
-                tokio::time::sleep(FOLLOW_PAUSE).await;
+                tokio::time::sleep(FOLLOW_POLL_INTERVAL).await;
             }
             if results.is_closed() {
                 return;
@@ -202,22 +208,24 @@
         }
     }
 
-    async fn page(
+    async fn fetch_page(
         &self,
         job: &JobId,
         from_index: u32,
     ) -> Result<(Vec<ItemResult>, u32, bool), Status> {
-        let mut tries = 0;
+        let mut retries = 0;
         loop {
             let request = PeerRequest::ListResults { job: job.clone(), from_index };
             match self.call(job, request).await {
                 Ok(PeerReply::Results { results, items, last_page }) => {
                     return Ok((results, items, last_page));
                 }
-                Ok(_) => return Err(unexpected()),
-                Err(status) if status.code() == tonic::Code::Unavailable && tries < READ_TRIES => {
-                    tries += 1;
-                    tokio::time::sleep(READ_PAUSE).await;
+                Ok(_) => return Err(unexpected_reply()),
+                Err(status)
+                    if status.code() == tonic::Code::Unavailable && retries < MAX_READ_RETRIES =>
+                {
+                    retries += 1;
+                    tokio::time::sleep(READ_RETRY_INTERVAL).await;
                 }
                 Err(status) => return Err(status),
             }
@@ -240,15 +248,15 @@
     Ok(())
 }
 
-fn result_to(result: ItemResult) -> v1::JobResult {
+fn result_to_proto(result: ItemResult) -> v1::JobResult {
     v1::JobResult {
         index: result.index,
-        outcome: convert::outcome_to(result.outcome) as i32,
+        outcome: convert::outcome_to_proto(result.outcome) as i32,
         attempt: result.attempt,
         body: result.body,
     }
 }
 
-fn unexpected() -> Status {
+fn unexpected_reply() -> Status {
     Status::internal("the data daemon sent an unexpected reply")
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,5 +1,5 @@
-//! The process beside each caller: it authenticates calls, finds the daemons that serve them, and
-//! sees each answer through to its end.
+//! The agent, a local proxy that runs next to each caller. It authenticates calls, selects the
+//! daemons that serve them, and fails over to another daemon when one is lost.
 
 mod agent;
 mod calls;
--- a/crates/agent/src/members.rs
+++ b/crates/agent/src/members.rs
@@ -1,4 +1,4 @@
-//! The daemons of the fleet, learnt from any one of them.
+//! Discovery of the fleet's daemons: the member list is polled from any one of them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,21 +9,21 @@
 use yokefall_telemetry::{Event, HealthState, Level};
 use yokefall_types::NodeName;
 
-/// Interval at which the members are asked for.
+/// Interval at which the member list is refreshed.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval while no daemon has answered yet.
-const FIRST_INTERVAL: Duration = Duration::from_millis(50);
-/// Time within which a daemon must answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before another daemon is asked after one failed or had no members to report.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a request for the member list.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The members known last.
+/// The last member list received, shared between clones.
 #[derive(Clone, Debug)]
 pub struct Members {
     current: Arc<ArcSwap<Vec<MemberInfo>>>,
 }
 
 impl Members {
-    /// Starts to follow the fleet, from its seeds on.
+    /// Starts refreshing the member list, initially from the seed addresses.
     pub fn start(peers: PeerClient, seeds: Vec<SocketAddr>, health: Arc<HealthState>) -> Self {
         let current = Arc::new(ArcSwap::from_pointee(Vec::new()));
         let members = Self { current };
@@ -31,7 +31,7 @@
         members
     }
 
-    /// The members known now.
+    /// The current member list.
     pub fn load(&self) -> Arc<Vec<MemberInfo>> {
         self.current.load_full()
     }
@@ -42,38 +42,38 @@
     }
 
     async fn refresh(self, peers: PeerClient, seeds: Vec<SocketAddr>, health: Arc<HealthState>) {
-        let mut turn = 0;
-        let mut held = 0;
+        let mut round = 0;
+        let mut held_digest = 0;
         loop {
             let known = self.load();
             let mut candidates: Vec<SocketAddr> =
                 known.iter().filter_map(|member| member.address.parse().ok()).collect();
             candidates.extend(&seeds);
-            let peer = candidates[turn % candidates.len()];
-            turn += 1;
-            let request = PeerRequest::Members { known: held };
-            match peers.call(peer, request, ANSWER_TIMEOUT).await {
+            let peer = candidates[round % candidates.len()];
+            round += 1;
+            let request = PeerRequest::Members { known: held_digest };
+            match peers.call(peer, request, REPLY_TIMEOUT).await {
                 Ok(PeerReply::Members { digest, members })
-                    if digest == held || is_filled(&members) =>
+                    if digest == held_digest || is_nonempty(&members) =>
                 {
                     if let Some(members) = members {
                         self.current.store(Arc::new(members));
-                        held = digest;
+                        held_digest = digest;
                     }
                     health.set_ready(true);
                     tokio::time::sleep(REFRESH_INTERVAL).await;
                 }
-                Ok(_) => tokio::time::sleep(FIRST_INTERVAL).await,
+                Ok(_) => tokio::time::sleep(RETRY_INTERVAL).await,
                 Err(error) => {
                     Event::new(Level::Warn, "refresh members").peer(peer).write(error);
-                    tokio::time::sleep(FIRST_INTERVAL).await;
+                    tokio::time::sleep(RETRY_INTERVAL).await;
                 }
             }
         }
     }
 }
 
-/// A daemon that has just started may know no member yet.
-fn is_filled(members: &Option<Vec<MemberInfo>>) -> bool {
+/// Whether a reply lists at least one member. A daemon that has just started may not know any yet.
+fn is_nonempty(members: &Option<Vec<MemberInfo>>) -> bool {
     members.as_ref().is_some_and(|members| !members.is_empty())
 }
--- a/crates/agent/src/port.rs
+++ b/crates/agent/src/port.rs
@@ -1,4 +1,4 @@
-//! The callers' gRPC port.
+//! The gRPC service for callers.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -21,57 +21,57 @@
 use crate::calls::{CallClient, CallStep};
 use crate::jobs::{job_id, JobClient};
 
-/// Results of a job that wait for a slow caller.
-const RESULT_QUEUE: usize = 256;
+/// Maximum number of job results buffered for a slow caller.
+const MAX_QUEUED_RESULTS: usize = 256;
 
-/// Serves callers.
+/// Implementation of the gRPC service for callers.
 pub struct CallerPort {
-    /// Who a call comes from.
+    /// Identifies callers by their API keys.
     pub authenticator: Authenticator,
-    /// Online calls.
+    /// Client for online calls.
     pub calls: CallClient,
-    /// Jobs.
+    /// Client for batch jobs.
     pub jobs: JobClient,
-    /// Calls that run, and whether new ones are taken.
-    pub gate: Arc<Gate>,
+    /// Counts calls in flight and rejects new ones during shutdown.
+    pub in_flight: Arc<InFlightCalls>,
 }
 
-/// Counts calls, and closes before a stop.
+/// Counts the calls in flight and can be closed to new ones before shutdown.
 #[derive(Debug, Default)]
-pub struct Gate {
-    open: AtomicUsize,
+pub struct InFlightCalls {
+    count: AtomicUsize,
     closed: AtomicBool,
 }
 
-/// One call inside the gate.
-pub struct Pass {
-    gate: Arc<Gate>,
+/// Counts one call as in flight until dropped.
+pub struct InFlightGuard {
+    in_flight: Arc<InFlightCalls>,
 }
 
-impl Gate {
-    fn enter(self: &Arc<Self>) -> Result<Pass, Status> {
-        self.open.fetch_add(1, Ordering::SeqCst);
-        let pass = Pass { gate: self.clone() };
+impl InFlightCalls {
+    fn begin(self: &Arc<Self>) -> Result<InFlightGuard, Status> {
+        self.count.fetch_add(1, Ordering::SeqCst);
+        let guard = InFlightGuard { in_flight: self.clone() };
         if self.closed.load(Ordering::SeqCst) {
             return Err(Status::unavailable("this agent is stopping; nothing was run"));
         }
-        Ok(pass)
+        Ok(guard)
     }
 
-    /// Lets nobody in any more.
+    /// Rejects all further calls.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Calls inside.
-    pub fn inside(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+    /// Number of calls in flight.
+    pub fn count(&self) -> usize {
+        self.count.load(Ordering::SeqCst)
     }
 }
 
-impl Drop for Pass {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.gate.open.fetch_sub(1, Ordering::SeqCst);
+        self.in_flight.count.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -82,7 +82,7 @@
         Ok(self.authenticator.check(request.metadata(), Role::Caller)?.partner)
     }
 
-    /// Starts a call and returns its steps.
+    /// Starts a call and returns its events.
     fn start(&self, call: OnlineCall, offset: u64) -> mpsc::UnboundedReceiver<CallStep> {
         let (steps, receiver) = mpsc::unbounded_channel();
         let client = self.calls.clone();
@@ -120,8 +120,8 @@
     Ok(CallHeader {
         request,
         service: ServiceName::new(&header.service),
-        priority: convert::priority_from(header.priority),
-        repeat: convert::repeat_from(header.repeat),
+        priority: convert::priority_from_proto(header.priority),
+        repeat: convert::repeat_policy_from_proto(header.repeat),
         resend: header.resend,
         deadline_ms: header.deadline_ms,
         max_tokens,
@@ -135,7 +135,7 @@
     Err(invalid(format!("{field}: {bytes} bytes, the limit is {MAX_PROMPT_BYTES}")))
 }
 
-fn step_to(step: CallStep) -> v1::GenerateResponse {
+fn response_from_step(step: CallStep) -> v1::GenerateResponse {
     use v1::generate_response::Step;
     let step = match step {
         CallStep::Chunk { offset, text } => Step::Chunk(v1::Chunk { offset, text }),
@@ -143,13 +143,13 @@
             Step::Completed(v1::Completed { length, tokens })
         }
         CallStep::Ended { outcome: Outcome::Refused(refusal), .. } => {
-            Step::Refusal(convert::refusal_to(&refusal))
+            Step::Refusal(convert::refusal_to_proto(&refusal))
         }
     };
     v1::GenerateResponse { step: Some(step) }
 }
 
-/// Collects the steps of a call into one response.
+/// Collects the events of a call into one response.
 async fn collect(mut steps: mpsc::UnboundedReceiver<CallStep>) -> v1::CallResponse {
     use v1::call_response::Outcome as Response;
     let mut body = Vec::new();
@@ -160,13 +160,13 @@
                 return v1::CallResponse { outcome: Some(Response::Body(body)) };
             }
             CallStep::Ended { outcome: Outcome::Refused(refusal), .. } => {
-                let refusal = convert::refusal_to(&refusal);
+                let refusal = convert::refusal_to_proto(&refusal);
                 return v1::CallResponse { outcome: Some(Response::Refusal(refusal)) };
             }
         }
     }
     let refusal = Refusal::unknown(RefusalReason::Unreachable, "the call was abandoned");
-    v1::CallResponse { outcome: Some(Response::Refusal(convert::refusal_to(&refusal))) }
+    v1::CallResponse { outcome: Some(Response::Refusal(convert::refusal_to_proto(&refusal))) }
 }
 
 #[tonic::async_trait]
@@ -178,7 +178,7 @@
         &self,
         request: Request<v1::GenerateRequest>,
     ) -> Result<Response<Self::GenerateStream>, Status> {
-        let pass = self.gate.enter()?;
+        let guard = self.in_flight.begin()?;
         let partner = self.partner(&request)?;
         let request = request.into_inner();
         check_body("prompt", request.prompt.len())?;
@@ -189,10 +189,10 @@
         let header = call_header(partner, request.header, request.max_tokens)?;
         let call = OnlineCall { header, body: request.prompt.into_bytes() };
         let steps = UnboundedReceiverStream::new(self.start(call, request.offset));
-        // The pass lives as long as the stream.
+        // The call is in flight until the stream is dropped.
         let responses = steps.map(move |step| {
-            let _ = &pass;
-            Ok(step_to(step))
+            let _ = &guard;
+            Ok(response_from_step(step))
         });
         Ok(Response::new(Box::pin(responses)))
     }
@@ -201,7 +201,7 @@
         &self,
         request: Request<v1::CallRequest>,
     ) -> Result<Response<v1::CallResponse>, Status> {
-        let _pass = self.gate.enter()?;
+        let _guard = self.in_flight.begin()?;
         let partner = self.partner(&request)?;
         let request = request.into_inner();
         check_body("body", request.body.len())?;
@@ -214,7 +214,7 @@
         &self,
         request: Request<v1::GetResultRequest>,
     ) -> Result<Response<v1::CallResponse>, Status> {
-        let _pass = self.gate.enter()?;
+        let _guard = self.in_flight.begin()?;
         let partner = self.partner(&request)?;
         let request = request.into_inner();
         check_deadline(request.deadline_ms)?;
@@ -229,7 +229,7 @@
         &self,
         request: Request<v1::CancelRequest>,
     ) -> Result<Response<v1::CancelResponse>, Status> {
-        let _pass = self.gate.enter()?;
+        let _guard = self.in_flight.begin()?;
         let partner = self.partner(&request)?;
         let request = request.into_inner();
         let id = request_id(partner, &request.tenant, &request.request_id)?;
@@ -242,7 +242,7 @@
         &self,
         request: Request<Streaming<v1::SubmitJobRequest>>,
     ) -> Result<Response<v1::SubmitJobResponse>, Status> {
-        let _pass = self.gate.enter()?;
+        let _guard = self.in_flight.begin()?;
         let partner = self.partner(&request)?;
         self.jobs.submit(partner, request.into_inner()).await.map(Response::new)
     }
@@ -251,7 +251,7 @@
         &self,
         request: Request<v1::JobRef>,
     ) -> Result<Response<v1::JobStatus>, Status> {
-        let _pass = self.gate.enter()?;
+        let _guard = self.in_flight.begin()?;
         let job = job_id(self.partner(&request)?, request.get_ref())?;
         self.jobs.progress(job).await.map(Response::new)
     }
@@ -260,15 +260,15 @@
         &self,
         request: Request<v1::ListResultsRequest>,
     ) -> Result<Response<Self::ListResultsStream>, Status> {
-        let pass = self.gate.enter()?;
+        let guard = self.in_flight.begin()?;
         let partner = self.partner(&request)?;
         let request = request.into_inner();
         let reference = request.job.ok_or_else(|| invalid("job: missing".to_owned()))?;
         let job = job_id(partner, &reference)?;
-        let (sender, results) = mpsc::channel(RESULT_QUEUE);
+        let (sender, results) = mpsc::channel(MAX_QUEUED_RESULTS);
         let client = self.jobs.clone();
         tokio::spawn(async move {
-            let _pass = pass;
+            let _guard = guard;
             client.results(job, request.from_index, request.follow, sender).await;
         });
         Ok(Response::new(Box::pin(ReceiverStream::new(results))))
@@ -278,7 +278,7 @@
         &self,
         request: Request<v1::JobRef>,
     ) -> Result<Response<v1::JobStatus>, Status> {
-        let _pass = self.gate.enter()?;
+        let _guard = self.in_flight.begin()?;
         let job = job_id(self.partner(&request)?, request.get_ref())?;
         self.jobs.cancel(job).await.map(Response::new)
     }
--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client: pooled connections to every back end.
+//! HTTP client of the back ends, with pooled connections.
 
 use std::time::Duration;
 
@@ -19,42 +19,42 @@
     REQUEST_ID_HEADER,
 };
 
-/// Time within which a connection must be open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time within which a cancellation must be answered.
+/// Timeout of a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most of a refusal's body that is read for its cause, in bytes.
-const CAUSE_BYTES: usize = 4096;
+/// Maximum size of an error response that is read for its cause.
+const MAX_CAUSE_BYTES: usize = 4096;
 
 /// Calls model engines and plain services.
 #[derive(Clone, Debug)]
 pub struct BackendClient {
     http: Client<HttpConnector, Full<Bytes>>,
-    stall: Duration,
+    stall_timeout: Duration,
 }
 
 impl BackendClient {
-    /// A client that gives up on a back end that sends nothing for `stall`.
-    pub fn new(stall: Duration) -> Self {
+    /// Creates a client whose requests fail if a back end sends nothing for `stall_timeout`.
+    pub fn new(stall_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // A request that was written to a dying connection may have run: only the caller of this
-        // client can tell whether it may be sent again.
+        // A request written to a connection that is being closed may have been executed, and only
+        // the user of this client knows whether it may be repeated. hyper must not retry it.
         let http = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .pool_idle_timeout(Duration::from_secs(20))
             .build(connector);
-        Self { http, stall }
+        Self { http, stall_timeout }
     }
 
-    /// Starts a completion at an engine.
+    /// Starts a streamed completion at an engine.
     pub async fn complete(
         &self,
         address: &str,
-        order: &CompletionOrder,
+        completion: &CompletionOrder,
     ) -> Result<CompletionStream, BackendError> {
-        let body = serde_json::to_vec(order)
+        let body = serde_json::to_vec(completion)
             .map_err(|error| BackendError::new(BackendStep::Connect, address, error))?;
         let request = Request::builder()
             .method(Method::POST)
@@ -62,10 +62,10 @@
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body)));
         let response = self.send(address, request).await?;
-        Ok(CompletionStream::new(address, response.into_body(), self.stall))
+        Ok(CompletionStream::new(address, response.into_body(), self.stall_timeout))
     }
 
-    /// Cancels a request at an engine. Returns whether the engine knew it.
+    /// Cancels a request at an engine. Returns `false` if the engine does not know the request.
     pub async fn cancel(&self, address: &str, request_id: &str) -> Result<bool, BackendError> {
         let path = utf8_percent_encode(request_id, NON_ALPHANUMERIC);
         let request = Request::builder()
@@ -77,11 +77,15 @@
             Ok(Ok(_)) => Ok(true),
             Ok(Err(error)) if error.step == BackendStep::Status(404) => Ok(false),
             Ok(Err(error)) => Err(error),
-            Err(_) => Err(BackendError::new(BackendStep::Stalled, address, "no answer to cancel")),
+            Err(_) => Err(BackendError::new(
+                BackendStep::Stalled,
+                address,
+                "no response within the cancellation timeout",
+            )),
         }
     }
 
-    /// Calls a plain service and reads its whole answer.
+    /// Calls a plain service and reads its complete answer.
     pub async fn call_plain(
         &self,
         address: &str,
@@ -97,10 +101,14 @@
             .body(Full::new(body));
         let response = self.send(address, request).await?;
         let limited = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
-        match tokio::time::timeout(self.stall, limited.collect()).await {
+        match tokio::time::timeout(self.stall_timeout, limited.collect()).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes().to_vec()),
             Ok(Err(error)) => Err(BackendError::new(BackendStep::Cut, address, error)),
-            Err(_) => Err(BackendError::new(BackendStep::Stalled, address, "no answer")),
+            Err(_) => Err(BackendError::new(
+                BackendStep::Stalled,
+                address,
+                "response body incomplete at the stall timeout",
+            )),
         }
     }
 
@@ -111,7 +119,7 @@
     ) -> Result<Response<Incoming>, BackendError> {
         let request =
             request.map_err(|error| BackendError::new(BackendStep::Connect, address, error))?;
-        let sending = tokio::time::timeout(self.stall, self.http.request(request));
+        let sending = tokio::time::timeout(self.stall_timeout, self.http.request(request));
         let response = match sending.await {
             Ok(Ok(response)) => response,
             Ok(Err(error)) => {
@@ -120,14 +128,18 @@
                 return Err(BackendError::new(step, address, error));
             }
             Err(_) => {
-                return Err(BackendError::new(BackendStep::Stalled, address, "no status"));
+                return Err(BackendError::new(
+                    BackendStep::Stalled,
+                    address,
+                    "no response headers within the stall timeout",
+                ));
             }
         };
         let status = response.status();
         if status.is_success() {
             return Ok(response);
         }
-        let cause = Limited::new(response.into_body(), CAUSE_BYTES).collect().await;
+        let cause = Limited::new(response.into_body(), MAX_CAUSE_BYTES).collect().await;
         let cause = cause.map(|body| body.to_bytes()).unwrap_or_default();
         let cause = String::from_utf8_lossy(&cause).into_owned();
         Err(BackendError::new(BackendStep::Status(status.as_u16()), address, cause))
--- a/crates/backend/src/completion.rs
+++ b/crates/backend/src/completion.rs
@@ -1,4 +1,4 @@
-//! The stream of a completion: server-sent events, one JSON chunk each.
+//! The response stream of a completion: server-sent events with one JSON chunk each.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -17,35 +17,36 @@
     >,
 >;
 
-/// One step of a completion.
+/// An event of a completion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CompletionEvent {
     /// Generated text.
     Text {
         /// The text.
         text: String,
-        /// Tokens in it.
+        /// Number of tokens in the text.
         tokens: u32,
     },
-    /// The whole answer was sent.
+    /// The answer is complete.
     Finished,
 }
 
-/// A running completion. Dropping it closes the connection; the engine is told by `cancel`.
+/// A running completion. Dropping it closes the connection but does not stop the engine; use
+/// [`BackendClient::cancel`](crate::BackendClient::cancel) for that.
 pub struct CompletionStream {
     peer: String,
     events: Events,
-    stall: Duration,
+    stall_timeout: Duration,
     finish_seen: bool,
 }
 
 impl CompletionStream {
-    pub(crate) fn new(peer: &str, body: Incoming, stall: Duration) -> Self {
+    pub(crate) fn new(peer: &str, body: Incoming, stall_timeout: Duration) -> Self {
         let events = Box::pin(BodyDataStream::new(body).eventsource());
-        Self { peer: peer.to_owned(), events, stall, finish_seen: false }
+        Self { peer: peer.to_owned(), events, stall_timeout, finish_seen: false }
     }
 
-    /// The next step. A stream that ends without its end mark was cut.
+    /// Returns the next event. A stream that ends without `[DONE]` is an error.
     pub async fn next(&mut self) -> Result<CompletionEvent, BackendError> {
         loop {
             let event = self.next_event().await?;
@@ -53,12 +54,14 @@
                 if self.finish_seen {
                     return Ok(CompletionEvent::Finished);
                 }
-                return Err(self.error(BackendStep::Decode, "end mark before finish_reason"));
+                return Err(
+                    self.error(BackendStep::Decode, "[DONE] received before a finish_reason")
+                );
             }
             let chunk: CompletionChunk = serde_json::from_str(&event.data)
                 .map_err(|error| self.error(BackendStep::Decode, error))?;
             let [choice] = &chunk.choices[..] else {
-                return Err(self.error(BackendStep::Decode, "want exactly one choice"));
+                return Err(self.error(BackendStep::Decode, "expected exactly one choice"));
             };
             self.finish_seen |= choice.finish_reason.is_some();
             if !choice.text.is_empty() {
@@ -69,14 +72,14 @@
     }
 
     async fn next_event(&mut self) -> Result<eventsource_stream::Event, BackendError> {
-        match tokio::time::timeout(self.stall, self.events.next()).await {
+        match tokio::time::timeout(self.stall_timeout, self.events.next()).await {
             Ok(Some(Ok(event))) => Ok(event),
             Ok(Some(Err(EventStreamError::Transport(error)))) => {
                 Err(self.error(BackendStep::Cut, error))
             }
             Ok(Some(Err(error))) => Err(self.error(BackendStep::Decode, error)),
-            Ok(None) => Err(self.error(BackendStep::Cut, "ended without its end mark")),
-            Err(_) => Err(self.error(BackendStep::Stalled, "no event in time")),
+            Ok(None) => Err(self.error(BackendStep::Cut, "stream ended without [DONE]")),
+            Err(_) => Err(self.error(BackendStep::Stalled, "no event within the stall timeout")),
         }
     }
 
--- a/crates/backend/src/error.rs
+++ b/crates/backend/src/error.rs
@@ -1,30 +1,30 @@
-//! Errors of calls to back ends: the step, the peer, and whether anything was sent.
+//! Errors of calls to back ends, with the operation that failed and the address of the back end.
 
 use std::fmt;
 
-/// The step that failed.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendStep {
-    /// Opening the connection: nothing was sent.
+    /// Building the request or opening the connection. Nothing was sent.
     Connect,
-    /// Sending the request, or waiting for the status.
+    /// Sending the request or waiting for the response headers.
     Request,
-    /// The back end answered with a status other than success.
+    /// The back end returned this HTTP status, which is not a success.
     Status(u16),
-    /// Reading the answer: it broke off before its end.
+    /// Reading the answer: the connection closed before its end.
     Cut,
-    /// Reading the answer: nothing came for too long.
+    /// Nothing was received within the stall timeout.
     Stalled,
-    /// Reading the answer: malformed UTF-8, JSON or events.
+    /// Reading the answer: UTF-8, JSON or server-sent events are malformed.
     Decode,
-    /// The answer is above the limit.
+    /// The answer exceeds the size limit.
     TooLarge,
 }
 
 /// A failed call to a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendError {
-    /// The step.
+    /// The operation that failed.
     pub step: BackendStep,
     /// HTTP address of the back end.
     pub peer: String,
@@ -32,29 +32,30 @@
     pub cause: String,
 }
 
-/// Status with which a back end refuses work that it did not begin.
-const STATUS_NOT_BEGUN: [u16; 2] = [429, 503];
+/// Statuses with which a back end rejects a request before it starts to execute it.
+const NOT_STARTED_STATUSES: [u16; 2] = [429, 503];
 
 impl BackendError {
     pub(crate) fn new(step: BackendStep, peer: &str, cause: impl fmt::Display) -> Self {
         Self { step, peer: peer.to_owned(), cause: cause.to_string() }
     }
 
-    /// Whether the back end cannot have begun the work.
+    /// Whether the request is certain not to have been executed.
     pub fn proves_not_run(&self) -> bool {
         match self.step {
             BackendStep::Connect => true,
             BackendStep::Status(status) => {
-                STATUS_NOT_BEGUN.contains(&status) || self.is_rejection()
+                NOT_STARTED_STATUSES.contains(&status) || self.is_rejection()
             }
             _ => false,
         }
     }
 
-    /// Whether the back end refuses this request for what it contains, wherever it is sent.
+    /// Whether the request was rejected for its content, so that any other back end would reject it
+    /// as well.
     pub fn is_rejection(&self) -> bool {
         matches!(self.step, BackendStep::Status(status) if (400..500).contains(&status)
-            && !STATUS_NOT_BEGUN.contains(&status))
+            && !NOT_STARTED_STATUSES.contains(&status))
     }
 }
 
--- a/crates/backend/src/schema.rs
+++ b/crates/backend/src/schema.rs
@@ -1,46 +1,47 @@
-//! JSON shapes of the engines' HTTP calls, shared with the stand-ins.
+//! Paths, headers and JSON types of the back ends' HTTP APIs, shared with the simulated back ends
+//! of the benchmarks.
 
 use serde::{Deserialize, Serialize};
 
-/// Path of completions (OpenAI style).
+/// Path of the OpenAI-style completions API.
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
-/// Path under which running requests are cancelled: `DELETE /v1/requests/ID`.
+/// Path prefix for cancelling a running request: `DELETE /v1/requests/ID`.
 pub const REQUESTS_PATH: &str = "/v1/requests/";
-/// Path of plain services' calls.
+/// Path for calls to a plain service.
 pub const PLAIN_CALL_PATH: &str = "/call";
-/// Header that names the request at a plain service.
+/// Header with the request id, sent to plain services.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header that carries the attempt number at a plain service.
+/// Header with the attempt number, sent to plain services.
 pub const ATTEMPT_HEADER: &str = "x-attempt";
-/// Data of the event that ends a stream.
+/// Data of the event that marks the end of a stream.
 pub const STREAM_END: &str = "[DONE]";
 
-/// Priority of online work at an engine; greater runs first.
+/// Engine priority of online requests; higher values run first.
 pub const ENGINE_PRIORITY_ONLINE: i32 = 10;
-/// Priority of batch work at an engine.
+/// Engine priority of batch items.
 pub const ENGINE_PRIORITY_BATCH: i32 = 0;
 
-/// An order to complete a prompt.
+/// Body of a completion request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionOrder {
-    /// Id of the request, for cancelling and for the engine's own records.
+    /// Id of the request, used for cancellation and in the engine's own records.
     pub request_id: String,
     /// Attempt number.
     #[serde(default)]
     pub attempt: u32,
-    /// Model.
+    /// Name of the model.
     pub model: String,
     /// Prompt.
     pub prompt: String,
-    /// Tokens to generate, those skipped included.
+    /// Maximum number of tokens to generate, including those that are skipped.
     pub max_tokens: u32,
-    /// Tokens of the answer that the caller already has: generated, but not sent again.
+    /// Number of tokens that the caller already has. They are generated but not sent again.
     #[serde(default)]
     pub resume_from_token: u32,
-    /// Greater runs first.
+    /// Scheduling priority; higher values run first.
     #[serde(default)]
     pub priority: i32,
-    /// Whether to stream; always true here.
+    /// Whether to stream the answer; this client always sets it.
     pub stream: bool,
 }
 
@@ -49,16 +50,16 @@
 pub struct CompletionChunk {
     /// Id of the request.
     pub id: String,
-    /// Exactly one choice.
+    /// The choices; exactly one is expected.
     pub choices: Vec<CompletionChoice>,
 }
 
-/// The text of one event.
+/// The generated text in one event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChoice {
     /// Generated text.
     pub text: String,
-    /// Tokens in it.
+    /// Number of tokens in the text.
     #[serde(default)]
     pub tokens: u32,
     /// Why generation ended, in the last event.
--- a/crates/objects/src/error.rs
+++ b/crates/objects/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// The step that failed.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformStep {
     /// Building the client.
@@ -13,7 +13,7 @@
     Watch,
     /// Writing an object.
     Write,
-    /// Reading an object back.
+    /// Reading an object.
     Read,
     /// Reading the machine list.
     Machines,
@@ -24,7 +24,7 @@
 /// A failed call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformError {
-    /// The step.
+    /// The operation that failed.
     pub step: PlatformStep,
     /// URL of the platform's service.
     pub peer: String,
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform: object API and machine list.
+//! Clients of the platform's object API and machine list.
 
 pub mod error;
 pub mod machines;
--- a/crates/objects/src/machines.rs
+++ b/crates/objects/src/machines.rs
@@ -1,4 +1,4 @@
-//! The machine list: HTTP with JSON.
+//! Client of the machine list, a JSON document served over HTTP.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 
 use crate::error::{PlatformError, PlatformStep};
 
-/// Path of the list.
+/// Path of the machine list.
 pub const MACHINES_PATH: &str = "/v1/machines";
-/// Greatest list read, in bytes.
+/// Maximum size of the response.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// Time within which the list must be read.
+/// Timeout for reading the list.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// State of a machine.
@@ -24,31 +24,31 @@
 pub enum MachineState {
     /// In use.
     Live,
-    /// To be taken away: nothing new may be sent to it.
+    /// About to be removed: no new work may be sent to it.
     Leaving,
 }
 
 /// One machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Name.
+    /// Name of the machine.
     pub name: String,
-    /// State.
+    /// State of the machine.
     pub state: MachineState,
     /// Revision of the list at which the state last changed.
     pub revision: u64,
 }
 
-/// The whole list.
+/// The complete machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineListing {
     /// Revision of the list.
     pub revision: u64,
-    /// Machines.
+    /// All machines.
     pub machines: Vec<Machine>,
 }
 
-/// Reads the machine list.
+/// Client of the machine list.
 #[derive(Clone, Debug)]
 pub struct MachineListClient {
     url: String,
@@ -56,19 +56,23 @@
 }
 
 impl MachineListClient {
-    /// A client of the machine list at `url`.
+    /// Creates a client of the machine list at `url`.
     pub fn new(url: &str) -> Self {
         let http = Client::builder(TokioExecutor::new()).build_http();
         Self { url: url.trim_end_matches('/').to_owned(), http }
     }
 
-    /// Reads the whole list.
+    /// Reads the complete list.
     pub async fn read(&self) -> Result<MachineListing, PlatformError> {
         match tokio::time::timeout(READ_TIMEOUT, self.read_body()).await {
             Ok(Ok(body)) => serde_json::from_slice(&body)
                 .map_err(|error| PlatformError::new(PlatformStep::Decode, &self.url, error)),
             Ok(Err(error)) => Err(error),
-            Err(_) => Err(PlatformError::new(PlatformStep::Machines, &self.url, "timed out")),
+            Err(_) => Err(PlatformError::new(
+                PlatformStep::Machines,
+                &self.url,
+                "not read within the timeout",
+            )),
         }
     }
 
--- a/crates/objects/src/objects.rs
+++ b/crates/objects/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object API: list, watch and write of declarations.
+//! Client of the object API, which lists, watches and writes declarations.
 
 use std::time::Duration;
 
@@ -15,56 +15,58 @@
 
 use crate::error::{PlatformError, PlatformStep};
 
-/// Annotation that carries the change id of the last write.
+/// Annotation with the change id of the last write.
 pub const CHANGE_ID_ANNOTATION: &str = "yokefall.dev/change-id";
-/// Field of the declaration's content.
+/// Field of an object that contains the declaration.
 const SPEC_FIELD: &str = "spec";
-/// Time after which a watch is opened anew.
-const WATCH_SECONDS: u32 = 240;
-/// Time within which one call must be answered.
+/// Time after which the server ends a watch, which then has to be reopened.
+const WATCH_TIMEOUT_SECONDS: u32 = 240;
+/// Timeout of one API call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Tries to read back a write whose answer was lost, and the pause between them.
-const READ_BACK_TRIES: u32 = 5;
-const READ_BACK_PAUSE: Duration = Duration::from_millis(300);
+/// Maximum number of attempts to read back a write whose response was lost.
+const MAX_READ_BACK_ATTEMPTS: u32 = 5;
+/// Interval between these attempts.
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(300);
 
 const STATUS_NOT_FOUND: u16 = 404;
 const STATUS_CONFLICT: u16 = 409;
 const STATUS_GONE: u16 = 410;
 
-/// A change that an operator asked for.
+/// A change requested by an operator.
 #[derive(Clone, Debug)]
 pub struct Change {
     /// The declaration's identity.
     pub key: ObjectKey,
-    /// The new content; none deletes.
+    /// The new content; `None` to delete the object.
     pub value: Option<Declaration>,
-    /// The version that the operator read; zero to create.
+    /// The version that the operator read; zero to create the object.
     pub expected_version: u64,
-    /// Id of the change.
+    /// Id of the change, by which a retried write is recognized.
     pub change_id: String,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The change is in effect at this version.
+    /// The change was written as this version.
     Written(u64),
-    /// Another version is in force; nothing was written. Zero means that there is no object.
+    /// Nothing was written, because the current version is this one. Zero if the object does not
+    /// exist.
     Conflict(u64),
-    /// It could not be found out whether the change took effect.
+    /// Whether the change was written could not be determined.
     Unknown(String),
 }
 
-/// One event of a watch.
+/// An event of a watch.
 #[derive(Clone, Debug)]
 pub enum ObjectEvent {
     /// An object changed or was deleted.
     Changed(VersionedObject),
-    /// The watch is too old, or broke: list again.
+    /// The watch expired or failed: the objects must be listed again.
     Restart(String),
 }
 
-/// A client of the object API.
+/// Client of the object API.
 #[derive(Clone)]
 pub struct ObjectApi {
     url: String,
@@ -72,7 +74,7 @@
 }
 
 impl ObjectApi {
-    /// A client of the object API at `url`.
+    /// Creates a client of the object API at `url`.
     pub fn new(url: &str) -> Result<Self, PlatformError> {
         let failed = |cause: String| PlatformError::new(PlatformStep::Configure, url, cause);
         let uri = url.parse().map_err(|e: http::uri::InvalidUri| failed(e.to_string()))?;
@@ -82,11 +84,11 @@
         Ok(Self { url: url.to_owned(), client })
     }
 
-    fn all(&self, kind: Kind) -> Api<DynamicObject> {
+    fn api_all_namespaces(&self, kind: Kind) -> Api<DynamicObject> {
         Api::all_with(self.client.clone(), &resource(kind))
     }
 
-    fn of_partner(&self, key: &ObjectKey) -> Api<DynamicObject> {
+    fn api_in_namespace(&self, key: &ObjectKey) -> Api<DynamicObject> {
         Api::namespaced_with(self.client.clone(), key.partner.as_str(), &resource(key.kind))
     }
 
@@ -94,30 +96,30 @@
         PlatformError::new(step, &self.url, cause)
     }
 
-    /// Every object of a kind, and the version of the listing.
+    /// Lists all objects of a kind, with the version of the listing.
     pub async fn list(&self, kind: Kind) -> Result<(u64, Vec<VersionedObject>), PlatformError> {
-        let api = self.all(kind);
+        let api = self.api_all_namespaces(kind);
         let listing = tokio::time::timeout(CALL_TIMEOUT, api.list(&ListParams::default()))
             .await
-            .map_err(|_| self.error(PlatformStep::List, "timed out"))?
+            .map_err(|_| self.error(PlatformStep::List, "no response within the call timeout"))?
             .map_err(|error| self.error(PlatformStep::List, error))?;
         let version = parse_version(listing.metadata.resource_version.as_deref());
         let objects = listing.items.iter().filter_map(|o| decode(kind, o, false)).collect();
         Ok((version, objects))
     }
 
-    /// Events of a kind after `version`.
+    /// Watches the objects of a kind for changes after `version`.
     pub async fn watch(
         &self,
         kind: Kind,
         version: u64,
     ) -> Result<impl Stream<Item = ObjectEvent> + use<>, PlatformError> {
-        let api = self.all(kind);
-        let params = WatchParams::default().timeout(WATCH_SECONDS);
+        let api = self.api_all_namespaces(kind);
+        let params = WatchParams::default().timeout(WATCH_TIMEOUT_SECONDS);
         let version = version.to_string();
         let opening = tokio::time::timeout(CALL_TIMEOUT, api.watch(&params, &version)).await;
         let stream = opening
-            .map_err(|_| self.error(PlatformStep::Watch, "timed out"))?
+            .map_err(|_| self.error(PlatformStep::Watch, "no response within the call timeout"))?
             .map_err(|error| self.error(PlatformStep::Watch, error))?;
         let stream = stream.boxed();
         Ok(stream.filter_map(move |event| async move {
@@ -130,7 +132,7 @@
                 }
                 Ok(WatchEvent::Bookmark(_)) => None,
                 Ok(WatchEvent::Error(status)) if status.code == STATUS_GONE => {
-                    Some(ObjectEvent::Restart("watch too old".to_owned()))
+                    Some(ObjectEvent::Restart("watch version expired".to_owned()))
                 }
                 Ok(WatchEvent::Error(status)) => Some(ObjectEvent::Restart(status.message)),
                 Err(error) => Some(ObjectEvent::Restart(error.to_string())),
@@ -138,8 +140,8 @@
         }))
     }
 
-    /// Writes a change. A lost answer is resolved by reading back: the change id tells whether
-    /// the write took effect.
+    /// Writes a change. If the response is lost, the object is read back: its change id tells
+    /// whether the change was written.
     pub async fn write(&self, change: &Change) -> WriteOutcome {
         if let Ok(Some(object)) = self.read(&change.key).await {
             if change_id(&object) == Some(change.change_id.as_str()) {
@@ -155,12 +157,12 @@
                 WriteOutcome::Conflict(0)
             }
             Ok(Err(error)) => self.resolve(change, false, &error.to_string()).await,
-            Err(_) => self.resolve(change, false, "timed out").await,
+            Err(_) => self.resolve(change, false, "no response within the call timeout").await,
         }
     }
 
     async fn write_once(&self, change: &Change) -> Result<u64, kube::Error> {
-        let api = self.of_partner(&change.key);
+        let api = self.api_in_namespace(&change.key);
         let name = change.key.name.as_str();
         let Some(value) = &change.value else {
             let preconditions = Preconditions {
@@ -182,32 +184,32 @@
         Ok(version_of(&written))
     }
 
-    /// Finds out what became of a write that was answered by a conflict or not at all.
+    /// Determines the outcome of a write that got a conflict, an error or no response.
     async fn resolve(&self, change: &Change, conflict: bool, cause: &str) -> WriteOutcome {
-        for _ in 0..READ_BACK_TRIES {
+        for _ in 0..MAX_READ_BACK_ATTEMPTS {
             match self.read(&change.key).await {
                 Ok(Some(object)) if change_id(&object) == Some(change.change_id.as_str()) => {
                     return WriteOutcome::Written(version_of(&object));
                 }
-                Ok(held) if conflict => {
-                    return WriteOutcome::Conflict(held.map_or(0, |o| version_of(&o)));
+                Ok(current) if conflict => {
+                    return WriteOutcome::Conflict(current.map_or(0, |o| version_of(&o)));
                 }
                 Ok(None) if change.value.is_none() => {
                     return WriteOutcome::Written(change.expected_version + 1);
                 }
-                // The write may still be on its way: only its effect or a conflict is proof.
-                Ok(_) | Err(_) => tokio::time::sleep(READ_BACK_PAUSE).await,
+                // The write may still be in flight. Only its effect or a conflict is conclusive.
+                Ok(_) | Err(_) => tokio::time::sleep(READ_BACK_INTERVAL).await,
             }
         }
         WriteOutcome::Unknown(format!("write to {}: {cause}", self.url))
     }
 
     async fn read(&self, key: &ObjectKey) -> Result<Option<DynamicObject>, PlatformError> {
-        let api = self.of_partner(key);
+        let api = self.api_in_namespace(key);
         match tokio::time::timeout(CALL_TIMEOUT, api.get_opt(&key.name)).await {
             Ok(Ok(object)) => Ok(object),
             Ok(Err(error)) => Err(self.error(PlatformStep::Read, error)),
-            Err(_) => Err(self.error(PlatformStep::Read, "timed out")),
+            Err(_) => Err(self.error(PlatformStep::Read, "no response within the call timeout")),
         }
     }
 }
@@ -235,8 +237,8 @@
     DynamicObject { types: Some(types), metadata, data: serde_json::json!({ SPEC_FIELD: spec }) }
 }
 
-/// The declaration in an object. One that is malformed, as another writer may have left it, is
-/// passed over: the version in force before stays.
+/// Decodes the declaration in an object. Returns `None` if it is malformed, as another writer may
+/// have left it, so that the previous version stays in use.
 fn decode(kind: Kind, object: &DynamicObject, deleted: bool) -> Option<VersionedObject> {
     let key = ObjectKey {
         partner: PartnerName::new(object.metadata.namespace.as_deref()?),
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,5 @@
-//! The connecting side: one connection a peer, opened when first needed, carrying many calls.
+//! Client side of peer connections: one connection per peer, opened on first use, over which
+//! concurrent calls are multiplexed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,12 +16,12 @@
 use crate::frame::{decode, encode, framed, Frame, FramedStream, PROTOCOL_VERSION};
 use crate::message::{PeerReply, PeerRequest};
 
-/// Time within which a connection must be open and greeted.
+/// Timeout for opening a connection, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Requests that may wait for a slow connection.
-const SEND_QUEUE: usize = 1024;
+/// Maximum number of requests queued on a slow connection.
+const MAX_QUEUED_REQUESTS: usize = 1024;
 
-type Waiting = HashMap<u64, mpsc::UnboundedSender<Result<PeerReply, PeerError>>>;
+type PendingCalls = HashMap<u64, mpsc::UnboundedSender<Result<PeerReply, PeerError>>>;
 
 /// The replies to one request.
 #[derive(Debug)]
@@ -30,7 +31,7 @@
 }
 
 impl ReplyStream {
-    /// The next reply. A lost connection is an error.
+    /// Returns the next reply, or an error if the connection was lost.
     pub async fn next(&mut self) -> Result<PeerReply, PeerError> {
         match self.replies.recv().await {
             Some(reply) => reply,
@@ -42,7 +43,7 @@
 #[derive(Debug)]
 struct Connection {
     requests: mpsc::Sender<Frame>,
-    waiting: Arc<Mutex<Waiting>>,
+    pending: Arc<Mutex<PendingCalls>>,
 }
 
 impl Connection {
@@ -52,11 +53,11 @@
 }
 
 #[derive(Debug, Default)]
-struct Slot {
+struct ConnectionSlot {
     connection: tokio::sync::Mutex<Option<Arc<Connection>>>,
 }
 
-/// Connections to every peer that was called.
+/// Pool with one connection to each peer that has been called.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     inner: Arc<Inner>,
@@ -67,11 +68,11 @@
     node: NodeName,
     secret: String,
     next_call: AtomicU64,
-    slots: Mutex<HashMap<SocketAddr, Arc<Slot>>>,
+    slots: Mutex<HashMap<SocketAddr, Arc<ConnectionSlot>>>,
 }
 
 impl PeerClient {
-    /// A client that introduces itself as `node` with the fleet's secret.
+    /// Creates a client that identifies itself as `node` and authenticates with the fleet's secret.
     pub fn new(node: NodeName, secret: String) -> Self {
         let slots = Mutex::new(HashMap::new());
         Self { inner: Arc::new(Inner { node, secret, next_call: AtomicU64::new(1), slots }) }
@@ -86,16 +87,16 @@
         let connection = self.connection(peer).await?;
         let call = self.inner.next_call.fetch_add(1, Ordering::Relaxed);
         let (sender, replies) = mpsc::unbounded_channel();
-        lock(&connection.waiting).insert(call, sender);
+        lock(&connection.pending).insert(call, sender);
         let frame = Frame::Request { call, request };
         if connection.requests.send(frame).await.is_err() {
-            lock(&connection.waiting).remove(&call);
+            lock(&connection.pending).remove(&call);
             return Err(PeerError::new(PeerStep::Send, peer, "connection lost"));
         }
         Ok(ReplyStream { replies, peer })
     }
 
-    /// Sends a request and waits for its only reply.
+    /// Sends a request that has a single reply and waits for it.
     pub async fn call(
         &self,
         peer: SocketAddr,
@@ -105,21 +106,21 @@
         let exchange = async { self.open(peer, request).await?.next().await };
         match tokio::time::timeout(timeout, exchange).await {
             Ok(reply) => reply,
-            Err(_) => Err(PeerError::new(PeerStep::Receive, peer, "no reply in time")),
+            Err(_) => Err(PeerError::new(PeerStep::Receive, peer, "no reply within the timeout")),
         }
     }
 
     async fn connection(&self, peer: SocketAddr) -> Result<Arc<Connection>, PeerError> {
         let slot = lock(&self.inner.slots).entry(peer).or_default().clone();
-        let mut held = slot.connection.lock().await;
-        if let Some(connection) = held.as_ref().filter(|c| c.is_open()) {
+        let mut current = slot.connection.lock().await;
+        if let Some(connection) = current.as_ref().filter(|c| c.is_open()) {
             return Ok(connection.clone());
         }
         let opening = self.connect(peer);
-        let connection = tokio::time::timeout(CONNECT_TIMEOUT, opening)
-            .await
-            .map_err(|_| PeerError::new(PeerStep::Connect, peer, "timed out"))??;
-        *held = Some(connection.clone());
+        let connection = tokio::time::timeout(CONNECT_TIMEOUT, opening).await.map_err(|_| {
+            PeerError::new(PeerStep::Connect, peer, "not connected within the connect timeout")
+        })??;
+        *current = Some(connection.clone());
         Ok(connection)
     }
 
@@ -127,14 +128,18 @@
         let connect_error = |error| PeerError::new(PeerStep::Connect, peer, error);
         let stream = TcpStream::connect(peer).await.map_err(connect_error)?;
         let mut stream = framed(stream);
-        self.greet(peer, &mut stream).await?;
-        let (requests, outgoing) = mpsc::channel(SEND_QUEUE);
-        let waiting = Arc::new(Mutex::new(Waiting::new()));
-        tokio::spawn(run_connection(peer, stream, outgoing, waiting.clone()));
-        Ok(Arc::new(Connection { requests, waiting }))
+        self.handshake(peer, &mut stream).await?;
+        let (requests, outgoing) = mpsc::channel(MAX_QUEUED_REQUESTS);
+        let pending = Arc::new(Mutex::new(PendingCalls::new()));
+        tokio::spawn(run_connection(peer, stream, outgoing, pending.clone()));
+        Ok(Arc::new(Connection { requests, pending }))
     }
 
-    async fn greet(&self, peer: SocketAddr, stream: &mut FramedStream) -> Result<(), PeerError> {
+    async fn handshake(
+        &self,
+        peer: SocketAddr,
+        stream: &mut FramedStream,
+    ) -> Result<(), PeerError> {
         let failed = |cause: String| PeerError::new(PeerStep::Handshake, peer, cause);
         let hello = Frame::Hello {
             version: PROTOCOL_VERSION,
@@ -143,12 +148,15 @@
         };
         let bytes = encode(&hello).map_err(|e| failed(e.to_string()))?;
         stream.send(bytes).await.map_err(|e| failed(e.to_string()))?;
-        let answer = stream.next().await.ok_or_else(|| failed("closed".into()))?;
+        let answer = stream
+            .next()
+            .await
+            .ok_or_else(|| failed("connection closed before the handshake reply".into()))?;
         let bytes = answer.map_err(|e| failed(e.to_string()))?;
         match decode(&bytes) {
             Ok(Frame::Welcome { refusal }) if refusal.is_empty() => Ok(()),
             Ok(Frame::Welcome { refusal }) => Err(failed(refusal)),
-            Ok(_) => Err(failed("unexpected frame".into())),
+            Ok(_) => Err(failed("unexpected frame instead of the handshake reply".into())),
             Err(error) => Err(failed(error.to_string())),
         }
     }
@@ -158,7 +166,7 @@
     peer: SocketAddr,
     stream: FramedStream,
     mut outgoing: mpsc::Receiver<Frame>,
-    waiting: Arc<Mutex<Waiting>>,
+    pending: Arc<Mutex<PendingCalls>>,
 ) {
     let (mut sink, mut source) = stream.split();
     let writer = async {
@@ -175,33 +183,33 @@
     let reader = async {
         while let Some(Ok(bytes)) = source.next().await {
             let Ok(Frame::Reply { call, reply }) = decode(&bytes) else { break };
-            deliver(&waiting, call, reply);
+            deliver(&pending, call, reply);
         }
     };
     tokio::select! {
         () = writer => {}
         () = reader => {}
     }
-    // Close before failing the waiting calls: a call that is added afterwards finds the queue
-    // closed, so that none waits on a dead connection.
+    // The queue is closed before the pending calls fail: a call added later finds it closed, so
+    // that no call waits on a closed connection.
     outgoing.close();
-    let orphans = std::mem::take(&mut *lock(&waiting));
-    for (_, sender) in orphans {
+    let unanswered = std::mem::take(&mut *lock(&pending));
+    for (_, sender) in unanswered {
         let _ = sender.send(Err(PeerError::new(PeerStep::Receive, peer, "connection lost")));
     }
     while outgoing.recv().await.is_some() {}
-    lock(&waiting).clear();
+    lock(&pending).clear();
 }
 
-fn deliver(waiting: &Mutex<Waiting>, call: u64, reply: PeerReply) {
+fn deliver(pending: &Mutex<PendingCalls>, call: u64, reply: PeerReply) {
     let last = reply.is_last();
-    let mut waiting = lock(waiting);
-    let receiver_gone = match waiting.get(&call) {
+    let mut pending = lock(pending);
+    let receiver_gone = match pending.get(&call) {
         Some(sender) => sender.send(Ok(reply)).is_err(),
         None => return,
     };
     if last || receiver_gone {
-        waiting.remove(&call);
+        pending.remove(&call);
     }
 }
 
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,14 +1,14 @@
-//! Errors of peer connections: the step and the peer at which they arose.
+//! Errors of peer connections, with the operation that failed and the peer's address.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The step that failed.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerStep {
     /// Opening the connection.
     Connect,
-    /// Exchanging the first message.
+    /// Authenticating and agreeing on the protocol version.
     Handshake,
     /// Writing a request.
     Send,
@@ -18,12 +18,12 @@
     Decode,
 }
 
-/// A failure between two processes.
+/// A failed exchange with another process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerError {
-    /// The step that failed.
+    /// The operation that failed.
     pub step: PeerStep,
-    /// The other process.
+    /// Address of the other process.
     pub peer: SocketAddr,
     /// The cause.
     pub cause: String,
@@ -34,7 +34,7 @@
         Self { step, peer, cause: cause.to_string() }
     }
 
-    /// Whether the request cannot have reached the peer.
+    /// Whether the request is certain not to have reached the peer.
     pub fn proves_not_sent(&self) -> bool {
         matches!(self.step, PeerStep::Connect | PeerStep::Handshake)
     }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -9,36 +9,36 @@
 use yokefall_types::limits::MAX_PEER_FRAME_BYTES;
 use yokefall_types::NodeName;
 
-/// Version of the internal protocol. Processes of different versions refuse each other.
+/// Version of the internal protocol. A connection between different versions is rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// What one frame holds.
+/// Content of one frame.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
-    /// First frame of the connecting side.
+    /// Opens the handshake; the first frame sent by the client.
     Hello {
-        /// Protocol version of the sender.
+        /// Protocol version of the client.
         version: u32,
-        /// Name of the sender.
+        /// Node name of the client.
         node: NodeName,
         /// Secret shared by the fleet.
         secret: String,
     },
-    /// Answer to `Hello`.
+    /// Reply to `Hello`.
     Welcome {
-        /// Empty when accepted, else the cause of the refusal.
+        /// Empty if the connection is accepted, otherwise the reason for its rejection.
         refusal: String,
     },
-    /// A request with its number on this connection.
+    /// A request, identified by its call number on this connection.
     Request {
-        /// Number of the call, chosen by the connecting side.
+        /// Call number, assigned by the client.
         call: u64,
         /// The request.
         request: PeerRequest,
     },
     /// One reply to a request.
     Reply {
-        /// Number of the call.
+        /// Call number of the request.
         call: u64,
         /// The reply.
         reply: PeerReply,
@@ -47,7 +47,7 @@
 
 pub type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Wraps a connected socket.
+/// Wraps a connected socket in the length-prefixed framing.
 pub fn framed(stream: TcpStream) -> FramedStream {
     let _ = stream.set_nodelay(true);
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_PEER_FRAME_BYTES).new_codec();
@@ -59,7 +59,7 @@
     borsh::to_vec(frame).map(Bytes::from)
 }
 
-/// Decodes a frame; trailing bytes are an error.
+/// Decodes a frame. Trailing bytes are an error.
 pub fn decode(bytes: &[u8]) -> Result<Frame, std::io::Error> {
     Frame::try_from_slice(bytes)
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between yokefall processes and the connections that carry them.
+//! Protocol between yokefall processes: messages, client and server.
 
 pub mod client;
 pub mod error;
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -6,92 +6,93 @@
     ObjectKey, Outcome, Refusal, RepeatPolicy, RequestId, ServiceId, ServiceName,
 };
 
-/// An online call on its way to its home daemon.
+/// An online call as sent to its home daemon, which keeps the record of the request.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub struct OnlineCall {
-    /// What every call carries.
+    /// Header common to all calls.
     pub header: CallHeader,
-    /// Prompt, or body for a plain service.
+    /// Prompt, or request body for a plain service.
     pub body: Vec<u8>,
 }
 
-/// An order from a home daemon to an owner daemon: run this call on a back end that you own.
+/// A call that a home daemon has an owner daemon run on one of the back ends it owns.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub struct ExecuteCall {
     /// The call.
     pub call: OnlineCall,
-    /// Number of the attempt, from one.
+    /// Attempt number, starting at one.
     pub attempt: u32,
-    /// Tokens of the answer already produced by an earlier attempt, to be skipped.
+    /// Number of tokens already produced by an earlier attempt, to be skipped.
     pub resume_from_token: u32,
 }
 
-/// One step of an answer.
+/// An event of a call in progress.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub enum CallEvent {
-    /// The call is being run on this back end.
+    /// The call has started on this back end.
     Started {
         /// The back end.
         backend: BackendId,
     },
-    /// A piece of the answer.
+    /// Part of the answer.
     Chunk {
         /// Position of the first byte within the whole answer.
         offset: u64,
         /// The bytes.
         text: Vec<u8>,
-        /// Tokens of the answer up to the end of this piece.
+        /// Number of tokens of the answer up to the end of this chunk.
         tokens_total: u32,
     },
-    /// The end. Nothing follows.
+    /// The call has ended. No event follows.
     Ended(Outcome),
 }
 
-/// Load of one service at one owner daemon, sent with every end of an execution.
+/// Load of one service at one owner daemon, reported whenever an execution ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct OwnerLoad {
-    /// Slots that an online call would get at once (free, or held by batch that yields).
+    /// Slots available to an online call at once: free, or occupied by a batch item that can be
+    /// preempted.
     pub free_slots: u32,
-    /// Online calls waiting.
+    /// Number of queued online calls.
     pub waiting: u32,
 }
 
-/// One start of a home daemon.
+/// Identifies one incarnation of a home daemon.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct HomeId {
     /// The daemon.
     pub node: NodeName,
-    /// Differs between starts of the same daemon.
+    /// Differs each time the daemon starts.
     pub incarnation: u64,
 }
 
-/// State of a request record, as copied to its second holder.
+/// Copy of a request record, as stored at a second daemon.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub struct RecordCopy {
     /// The request.
     pub request: RequestId,
-    /// The home daemon that made the copy, and its start: a home that restarted has forgotten the
-    /// record, so that its former copy counts as another's.
+    /// The home daemon that made the copy, and its incarnation. A home daemon loses its records
+    /// when it restarts, so that a copy of an earlier incarnation counts as that of another daemon.
     pub home: HomeId,
     /// Digest of the request's content.
     pub digest: u64,
     /// Whether the request may be executed again.
     pub repeat: RepeatPolicy,
-    /// Where the request stands.
+    /// State of the request.
     pub state: RecordState,
 }
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub enum RecordState {
-    /// Accepted, and sent to this owner or about to be.
+    /// Accepted, and sent or about to be sent to an owner daemon.
     Running {
         /// The owner daemon that runs it.
         owner: NodeName,
     },
-    /// Ended with a whole answer.
+    /// Ended with a complete answer.
     Answered(Answer),
-    /// Ended without one.
+    /// Ended without an answer.
     Refused(Refusal),
 }
 
@@ -102,39 +103,39 @@
     pub job: JobId,
     /// Service that runs the items.
     pub service: ServiceName,
-    /// Order among the partner's jobs, greater first.
+    /// Priority among the partner's jobs; higher values run first.
     pub priority: u32,
     /// Whether an item may be executed more than once.
     pub repeat: RepeatPolicy,
-    /// Milliseconds until the job must have ended, from its acceptance.
+    /// Deadline of the job, in milliseconds from its acceptance.
     pub deadline_ms: u64,
-    /// Tokens that each item may generate.
+    /// Maximum number of tokens generated for each item.
     pub max_tokens: u32,
 }
 
-/// Proof of a lease on one item: the store's epoch and the attempt within it.
+/// Fencing token of a lease on one item: the store's epoch and the attempt within it.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct LeaseToken {
-    /// Epoch of the job store; grows with every start of the store.
+    /// Epoch of the job store, incremented at each start of the store.
     pub epoch: u64,
-    /// Attempt number, from one.
+    /// Attempt number, starting at one.
     pub attempt: u32,
 }
 
-/// Names an item under a lease.
+/// Identifies an item and the lease on it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct LeasedItemRef {
     /// The job.
     pub job: JobId,
-    /// Position within the job.
+    /// Index of the item within the job.
     pub index: u32,
     /// The lease.
     pub token: LeaseToken,
 }
 
-/// An item handed to an owner daemon.
+/// An item leased to an owner daemon.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub struct LeasedItem {
     /// The item and its lease.
@@ -143,77 +144,78 @@
     pub service: ServiceId,
     /// Whether it may be executed more than once.
     pub repeat: RepeatPolicy,
-    /// Tokens that it may generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Milliseconds until the job's deadline.
     pub deadline_ms: u64,
-    /// Milliseconds until the lease lapses unless extended.
+    /// Milliseconds until the lease expires unless it is extended.
     pub lease_ms: u64,
-    /// Prompt, or body for a plain service.
+    /// Prompt, or request body for a plain service.
     pub body: Vec<u8>,
 }
 
-/// A member of the fleet, as told to agents.
+/// A member of the fleet, as reported to agents.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct MemberInfo {
     /// Name of the daemon.
     pub node: NodeName,
-    /// Grows with every start of the daemon, and with every refutation of its death.
+    /// Incremented at each start of the daemon, and each time it refutes a report of its death.
     pub incarnation: u64,
-    /// Its peer port, `IP:PORT`.
+    /// Address of its peer port, `IP:PORT`.
     pub address: String,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: String,
     /// Region of the zone.
     pub region: String,
-    /// Whether it holds a data folder.
+    /// Whether it has a data folder, and thus a job store.
     pub data: bool,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub accepting: bool,
 }
 
-/// A versioned declaration; no value means deleted.
+/// A version of a declaration, or of its deletion.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct VersionedObject {
     /// The declaration's identity.
     pub key: ObjectKey,
-    /// Version given by the object API.
+    /// Version assigned by the object API.
     pub version: u64,
-    /// Content, or none when deleted.
+    /// Content; `None` if deleted.
     pub value: Option<Declaration>,
 }
 
-/// Version of one object, for repair between peers.
+/// Version of one object, for anti-entropy between peers.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ObjectVersion {
     /// The declaration's identity.
     pub key: ObjectKey,
-    /// Version held.
+    /// Version that the sender has.
     pub version: u64,
 }
 
 /// A request to a daemon.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// The members that take part. Reply: `Members`.
+    /// Get the members of the fleet. Reply: `Members`.
     Members {
-        /// Digest of the list that the asker has; zero when it has none.
+        /// Digest of the list that the sender has; zero if it has none.
         known: u64,
     },
-    /// Run or join an online call. Replies: `Call` events until `Ended`.
+    /// Start an online call, or join it if it is already running. Replies: `Call` events until
+    /// `Ended`.
     Submit {
         /// The call.
         call: OnlineCall,
         /// First byte wanted.
         offset: u64,
     },
-    /// Follow a call that was submitted before. Replies: `Call` events until `Ended`.
+    /// Follow a call submitted earlier. Replies: `Call` events until `Ended`.
     Attach {
         /// The request.
         request: RequestId,
         /// First byte wanted.
         offset: u64,
-        /// Milliseconds to wait for the end.
+        /// Maximum time to wait for the call to end, in milliseconds.
         wait_ms: u64,
     },
     /// Cancel an online call. Reply: `Cancelled`.
@@ -221,17 +223,16 @@
         /// The request.
         request: RequestId,
     },
-    /// Run a call on an owned back end. Replies: `Call` events until `Executed`.
+    /// Run a call on a back end that the receiver owns. Replies: `Call` events until `Executed`.
     Execute(ExecuteCall),
-    /// Stop an execution ordered by `Execute`. Reply: `Cancelled`.
+    /// Stop an execution started by `Execute`. Reply: `Cancelled`.
     CancelExecution {
         /// The request.
         request: RequestId,
     },
-    /// Hold a copy of a request record. Reply: `RecordHeld` with what was held before, if
-    /// anything.
+    /// Store a copy of a request record. Reply: `RecordHeld` with the copy stored before, if any.
     HoldRecord(RecordCopy),
-    /// Begin the upload of a job. Reply: `UploadOpened`.
+    /// Start the upload of a job. Reply: `UploadOpened`.
     OpenJob(JobHeader),
     /// Add items to an upload, in order. Reply: `Done`.
     AppendItems {
@@ -240,78 +241,79 @@
         /// Bodies of the items.
         bodies: Vec<Vec<u8>>,
     },
-    /// Accept the uploaded job. Reply: `JobAccepted`, once on disk.
+    /// Accept the uploaded job. Reply: `JobAccepted`, once it is on disk.
     CommitJob {
         /// Number of the upload.
         upload: u64,
     },
-    /// Progress of a job. Reply: `Job`.
+    /// Get the progress of a job. Reply: `Job`.
     GetJob(JobId),
-    /// Cancel a job. Reply: `Job`, once on disk.
+    /// Cancel a job. Reply: `Job`, once the cancellation is on disk.
     CancelJob(JobId),
-    /// Ended items of a job in order. Reply: `Results`.
+    /// List the ended items of a job in order of index. Reply: `Results`.
     ListResults {
         /// The job.
         job: JobId,
         /// First index wanted.
         from_index: u32,
     },
-    /// Lease waiting items of a service. Reply: `Leased`.
+    /// Lease queued items of a service. Reply: `Leased`.
     LeaseItems {
-        /// The service, with the partner whose jobs are asked for.
+        /// The service, which includes the partner whose jobs are leased.
         service: ServiceId,
-        /// Most items wanted.
+        /// Maximum number of items.
         most: u32,
         /// The daemon that will run them.
         holder: NodeName,
     },
-    /// Mark no-repeat items as started. Reply: `Granted`, once on disk.
+    /// Mark items that must not be repeated as started. Reply: `Granted`, once the marks are on
+    /// disk.
     StartItems(Vec<LeasedItemRef>),
-    /// Extend leases. Reply: `Granted`; those not granted must stop.
+    /// Extend leases. Reply: `Granted`; items that it does not list must be stopped.
     ExtendLeases(Vec<LeasedItemRef>),
-    /// Give items back, not completed and not running any more. Reply: `Done`.
+    /// Return leased items that are neither completed nor running. Reply: `Done`.
     ReturnItems(Vec<ReturnedItem>),
-    /// Report the end of items. Reply: `Done`, once on disk.
+    /// Report the results of items. Reply: `Done`, once they are on disk.
     CompleteItems(Vec<CompletedItem>),
-    /// The sender's store has items of a service that wait. Reply: `Done`.
+    /// Notify that the sender's job store has queued items of a service. Reply: `Done`.
     WorkAvailable {
-        /// The store's daemon.
+        /// Daemon that runs the job store.
         store: NodeName,
         /// The service.
         service: ServiceId,
     },
-    /// Objects that the sender holds. Reply: `Repair`.
+    /// Compare the sender's objects with the receiver's. Reply: `Repair`.
     ConfigurationDigest {
-        /// Digest over all objects held by the sender.
+        /// Digest of all objects that the sender has.
         digest: u64,
-        /// Versions held, empty on the first exchange when only digests are compared.
+        /// Versions that the sender has; empty in the first exchange, which compares only digests.
         versions: Vec<ObjectVersion>,
     },
-    /// Objects that changed. Reply: `Done`.
+    /// Send objects that changed. Reply: `Done`.
     PushObjects(Vec<VersionedObject>),
 }
 
-/// Why an item came back without a result.
+/// Why an item was returned without a result.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ReturnCause {
-    /// It gave its slot to an online call, or never got one.
+    /// It was preempted by an online call, or never got a slot.
     Yielded,
     /// The execution failed.
     Failed(String),
-    /// Proven: nothing was sent to a back end after the start mark.
+    /// It was marked as started, but certainly nothing was sent to a back end.
     NotSent(String),
 }
 
-/// An item given back by its holder.
+/// An item returned by the daemon that leased it.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub struct ReturnedItem {
-    /// The item and the lease under which it was held.
+    /// The item and its lease.
     pub item: LeasedItemRef,
-    /// The cause.
+    /// Why it was returned.
     pub cause: ReturnCause,
 }
 
-/// The end of an item's execution.
+/// The result of an item's execution.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub struct CompletedItem {
     /// The item and the lease under which it ran.
@@ -320,10 +322,10 @@
     pub result: ItemResult,
 }
 
-/// A reply of a daemon.
+/// A reply from a daemon.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub enum PeerReply {
-    /// Done, nothing to tell.
+    /// The request was carried out; it returns no data.
     Done,
     /// The request was not carried out.
     Refused(Refusal),
@@ -331,29 +333,29 @@
     Members {
         /// Digest of the list.
         digest: u64,
-        /// The list; none when the asker has it.
+        /// The list; `None` if the requester already has it.
         members: Option<Vec<MemberInfo>>,
     },
-    /// A step of an answer.
+    /// An event of a call in progress.
     Call(CallEvent),
-    /// The end of an execution, with the owner's load.
+    /// An execution has ended.
     Executed {
-        /// How it ended.
+        /// Outcome of the execution.
         outcome: Outcome,
-        /// The owner's load after it.
+        /// Load of the owner daemon after the execution.
         load: OwnerLoad,
     },
-    /// Whether something was cancelled.
+    /// Whether a call or execution was cancelled.
     Cancelled(bool),
-    /// The record held before, if any.
+    /// The copy stored before, if any.
     RecordHeld(Option<RecordCopy>),
-    /// An upload was opened.
+    /// Number of the upload that was opened.
     UploadOpened(u64),
     /// A job was accepted.
     JobAccepted {
-        /// Items accepted.
+        /// Number of items accepted.
         accepted: u32,
-        /// Whether the job existed already.
+        /// Whether the job already existed.
         joined: bool,
     },
     /// Progress of a job.
@@ -362,28 +364,28 @@
     Results {
         /// Ended items in order of index.
         results: Vec<ItemResult>,
-        /// Items of the job.
+        /// Number of items in the job.
         items: u32,
-        /// Whether no ended item lies after this page.
+        /// Whether no ended item follows this page.
         last_page: bool,
     },
     /// Leased items.
     Leased(Vec<LeasedItem>),
-    /// The items to which a request was granted.
+    /// The items for which the request was granted.
     Granted(Vec<LeasedItemRef>),
-    /// Answer to a digest.
+    /// Reply to `ConfigurationDigest`.
     Repair {
-        /// Whether both sides hold the same.
+        /// Whether both sides have the same objects.
         same: bool,
-        /// Objects that the sender lacks or holds in an older version.
+        /// Objects that the requester lacks or has in an older version.
         objects: Vec<VersionedObject>,
-        /// Objects that the replier lacks or holds in an older version.
+        /// Objects that the replying daemon lacks or has in an older version.
         wanted: Vec<ObjectKey>,
     },
 }
 
 impl PeerReply {
-    /// Whether no further reply to the same call follows.
+    /// Whether this is the last reply to its request.
     pub fn is_last(&self) -> bool {
         !matches!(
             self,
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The accepting side of peer connections.
+//! Server side of peer connections.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use crate::frame::{decode, encode, framed, Frame, FramedStream, PROTOCOL_VERSION};
 use crate::message::{PeerReply, PeerRequest};
 
-/// Time within which a new connection must have sent its first frame.
+/// Timeout of the handshake on a new connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed `accept`, such as when no file descriptor is free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed `accept`, for example when no file descriptor is available.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Sends the replies to one request.
 #[derive(Clone, Debug)]
@@ -26,15 +26,15 @@
 }
 
 impl Responder {
-    /// Sends a reply. Returns `false` when the connection is gone.
+    /// Sends a reply. Returns `false` if the connection is closed.
     pub fn send(&self, reply: PeerReply) -> bool {
         self.replies.send(Frame::Reply { call: self.call, reply }).is_ok()
     }
 }
 
-/// Carries out requests of peers.
+/// Handles requests of peers.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Carries out one request and sends its replies.
+    /// Handles one request and sends its replies.
     fn handle(
         self: Arc<Self>,
         from: NodeName,
@@ -43,27 +43,28 @@
     ) -> impl Future<Output = ()> + Send;
 }
 
-/// Accepts connections for ever.
+/// Accepts connections and serves each in a task of its own. Never returns.
 pub async fn serve<H: PeerHandler>(listener: TcpListener, secret: String, handler: Arc<H>) {
     loop {
         match listener.accept().await {
             Ok((stream, address)) => {
-                tokio::spawn(run(stream, address, secret.clone(), handler.clone()));
+                tokio::spawn(serve_connection(stream, address, secret.clone(), handler.clone()));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-async fn run<H: PeerHandler>(
+async fn serve_connection<H: PeerHandler>(
     stream: TcpStream,
     _address: SocketAddr,
     secret: String,
     handler: Arc<H>,
 ) {
     let mut stream = framed(stream);
-    let greeted = tokio::time::timeout(HELLO_TIMEOUT, welcome(&mut stream, &secret)).await;
-    let Ok(Some(node)) = greeted else { return };
+    let handshake =
+        tokio::time::timeout(HELLO_TIMEOUT, accept_handshake(&mut stream, &secret)).await;
+    let Ok(Some(node)) = handshake else { return };
     let (mut sink, mut source) = stream.split();
     let (replies, mut outgoing) = mpsc::unbounded_channel::<Frame>();
     let writer = async move {
@@ -90,7 +91,7 @@
     }
 }
 
-async fn welcome(stream: &mut FramedStream, secret: &str) -> Option<NodeName> {
+async fn accept_handshake(stream: &mut FramedStream, secret: &str) -> Option<NodeName> {
     let bytes = stream.next().await?.ok()?;
     let Ok(Frame::Hello { version, node, secret: given }) = decode(&bytes) else { return None };
     let refusal = if version != PROTOCOL_VERSION {
--- a/crates/rpc/src/auth.rs
+++ b/crates/rpc/src/auth.rs
@@ -1,4 +1,4 @@
-//! API keys: read from a file, read again when it changes.
+//! Authentication by API keys from a file, which is reloaded when it changes.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -11,10 +11,10 @@
 use yokefall_telemetry::{Event, Level};
 use yokefall_types::key::{Identity, KeyRing, Role};
 
-/// A file that cannot be used.
+/// A configured file that cannot be read or is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileError {
-    /// What the file is for.
+    /// The operation that failed, such as `read keys`.
     pub step: &'static str,
     /// The file.
     pub file: PathBuf,
@@ -30,15 +30,15 @@
 
 impl std::error::Error for FileError {}
 
-/// Tells who a call comes from.
+/// Identifies the sender of a call by its API key.
 #[derive(Clone, Debug)]
 pub struct Authenticator {
     keys: Arc<ArcSwap<KeyRing>>,
 }
 
 impl Authenticator {
-    /// Reads the key file, and reads it again for ever when it changes. A broken file leaves the
-    /// keys read last in force.
+    /// Reads the key file and starts a task that reloads it when it changes. While the file is
+    /// invalid, the keys read last remain in use.
     pub fn start(file: PathBuf, interval: Duration) -> Result<Self, FileError> {
         let (text, ring) = read(&file)?;
         let keys = Arc::new(ArcSwap::from_pointee(ring));
@@ -46,14 +46,14 @@
         Ok(Self { keys })
     }
 
-    /// The identity behind a call, which must have the wanted role.
-    pub fn check(&self, metadata: &MetadataMap, wanted: Role) -> Result<Identity, Status> {
+    /// Returns the identity of the caller, or an error if it does not have the required role.
+    pub fn check(&self, metadata: &MetadataMap, required_role: Role) -> Result<Identity, Status> {
         let found = bearer(metadata).and_then(|secret| self.keys.load().identify(secret));
         let Some(identity) = found else {
             Event::new(Level::Warn, "authenticate").write("missing or wrong key");
             return Err(Status::unauthenticated("authorization: missing or wrong key"));
         };
-        if identity.role != wanted {
+        if identity.role != required_role {
             let partner = &identity.partner;
             Event::new(Level::Warn, "authenticate")
                 .write(format!("key of partner {partner} has another role"));
@@ -74,12 +74,17 @@
     Ok((text, ring))
 }
 
-async fn reload(file: PathBuf, interval: Duration, mut held: String, keys: Arc<ArcSwap<KeyRing>>) {
+async fn reload(
+    file: PathBuf,
+    interval: Duration,
+    mut current_text: String,
+    keys: Arc<ArcSwap<KeyRing>>,
+) {
     loop {
         tokio::time::sleep(interval).await;
         match read(&file) {
-            Ok((text, ring)) if text != held => {
-                held = text;
+            Ok((text, ring)) if text != current_text => {
+                current_text = text;
                 keys.store(Arc::new(ring));
                 Event::new(Level::Info, "reload keys").write(file.display());
             }
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! gRPC clients with a key.
+//! gRPC clients that authenticate with an API key.
 
 use tonic::metadata::{Ascii, MetadataValue};
 use tonic::service::interceptor::InterceptedService;
@@ -8,10 +8,10 @@
 use yokefall_api::v1::caller_client::CallerClient;
 use yokefall_api::v1::operator_client::OperatorClient;
 
-/// Greatest message that a client takes, in bytes.
+/// Maximum size of a message that a client decodes.
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Adds the key to every call.
+/// Adds the API key to the metadata of every call.
 #[derive(Clone, Debug)]
 pub struct KeyInterceptor {
     authorization: MetadataValue<Ascii>,
@@ -24,26 +24,26 @@
     }
 }
 
-/// A client of an agent.
+/// Client of an agent.
 pub type Caller = CallerClient<InterceptedService<Channel, KeyInterceptor>>;
-/// A client of a daemon.
+/// Client of a daemon's operator service.
 pub type Operator = OperatorClient<InterceptedService<Channel, KeyInterceptor>>;
 
-/// How to reach a gRPC port.
+/// Address and credentials of a gRPC server.
 #[derive(Clone, Debug, Default)]
 pub struct Target {
     /// URL, such as `http://127.0.0.1:7200` or `https://…`.
     pub url: String,
-    /// Key.
+    /// API key.
     pub key: String,
-    /// Certificate of the authority that signed the port's certificate, PEM.
+    /// Certificate of the authority that signed the server's certificate, in PEM format.
     pub authority: Option<String>,
-    /// Name in the port's certificate, where it is not that of the URL.
+    /// Name in the server's certificate, if it differs from the host in the URL.
     pub server_name: Option<String>,
 }
 
 impl Target {
-    /// A port without TLS.
+    /// A server without TLS.
     pub fn plain(address: std::net::SocketAddr, key: &str) -> Self {
         Self { url: format!("http://{address}"), key: key.to_owned(), ..Self::default() }
     }
--- a/crates/rpc/src/convert.rs
+++ b/crates/rpc/src/convert.rs
@@ -1,42 +1,42 @@
-//! Conversion between the schema's types and the product's own.
+//! Conversion between the generated protobuf types and the types of the `types` crate.
 
 use yokefall_api::v1;
 use yokefall_types::{
     ItemOutcome, JobProgress, JobState, Priority, Refusal, RefusalReason, RepeatPolicy,
 };
 
-/// The class named by a schema value.
-pub fn priority_from(value: i32) -> Priority {
+/// Converts a protobuf priority; unknown values become `Normal`.
+pub fn priority_from_proto(value: i32) -> Priority {
     match v1::Priority::try_from(value) {
         Ok(v1::Priority::High) => Priority::High,
         _ => Priority::Normal,
     }
 }
 
-/// The repeat policy named by a schema value; not given means forbidden.
-pub fn repeat_from(value: i32) -> RepeatPolicy {
+/// Converts a protobuf repeat policy; an unspecified or unknown value becomes `Forbidden`.
+pub fn repeat_policy_from_proto(value: i32) -> RepeatPolicy {
     match v1::Repeat::try_from(value) {
         Ok(v1::Repeat::Allowed) => RepeatPolicy::Allowed,
         _ => RepeatPolicy::Forbidden,
     }
 }
 
-/// A refusal as the schema states it.
-pub fn refusal_to(refusal: &Refusal) -> v1::Refusal {
+/// Converts a refusal to its protobuf message.
+pub fn refusal_to_proto(refusal: &Refusal) -> v1::Refusal {
     let executed = match refusal.executed {
         None => v1::Executed::Unknown,
         Some(false) => v1::Executed::No,
         Some(true) => v1::Executed::Yes,
     };
     v1::Refusal {
-        reason: reason_to(refusal.reason) as i32,
+        reason: refusal_reason_to_proto(refusal.reason) as i32,
         executed: executed as i32,
         retry_after_ms: refusal.retry_after_ms.unwrap_or(0),
         detail: refusal.detail.clone(),
     }
 }
 
-fn reason_to(reason: RefusalReason) -> v1::RefusalReason {
+fn refusal_reason_to_proto(reason: RefusalReason) -> v1::RefusalReason {
     match reason {
         RefusalReason::UnknownService => v1::RefusalReason::RefusalUnknownService,
         RefusalReason::NoBackend => v1::RefusalReason::RefusalNoBackend,
@@ -52,8 +52,8 @@
     }
 }
 
-/// A refusal of a batch call as a gRPC status.
-pub fn status_from(refusal: &Refusal) -> tonic::Status {
+/// Converts the refusal of a batch call to a gRPC status.
+pub fn status_from_refusal(refusal: &Refusal) -> tonic::Status {
     let code = match refusal.reason {
         RefusalReason::UnknownService | RefusalReason::NotFound => tonic::Code::NotFound,
         RefusalReason::InvalidArgument => tonic::Code::InvalidArgument,
@@ -66,8 +66,8 @@
     tonic::Status::new(code, refusal.detail.clone())
 }
 
-/// Progress as the schema states it.
-pub fn progress_to(progress: &JobProgress) -> v1::JobStatus {
+/// Converts a job's progress to its protobuf message.
+pub fn progress_to_proto(progress: &JobProgress) -> v1::JobStatus {
     let state = match progress.state {
         JobState::Running => v1::JobState::Running,
         JobState::Ended => v1::JobState::Ended,
@@ -84,8 +84,8 @@
     }
 }
 
-/// An item's outcome as the schema states it.
-pub fn outcome_to(outcome: ItemOutcome) -> v1::ItemOutcome {
+/// Converts an item's outcome to its protobuf value.
+pub fn outcome_to_proto(outcome: ItemOutcome) -> v1::ItemOutcome {
     match outcome {
         ItemOutcome::Completed => v1::ItemOutcome::Completed,
         ItemOutcome::Failed => v1::ItemOutcome::Failed,
--- a/crates/rpc/src/incoming.rs
+++ b/crates/rpc/src/incoming.rs
@@ -1,5 +1,5 @@
-//! Connections of a gRPC port: TLS with certificates from files, or plaintext where the settings
-//! say so.
+//! Incoming connections of a gRPC server: TLS with certificates from files, or plaintext if no
+//! certificate is configured.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,12 +26,12 @@
 
 use crate::auth::FileError;
 
-/// Connections that may wait to be taken by the server.
-const ACCEPT_QUEUE: usize = 256;
-/// Time within which a TLS handshake must be done.
+/// Maximum number of accepted connections that the server has not taken yet.
+const MAX_QUEUED_CONNECTIONS: usize = 256;
+/// Timeout of a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed `accept`.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed `accept`, for example when no file descriptor is available.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// An accepted connection.
 #[derive(Debug)]
@@ -93,7 +93,7 @@
     }
 }
 
-/// The certificate in force, replaced when its files change.
+/// The current certificate, replaced when its files change.
 #[derive(Debug)]
 struct FileCertificate {
     current: ArcSwap<CertifiedKey>,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Accepts connections on an open listener as the settings say.
+/// Accepts connections on a bound listener, with TLS if the settings name certificate files.
 pub fn serve_incoming(
     listener: TcpListener,
     security: &SecuritySettings,
@@ -113,7 +113,7 @@
     let files = security.tls_certificate_file.clone().zip(security.tls_key_file.clone());
     let interval = Duration::from_millis(security.reload_interval_ms);
     let acceptor = files.map(|files| start_tls(files, interval)).transpose()?;
-    let (sender, receiver) = mpsc::channel(ACCEPT_QUEUE);
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_CONNECTIONS);
     tokio::spawn(accept(listener, acceptor, sender));
     Ok(ReceiverStream::new(receiver))
 }
@@ -147,11 +147,11 @@
     let chain: Result<Vec<_>, _> = rustls_pemfile::certs(&mut certificate_pem.as_slice()).collect();
     let chain = chain.map_err(|e| error(certificate, e.to_string()))?;
     if chain.is_empty() {
-        return Err(error(certificate, "holds no certificate".into()));
+        return Err(error(certificate, "contains no certificate".into()));
     }
     let private = rustls_pemfile::private_key(&mut key_pem.as_slice())
         .map_err(|e| error(key, e.to_string()))?
-        .ok_or_else(|| error(key, "holds no private key".into()))?;
+        .ok_or_else(|| error(key, "contains no private key".into()))?;
     let signing = any_supported_type(&private).map_err(|e| error(key, e.to_string()))?;
     Ok(CertifiedKey::new(chain, signing))
 }
@@ -182,7 +182,7 @@
 ) {
     while !sender.is_closed() {
         let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -200,7 +200,9 @@
                 Ok(Err(error)) => {
                     Event::new(Level::Warn, "TLS handshake").peer(peer).write(error);
                 }
-                Err(_) => Event::new(Level::Warn, "TLS handshake").peer(peer).write("timed out"),
+                Err(_) => Event::new(Level::Warn, "TLS handshake")
+                    .peer(peer)
+                    .write("not completed within the handshake timeout"),
             }
         });
     }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,4 +1,5 @@
-//! gRPC ports: TLS from files, API keys, and conversion of the schema's types.
+//! Common parts of gRPC servers and clients: TLS with certificates from files, authentication by
+//! API keys, and conversion of the protobuf types.
 
 pub mod auth;
 pub mod client;
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,29 +1,29 @@
-//! Errors of the data folder.
+//! Errors of the data folder, with the operation that failed.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// The step that failed.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageStep {
     /// Opening the folder.
     Open,
-    /// Reading what an earlier start wrote.
+    /// Reading the state written before the last restart.
     Recover,
-    /// Writing.
+    /// Writing records or bodies.
     Write,
-    /// Syncing to disk.
+    /// Syncing written data to disk.
     Sync,
-    /// Reading.
+    /// Reading bodies or results.
     Read,
 }
 
-/// A failure of the data folder.
+/// A failed operation on the data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StorageError {
-    /// The step.
+    /// The operation that failed.
     pub step: StorageStep,
-    /// The folder.
+    /// The data folder.
     pub folder: PathBuf,
     /// The cause.
     pub cause: String,
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -1,5 +1,5 @@
-//! Jobs, item bodies and results in an embedded store (fjall: a log-structured merge tree with a
-//! checksummed write-ahead journal).
+//! Jobs, item bodies and results in fjall, an embedded log-structured merge tree with a checksummed
+//! write-ahead journal.
 
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 use yokefall_types::ItemResult;
 
 use crate::error::{StorageError, StorageStep};
-use crate::keys::{number_of, pair};
+use crate::keys::{item_key, leading_number};
 
 const EPOCH_KEY: &[u8] = b"epoch";
 
@@ -21,19 +21,19 @@
     keyspace: Keyspace,
     /// Job number to the `Accepted` record.
     jobs: PartitionHandle,
-    /// Job number to nothing, for cancelled jobs.
+    /// Numbers of the cancelled jobs; the values are empty.
     cancelled: PartitionHandle,
-    /// Job number and index to the `Started` record.
+    /// Job number and item index to the `Started` record.
     started: PartitionHandle,
-    /// Job number and index to the item's result.
+    /// Job number and item index to the item's result.
     results: PartitionHandle,
-    /// Upload and index to the item's body.
+    /// Upload number and item index to the item's body.
     bodies: PartitionHandle,
     epoch: u64,
 }
 
 impl Journal {
-    /// Opens a folder and begins a new epoch in it, which is on disk before this returns.
+    /// Opens a data folder and starts a new epoch, which is on disk before this returns.
     pub fn open(folder: &Path) -> Result<Self, StorageError> {
         let error = |step: StorageStep| {
             move |cause: fjall::Error| StorageError {
@@ -48,8 +48,8 @@
             keyspace.open_partition(name, options).map_err(error(StorageStep::Open))
         };
         let meta = partition("meta")?;
-        let held = meta.get(EPOCH_KEY).map_err(error(StorageStep::Recover))?;
-        let epoch = held.and_then(|bytes| number_of(&bytes)).unwrap_or(0) + 1;
+        let stored = meta.get(EPOCH_KEY).map_err(error(StorageStep::Recover))?;
+        let epoch = stored.and_then(|bytes| leading_number(&bytes)).unwrap_or(0) + 1;
         meta.insert(EPOCH_KEY, epoch.to_be_bytes()).map_err(error(StorageStep::Write))?;
         keyspace.persist(PersistMode::SyncAll).map_err(error(StorageStep::Sync))?;
         Ok(Self {
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Number of this start of the folder, from one.
+    /// The current epoch: how often the folder has been opened, starting at one.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -73,9 +73,9 @@
         StorageError { step, folder: self.folder.clone(), cause: cause.to_string() }
     }
 
-    /// Feeds every durable record to `take`: jobs first, then what happened to them. Bodies of
-    /// uploads that were never accepted are removed.
-    pub fn recover(&self, mut take: impl FnMut(JobRecord)) -> Result<(), StorageError> {
+    /// Replays every durable record to `apply`: accepted jobs first, then the starts, results and
+    /// cancellations. Removes the bodies of uploads that were never accepted.
+    pub fn recover(&self, mut apply: impl FnMut(JobRecord)) -> Result<(), StorageError> {
         let mut uploads = HashSet::new();
         for entry in self.jobs.iter() {
             let (_, value) = entry.map_err(|e| self.error(StorageStep::Recover, e))?;
@@ -83,29 +83,29 @@
             if let JobRecord::Accepted { upload, .. } = &record {
                 uploads.insert(*upload);
             }
-            take(record);
+            apply(record);
         }
         for entry in self.started.iter() {
             let (_, value) = entry.map_err(|e| self.error(StorageStep::Recover, e))?;
-            take(self.decode(&value)?);
+            apply(self.decode(&value)?);
         }
         for entry in self.results.iter() {
             let (key, value) = entry.map_err(|e| self.error(StorageStep::Recover, e))?;
             let mut result: ItemResult = self.decode(&value)?;
             result.body = Vec::new();
-            take(JobRecord::Ended { number: number_of(&key).unwrap_or(0), result });
+            apply(JobRecord::Ended { number: leading_number(&key).unwrap_or(0), result });
         }
         for entry in self.cancelled.iter() {
             let (key, _) = entry.map_err(|e| self.error(StorageStep::Recover, e))?;
-            take(JobRecord::Cancelled { number: number_of(&key).unwrap_or(0) });
+            apply(JobRecord::Cancelled { number: leading_number(&key).unwrap_or(0) });
         }
-        self.remove_orphans(&uploads)
+        self.remove_unaccepted_uploads(&uploads)
     }
 
-    fn remove_orphans(&self, uploads: &HashSet<u64>) -> Result<(), StorageError> {
+    fn remove_unaccepted_uploads(&self, uploads: &HashSet<u64>) -> Result<(), StorageError> {
         for key in self.bodies.keys() {
             let key = key.map_err(|e| self.error(StorageStep::Recover, e))?;
-            if number_of(&key).is_some_and(|upload| !uploads.contains(&upload)) {
+            if leading_number(&key).is_some_and(|upload| !uploads.contains(&upload)) {
                 self.bodies.remove(&key[..]).map_err(|e| self.error(StorageStep::Write, e))?;
             }
         }
@@ -116,7 +116,7 @@
         T::try_from_slice(bytes).map_err(|error| self.error(StorageStep::Recover, error))
     }
 
-    /// Writes item bodies of an upload. Durable with the next `write` that syncs.
+    /// Writes item bodies of an upload. They are durable after the next `write`.
     pub fn write_bodies(
         &self,
         upload: u64,
@@ -125,7 +125,7 @@
     ) -> Result<(), StorageError> {
         let mut batch = self.keyspace.batch();
         for (index, body) in (first_index..).zip(bodies) {
-            batch.insert(&self.bodies, pair(upload, index), body.as_slice());
+            batch.insert(&self.bodies, item_key(upload, index), body.as_slice());
         }
         batch.commit().map_err(|error| self.error(StorageStep::Write, error))
     }
@@ -134,19 +134,19 @@
     pub fn discard_bodies(&self, upload: u64, items: u32) -> Result<(), StorageError> {
         let mut batch = self.keyspace.batch();
         for index in 0..items {
-            batch.remove(&self.bodies, pair(upload, index));
+            batch.remove(&self.bodies, item_key(upload, index));
         }
         batch.commit().map_err(|error| self.error(StorageStep::Write, error))
     }
 
-    /// Body of an item.
+    /// Reads the body of an item.
     pub fn body(&self, upload: u64, index: u32) -> Result<Option<Vec<u8>>, StorageError> {
-        let value = self.bodies.get(pair(upload, index));
+        let value = self.bodies.get(item_key(upload, index));
         let value = value.map_err(|error| self.error(StorageStep::Read, error))?;
         Ok(value.map(|bytes| bytes.to_vec()))
     }
 
-    /// Writes records and syncs them, with everything written before, to disk.
+    /// Writes records and syncs them and all earlier writes to disk.
     pub fn write(&self, records: &[JobRecord]) -> Result<(), StorageError> {
         let mut batch = self.keyspace.batch();
         for record in records {
@@ -158,13 +158,13 @@
                     batch.insert(&self.cancelled, number.to_be_bytes(), []);
                 }
                 JobRecord::Started { number, index, .. } => {
-                    batch.insert(&self.started, pair(*number, *index), self.encode(record)?);
+                    batch.insert(&self.started, item_key(*number, *index), self.encode(record)?);
                 }
                 JobRecord::NotStarted { number, index } => {
-                    batch.remove(&self.started, pair(*number, *index));
+                    batch.remove(&self.started, item_key(*number, *index));
                 }
                 JobRecord::Ended { number, result } => {
-                    let key = pair(*number, result.index);
+                    let key = item_key(*number, result.index);
                     batch.insert(&self.results, key, self.encode(result)?);
                 }
             }
@@ -179,22 +179,23 @@
         borsh::to_vec(value).map_err(|error| self.error(StorageStep::Write, error))
     }
 
-    /// Results of a job from an index on: at most `most` results and about `most_bytes` bytes.
+    /// Reads results of a job in order of index, starting at `from_index`: at most `max_results`
+    /// results, and no more once their size reaches `max_bytes`.
     pub fn results(
         &self,
         number: JobNumber,
         from_index: u32,
-        most: usize,
-        most_bytes: usize,
+        max_results: usize,
+        max_bytes: usize,
     ) -> Result<Vec<ItemResult>, StorageError> {
-        let range = pair(number, from_index)..=pair(number, u32::MAX);
+        let range = item_key(number, from_index)..=item_key(number, u32::MAX);
         let mut results = Vec::new();
         let mut bytes = 0;
         for entry in self.results.range(range) {
             let (_, value) = entry.map_err(|error| self.error(StorageStep::Read, error))?;
             bytes += value.len();
             results.push(self.decode(&value)?);
-            if results.len() >= most || bytes >= most_bytes {
+            if results.len() >= max_results || bytes >= max_bytes {
                 break;
             }
         }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,4 +1,4 @@
-//! The durable journal of a data folder.
+//! Durable storage of batch jobs in a data folder.
 
 pub mod error;
 pub mod journal;
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the journal: one sync for all that waits.
+//! The thread that writes the journal. Queued tasks share one sync (group commit).
 
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::JoinHandle;
@@ -8,49 +8,52 @@
 use crate::error::StorageError;
 use crate::journal::Journal;
 
-/// Most tasks behind one sync.
-const MOST_TASKS_PER_SYNC: usize = 4096;
+/// Maximum number of tasks that share one sync.
+const MAX_TASKS_PER_SYNC: usize = 4096;
 
-/// Records to write, and what to do once they, and all records before them, are on disk.
+/// Records to write, with a callback that runs once they and all earlier records are on disk.
 pub struct JournalTask {
-    /// Records; may be empty, to wait for those before.
+    /// The records; may be empty, to wait only for earlier records.
     pub records: Vec<JobRecord>,
-    /// Called on the writer's thread once they are durable.
+    /// Called on the writer thread once the records are durable.
     pub then: Box<dyn FnOnce(&Journal) + Send>,
 }
 
-/// Hands tasks to the writer's thread.
+/// Queues tasks for the writer thread.
 #[derive(Clone)]
 pub struct JournalWriter {
     tasks: Sender<JournalTask>,
 }
 
 impl JournalWriter {
-    /// Starts the thread. A failed write ends it, and `failed` is called: what was answered is on
-    /// disk, and nothing more is answered.
+    /// Starts the writer thread. A failed write ends the thread and calls `on_failure`: everything
+    /// acknowledged before is on disk, and nothing is acknowledged afterwards.
     pub fn start(
         journal: Journal,
-        failed: impl FnOnce(StorageError) + Send + 'static,
+        on_failure: impl FnOnce(StorageError) + Send + 'static,
     ) -> std::io::Result<(Self, JoinHandle<()>)> {
         let (tasks, queue) = channel();
         let thread = std::thread::Builder::new().name("journal".to_owned()).spawn(move || {
-            if let Err(error) = run(&journal, &queue) {
-                failed(error);
+            if let Err(error) = write_queued_tasks(&journal, &queue) {
+                on_failure(error);
             }
         })?;
         Ok((Self { tasks }, thread))
     }
 
-    /// Queues a task. After a failed write it is dropped, and with it its reply.
+    /// Queues a task. After a failed write the task is dropped without calling its callback.
     pub fn submit(&self, task: JournalTask) {
         let _ = self.tasks.send(task);
     }
 }
 
-fn run(journal: &Journal, queue: &Receiver<JournalTask>) -> Result<(), StorageError> {
+fn write_queued_tasks(
+    journal: &Journal,
+    queue: &Receiver<JournalTask>,
+) -> Result<(), StorageError> {
     while let Ok(first) = queue.recv() {
         let mut tasks = vec![first];
-        while tasks.len() < MOST_TASKS_PER_SYNC {
+        while tasks.len() < MAX_TASKS_PER_SYNC {
             let Ok(task) = queue.try_recv() else { break };
             tasks.push(task);
         }
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal: what was written is read again, and uploads that were not accepted are not.
+//! Recovery of the journal after a restart, paging of results, and the order of callbacks.
 
 use yokefall_core::jobs::JobRecord;
 use yokefall_peer::{JobHeader, LeaseToken};
@@ -8,7 +8,7 @@
 };
 
 const UPLOAD: u64 = 7;
-const ORPHAN: u64 = 8;
+const UNACCEPTED_UPLOAD: u64 = 8;
 
 fn accepted() -> JobRecord {
     JobRecord::Accepted {
@@ -49,7 +49,7 @@
         let journal = Journal::open(folder.path()).expect("open");
         assert_eq!(journal.epoch(), 1);
         journal.write_bodies(UPLOAD, 0, &[b"a".to_vec(), b"b".to_vec()]).expect("bodies");
-        journal.write_bodies(ORPHAN, 0, &[b"c".to_vec()]).expect("bodies");
+        journal.write_bodies(UNACCEPTED_UPLOAD, 0, &[b"c".to_vec()]).expect("bodies");
         journal.write(&[accepted(), started(0), started(1)]).expect("write");
         journal.write(&[ended(0), JobRecord::NotStarted { number: 1, index: 1 }]).expect("write");
     }
@@ -62,7 +62,7 @@
     assert!(matches!(&records[2], JobRecord::Ended { number: 1, result } if result.index == 0));
     assert_eq!(records.len(), 3);
     assert_eq!(journal.body(UPLOAD, 1).expect("read"), Some(b"b".to_vec()));
-    assert_eq!(journal.body(ORPHAN, 0).expect("read"), None);
+    assert_eq!(journal.body(UNACCEPTED_UPLOAD, 0).expect("read"), None);
     let results = journal.results(1, 0, 10, 1_000).expect("read");
     assert_eq!(results[0].body, b"answer".to_vec());
 }
@@ -88,13 +88,13 @@
     for index in 0..100 {
         let replies = replies.clone();
         let then = move |journal: &Journal| {
-            let held = journal.results(1, index, 1, usize::MAX).expect("read");
-            let _ = replies.send((index, held.first().map(|result| result.index)));
+            let stored = journal.results(1, index, 1, usize::MAX).expect("read");
+            let _ = replies.send((index, stored.first().map(|result| result.index)));
         };
         writer.submit(JournalTask { records: vec![ended(index)], then: Box::new(then) });
     }
     drop(replies);
-    let seen: Vec<(u32, Option<u32>)> = received.iter().take(100).collect();
-    let wanted: Vec<(u32, Option<u32>)> = (0..100).map(|index| (index, Some(index))).collect();
-    assert_eq!(seen, wanted);
+    let received_results: Vec<(u32, Option<u32>)> = received.iter().take(100).collect();
+    let expected: Vec<(u32, Option<u32>)> = (0..100).map(|index| (index, Some(index))).collect();
+    assert_eq!(received_results, expected);
 }
