--- a/crates/app/src/commands/demo.rs
+++ b/crates/app/src/commands/demo.rs
@@ -41,7 +41,7 @@
 pub async fn run(arguments: DemoArguments) -> ExitStatus {
     let level = if arguments.logs { Level::Info } else { Level::Error };
     init_logs("demo", Format::Text, level);
-    let plans = deployment::today();
+    let plans = deployment::reference_deployments();
     for plan in &plans {
         let services: Vec<String> =
             plan.services.iter().map(|s| format!("{} x{}", s.name, s.backends)).collect();
@@ -57,7 +57,7 @@
         seed: arguments.seed,
         model_rate: arguments.model_rate,
         plain_rate: arguments.plain_rate,
-        jobs_per_heap: arguments.jobs_per_heap,
+        jobs_per_burst: arguments.jobs_per_heap,
         ..RunOptions::default()
     };
     let progress = |elapsed: Duration, items: u64, executed: usize| {
@@ -78,7 +78,7 @@
     } else {
         println!("{}", report.table());
     }
-    if report.is_broken() {
+    if report.has_violations() {
         return fail(ExitStatus::Broken, "something was lost, doubled or cut off");
     }
     ExitStatus::Done
--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -15,7 +15,7 @@
 use crate::completion::CompletionStream;
 use crate::error::{BackendError, BackendStep};
 use crate::schema::{
-    CompletionOrder, ATTEMPT_HEADER, COMPLETIONS_PATH, PLAIN_CALL_PATH, REQUESTS_PATH,
+    CompletionRequest, ATTEMPT_HEADER, COMPLETIONS_PATH, PLAIN_CALL_PATH, REQUESTS_PATH,
     REQUEST_ID_HEADER,
 };
 
@@ -52,7 +52,7 @@
     pub async fn complete(
         &self,
         address: &str,
-        completion: &CompletionOrder,
+        completion: &CompletionRequest,
     ) -> Result<CompletionStream, BackendError> {
         let body = serde_json::to_vec(completion)
             .map_err(|error| BackendError::new(BackendStep::Connect, address, error))?;
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -8,4 +8,4 @@
 pub use client::BackendClient;
 pub use completion::{CompletionEvent, CompletionStream};
 pub use error::{BackendError, BackendStep};
-pub use schema::CompletionOrder;
+pub use schema::CompletionRequest;
--- a/crates/backend/src/schema.rs
+++ b/crates/backend/src/schema.rs
@@ -23,7 +23,7 @@
 
 /// Body of a completion request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CompletionOrder {
+pub struct CompletionRequest {
     /// Id of the request, used for cancellation and in the engine's own records.
     pub request_id: String,
     /// Attempt number.
--- a/crates/bench/src/commands/chaos.rs
+++ b/crates/bench/src/commands/chaos.rs
@@ -30,7 +30,8 @@
 
 /// Runs load and faults, and judges by the ledgers.
 pub async fn run(arguments: ChaosArguments) -> Result<(), String> {
-    let fleet = LocalFleet::start(deployment::today(), &FleetOptions::default()).await?;
+    let fleet =
+        LocalFleet::start(deployment::reference_deployments(), &FleetOptions::default()).await?;
     let options = RunOptions {
         duration: Duration::from_secs(arguments.seconds),
         seed: arguments.seed,
@@ -45,7 +46,7 @@
     } else {
         println!("{}", report.table());
     }
-    if report.is_broken() {
+    if report.has_violations() {
         return Err("something was lost, doubled or cut off".to_owned());
     }
     Ok(())
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -74,7 +74,7 @@
 }
 
 /// The Board and Trasovka as they are today.
-pub fn today() -> Vec<PartnerPlan> {
+pub fn reference_deployments() -> Vec<PartnerPlan> {
     vec![
         PartnerPlan {
             partner: "board",
--- a/crates/bench/src/load/batch.rs
+++ b/crates/bench/src/load/batch.rs
@@ -32,7 +32,7 @@
     /// Service.
     pub service: String,
     /// Jobs in a heap.
-    pub jobs_per_heap: usize,
+    pub jobs_per_burst: usize,
     /// Items in a job.
     pub items_per_job: std::ops::RangeInclusive<u32>,
     /// Tokens of an item's answer.
@@ -81,7 +81,7 @@
     let mut heap = 0u32;
     while HEAP_INTERVAL * heap < load.duration {
         tokio::time::sleep_until(begun + HEAP_INTERVAL * heap).await;
-        for number in 0..load.jobs_per_heap {
+        for number in 0..load.jobs_per_burst {
             let plan = JobPlan {
                 key: format!("{}-{heap}-{number}", load.seed),
                 items: generator.random_range(load.items_per_job.clone()),
@@ -189,7 +189,7 @@
     let mut total = OutcomeCounts::default();
     for record in records {
         let judged = judge_job(record, &counts, verbose);
-        if verbose && judged.is_broken() {
+        if verbose && judged.has_violations() {
             eprintln!("broken: job {} {judged:?}", record.ledger_id);
         }
         total.add(&judged);
--- a/crates/bench/src/load/online.rs
+++ b/crates/bench/src/load/online.rs
@@ -283,7 +283,7 @@
     for observation in observations {
         let ran = counts.get(&observation.ledger_id).copied().unwrap_or_default();
         let judged = judge_one(observation, ran);
-        if verbose && judged.is_broken() {
+        if verbose && judged.has_violations() {
             eprintln!("broken: {observation:?}, ran {ran:?}");
         }
         total.add(&judged);
--- a/crates/bench/src/load/run.rs
+++ b/crates/bench/src/load/run.rs
@@ -24,7 +24,7 @@
     /// Plain requests a second of each partner.
     pub plain_rate: f64,
     /// Jobs in each heap of each partner.
-    pub jobs_per_heap: usize,
+    pub jobs_per_burst: usize,
     /// Time after the load until what is left of the jobs is cancelled.
     pub grace: Duration,
     /// Write a line to standard error for each request or item that was lost or doubled.
@@ -38,7 +38,7 @@
             seed: 1,
             model_rate: 30.0,
             plain_rate: 40.0,
-            jobs_per_heap: 6,
+            jobs_per_burst: 6,
             grace: Duration::from_secs(20),
             verbose: false,
         }
@@ -151,7 +151,7 @@
     batch::BatchLoad {
         partner: plan.partner.to_owned(),
         service: plan.model_service().name.to_owned(),
-        jobs_per_heap: options.jobs_per_heap,
+        jobs_per_burst: options.jobs_per_burst,
         items_per_job: ITEMS_PER_JOB,
         tokens: ITEM_TOKENS,
         duration: options.duration,
--- a/crates/bench/src/measure/overhead.rs
+++ b/crates/bench/src/measure/overhead.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use yokefall_api::v1;
 use yokefall_backend::schema::ENGINE_PRIORITY_ONLINE;
-use yokefall_backend::{BackendClient, CompletionEvent, CompletionOrder};
+use yokefall_backend::{BackendClient, CompletionEvent, CompletionRequest};
 use yokefall_rpc::client::Caller;
 use yokefall_types::ServiceKind;
 
@@ -104,7 +104,7 @@
         let answer = client.call_plain(address, &id, 1, bytes::Bytes::from_static(b"body")).await;
         return answer.map(|_| ()).map_err(|error| error.to_string());
     }
-    let order = CompletionOrder {
+    let order = CompletionRequest {
         request_id: id,
         attempt: 1,
         model: MODEL_SERVICE.to_owned(),
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether a promise was broken.
-    pub fn is_broken(&self) -> bool {
+    pub fn has_violations(&self) -> bool {
         self.lost + self.doubled > 0
     }
 }
@@ -124,8 +124,8 @@
 
 impl RunReport {
     /// Whether a promise was broken.
-    pub fn is_broken(&self) -> bool {
-        self.requests.is_broken() || self.items.is_broken() || !self.clean_stop
+    pub fn has_violations(&self) -> bool {
+        self.requests.has_violations() || self.items.has_violations() || !self.clean_stop
     }
 
     /// The report as a table for people.
--- a/crates/bench/src/soak/back_end.rs
+++ b/crates/bench/src/soak/back_end.rs
@@ -13,7 +13,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::proxy::Link;
-use yokefall_bench::standin::http::{read_body, streaming, whole, Body, Handler, HttpServer};
+use yokefall_bench::standin::http::{
+    full_response, read_body, streaming, Body, Handler, HttpServer,
+};
 
 /// Time that a call takes, and an event of an item.
 const CALL_TIME: Duration = Duration::from_millis(15);
@@ -142,15 +144,15 @@
     let headers = request.headers().clone();
     let path = request.uri().path().to_owned();
     let Some(id) = text(&headers, "yokefall-request").map(str::to_owned) else {
-        return whole(StatusCode::OK, "healthy");
+        return full_response(StatusCode::OK, "healthy");
     };
     if text(&headers, "yokefall-backend").is_some_and(|expected| expected != own_id) {
-        let mut refusal = whole(StatusCode::MISDIRECTED_REQUEST, "another back end");
+        let mut refusal = full_response(StatusCode::MISDIRECTED_REQUEST, "another back end");
         refusal.headers_mut().insert("yokefall-not-run", HeaderValue::from_static("1"));
         return refusal;
     }
     if read_body(request).await.is_err() {
-        return whole(StatusCode::BAD_REQUEST, "no whole body");
+        return full_response(StatusCode::BAD_REQUEST, "no whole body");
     }
     ledger.note(own_id, &id);
     if path.starts_with(FATAL_PATH) {
@@ -163,7 +165,7 @@
         return stream(id, after.unwrap_or(0));
     }
     tokio::time::sleep(CALL_TIME).await;
-    whole(StatusCode::OK, answer_to(&id))
+    full_response(StatusCode::OK, answer_to(&id))
 }
 
 /// Streams the events of an item that follow on one.
--- a/crates/bench/src/standin/engine/server.rs
+++ b/crates/bench/src/standin/engine/server.rs
@@ -14,7 +14,8 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
 use yokefall_backend::schema::{
-    CompletionChoice, CompletionChunk, CompletionOrder, COMPLETIONS_PATH, REQUESTS_PATH, STREAM_END,
+    CompletionChoice, CompletionChunk, CompletionRequest, COMPLETIONS_PATH, REQUESTS_PATH,
+    STREAM_END,
 };
 
 use super::cache::{BlockHash, CacheEvent};
@@ -25,7 +26,8 @@
 use super::report::{CacheEventReport, LoadReport};
 use crate::ledger::{ExecutionEnd, ExecutionNumber, Ledger};
 use crate::standin::http::{
-    json, query_value, read_body, read_json, streaming, whole, Body, HttpServer, ResponseFuture,
+    full_response, json, query_value, read_body, read_json, streaming, Body, HttpServer,
+    ResponseFuture,
 };
 use crate::standin::plain::LEDGER_PATH;
 use crate::text::token_text;
@@ -325,20 +327,23 @@
         (Method::POST, FAULT_PATH) => match read_json(request).await {
             Ok(fault) => {
                 let _ = faults.send(fault);
-                whole(StatusCode::ACCEPTED, "")
+                full_response(StatusCode::ACCEPTED, "")
             }
             Err(response) => *response,
         },
-        _ => whole(StatusCode::NOT_FOUND, "not found"),
+        _ => full_response(StatusCode::NOT_FOUND, "not found"),
     }
 }
 
-fn complete(state: &Arc<State>, order: CompletionOrder) -> Response<Body> {
+fn complete(state: &Arc<State>, order: CompletionRequest) -> Response<Body> {
     if !lock(&state.control).models.contains_key(&order.model) {
-        return whole(StatusCode::NOT_FOUND, format!("model: {} is not loaded", order.model));
+        return full_response(
+            StatusCode::NOT_FOUND,
+            format!("model: {} is not loaded", order.model),
+        );
     }
     if order.max_tokens == 0 {
-        return whole(StatusCode::BAD_REQUEST, "max_tokens: must be at least 1");
+        return full_response(StatusCode::BAD_REQUEST, "max_tokens: must be at least 1");
     }
     let (pieces, receiver) = mpsc::unbounded_channel();
     let sequence = Sequence {
@@ -352,7 +357,7 @@
     let mut streams = lock(&state.streams);
     let submitted = if whole_already { Some(0) } else { lock(&state.model).submit(sequence) };
     let Some(number) = submitted else {
-        return whole(StatusCode::TOO_MANY_REQUESTS, "queue is full; nothing was begun");
+        return full_response(StatusCode::TOO_MANY_REQUESTS, "queue is full; nothing was begun");
     };
     let execution = state.ledger.begin(&order.request_id);
     state.begun.fetch_add(1, Ordering::Relaxed);
@@ -420,8 +425,8 @@
         .find(|(_, stream)| stream.engine_id == engine_id)
         .map(|(number, _)| *number);
     match number {
-        Some(number) if end_sequence(state, number) => whole(StatusCode::OK, ""),
-        _ => whole(StatusCode::NOT_FOUND, "no such request"),
+        Some(number) if end_sequence(state, number) => full_response(StatusCode::OK, ""),
+        _ => full_response(StatusCode::NOT_FOUND, "no such request"),
     }
 }
 
@@ -464,18 +469,18 @@
 
 async fn carry_out(state: &State, order: ControlOrder) -> Response<Body> {
     if !lock(&state.control).accept_epoch(order.epoch) {
-        return whole(StatusCode::CONFLICT, "epoch: older than one seen before");
+        return full_response(StatusCode::CONFLICT, "epoch: older than one seen before");
     }
     if let (ControlAction::LoadModel { .. }, Some(store)) = (&order.action, state.weight_store) {
         let bytes = lock(&state.model).parameters().model_bytes;
         if let Err(cause) = read_weights(store, bytes).await {
-            return whole(StatusCode::BAD_GATEWAY, cause);
+            return full_response(StatusCode::BAD_GATEWAY, cause);
         }
     }
     if lock(&state.control).carry_out(&order) {
-        return whole(StatusCode::OK, "");
+        return full_response(StatusCode::OK, "");
     }
-    whole(StatusCode::CONFLICT, "epoch: a newer one came while the order was carried out")
+    full_response(StatusCode::CONFLICT, "epoch: a newer one came while the order was carried out")
 }
 
 async fn read_weights(store: SocketAddr, bytes: u64) -> Result<(), String> {
--- a/crates/bench/src/standin/http.rs
+++ b/crates/bench/src/standin/http.rs
@@ -102,7 +102,7 @@
 }
 
 /// A whole response.
-pub fn whole(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
+pub fn full_response(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()).boxed());
     *response.status_mut() = status;
     response
@@ -110,7 +110,7 @@
 
 /// A whole response of JSON.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
-    let mut response = whole(status, serde_json::to_vec(value).unwrap_or_default());
+    let mut response = full_response(status, serde_json::to_vec(value).unwrap_or_default());
     let json_type = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json_type);
     response
@@ -127,7 +127,7 @@
 pub async fn read_body(request: Request<Incoming>) -> Result<Bytes, Box<Response<Body>>> {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     body.map(|collected| collected.to_bytes())
-        .map_err(|error| Box::new(whole(StatusCode::BAD_REQUEST, error.to_string())))
+        .map_err(|error| Box::new(full_response(StatusCode::BAD_REQUEST, error.to_string())))
 }
 
 /// Reads a request's body as JSON.
@@ -136,7 +136,7 @@
 ) -> Result<T, Box<Response<Body>>> {
     let body = read_body(request).await?;
     serde_json::from_slice(&body)
-        .map_err(|error| Box::new(whole(StatusCode::BAD_REQUEST, error.to_string())))
+        .map_err(|error| Box::new(full_response(StatusCode::BAD_REQUEST, error.to_string())))
 }
 
 /// One value of a query string.
--- a/crates/bench/src/standin/machines.rs
+++ b/crates/bench/src/standin/machines.rs
@@ -9,7 +9,7 @@
 use yokefall_objects::machines::MACHINES_PATH;
 use yokefall_objects::{Machine, MachineListing, MachineState};
 
-use super::http::{json, read_json, whole, Body, HttpServer, ResponseFuture};
+use super::http::{full_response, json, read_json, Body, HttpServer, ResponseFuture};
 
 /// A running machine list.
 pub struct MachineList {
@@ -64,7 +64,7 @@
     request: http::Request<hyper::body::Incoming>,
 ) -> http::Response<Body> {
     if request.uri().path() != MACHINES_PATH {
-        return whole(StatusCode::NOT_FOUND, "not found");
+        return full_response(StatusCode::NOT_FOUND, "not found");
     }
     if request.method() == Method::PUT {
         return match read_json::<MachineChange>(request).await {
@@ -73,7 +73,7 @@
                     tokio::time::sleep(lag).await;
                     set(&state, &change.name, change.state);
                 });
-                whole(StatusCode::ACCEPTED, "")
+                full_response(StatusCode::ACCEPTED, "")
             }
             Err(response) => *response,
         };
--- a/crates/bench/src/standin/plain.rs
+++ b/crates/bench/src/standin/plain.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Semaphore;
 use yokefall_backend::schema::{PLAIN_CALL_PATH, REQUEST_ID_HEADER};
 
-use super::http::{json, read_body, whole, Body, HttpServer, ResponseFuture};
+use super::http::{full_response, json, read_body, Body, HttpServer, ResponseFuture};
 use crate::ledger::{ExecutionEnd, ExecutionNumber, Ledger};
 use crate::text::plain_answer;
 
@@ -75,14 +75,14 @@
     match (request.method(), request.uri().path()) {
         (&Method::GET, LEDGER_PATH) => json(StatusCode::OK, &state.ledger.entries()),
         (&Method::POST, PLAIN_CALL_PATH) => call(&state, request).await,
-        _ => whole(StatusCode::NOT_FOUND, "not found"),
+        _ => full_response(StatusCode::NOT_FOUND, "not found"),
     }
 }
 
 async fn call(state: &State, request: Request<Incoming>) -> Response<Body> {
     let header = request.headers().get(REQUEST_ID_HEADER);
     let Some(id) = header.and_then(|value| value.to_str().ok()).map(str::to_owned) else {
-        return whole(StatusCode::BAD_REQUEST, "x-request-id: missing");
+        return full_response(StatusCode::BAD_REQUEST, "x-request-id: missing");
     };
     let body = match read_body(request).await {
         Ok(body) => body,
@@ -90,12 +90,12 @@
     };
     let running = Running { ledger: &state.ledger, number: state.ledger.begin(&id) };
     let Ok(_slot) = state.slots.acquire().await else {
-        return whole(StatusCode::SERVICE_UNAVAILABLE, "closed");
+        return full_response(StatusCode::SERVICE_UNAVAILABLE, "closed");
     };
     tokio::time::sleep(state.service_time).await;
     state.ledger.end(running.number, ExecutionEnd::Finished, 0);
     if state.lose_answers.load(Ordering::Relaxed) {
         std::future::pending::<()>().await;
     }
-    whole(StatusCode::OK, plain_answer(&id, &body))
+    full_response(StatusCode::OK, plain_answer(&id, &body))
 }
--- a/crates/bench/src/standin/weights.rs
+++ b/crates/bench/src/standin/weights.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use tokio::time::Instant;
 
-use super::http::{query_value, whole, HttpServer};
+use super::http::{full_response, query_value, HttpServer};
 
 /// A running weight store.
 pub struct WeightStore {
@@ -39,10 +39,10 @@
             let bytes = query_value(&request, "bytes").and_then(|value| value.parse().ok());
             let future: super::http::ResponseFuture = Box::pin(async move {
                 let Some(bytes) = bytes else {
-                    return whole(StatusCode::BAD_REQUEST, "bytes: missing");
+                    return full_response(StatusCode::BAD_REQUEST, "bytes: missing");
                 };
                 tokio::time::sleep_until(rate.reserve(bytes)).await;
-                whole(StatusCode::OK, "read")
+                full_response(StatusCode::OK, "read")
             });
             future
         };
--- a/crates/core/src/batch.rs
+++ b/crates/core/src/batch.rs
@@ -45,7 +45,7 @@
         /// Service with idle slots.
         service: ServiceId,
         /// Most items wanted.
-        most: u32,
+        max_items: u32,
     },
     /// Ask for durable start marks; report with `start_answered`.
     StartItems {
@@ -170,10 +170,10 @@
             if poll.not_before > now || is_waiting(now, poll) {
                 continue;
             }
-            let most = room.min(MOST_ITEMS_PER_LEASE);
-            poll.asked = Some((now, most));
-            room -= most;
-            effects.push(BatchEffect::Lease { store, service: service.clone(), most });
+            let max_items = room.min(MOST_ITEMS_PER_LEASE);
+            poll.asked = Some((now, max_items));
+            room -= max_items;
+            effects.push(BatchEffect::Lease { store, service: service.clone(), max_items });
         }
         effects
     }
@@ -181,7 +181,7 @@
     fn asked_for(&self, now: Timestamp, service: &ServiceId) -> u32 {
         let polls = self.polls.iter().filter(|((_, polled), _)| polled == service);
         let asked = polls.filter(|(_, poll)| is_waiting(now, poll));
-        asked.filter_map(|(_, poll)| poll.asked).map(|(_, most)| most).sum()
+        asked.filter_map(|(_, poll)| poll.asked).map(|(_, max_items)| max_items).sum()
     }
 
     /// A store answered a lease request.
@@ -208,7 +208,7 @@
                 Some(AdmissionEffect::Start { address, .. }) => {
                     effects.push(self.begin(now, ticket, store, item, address));
                 }
-                _ => returned.push(ReturnedItem { item: item.item, cause: ReturnCause::Yielded }),
+                _ => returned.push(ReturnedItem { item: item.item, cause: ReturnCause::Preempted }),
             }
         }
         if !returned.is_empty() {
@@ -240,8 +240,8 @@
         let poll = self.polls.entry((store.clone(), service.clone())).or_default();
         poll.asked = None;
         if empty {
-            let (least, most) = EMPTY_PAUSE_RANGE_MS;
-            poll.pause_ms = (poll.pause_ms * 2).clamp(least, most);
+            let (min_ms, max_ms) = EMPTY_PAUSE_RANGE_MS;
+            poll.pause_ms = (poll.pause_ms * 2).clamp(min_ms, max_ms);
             poll.not_before = now.plus_millis(poll.pause_ms);
         } else {
             poll.pause_ms = 0;
@@ -332,7 +332,7 @@
             ItemEnd::Stopped if no_repeat => {
                 self.report(now, ticket, ItemOutcome::Cancelled, Vec::new())
             }
-            ItemEnd::Stopped => self.give_back(ticket, ReturnCause::Yielded),
+            ItemEnd::Stopped => self.give_back(ticket, ReturnCause::Preempted),
         };
         (effect.into_iter().collect(), admitted)
     }
--- a/crates/core/src/jobs/ends.rs
+++ b/crates/core/src/jobs/ends.rs
@@ -128,7 +128,7 @@
         let Some(job) = self.jobs.get(&number) else { return };
         match job.items[index as usize] {
             Item::Leased { .. } => {
-                self.wait_again(number, index, ReturnCause::Yielded, records);
+                self.wait_again(number, index, ReturnCause::Preempted, records);
             }
             Item::Started { .. } if job.cancelled => self.end_given_up(now, number, records),
             _ => {}
--- a/crates/core/src/jobs/leases.rs
+++ b/crates/core/src/jobs/leases.rs
@@ -11,9 +11,14 @@
 
 impl JobStore {
     /// Leases waiting items of a service: by the job's priority, then its deadline.
-    pub fn lease(&mut self, now: Timestamp, service: &ServiceId, most: u32) -> Vec<LeaseGrant> {
+    pub fn lease(
+        &mut self,
+        now: Timestamp,
+        service: &ServiceId,
+        max_items: u32,
+    ) -> Vec<LeaseGrant> {
         let mut grants = Vec::new();
-        while (grants.len() as u32) < most {
+        while (grants.len() as u32) < max_items {
             let first = self.ready.get(service).and_then(|orders| orders.first());
             let Some(number) = first.map(|order| order.number) else { break };
             match self.lease_one(now, number) {
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -103,7 +103,7 @@
             }
             1 => self.start(choice),
             2 => self.complete(choice),
-            3 => self.give_back(choice, ReturnCause::Yielded),
+            3 => self.give_back(choice, ReturnCause::Preempted),
             4 => self.give_back(choice, ReturnCause::Failed("failed".to_owned())),
             5 => {
                 self.now = self.now.plus_millis(u64::from(choice) * LEASE_MS / 100);
@@ -262,6 +262,6 @@
     assert!(store.take_newly_ready().is_empty());
     let grants = store.lease(Timestamp(1), &service(), 2 * ITEMS);
     let item = grants[0].item.clone();
-    store.give_back(vec![ReturnedItem { item, cause: ReturnCause::Yielded }]);
+    store.give_back(vec![ReturnedItem { item, cause: ReturnCause::Preempted }]);
     assert_eq!(store.take_newly_ready(), vec![service()]);
 }
--- a/crates/daemon/src/control/jobs.rs
+++ b/crates/daemon/src/control/jobs.rs
@@ -42,7 +42,7 @@
         /// The service.
         service: ServiceId,
         /// Most items.
-        most: u32,
+        max_items: u32,
         /// The leases.
         reply: oneshot::Sender<Vec<LeaseGrant>>,
     },
@@ -149,10 +149,10 @@
         });
     }
 
-    fn write(&self, records: Vec<JobRecord>, then: impl FnOnce() + Send + 'static) {
+    fn write(&self, records: Vec<JobRecord>, on_durable: impl FnOnce() + Send + 'static) {
         if let Some(store) = &self.shared.store {
-            let then = Box::new(move |_: &yokefall_storage::Journal| then());
-            store.writer.submit(JournalTask { records, then });
+            let on_durable = Box::new(move |_: &yokefall_storage::Journal| on_durable());
+            store.writer.submit(JournalTask { records, on_durable });
         }
     }
 }
@@ -175,8 +175,8 @@
                 let decision = self.store.accept(now, unix_ms(), header, digest, items, upload);
                 self.settle(decision, reply);
             }
-            JobCommand::Lease { service, most, reply } => {
-                let _ = reply.send(self.store.lease(now, &service, most));
+            JobCommand::Lease { service, max_items, reply } => {
+                let _ = reply.send(self.store.lease(now, &service, max_items));
             }
             JobCommand::Start { items, reply } => {
                 let decision = self.store.start(now, items);
--- a/crates/daemon/src/ports/jobs.rs
+++ b/crates/daemon/src/ports/jobs.rs
@@ -36,7 +36,9 @@
         PeerRequest::ListResults { job, from_index } => {
             list_results(shared, store, job, from_index).await
         }
-        PeerRequest::LeaseItems { service, most, .. } => lease(shared, store, service, most).await,
+        PeerRequest::LeaseItems { service, max_items, .. } => {
+            lease(shared, store, service, max_items).await
+        }
         PeerRequest::StartItems(items) => {
             let granted = ask(shared, |reply| JobCommand::Start { items, reply }).await;
             granted.map_or_else(journal_failed, PeerReply::Granted)
@@ -130,8 +132,8 @@
     }
 }
 
-async fn lease(shared: &Shared, store: &Store, service: ServiceId, most: u32) -> PeerReply {
-    let command = |reply| JobCommand::Lease { service: service.clone(), most, reply };
+async fn lease(shared: &Shared, store: &Store, service: ServiceId, max_items: u32) -> PeerReply {
+    let command = |reply| JobCommand::Lease { service: service.clone(), max_items, reply };
     let Some(grants) = ask(shared, command).await else { return journal_failed() };
     // A body that cannot be read leaves its lease to lapse, and the item to another try.
     let items = grants.into_iter().filter_map(|grant| leased(store, &service, grant)).collect();
@@ -160,10 +162,10 @@
     // Read behind the writer's queue: what is seen is on disk.
     let (reply, page) = oneshot::channel();
     let read = move |journal: &Journal| {
-        let most = MAX_RESULT_PAGE as usize;
-        let _ = reply.send(journal.results(number, from_index, most, MAX_PAGE_BYTES));
+        let max_items = MAX_RESULT_PAGE as usize;
+        let _ = reply.send(journal.results(number, from_index, max_items, MAX_PAGE_BYTES));
     };
-    store.writer.submit(JournalTask { records: Vec::new(), then: Box::new(read) });
+    store.writer.submit(JournalTask { records: Vec::new(), on_durable: Box::new(read) });
     match page.await {
         Ok(Ok(results)) => {
             let bytes: usize = results.iter().map(|result| result.body.len()).sum();
--- a/crates/daemon/src/traffic/batch.rs
+++ b/crates/daemon/src/traffic/batch.rs
@@ -7,7 +7,7 @@
 use tokio::runtime::Handle;
 use tokio_util::sync::CancellationToken;
 use yokefall_backend::schema::ENGINE_PRIORITY_BATCH;
-use yokefall_backend::{BackendError, CompletionEvent, CompletionOrder};
+use yokefall_backend::{BackendError, CompletionEvent, CompletionRequest};
 use yokefall_core::admission::Ticket;
 use yokefall_core::batch::{BatchEffect, ItemEnd};
 use yokefall_peer::{CompletedItem, LeasedItem, LeasedItemRef, PeerReply, PeerRequest};
@@ -28,8 +28,8 @@
 pub fn carry_out(shared: &Arc<Shared>, traffic: &Handle, effect: BatchEffect) {
     let shared = shared.clone();
     match effect {
-        BatchEffect::Lease { store, service, most } => {
-            traffic.spawn(lease(shared, store, service, most));
+        BatchEffect::Lease { store, service, max_items } => {
+            traffic.spawn(lease(shared, store, service, max_items));
         }
         BatchEffect::StartItems { store, items } => {
             traffic.spawn(start_items(shared, store, items));
@@ -67,10 +67,10 @@
     None
 }
 
-async fn lease(shared: Arc<Shared>, store: NodeName, service: ServiceId, most: u32) {
+async fn lease(shared: Arc<Shared>, store: NodeName, service: ServiceId, max_items: u32) {
     let holder = shared.node.clone();
     metrics::counter!("yokefall_lease_requests_total").increment(1);
-    let request = PeerRequest::LeaseItems { service: service.clone(), most, holder };
+    let request = PeerRequest::LeaseItems { service: service.clone(), max_items, holder };
     let items = match call_peer(&shared, &store, request).await {
         Ok(PeerReply::Leased(items)) => Some(items),
         _ => None,
@@ -163,7 +163,7 @@
     prompt: &str,
     model: String,
 ) -> Result<Vec<u8>, BackendError> {
-    let order = CompletionOrder {
+    let order = CompletionRequest {
         request_id: engine_id.to_owned(),
         attempt: item.item.token.attempt,
         model,
--- a/crates/daemon/src/traffic/execution.rs
+++ b/crates/daemon/src/traffic/execution.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use tokio::sync::oneshot;
 use yokefall_backend::schema::ENGINE_PRIORITY_ONLINE;
-use yokefall_backend::{BackendError, BackendStep, CompletionEvent, CompletionOrder};
+use yokefall_backend::{BackendError, BackendStep, CompletionEvent, CompletionRequest};
 use yokefall_core::admission::Ticket;
 use yokefall_telemetry::{Event, Level};
 use yokefall_types::limits::MAX_ANSWER_BYTES;
@@ -98,7 +98,7 @@
     address: &str,
     model: String,
 ) -> Result<(), End> {
-    let order = CompletionOrder {
+    let order = CompletionRequest {
         request_id: engine_request_id(call),
         attempt: call.attempt(),
         model,
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -262,7 +262,7 @@
         /// The service, which includes the partner whose jobs are leased.
         service: ServiceId,
         /// Maximum number of items.
-        most: u32,
+        max_items: u32,
         /// The daemon that will run them.
         holder: NodeName,
     },
@@ -297,7 +297,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ReturnCause {
     /// It was preempted by an online call, or never got a slot.
-    Yielded,
+    Preempted,
     /// The execution failed.
     Failed(String),
     /// It was marked as started, but certainly nothing was sent to a back end.
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -16,7 +16,7 @@
     /// The records; may be empty, to wait only for earlier records.
     pub records: Vec<JobRecord>,
     /// Called on the writer thread once the records are durable.
-    pub then: Box<dyn FnOnce(&Journal) + Send>,
+    pub on_durable: Box<dyn FnOnce(&Journal) + Send>,
 }
 
 /// Queues tasks for the writer thread.
@@ -65,7 +65,7 @@
             journal.write(&records)?;
         }
         for task in tasks {
-            (task.then)(journal);
+            (task.on_durable)(journal);
         }
     }
     Ok(())
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -87,11 +87,12 @@
     let (replies, received) = std::sync::mpsc::channel();
     for index in 0..100 {
         let replies = replies.clone();
-        let then = move |journal: &Journal| {
+        let on_durable = move |journal: &Journal| {
             let stored = journal.results(1, index, 1, usize::MAX).expect("read");
             let _ = replies.send((index, stored.first().map(|result| result.index)));
         };
-        writer.submit(JournalTask { records: vec![ended(index)], then: Box::new(then) });
+        writer
+            .submit(JournalTask { records: vec![ended(index)], on_durable: Box::new(on_durable) });
     }
     drop(replies);
     let received_results: Vec<(u32, Option<u32>)> = received.iter().take(100).collect();
