--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -77,11 +77,7 @@
             Ok(Ok(_)) => Ok(true),
             Ok(Err(error)) if error.step == BackendStep::Status(404) => Ok(false),
             Ok(Err(error)) => Err(error),
-            Err(_) => Err(BackendError::new(
-                BackendStep::Stalled,
-                address,
-                "no response within the cancellation timeout",
-            )),
+            Err(_) => Err(BackendError::new(BackendStep::Stalled, address, "no answer to cancel")),
         }
     }
 
@@ -104,11 +100,7 @@
         match tokio::time::timeout(self.stall_timeout, limited.collect()).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes().to_vec()),
             Ok(Err(error)) => Err(BackendError::new(BackendStep::Cut, address, error)),
-            Err(_) => Err(BackendError::new(
-                BackendStep::Stalled,
-                address,
-                "response body incomplete at the stall timeout",
-            )),
+            Err(_) => Err(BackendError::new(BackendStep::Stalled, address, "no answer")),
         }
     }
 
@@ -128,11 +120,7 @@
                 return Err(BackendError::new(step, address, error));
             }
             Err(_) => {
-                return Err(BackendError::new(
-                    BackendStep::Stalled,
-                    address,
-                    "no response headers within the stall timeout",
-                ));
+                return Err(BackendError::new(BackendStep::Stalled, address, "no status"));
             }
         };
         let status = response.status();
--- a/crates/backend/src/completion.rs
+++ b/crates/backend/src/completion.rs
@@ -54,14 +54,12 @@
                 if self.finish_seen {
                     return Ok(CompletionEvent::Finished);
                 }
-                return Err(
-                    self.error(BackendStep::Decode, "[DONE] received before a finish_reason")
-                );
+                return Err(self.error(BackendStep::Decode, "end mark before finish_reason"));
             }
             let chunk: CompletionChunk = serde_json::from_str(&event.data)
                 .map_err(|error| self.error(BackendStep::Decode, error))?;
             let [choice] = &chunk.choices[..] else {
-                return Err(self.error(BackendStep::Decode, "expected exactly one choice"));
+                return Err(self.error(BackendStep::Decode, "want exactly one choice"));
             };
             self.finish_seen |= choice.finish_reason.is_some();
             if !choice.text.is_empty() {
@@ -78,8 +76,8 @@
                 Err(self.error(BackendStep::Cut, error))
             }
             Ok(Some(Err(error))) => Err(self.error(BackendStep::Decode, error)),
-            Ok(None) => Err(self.error(BackendStep::Cut, "stream ended without [DONE]")),
-            Err(_) => Err(self.error(BackendStep::Stalled, "no event within the stall timeout")),
+            Ok(None) => Err(self.error(BackendStep::Cut, "ended without its end mark")),
+            Err(_) => Err(self.error(BackendStep::Stalled, "no event in time")),
         }
     }
 
--- a/crates/objects/src/machines.rs
+++ b/crates/objects/src/machines.rs
@@ -68,11 +68,7 @@
             Ok(Ok(body)) => serde_json::from_slice(&body)
                 .map_err(|error| PlatformError::new(PlatformStep::Decode, &self.url, error)),
             Ok(Err(error)) => Err(error),
-            Err(_) => Err(PlatformError::new(
-                PlatformStep::Machines,
-                &self.url,
-                "not read within the timeout",
-            )),
+            Err(_) => Err(PlatformError::new(PlatformStep::Machines, &self.url, "timed out")),
         }
     }
 
--- a/crates/objects/src/objects.rs
+++ b/crates/objects/src/objects.rs
@@ -101,7 +101,7 @@
         let api = self.api_all_namespaces(kind);
         let listing = tokio::time::timeout(CALL_TIMEOUT, api.list(&ListParams::default()))
             .await
-            .map_err(|_| self.error(PlatformStep::List, "no response within the call timeout"))?
+            .map_err(|_| self.error(PlatformStep::List, "timed out"))?
             .map_err(|error| self.error(PlatformStep::List, error))?;
         let version = parse_version(listing.metadata.resource_version.as_deref());
         let objects = listing.items.iter().filter_map(|o| decode(kind, o, false)).collect();
@@ -119,7 +119,7 @@
         let version = version.to_string();
         let opening = tokio::time::timeout(CALL_TIMEOUT, api.watch(&params, &version)).await;
         let stream = opening
-            .map_err(|_| self.error(PlatformStep::Watch, "no response within the call timeout"))?
+            .map_err(|_| self.error(PlatformStep::Watch, "timed out"))?
             .map_err(|error| self.error(PlatformStep::Watch, error))?;
         let stream = stream.boxed();
         Ok(stream.filter_map(move |event| async move {
@@ -132,7 +132,7 @@
                 }
                 Ok(WatchEvent::Bookmark(_)) => None,
                 Ok(WatchEvent::Error(status)) if status.code == STATUS_GONE => {
-                    Some(ObjectEvent::Restart("watch version expired".to_owned()))
+                    Some(ObjectEvent::Restart("watch too old".to_owned()))
                 }
                 Ok(WatchEvent::Error(status)) => Some(ObjectEvent::Restart(status.message)),
                 Err(error) => Some(ObjectEvent::Restart(error.to_string())),
@@ -157,7 +157,7 @@
                 WriteOutcome::Conflict(0)
             }
             Ok(Err(error)) => self.resolve(change, false, &error.to_string()).await,
-            Err(_) => self.resolve(change, false, "no response within the call timeout").await,
+            Err(_) => self.resolve(change, false, "timed out").await,
         }
     }
 
@@ -209,7 +209,7 @@
         match tokio::time::timeout(CALL_TIMEOUT, api.get_opt(&key.name)).await {
             Ok(Ok(object)) => Ok(object),
             Ok(Err(error)) => Err(self.error(PlatformStep::Read, error)),
-            Err(_) => Err(self.error(PlatformStep::Read, "no response within the call timeout")),
+            Err(_) => Err(self.error(PlatformStep::Read, "timed out")),
         }
     }
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -106,7 +106,7 @@
         let exchange = async { self.open(peer, request).await?.next().await };
         match tokio::time::timeout(timeout, exchange).await {
             Ok(reply) => reply,
-            Err(_) => Err(PeerError::new(PeerStep::Receive, peer, "no reply within the timeout")),
+            Err(_) => Err(PeerError::new(PeerStep::Receive, peer, "no reply in time")),
         }
     }
 
@@ -117,9 +117,9 @@
             return Ok(connection.clone());
         }
         let opening = self.connect(peer);
-        let connection = tokio::time::timeout(CONNECT_TIMEOUT, opening).await.map_err(|_| {
-            PeerError::new(PeerStep::Connect, peer, "not connected within the connect timeout")
-        })??;
+        let connection = tokio::time::timeout(CONNECT_TIMEOUT, opening)
+            .await
+            .map_err(|_| PeerError::new(PeerStep::Connect, peer, "timed out"))??;
         *current = Some(connection.clone());
         Ok(connection)
     }
@@ -148,15 +148,12 @@
         };
         let bytes = encode(&hello).map_err(|e| failed(e.to_string()))?;
         stream.send(bytes).await.map_err(|e| failed(e.to_string()))?;
-        let answer = stream
-            .next()
-            .await
-            .ok_or_else(|| failed("connection closed before the handshake reply".into()))?;
+        let answer = stream.next().await.ok_or_else(|| failed("closed".into()))?;
         let bytes = answer.map_err(|e| failed(e.to_string()))?;
         match decode(&bytes) {
             Ok(Frame::Welcome { refusal }) if refusal.is_empty() => Ok(()),
             Ok(Frame::Welcome { refusal }) => Err(failed(refusal)),
-            Ok(_) => Err(failed("unexpected frame instead of the handshake reply".into())),
+            Ok(_) => Err(failed("unexpected frame".into())),
             Err(error) => Err(failed(error.to_string())),
         }
     }
