--- a/crates/agent/src/calls.rs
+++ b/crates/agent/src/calls.rs
@@ -20,7 +20,7 @@
 
 /// An event of a call as sent to its caller, in order. `Ended` is the last one.
 #[derive(Clone, Debug)]
-pub enum CallStep {
+pub enum CallerEvent {
     /// Part of the answer.
     Chunk {
         /// Position of the first byte within the whole answer.
@@ -52,7 +52,7 @@
 struct CallProgress {
     delivered: u64,
     tokens: u32,
-    steps: mpsc::UnboundedSender<CallStep>,
+    events: mpsc::UnboundedSender<CallerEvent>,
 }
 
 /// Result of an attempt at one daemon.
@@ -70,11 +70,11 @@
         &self,
         mut call: OnlineCall,
         offset: u64,
-        steps: mpsc::UnboundedSender<CallStep>,
+        events: mpsc::UnboundedSender<CallerEvent>,
     ) {
         let started_at = Instant::now();
         let deadline = Duration::from_millis(call.header.deadline_ms);
-        let mut progress = CallProgress { delivered: offset, tokens: 0, steps };
+        let mut progress = CallProgress { delivered: offset, tokens: 0, events };
         let resend = call.header.resend;
         let running = self.run_attempts(&mut call, started_at, deadline, &mut progress);
         let outcome = match tokio::time::timeout(deadline + DEADLINE_GRACE, running).await {
@@ -88,7 +88,7 @@
         if let Some(outcome) = outcome {
             let outcome = if resend { adjust_outcome_of_resend(outcome) } else { outcome };
             let (length, tokens) = (progress.delivered, progress.tokens);
-            let _ = progress.steps.send(CallStep::Ended { outcome, length, tokens });
+            let _ = progress.events.send(CallerEvent::Ended { outcome, length, tokens });
         }
     }
 
@@ -179,9 +179,9 @@
         &self,
         request: RequestId,
         wait_ms: u64,
-        steps: mpsc::UnboundedSender<CallStep>,
+        events: mpsc::UnboundedSender<CallerEvent>,
     ) {
-        let mut progress = CallProgress { delivered: 0, tokens: 0, steps };
+        let mut progress = CallProgress { delivered: 0, tokens: 0, events };
         let mut tried: Vec<NodeName> = Vec::new();
         let detail = format!("no daemon that was asked holds a record of {request}");
         let mut outcome = Outcome::Refused(Refusal::unknown(RefusalReason::NotFound, detail));
@@ -206,7 +206,7 @@
             }
         }
         let (length, tokens) = (progress.delivered, progress.tokens);
-        let _ = progress.steps.send(CallStep::Ended { outcome, length, tokens });
+        let _ = progress.events.send(CallerEvent::Ended { outcome, length, tokens });
     }
 
     /// Cancels a request at the daemons that hold its record. Returns whether it was still running
@@ -227,9 +227,9 @@
     }
 }
 
-/// The request to send to the next daemon. After the loss of a daemon that may have run the call,
-/// the call is attached to and not submitted again if repeating it is forbidden. The same applies
-/// if the caller has part of the answer, since a new execution could produce a different answer.
+/// The request to send to the next daemon. Once a daemon that may have run the call is lost, the
+/// agent attaches to the call instead of submitting it again if the call must not be repeated, or
+/// if the caller already has part of the answer: a new execution could produce a different answer.
 fn next_request(call: &OnlineCall, delivered: u64, may_have_run: bool) -> PeerRequest {
     let repeatable = call.header.repeat == RepeatPolicy::Allowed && delivered == 0;
     if !may_have_run || repeatable {
@@ -274,6 +274,6 @@
         let start = self.delivered;
         self.delivered += text.len() as u64;
         self.tokens = tokens_total;
-        self.steps.send(CallStep::Chunk { offset: start, text }).is_ok()
+        self.events.send(CallerEvent::Chunk { offset: start, text }).is_ok()
     }
 }
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -153,7 +153,7 @@
         self.call(job, PeerRequest::AppendItems { upload, bodies }).await.map(|_| ())
     }
 
-    /// Progress of a job.
+    /// Gets the progress of a job.
     pub async fn progress(&self, job: JobId) -> Result<v1::JobStatus, Status> {
         match self.call(&job.clone(), PeerRequest::GetJob(job)).await? {
             PeerReply::Job(progress) => Ok(convert::progress_to_proto(&progress)),
--- a/crates/agent/src/members.rs
+++ b/crates/agent/src/members.rs
@@ -43,7 +43,7 @@
 
     async fn refresh(self, peers: PeerClient, seeds: Vec<SocketAddr>, health: Arc<HealthState>) {
         let mut round = 0;
-        let mut held_digest = 0;
+        let mut current_digest = 0;
         loop {
             let known = self.load();
             let mut candidates: Vec<SocketAddr> =
@@ -51,14 +51,14 @@
             candidates.extend(&seeds);
             let peer = candidates[round % candidates.len()];
             round += 1;
-            let request = PeerRequest::Members { known: held_digest };
+            let request = PeerRequest::Members { known: current_digest };
             match peers.call(peer, request, REPLY_TIMEOUT).await {
                 Ok(PeerReply::Members { digest, members })
-                    if digest == held_digest || is_nonempty(&members) =>
+                    if digest == current_digest || is_nonempty(&members) =>
                 {
                     if let Some(members) = members {
                         self.current.store(Arc::new(members));
-                        held_digest = digest;
+                        current_digest = digest;
                     }
                     health.set_ready(true);
                     tokio::time::sleep(REFRESH_INTERVAL).await;
--- a/crates/agent/src/port.rs
+++ b/crates/agent/src/port.rs
@@ -18,7 +18,7 @@
     CallHeader, Outcome, PartnerName, Refusal, RefusalReason, RequestId, ServiceName, TenantName,
 };
 
-use crate::calls::{CallClient, CallStep};
+use crate::calls::{CallClient, CallerEvent};
 use crate::jobs::{job_id, JobClient};
 
 /// Maximum number of job results buffered for a slow caller.
@@ -83,10 +83,10 @@
     }
 
     /// Starts a call and returns its events.
-    fn start(&self, call: OnlineCall, offset: u64) -> mpsc::UnboundedReceiver<CallStep> {
-        let (steps, receiver) = mpsc::unbounded_channel();
+    fn start(&self, call: OnlineCall, offset: u64) -> mpsc::UnboundedReceiver<CallerEvent> {
+        let (events, receiver) = mpsc::unbounded_channel();
         let client = self.calls.clone();
-        tokio::spawn(async move { client.run(call, offset, steps).await });
+        tokio::spawn(async move { client.run(call, offset, events).await });
         receiver
     }
 }
@@ -135,14 +135,14 @@
     Err(invalid(format!("{field}: {bytes} bytes, the limit is {MAX_PROMPT_BYTES}")))
 }
 
-fn response_from_step(step: CallStep) -> v1::GenerateResponse {
+fn response_from_event(event: CallerEvent) -> v1::GenerateResponse {
     use v1::generate_response::Step;
-    let step = match step {
-        CallStep::Chunk { offset, text } => Step::Chunk(v1::Chunk { offset, text }),
-        CallStep::Ended { outcome: Outcome::Completed, length, tokens } => {
+    let step = match event {
+        CallerEvent::Chunk { offset, text } => Step::Chunk(v1::Chunk { offset, text }),
+        CallerEvent::Ended { outcome: Outcome::Completed, length, tokens } => {
             Step::Completed(v1::Completed { length, tokens })
         }
-        CallStep::Ended { outcome: Outcome::Refused(refusal), .. } => {
+        CallerEvent::Ended { outcome: Outcome::Refused(refusal), .. } => {
             Step::Refusal(convert::refusal_to_proto(&refusal))
         }
     };
@@ -150,16 +150,16 @@
 }
 
 /// Collects the events of a call into one response.
-async fn collect(mut steps: mpsc::UnboundedReceiver<CallStep>) -> v1::CallResponse {
+async fn collect(mut events: mpsc::UnboundedReceiver<CallerEvent>) -> v1::CallResponse {
     use v1::call_response::Outcome as Response;
     let mut body = Vec::new();
-    while let Some(step) = steps.recv().await {
-        match step {
-            CallStep::Chunk { text, .. } => body.extend_from_slice(&text),
-            CallStep::Ended { outcome: Outcome::Completed, .. } => {
+    while let Some(event) = events.recv().await {
+        match event {
+            CallerEvent::Chunk { text, .. } => body.extend_from_slice(&text),
+            CallerEvent::Ended { outcome: Outcome::Completed, .. } => {
                 return v1::CallResponse { outcome: Some(Response::Body(body)) };
             }
-            CallStep::Ended { outcome: Outcome::Refused(refusal), .. } => {
+            CallerEvent::Ended { outcome: Outcome::Refused(refusal), .. } => {
                 let refusal = convert::refusal_to_proto(&refusal);
                 return v1::CallResponse { outcome: Some(Response::Refusal(refusal)) };
             }
@@ -188,11 +188,11 @@
         }
         let header = call_header(partner, request.header, request.max_tokens)?;
         let call = OnlineCall { header, body: request.prompt.into_bytes() };
-        let steps = UnboundedReceiverStream::new(self.start(call, request.offset));
+        let events = UnboundedReceiverStream::new(self.start(call, request.offset));
         // The call is in flight until the stream is dropped.
-        let responses = steps.map(move |step| {
+        let responses = events.map(move |event| {
             let _ = &guard;
-            Ok(response_from_step(step))
+            Ok(response_from_event(event))
         });
         Ok(Response::new(Box::pin(responses)))
     }
@@ -206,8 +206,8 @@
         let request = request.into_inner();
         check_body("body", request.body.len())?;
         let header = call_header(partner, request.header, 0)?;
-        let steps = self.start(OnlineCall { header, body: request.body }, 0);
-        Ok(Response::new(collect(steps).await))
+        let events = self.start(OnlineCall { header, body: request.body }, 0);
+        Ok(Response::new(collect(events).await))
     }
 
     async fn get_result(
@@ -219,9 +219,9 @@
         let request = request.into_inner();
         check_deadline(request.deadline_ms)?;
         let id = request_id(partner, &request.tenant, &request.request_id)?;
-        let (steps, receiver) = mpsc::unbounded_channel();
+        let (events, receiver) = mpsc::unbounded_channel();
         let client = self.calls.clone();
-        tokio::spawn(async move { client.attach(id, request.deadline_ms, steps).await });
+        tokio::spawn(async move { client.attach(id, request.deadline_ms, events).await });
         Ok(Response::new(collect(receiver).await))
     }
 
--- a/crates/backend/src/error.rs
+++ b/crates/backend/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// The operation that failed.
+/// The operation that failed. The variant names appear in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendStep {
     /// Building the request or opening the connection. Nothing was sent.
@@ -11,13 +11,14 @@
     Request,
     /// The back end returned this HTTP status, which is not a success.
     Status(u16),
-    /// Reading the answer: the connection closed before its end.
+    /// Reading the answer: the connection closed before its end, or the answer of a plain service
+    /// exceeds the size limit.
     Cut,
     /// Nothing was received within the stall timeout.
     Stalled,
     /// Reading the answer: UTF-8, JSON or server-sent events are malformed.
     Decode,
-    /// The answer exceeds the size limit.
+    /// The streamed answer exceeds the size limit, which the caller of this client checks.
     TooLarge,
 }
 
--- a/crates/objects/src/error.rs
+++ b/crates/objects/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// The operation that failed.
+/// The operation that failed. The variant names appear in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformStep {
     /// Building the client.
--- a/crates/objects/src/objects.rs
+++ b/crates/objects/src/objects.rs
@@ -151,13 +151,13 @@
         match tokio::time::timeout(CALL_TIMEOUT, self.write_once(change)).await {
             Ok(Ok(version)) => WriteOutcome::Written(version),
             Ok(Err(kube::Error::Api(status))) if status.code == STATUS_CONFLICT => {
-                self.resolve(change, true, &status.message).await
+                self.determine_outcome(change, true, &status.message).await
             }
             Ok(Err(kube::Error::Api(status))) if status.code == STATUS_NOT_FOUND => {
                 WriteOutcome::Conflict(0)
             }
-            Ok(Err(error)) => self.resolve(change, false, &error.to_string()).await,
-            Err(_) => self.resolve(change, false, "timed out").await,
+            Ok(Err(error)) => self.determine_outcome(change, false, &error.to_string()).await,
+            Err(_) => self.determine_outcome(change, false, "timed out").await,
         }
     }
 
@@ -185,7 +185,12 @@
     }
 
     /// Determines the outcome of a write that got a conflict, an error or no response.
-    async fn resolve(&self, change: &Change, conflict: bool, cause: &str) -> WriteOutcome {
+    async fn determine_outcome(
+        &self,
+        change: &Change,
+        conflict: bool,
+        cause: &str,
+    ) -> WriteOutcome {
         for _ in 0..MAX_READ_BACK_ATTEMPTS {
             match self.read(&change.key).await {
                 Ok(Some(object)) if change_id(&object) == Some(change.change_id.as_str()) => {
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// An established connection, with the calls that wait for replies on it.
 #[derive(Debug)]
 struct Connection {
     requests: mpsc::Sender<Frame>,
@@ -52,6 +53,8 @@
     }
 }
 
+/// The connection to one peer. The mutex stays locked while the connection is opened, so that
+/// concurrent calls share one connection.
 #[derive(Debug, Default)]
 struct ConnectionSlot {
     connection: tokio::sync::Mutex<Option<Arc<Connection>>>,
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The operation that failed.
+/// The operation that failed. The variant names appear in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerStep {
     /// Opening the connection.
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -15,7 +15,8 @@
     pub body: Vec<u8>,
 }
 
-/// A call that a home daemon has an owner daemon run on one of the back ends it owns.
+/// A call forwarded by its home daemon to an owner daemon, which runs it on one of the back ends
+/// that it owns.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub struct ExecuteCall {
     /// The call.
@@ -50,7 +51,7 @@
 /// Load of one service at one owner daemon, reported whenever an execution ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct OwnerLoad {
-    /// Slots available to an online call at once: free, or occupied by a batch item that can be
+    /// Slots that an online call can use immediately: free, or occupied by a batch item that can be
     /// preempted.
     pub free_slots: u32,
     /// Number of queued online calls.
@@ -173,7 +174,7 @@
     pub accepting: bool,
 }
 
-/// A version of a declaration, or of its deletion.
+/// One version of a declaration; a deletion is a version without content.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct VersionedObject {
     /// The declaration's identity.
--- a/crates/rpc/src/auth.rs
+++ b/crates/rpc/src/auth.rs
@@ -40,7 +40,7 @@
     /// Reads the key file and starts a task that reloads it when it changes. While the file is
     /// invalid, the keys read last remain in use.
     pub fn start(file: PathBuf, interval: Duration) -> Result<Self, FileError> {
-        let (text, ring) = read(&file)?;
+        let (text, ring) = read_keys(&file)?;
         let keys = Arc::new(ArcSwap::from_pointee(ring));
         tokio::spawn(reload(file, interval, text, keys.clone()));
         Ok(Self { keys })
@@ -48,7 +48,7 @@
 
     /// Returns the identity of the caller, or an error if it does not have the required role.
     pub fn check(&self, metadata: &MetadataMap, required_role: Role) -> Result<Identity, Status> {
-        let found = bearer(metadata).and_then(|secret| self.keys.load().identify(secret));
+        let found = bearer_token(metadata).and_then(|secret| self.keys.load().identify(secret));
         let Some(identity) = found else {
             Event::new(Level::Warn, "authenticate").write("missing or wrong key");
             return Err(Status::unauthenticated("authorization: missing or wrong key"));
@@ -63,11 +63,11 @@
     }
 }
 
-fn bearer(metadata: &MetadataMap) -> Option<&str> {
+fn bearer_token(metadata: &MetadataMap) -> Option<&str> {
     metadata.get("authorization")?.to_str().ok()?.strip_prefix("Bearer ")
 }
 
-fn read(file: &Path) -> Result<(String, KeyRing), FileError> {
+fn read_keys(file: &Path) -> Result<(String, KeyRing), FileError> {
     let error = |cause: String| FileError { step: "read keys", file: file.to_owned(), cause };
     let text = std::fs::read_to_string(file).map_err(|e| error(e.to_string()))?;
     let ring = KeyRing::parse(&text).map_err(error)?;
@@ -82,7 +82,7 @@
 ) {
     loop {
         tokio::time::sleep(interval).await;
-        match read(&file) {
+        match read_keys(&file) {
             Ok((text, ring)) if text != current_text => {
                 current_text = text;
                 keys.store(Arc::new(ring));
--- a/crates/rpc/src/incoming.rs
+++ b/crates/rpc/src/incoming.rs
@@ -26,7 +26,7 @@
 
 use crate::auth::FileError;
 
-/// Maximum number of accepted connections that the server has not taken yet.
+/// Maximum number of accepted connections queued for the gRPC server.
 const MAX_QUEUED_CONNECTIONS: usize = 256;
 /// Timeout of a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -122,7 +122,7 @@
     (certificate, key): (PathBuf, PathBuf),
     interval: Duration,
 ) -> Result<TlsAcceptor, FileError> {
-    let current = ArcSwap::from_pointee(load(&certificate, &key)?);
+    let current = ArcSwap::from_pointee(load_certificate(&certificate, &key)?);
     let resolver = Arc::new(FileCertificate { current });
     tokio::spawn(reload(certificate, key, interval, resolver.clone()));
     let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -135,7 +135,7 @@
     Ok(TlsAcceptor::from(Arc::new(config)))
 }
 
-fn load(certificate: &Path, key: &Path) -> Result<CertifiedKey, FileError> {
+fn load_certificate(certificate: &Path, key: &Path) -> Result<CertifiedKey, FileError> {
     let error = |file: &Path, cause: String| FileError {
         step: "read certificate",
         file: file.to_owned(),
@@ -149,11 +149,11 @@
     if chain.is_empty() {
         return Err(error(certificate, "contains no certificate".into()));
     }
-    let private = rustls_pemfile::private_key(&mut key_pem.as_slice())
+    let private_key = rustls_pemfile::private_key(&mut key_pem.as_slice())
         .map_err(|e| error(key, e.to_string()))?
         .ok_or_else(|| error(key, "contains no private key".into()))?;
-    let signing = any_supported_type(&private).map_err(|e| error(key, e.to_string()))?;
-    Ok(CertifiedKey::new(chain, signing))
+    let signing_key = any_supported_type(&private_key).map_err(|e| error(key, e.to_string()))?;
+    Ok(CertifiedKey::new(chain, signing_key))
 }
 
 async fn reload(
@@ -164,7 +164,7 @@
 ) {
     loop {
         tokio::time::sleep(interval).await;
-        match load(&certificate, &key) {
+        match load_certificate(&certificate, &key) {
             Ok(fresh) if fresh.cert != resolver.current.load().cert => {
                 resolver.current.store(Arc::new(fresh));
                 Event::new(Level::Info, "reload certificate").write(certificate.display());
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::path::PathBuf;
 
-/// The operation that failed.
+/// The operation that failed. The variant names appear in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageStep {
     /// Opening the folder.
