--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -146,8 +146,7 @@
         self.members.load().len()
     }
 
-    /// Shuts down gracefully: rejects new calls and waits up to `drain` for calls in flight.
-    /// Returns whether all of them finished.
+    /// Rejects new calls and waits up to `drain` for calls in flight. Returns whether all finished.
     pub async fn stop(self, drain: Duration) -> bool {
         self.health.set_ready(false);
         self.in_flight.close();
--- a/crates/agent/src/calls.rs
+++ b/crates/agent/src/calls.rs
@@ -1,5 +1,4 @@
-//! Online calls: submission to the home daemon, which keeps the record of the request, and
-//! failover when that daemon is lost.
+//! Online calls: submission to the home daemon, which keeps the record, and failover on its loss.
 
 use std::time::{Duration, Instant};
 
@@ -21,20 +20,15 @@
 /// An event of a call as sent to its caller, in order. `Ended` is the last one.
 #[derive(Clone, Debug)]
 pub enum CallerEvent {
-    /// Part of the answer.
     Chunk {
         /// Position of the first byte within the whole answer.
         offset: u64,
-        /// The bytes.
         text: Vec<u8>,
     },
-    /// The call has ended.
     Ended {
-        /// Outcome of the call.
         outcome: Outcome,
         /// Length of the whole answer, in bytes.
         length: u64,
-        /// Number of tokens in the whole answer.
         tokens: u32,
     },
 }
@@ -55,12 +49,10 @@
     events: mpsc::UnboundedSender<CallerEvent>,
 }
 
-/// Result of an attempt at one daemon.
 enum Attempt {
     Ended(Outcome),
     /// The connection to the daemon failed; the error tells whether the call may have reached it.
     Lost(PeerError),
-    /// The caller no longer receives events.
     CallerGone,
 }
 
@@ -209,8 +201,7 @@
         let _ = progress.events.send(CallerEvent::Ended { outcome, length, tokens });
     }
 
-    /// Cancels a request at the daemons that hold its record. Returns whether it was still running
-    /// and has been cancelled.
+    /// Cancels a request at the daemons that hold its record. Returns whether it was still running.
     pub async fn cancel(&self, request: RequestId) -> Result<bool, PeerError> {
         let members = self.members.load();
         let mut failure = None;
@@ -239,8 +230,7 @@
     PeerRequest::Attach { request: call.header.request.clone(), offset: delivered, wait_ms }
 }
 
-/// Adjusts an outcome reported after an earlier daemon was lost: "not run" then applies only to
-/// the later attempt.
+/// Adjusts an outcome after the loss of a daemon: "not run" applies only to the later attempt.
 fn adjust_outcome_after_loss(outcome: Outcome, may_have_run: bool, delivered: u64) -> Outcome {
     match outcome {
         Outcome::Refused(mut refusal) if may_have_run && refusal.executed == Some(false) => {
@@ -251,8 +241,7 @@
     }
 }
 
-/// Adjusts the outcome of a resent call: "not run" then applies only to this call and not to the
-/// earlier one.
+/// Adjusts the outcome of a resent call: "not run" does not apply to the earlier call.
 fn adjust_outcome_of_resend(outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::Refused(refusal) if refusal.executed == Some(false) => {
@@ -263,8 +252,7 @@
 }
 
 impl CallProgress {
-    /// Sends the part of a chunk that has not been delivered yet. Returns `false` when the caller
-    /// no longer receives events.
+    /// Sends the undelivered part of a chunk. Returns `false` when the caller has gone.
     fn deliver(&mut self, offset: u64, mut text: Vec<u8>, tokens_total: u32) -> bool {
         let already_delivered = self.delivered.saturating_sub(offset) as usize;
         if offset > self.delivered || already_delivered >= text.len() {
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -16,17 +16,13 @@
 
 use crate::members::Members;
 
-/// Size at which a batch of items is sent to the job store.
 const UPLOAD_BATCH_BYTES: usize = 1024 * 1024;
-/// Number of items at which a batch is sent to the job store.
 const UPLOAD_BATCH_ITEMS: usize = 2_000;
-/// Timeout of a call to a job store.
 const STORE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which new results are polled when the caller follows a job.
 const FOLLOW_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum number of retries of a read while the job store is unavailable.
 const MAX_READ_RETRIES: u32 = 20;
-/// Interval between these retries.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Client of the job stores, which run on the data daemons.
@@ -92,8 +88,7 @@
         }
     }
 
-    /// Uploads a job and commits it. If the answer is lost, the caller can submit the job again
-    /// under the same key and joins the existing job.
+    /// Uploads and commits a job. If the answer is lost, a resend under the same key joins the job.
     pub async fn submit(
         &self,
         partner: PartnerName,
@@ -169,8 +164,7 @@
         }
     }
 
-    /// Sends the results of a job in order of index. With `follow`, it waits for every item;
-    /// otherwise only the items that have already ended are sent.
+    /// Sends the results of ended items in order of index; with `follow`, waits for every item.
     pub async fn results(
         &self,
         job: JobId,
--- a/crates/agent/src/members.rs
+++ b/crates/agent/src/members.rs
@@ -9,11 +9,9 @@
 use yokefall_telemetry::{Event, HealthState, Level};
 use yokefall_types::NodeName;
 
-/// Interval at which the member list is refreshed.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 /// Delay before another daemon is asked after one failed or had no members to report.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Timeout of a request for the member list.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The last member list received, shared between clones.
--- a/crates/agent/src/port.rs
+++ b/crates/agent/src/port.rs
@@ -82,7 +82,6 @@
         Ok(self.authenticator.check(request.metadata(), Role::Caller)?.partner)
     }
 
-    /// Starts a call and returns its events.
     fn start(&self, call: OnlineCall, offset: u64) -> mpsc::UnboundedReceiver<CallerEvent> {
         let (events, receiver) = mpsc::unbounded_channel();
         let client = self.calls.clone();
@@ -149,7 +148,6 @@
     v1::GenerateResponse { step: Some(step) }
 }
 
-/// Collects the events of a call into one response.
 async fn collect(mut events: mpsc::UnboundedReceiver<CallerEvent>) -> v1::CallResponse {
     use v1::call_response::Outcome as Response;
     let mut body = Vec::new();
--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -19,9 +19,7 @@
     REQUEST_ID_HEADER,
 };
 
-/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Timeout of a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of an error response that is read for its cause.
 const MAX_CAUSE_BYTES: usize = 4096;
--- a/crates/backend/src/error.rs
+++ b/crates/backend/src/error.rs
@@ -11,8 +11,7 @@
     Request,
     /// The back end returned this HTTP status, which is not a success.
     Status(u16),
-    /// Reading the answer: the connection closed before its end, or the answer of a plain service
-    /// exceeds the size limit.
+    /// Reading the answer: it was cut off, or exceeds the size limit of a plain service.
     Cut,
     /// Nothing was received within the stall timeout.
     Stalled,
@@ -52,8 +51,7 @@
         }
     }
 
-    /// Whether the request was rejected for its content, so that any other back end would reject it
-    /// as well.
+    /// Whether the request was rejected for its content: any other back end would reject it too.
     pub fn is_rejection(&self) -> bool {
         matches!(self.step, BackendStep::Status(status) if (400..500).contains(&status)
             && !NOT_STARTED_STATUSES.contains(&status))
--- a/crates/backend/src/schema.rs
+++ b/crates/backend/src/schema.rs
@@ -1,5 +1,4 @@
-//! Paths, headers and JSON types of the back ends' HTTP APIs, shared with the simulated back ends
-//! of the benchmarks.
+//! Paths, headers and JSON types of the back ends' HTTP APIs, shared with the benchmarks.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -53,11 +53,8 @@
     address: String,
     slots: u32,
     leaving: bool,
-    /// End of the backoff after a failure.
     paused_until: Timestamp,
-    /// Number of running online calls.
     online: u32,
-    /// Number of running batch items.
     batch: u32,
 }
 
@@ -115,8 +112,7 @@
         Ticket(self.next_ticket)
     }
 
-    /// Applies a new view. Calls on back ends that are no longer owned keep running and are counted
-    /// until they finish.
+    /// Applies a new view. Running calls on back ends no longer owned count until they finish.
     pub fn configure(&mut self, now: Timestamp, view: &FleetView) -> Vec<AdmissionEffect> {
         for backend in self.backends.values_mut() {
             backend.leaving = true;
@@ -152,8 +148,7 @@
         self.dispatch_or_refuse_queued(now, view)
     }
 
-    /// Rejects calls queued for services of which this daemon no longer owns a back end, and starts
-    /// queued calls for which slots became free.
+    /// Rejects calls queued for services no longer owned here, and starts calls for free slots.
     fn dispatch_or_refuse_queued(
         &mut self,
         now: Timestamp,
@@ -205,8 +200,8 @@
         effects
     }
 
-    /// Rejects a call on arrival if the queue is full or its deadline would pass in the queue, so
-    /// that the caller can try another owner at once.
+    /// Rejects an arriving call if the queue is full or too slow for its deadline, so that the
+    /// caller can try another owner at once.
     fn refusal_on_arrival(
         &self,
         now: Timestamp,
@@ -336,8 +331,7 @@
         with_capacity.filter(|(_, capacity)| *capacity > 0).collect()
     }
 
-    /// Starts a batch item if there is capacity for it; otherwise returns `None` and changes
-    /// nothing.
+    /// Starts a batch item if there is capacity; otherwise returns `None` and changes nothing.
     pub fn try_start_batch(
         &mut self,
         now: Timestamp,
@@ -413,8 +407,7 @@
         true
     }
 
-    /// Rejects queued calls whose deadline has passed, and starts calls on back ends whose failure
-    /// backoff is over.
+    /// Rejects queued calls past their deadline, and starts calls on back ends out of backoff.
     pub fn tick(&mut self, now: Timestamp) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
         let services: Vec<ServiceId> = self.services.keys().cloned().collect();
--- a/crates/core/src/batch.rs
+++ b/crates/core/src/batch.rs
@@ -1,5 +1,4 @@
-//! Execution of batch items at an owner: leases items when slots are idle, runs them, and reports
-//! their results to the store.
+//! Batch items at an owner: leases items when slots are idle, runs them and reports their results.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -18,7 +17,6 @@
 const EMPTY_BACKOFF_RANGE_MS: (u64, u64) = (100, 10_000);
 /// Time after which an unanswered lease request is considered lost, in milliseconds.
 const LEASE_REQUEST_TIMEOUT_MS: u64 = 2_000;
-/// Maximum number of items in one lease request.
 const MAX_ITEMS_PER_LEASE: u32 = 64;
 
 /// How an execution of an item ended.
--- a/crates/core/src/coordinator/attempts.rs
+++ b/crates/core/src/coordinator/attempts.rs
@@ -9,7 +9,6 @@
 use crate::fleet::FleetView;
 use crate::time::Timestamp;
 
-/// Maximum number of execution attempts of one call.
 const MAX_ATTEMPTS: u32 = 4;
 /// Range of the random base of the exponential retry backoff, in milliseconds.
 const BACKOFF_RANGE_MS: (u64, u64) = (10, 50);
@@ -68,8 +67,7 @@
         }
     }
 
-    /// Handles the loss of the owner. `may_have_arrived` tells whether the owner may have received
-    /// the call.
+    /// Handles the loss of the owner, which may have received the call if `may_have_arrived`.
     pub fn execution_lost(
         &mut self,
         now: Timestamp,
@@ -112,8 +110,7 @@
         }
     }
 
-    /// Handles a refused attempt: retries if that is safe and within the retry budget, otherwise
-    /// ends the request.
+    /// Handles a refused attempt: retries if safe and within budget, otherwise ends the request.
     fn refused(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/coordinator/copies.rs
+++ b/crates/core/src/coordinator/copies.rs
@@ -74,8 +74,7 @@
         self.end(now, view, request, Outcome::Refused(refusal))
     }
 
-    /// Handles a daemon's confirmation that it holds the copy. `previous` is the copy of another
-    /// home that it held before.
+    /// Handles a daemon's confirmation of a copy; `previous` is another home's copy held before.
     pub fn copy_held(
         &mut self,
         now: Timestamp,
@@ -170,8 +169,7 @@
 
     fn place_record(&mut self, view: &FleetView, request: &RequestId) -> Vec<CoordinatorEffect> {
         let Some(record) = self.records.get_mut(request) else { return Vec::new() };
-        // In the other stages, copies are still being sent, or another home's execution is
-        // followed.
+        // In other stages, copies are being sent or another home's execution is followed.
         if !matches!(record.stage, Stage::Ended | Stage::Executing { .. }) {
             return Vec::new();
         }
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -23,11 +23,8 @@
 use crate::router::Router;
 use crate::time::Timestamp;
 
-/// Retry tokens added per accepted call.
 const RETRY_TOKENS_PER_CALL: f64 = 0.2;
-/// Initial retry tokens of a service.
 const INITIAL_RETRY_TOKENS: f64 = 10.0;
-/// Upper bound of the retry tokens of a service.
 const MAX_RETRY_TOKENS: f64 = 200.0;
 
 /// Result of submitting a call.
@@ -62,8 +59,7 @@
         /// The new holder.
         to: NodeName,
     },
-    /// Send the call to an owner; answered by `started`, then `execution_ended` or
-    /// `execution_lost`.
+    /// Send the call to an owner; answered by `started`, `execution_ended` or `execution_lost`.
     Execute {
         /// The request.
         request: RequestId,
@@ -109,12 +105,10 @@
 pub struct Coordinator {
     home: HomeId,
     records: HashMap<RequestId, Record>,
-    /// Requests that have not ended.
     open: BTreeSet<RequestId>,
     copies: HashMap<RequestId, HeldCopy>,
     /// Handovers sent but not yet acknowledged.
     handovers: usize,
-    /// Time at which failed handovers are retried.
     handover_retry_at: Option<Timestamp>,
     /// Requests whose holders have to be recomputed after a fleet change.
     pending_placement: BTreeSet<RequestId>,
@@ -123,7 +117,6 @@
     /// Records (`true`) and copies (`false`) to discard, by time and sequence number.
     expiry: BTreeMap<(Timestamp, u64), (RequestId, bool)>,
     next_expiry: u64,
-    /// Retry tokens left, by service.
     retry_tokens: HashMap<ServiceId, f64>,
     router: Router,
     rng: SmallRng,
@@ -131,8 +124,7 @@
 }
 
 impl Coordinator {
-    /// Creates the coordinator of one incarnation of a daemon. Ended records are kept for
-    /// `retention_ms`.
+    /// The coordinator of one daemon incarnation. Ended records are kept for `retention_ms`.
     pub fn new(home: HomeId, seed: u64, retention_ms: u64) -> Self {
         Self {
             home,
@@ -226,7 +218,6 @@
         (true, self.stop(now, view, request, refusal))
     }
 
-    /// Ends a request with a refusal and stops its execution.
     fn stop(
         &mut self,
         now: Timestamp,
@@ -287,8 +278,7 @@
         (self.records.len(), self.copies.len())
     }
 
-    /// Retries calls whose backoff is over, ends requests past their deadline, hands over records,
-    /// and discards expired records.
+    /// Retries calls after their backoff, ends overdue requests, and hands over or expires records.
     pub fn tick(&mut self, now: Timestamp, view: &FleetView) -> Vec<CoordinatorEffect> {
         let mut effects = Vec::new();
         let requests: Vec<RequestId> = self.open.iter().cloned().collect();
--- a/crates/core/src/coordinator/record.rs
+++ b/crates/core/src/coordinator/record.rs
@@ -11,13 +11,11 @@
     Copying {
         owner: NodeName,
     },
-    /// Sent to `owner`.
     Executing {
         owner: NodeName,
     },
     /// Follows an execution that another home daemon started.
     Adopting,
-    /// Retried at `until`.
     Backoff {
         until: Timestamp,
     },
@@ -48,7 +46,6 @@
     pub(super) tried: Vec<NodeName>,
     /// Daemons to which the copy of this attempt was sent.
     pub(super) copied_to: Vec<Holder>,
-    /// Daemons that confirmed it.
     pub(super) confirmed_holders: Vec<NodeName>,
     pub(super) failed_holders: Vec<NodeName>,
     /// Whether this attempt was sent, so that its owner may have sent the call to a back end.
@@ -106,8 +103,7 @@
     }
 }
 
-/// Whether either of two attempts ran: true if one is known to have run, false if both are known
-/// not to have run, otherwise unknown.
+/// Whether either attempt ran: `false` only if both are known not to have run, `None` if unknown.
 pub(super) fn either_executed(left: Option<bool>, right: Option<bool>) -> Option<bool> {
     match (left, right) {
         (Some(true), _) | (_, Some(true)) => Some(true),
--- a/crates/core/src/jobs/ends.rs
+++ b/crates/core/src/jobs/ends.rs
@@ -109,8 +109,7 @@
         }
     }
 
-    /// Ends the started items of a cancelled job whose lease has expired: their answers are no
-    /// longer needed.
+    /// Ends started items of a cancelled job on lease expiry: their answers are not needed.
     fn end_expired_starts(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/jobs/leases.rs
+++ b/crates/core/src/jobs/leases.rs
@@ -6,8 +6,7 @@
 use super::{Decision, Item, JobNumber, JobRecord, JobStore, LeaseGrant, LEASE_MS};
 use crate::time::Timestamp;
 
-/// Number of failures (execution failures and returns as not sent) after which an item ends as
-/// failed.
+/// Number of failures (in execution, or returned as not sent) after which an item ends as failed.
 const MAX_FAILURES: u8 = 8;
 
 impl JobStore {
@@ -130,8 +129,7 @@
         Decision { reply: (), records }
     }
 
-    /// Puts an item back in the queue, or ends it if the job was cancelled or the item failed too
-    /// often.
+    /// Requeues an item, or ends it if its job was cancelled or it failed too often.
     pub(super) fn requeue(
         &mut self,
         number: JobNumber,
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -79,8 +79,7 @@
 }
 
 impl JobStore {
-    /// Creates an empty store. `epoch` must be greater than that of every earlier incarnation of
-    /// this store.
+    /// Creates an empty store. `epoch` must exceed that of every earlier incarnation.
     pub fn new(epoch: u64) -> Self {
         Self {
             epoch,
@@ -95,8 +94,7 @@
         }
     }
 
-    /// Replays one durable record on start-up. `now` and `unix_ms` are the same instant on the
-    /// monotonic and the wall clock.
+    /// Replays a durable record. `now` and `unix_ms` are one instant on monotonic and wall clock.
     pub fn recover(&mut self, now: Timestamp, unix_ms: u64, record: JobRecord) {
         match record {
             JobRecord::Accepted { number, upload, header, digest, items, accepted_unix_ms } => {
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -18,8 +18,7 @@
 /// Ethernet network (1,472 bytes) along with some 60 bytes of other fields, the sender's record,
 /// and 260 bytes of digests in a repair.
 const MAX_RECORD_BYTES_PER_DATAGRAM: usize = 1_000;
-/// Size of a record without its strings, in bytes: four lengths, the incarnation, the state and two
-/// flags.
+/// Size of a record without strings, in bytes: four lengths, incarnation, state and two flags.
 const RECORD_FIELD_BYTES: usize = 27;
 /// Interval between gossip datagrams while there are new updates, in milliseconds. With three
 /// members notified each time, a hundred failures are known to 300 members one second after their
@@ -32,11 +31,9 @@
 const GOSSIP_SAME_ZONE_FANOUT: usize = 2;
 const GOSSIP_OTHER_ZONE_FANOUT: usize = 1;
 
-/// A queued update.
 #[derive(Debug)]
 struct QueuedUpdate {
     record: MemberRecord,
-    /// Number of transmissions after which it is dropped.
     max_transmissions: u32,
 }
 
@@ -123,13 +120,11 @@
         chosen.into_iter().map(|to| self.outgoing(to, DatagramKind::Gossip)).collect()
     }
 
-    /// Returns when `gossip` should be called next.
     pub(super) fn gossip_deadline(&self) -> Option<Timestamp> {
         self.updates.has_new().then_some(self.next_gossip_at)
     }
 
-    /// Returns the addresses of random members, given their number in the own zone and in other
-    /// zones.
+    /// Returns addresses of random members, given their number in the own and in other zones.
     pub(super) fn choose_members(
         &mut self,
         same_zone_count: usize,
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,5 +1,4 @@
-//! Failure detection and dissemination of membership, at a cost per member that does not grow with
-//! the fleet.
+//! Failure detection and dissemination of membership, at a constant cost per member.
 //!
 //! A member probes one other member per interval, asks others to probe it if it does not answer,
 //! then suspects it, and declares it dead unless it refutes the suspicion with a higher
@@ -149,9 +148,8 @@
         self.ages = ages;
     }
 
-    /// Returns how long ago the probe acknowledged by a datagram was sent, in milliseconds; `None`
-    /// for all other datagrams. The sender answered after the probe was sent, so its state is
-    /// older than it reports by at most this much.
+    /// Time since the probe acknowledged by a datagram was sent, in milliseconds, otherwise `None`.
+    /// The sender answered later: its state is older than reported by at most this much.
     pub fn probe_age_ms(&self, now: Timestamp, datagram: &Datagram) -> Option<u64> {
         let is_answered = |probe: &&Probe| {
             datagram.kind == DatagramKind::Ack { sequence: probe.sequence }
@@ -214,8 +212,7 @@
         chosen.into_iter().map(|to| self.outgoing(to, DatagramKind::Members)).collect()
     }
 
-    /// Returns datagrams that broadcast a message to every member. They carry no updates, so that
-    /// each fits into one packet.
+    /// Datagrams that broadcast a message to every member, without updates so as to fit one packet.
     pub fn notify_all(&self, content: &[u8]) -> Vec<Outgoing> {
         let kind = DatagramKind::Notice { content: content.to_vec() };
         let datagram = self.datagram(kind, Vec::new());
@@ -269,8 +266,7 @@
         outgoing
     }
 
-    /// Returns when `tick` should be called next. Suspicions and tombstones are checked along with
-    /// the probes, so they have no deadline of their own.
+    /// When `tick` should be called next. Suspicions and tombstones are checked along with probes.
     pub fn next_deadline(&self, now: Timestamp) -> Timestamp {
         let others = [self.gossip_deadline(), self.exchange_deadline(now)];
         let regular = self.probe_deadline().min(self.next_join_at);
--- a/crates/core/src/membership/probes.rs
+++ b/crates/core/src/membership/probes.rs
@@ -16,7 +16,6 @@
 /// Number of members asked to probe one that did not answer.
 const INDIRECT_PROBES: usize = 3;
 
-/// A probe in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) target: NodeName,
@@ -50,7 +49,6 @@
         outgoing
     }
 
-    /// Returns when `probe` should be called next.
     pub(super) fn probe_deadline(&self) -> Timestamp {
         let due = |probe: &Probe| {
             let wait = if probe.indirect { PROBE_INTERVAL_MS } else { PROBE_TIMEOUT_MS };
@@ -135,8 +133,7 @@
             return;
         }
         let mut record = entry.record.clone();
-        // A leaving member that does not answer is gone; as a suspect it would count as accepting
-        // work.
+        // A leaving member that does not answer is gone; a suspect would count as accepting work.
         let leaving = record.state == MemberState::Leaving;
         record.state = if leaving { MemberState::Dead } else { MemberState::Suspect };
         self.merge(now, record, true);
@@ -155,7 +152,6 @@
         vec![self.outgoing(relay.origin, DatagramKind::Ack { sequence: relay.origin_sequence })]
     }
 
-    /// Probes a member on behalf of another one.
     pub(super) fn relay(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/membership/repair.rs
+++ b/crates/core/src/membership/repair.rs
@@ -28,9 +28,8 @@
 /// Number of records after which a response to a comparison ends: some 32 datagrams, for which a
 /// link of 30 Mbit/s takes 10 ms. A list of 1,000 members takes three or four responses.
 const MAX_RESPONSE_RECORDS: usize = 320;
-/// Number of records sent in response to a join request. When seeds sent the whole list, each sent
-/// 99 MB in the ten seconds after a start of 1,000 members, which takes 26 s on a link of 30
-/// Mbit/s.
+/// Records sent in response to a join request. When seeds sent the whole list, each sent 99 MB in
+/// the ten seconds after a start of 1,000 members, which takes 26 s on a link of 30 Mbit/s.
 const JOIN_RESPONSE_RECORDS: usize = 40;
 /// One in this many comparisons is made with another zone, because traffic between zones is billed.
 const CROSS_ZONE_EXCHANGE_RATIO: u64 = 4;
@@ -55,7 +54,6 @@
         Some(self.outgoing(to, DatagramKind::Repair { buckets }))
     }
 
-    /// Returns when `exchange` should be called next.
     pub(super) fn exchange_deadline(&self, now: Timestamp) -> Option<Timestamp> {
         self.may_exchange(now).then_some(self.next_exchange_at)
     }
@@ -74,8 +72,7 @@
         self.started_at.is_none_or(|at| now.millis_since(at) < time_ms)
     }
 
-    /// Requests the differing buckets from a member whose list differs. Updates are transmitted a
-    /// bounded number of times and may miss a member; this repairs the omission.
+    /// Requests the differing buckets from a member whose list differs.
     pub(super) fn repair(&mut self, now: Timestamp, digest: u64, source: &str) -> Option<Outgoing> {
         if now < self.next_repair_at || digest == self.digest() {
             return None;
@@ -92,7 +89,6 @@
         Some(self.outgoing(source.to_owned(), DatagramKind::Repair { buckets }))
     }
 
-    /// Digest of the member list. Equal lists have equal digests.
     pub(super) fn digest(&self) -> u64 {
         self.digests.whole()
     }
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -109,8 +109,7 @@
         self.owners.entry((owner.clone(), service.clone())).or_default().in_flight += 1;
     }
 
-    /// Records the end of a call sent to an owner, with the owner's load report. Without a report
-    /// the call counts as failed.
+    /// Records the end of a call with its owner's load report; without one, the call has failed.
     pub fn returned(
         &mut self,
         now: Timestamp,
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -18,8 +18,7 @@
     VersionedObject { key, version, value }
 }
 
-/// One random step: a store applies an object or a listing, or exchanges differences with another
-/// store.
+/// One random step: a store applies an object or a listing, or exchanges differences.
 type Step = (u8, u8, u8, u8, bool);
 
 fn versions_never_decrease_and_stores_converge(steps: Vec<Step>) -> bool {
--- a/crates/core/tests/execution.rs
+++ b/crates/core/tests/execution.rs
@@ -20,8 +20,7 @@
 
 #[test]
 fn a_repeatable_call_joins_only_an_execution_from_the_same_token() {
-    // A new home daemon counts attempts from one again, and may know fewer tokens than its
-    // predecessor.
+    // A new home daemon counts attempts from one, and may know fewer tokens than the last.
     assert!(!joins(&held(10, None), RepeatPolicy::Allowed, 1, 0));
     assert!(!joins(&held(0, None), RepeatPolicy::Allowed, 1, 10));
     assert!(joins(&held(10, None), RepeatPolicy::Allowed, 1, 10));
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -12,8 +12,7 @@
     (0..count).map(zoned).collect()
 }
 
-/// Reference implementation: sorts all members, then moves the first one of another zone to the
-/// second position.
+/// Reference: sorts all members, then moves the first one of another zone to second position.
 fn full_order(id: &str, members: &[MemberInfo]) -> Vec<NodeName> {
     let request = header(id, RepeatPolicy::Allowed).request;
     let accepting: Vec<&MemberInfo> = members.iter().filter(|m| m.accepting).collect();
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -46,7 +46,6 @@
     leases: Vec<LeasedItemRef>,
     /// Number of times each no-repeat item was sent to a back end, counted by granted start marks.
     sent: HashMap<(JobId, u32), u32>,
-    /// Items that have ended.
     ended: HashSet<(u64, u32)>,
 }
 
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -235,8 +235,7 @@
     }
 }
 
-/// All processes start at once. Discovery was so slow that the job stores needed 5.7 s to find each
-/// other and elect a leader.
+/// All processes start at once. Slow discovery delayed the leader election of job stores to 5.7 s.
 #[test]
 fn two_hundred_members_converge_within_two_seconds_of_a_start() {
     let mut fleet = Fleet::new(195, 0.01);
@@ -296,8 +295,7 @@
     number.is_some_and(|number| number % 3 == 0)
 }
 
-/// Bytes and datagrams sent by the members of a fleet in the ten seconds after a simultaneous
-/// start: the mean, and those of the member that sends most.
+/// Bytes and datagrams sent in the ten seconds after a simultaneous start: mean and maximum.
 fn start_cost(size: usize) -> ((usize, usize), (usize, usize)) {
     let mut fleet = Fleet::new(size, 0.01);
     fleet.run(10_000, |_| {});
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -33,8 +33,7 @@
     }
 }
 
-/// The view of daemon 0 in a fleet of `members` daemons, each in its own zone with `backends` back
-/// ends.
+/// The view of daemon 0 among `members` daemons, each in its own zone with `backends` back ends.
 pub fn view(members: usize, backends: usize, slots: u32, reserved_slots: u32) -> FleetView {
     let mut store = ConfigurationStore::default();
     let key = |kind, name: String| ObjectKey { partner: PartnerName::new(PARTNER), kind, name };
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -16,7 +16,6 @@
         Self { origin: Instant::now() }
     }
 
-    /// The current time.
     pub fn now(&self) -> Timestamp {
         Timestamp(self.origin.elapsed().as_millis() as u64 + 1)
     }
--- a/crates/daemon/src/control/dispatch.rs
+++ b/crates/daemon/src/control/dispatch.rs
@@ -31,98 +31,73 @@
 }
 
 impl BusyCounts {
-    /// Whether no work remains.
     pub fn is_idle(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// Commands to the actor.
 pub enum DispatchCommand {
     /// Handle timeouts and periodic work.
     Tick,
-    /// The fleet view was replaced.
     ViewChanged,
     /// Submit a call to its home daemon.
     Submit {
         /// The call; the actor adds it to the call table.
         call: Arc<Call>,
-        /// Result of the submission.
         reply: oneshot::Sender<Submission>,
     },
-    /// Cancel a request.
     Cancel {
-        /// The request.
         request: RequestId,
         /// Whether it had not ended.
         reply: oneshot::Sender<bool>,
     },
     /// A daemon confirmed that it holds the copy of a record.
     CopyHeld {
-        /// The request.
         request: RequestId,
-        /// The daemon.
         holder: NodeName,
         /// The copy of another home that it held before.
         previous: Option<RecordCopy>,
     },
     /// The copy of a record could not be stored at a daemon.
     CopyFailed {
-        /// The request.
         request: RequestId,
-        /// The daemon.
         holder: NodeName,
     },
     /// A handover of a record was acknowledged or failed.
     HandedOver {
-        /// The request.
         request: RequestId,
-        /// The new holder.
         holder: NodeName,
         /// Whether it holds the record.
         acknowledged: bool,
     },
     /// A back end started the call.
     Started {
-        /// The request.
         request: RequestId,
-        /// The attempt.
         attempt: u32,
     },
-    /// An execution ended.
     ExecutionEnded {
-        /// The request.
         request: RequestId,
-        /// The attempt.
         attempt: u32,
-        /// How it ended.
         outcome: Outcome,
-        /// The owner's load.
         load: Option<OwnerLoad>,
     },
     /// The connection to an owner was lost.
     ExecutionLost {
-        /// The request.
         request: RequestId,
-        /// The attempt.
         attempt: u32,
         /// Whether the owner may have received the call.
         may_have_arrived: bool,
-        /// The cause.
         detail: String,
     },
     /// Store a copy of another daemon's record.
     Hold {
-        /// The copy.
         copy: RecordCopy,
         /// The record of another home that this daemon held before.
         reply: oneshot::Sender<Option<RecordCopy>>,
     },
     /// Get the copy held for a request.
     CopyOf {
-        /// The request.
         request: RequestId,
-        /// The copy.
         reply: oneshot::Sender<Option<RecordCopy>>,
     },
     /// Admit a call at its owner.
@@ -132,7 +107,6 @@
     },
     /// An online execution ended at the back end.
     OnlineEnded {
-        /// Its ticket.
         ticket: Ticket,
         /// Whether the back end failed.
         failed: bool,
@@ -141,54 +115,40 @@
     },
     /// Cancel an execution on behalf of a home daemon.
     CancelExecution {
-        /// The request.
         request: RequestId,
         /// Whether it was waiting or running.
         reply: oneshot::Sender<bool>,
     },
     /// A store answered a lease request, or the request failed.
     Leased {
-        /// The store's daemon.
         store: NodeName,
-        /// The service.
         service: ServiceId,
         /// The items; `None` if the request failed.
         items: Option<Vec<LeasedItem>>,
     },
     /// A store announced waiting items of a service.
     WorkAvailable {
-        /// The store's daemon.
         store: NodeName,
-        /// The service.
         service: ServiceId,
     },
     /// A store answered a request for start marks.
     StartAnswered {
-        /// The requested items.
         requested: Vec<LeasedItemRef>,
-        /// The granted items.
         granted: Vec<LeasedItemRef>,
     },
     /// A store answered a lease extension.
     Extended {
-        /// The requested items.
         requested: Vec<LeasedItemRef>,
-        /// The granted items.
         granted: Vec<LeasedItemRef>,
     },
-    /// An item's execution ended.
     ItemEnded {
-        /// Its ticket.
         ticket: Ticket,
-        /// How it ended.
         end: ItemEnd,
     },
     /// A store acknowledged a report.
     Reported {
-        /// The item's ticket.
         ticket: Ticket,
     },
-    /// Stop leasing batch items.
     PauseBatch,
     /// Get the remaining work.
     Busy(oneshot::Sender<BusyCounts>),
--- a/crates/daemon/src/control/fleet.rs
+++ b/crates/daemon/src/control/fleet.rs
@@ -32,13 +32,10 @@
     pub members: Vec<(MemberRecord, u64)>,
 }
 
-/// Commands to the actor.
 pub enum FleetCommand {
     /// Run the periodic work of membership.
     Tick,
-    /// A datagram arrived.
     Received {
-        /// The datagram.
         datagram: Datagram,
         /// Its source, `IP:PORT`.
         source: String,
@@ -47,35 +44,27 @@
     Apply(Vec<VersionedObject>),
     /// Apply a complete listing of one kind.
     ApplyListing {
-        /// The kind.
         kind: Kind,
-        /// Version of the listing.
         version: u64,
-        /// The objects.
         objects: Vec<VersionedObject>,
     },
     /// Compare with a peer's store.
     Compare {
-        /// The peer's digest.
         digest: u64,
         /// The peer's versions; empty to compare only digests.
         versions: Vec<ObjectVersion>,
         /// Whether the digests are equal, and the difference of the stores.
         reply: oneshot::Sender<(bool, Repair)>,
     },
-    /// Get the digest over all objects.
     Digest(oneshot::Sender<u64>),
-    /// Get the versions of all objects.
     Versions(oneshot::Sender<Vec<ObjectVersion>>),
     /// Get all objects, including deleted ones.
     Objects(oneshot::Sender<Vec<VersionedObject>>),
-    /// Get the status of the fleet.
     Status(oneshot::Sender<FleetStatus>),
     /// Announce a state of this daemon, such as leaving or dead.
     Announce(MemberState),
 }
 
-/// Holds the member list and the configuration.
 #[derive(Actor)]
 pub struct FleetActor {
     shared: Arc<Shared>,
--- a/crates/daemon/src/control/jobs.rs
+++ b/crates/daemon/src/control/jobs.rs
@@ -24,80 +24,56 @@
 pub enum JobCommand {
     /// Handle expired leases and deadlines.
     Tick,
-    /// Accept an upload.
     Accept {
-        /// Header.
         header: JobHeader,
         /// Digest over header and bodies.
         digest: u64,
-        /// Number of items.
         items: u32,
-        /// The upload.
         upload: u64,
         /// Whether it was accepted, once durable.
         reply: oneshot::Sender<Acceptance>,
     },
-    /// Lease waiting items.
     Lease {
-        /// The service.
         service: ServiceId,
-        /// Maximum number of items.
         max_items: u32,
-        /// The leases.
         reply: oneshot::Sender<Vec<LeaseGrant>>,
     },
-    /// Mark items as started.
     Start {
-        /// The items.
         items: Vec<LeasedItemRef>,
         /// The granted items, once durable.
         reply: oneshot::Sender<Vec<LeasedItemRef>>,
     },
-    /// Extend leases.
     Extend {
-        /// The items.
         items: Vec<LeasedItemRef>,
-        /// The extended items.
         reply: oneshot::Sender<Vec<LeasedItemRef>>,
     },
-    /// Handle returned items.
     ReturnItems {
-        /// The items.
         items: Vec<ReturnedItem>,
         /// Sent once durable.
         reply: oneshot::Sender<()>,
     },
-    /// Record results.
     Complete {
-        /// The items.
         items: Vec<CompletedItem>,
         /// Sent once durable.
         reply: oneshot::Sender<()>,
     },
-    /// Cancel a job.
     Cancel {
-        /// The job.
         job: JobId,
         /// Its progress, once durable.
         reply: oneshot::Sender<Option<JobProgress>>,
     },
-    /// Get the progress of a job.
     Progress {
-        /// The job.
         job: JobId,
         /// Its progress, once all changes included in it are durable.
         reply: oneshot::Sender<Option<JobProgress>>,
     },
     /// Get the number of a job and its number of items.
     Find {
-        /// The job.
         job: JobId,
-        /// Number of the job and its number of items.
         reply: oneshot::Sender<Option<(JobNumber, u32)>>,
     },
 }
 
-/// Holds the jobs of this daemon.
 #[derive(Actor)]
 pub struct JobActor {
     shared: Arc<Shared>,
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -23,18 +23,14 @@
 use crate::error::StartError;
 use crate::shared::Shared;
 
-/// Interval between ticks of the state machines.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum number of commands queued at one actor.
 const MAILBOX_CAPACITY: usize = 65_536;
 
 /// Initial state and settings of the control thread.
 pub struct ControlParts {
-    /// The member list.
     pub membership: Membership,
     /// The job store, on daemons with a data folder.
     pub jobs: Option<JobStore>,
-    /// Datagrams to be sent.
     pub datagrams: mpsc::UnboundedSender<Outgoing>,
     /// Retention period of ended requests, in milliseconds.
     pub retention_ms: u64,
@@ -42,7 +38,6 @@
     pub seed: u64,
     /// Whether this daemon runs batch items.
     pub batch: bool,
-    /// Names of the data daemons.
     pub data_nodes: Vec<yokefall_types::NodeName>,
 }
 
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -36,7 +36,6 @@
 const CHANGE_QUEUE_CAPACITY: usize = 4096;
 /// Time for other processes to learn that this one is leaving.
 const LEAVE_PROPAGATION_DELAY: Duration = Duration::from_millis(2_500);
-/// Interval at which a shutdown checks for remaining work.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for the last datagrams to be sent.
 const FINAL_DATAGRAM_DELAY: Duration = Duration::from_millis(50);
@@ -54,8 +53,7 @@
 }
 
 impl Listeners {
-    /// Opens the ports given in the settings. The UDP port takes the number of the bound TCP port,
-    /// so that port 0 results in the same number for both.
+    /// Opens the ports in the settings. If the TCP port is 0, UDP takes the number that was bound.
     pub async fn open(settings: &Settings) -> Result<Self, StartError> {
         let peer = listen("peer", settings.listen.peer).await?;
         let bound = peer.local_addr().unwrap_or(settings.listen.peer);
@@ -233,7 +231,6 @@
 
 type OpenStore = (Option<Store>, Option<JobStore>, Option<mpsc::UnboundedReceiver<StorageError>>);
 
-/// Opens the data folder, if one is configured, and recovers its jobs.
 fn open_store(settings: &Settings, clock: Clock) -> Result<OpenStore, StartError> {
     let Some(data) = &settings.data else { return Ok((None, None, None)) };
     let failed = |error: StorageError| StartError::Storage(error.to_string());
@@ -281,7 +278,6 @@
     })
 }
 
-/// Resources for opening the ports.
 struct Ports {
     listeners: Listeners,
     secret: String,
--- a/crates/daemon/src/ports/calls.rs
+++ b/crates/daemon/src/ports/calls.rs
@@ -121,8 +121,7 @@
     }
 }
 
-/// Runs a call on an owned back end on behalf of a home daemon, or joins the existing execution,
-/// and streams its answer.
+/// Runs a call on an owned back end for a home daemon, or joins it, and streams its answer.
 pub async fn execute(
     shared: &Arc<Shared>,
     home: &NodeName,
--- a/crates/daemon/src/ports/jobs.rs
+++ b/crates/daemon/src/ports/jobs.rs
@@ -10,7 +10,6 @@
 use crate::control::JobCommand;
 use crate::shared::{Shared, Store};
 
-/// Handles a request to the job store.
 pub async fn answer(shared: &Shared, request: PeerRequest) -> PeerReply {
     let Some(store) = &shared.store else {
         let detail = format!("{} has no data folder", shared.node);
--- a/crates/daemon/src/ports/operator.rs
+++ b/crates/daemon/src/ports/operator.rs
@@ -21,11 +21,8 @@
 use crate::control::{FleetCommand, FleetStatus};
 use crate::shared::Shared;
 
-/// The operator service.
 pub struct OperatorPort {
-    /// State shared by the process.
     pub shared: Arc<Shared>,
-    /// Authenticates callers.
     pub authenticator: Authenticator,
 }
 
@@ -50,8 +47,7 @@
         Ok(objects)
     }
 
-    /// Checks references between objects against the configuration in force, including the
-    /// operator's own previous changes.
+    /// Checks references between objects against the configuration with the operator's own changes.
     async fn check_references(&self, change: &Change) -> Result<(), Status> {
         let objects = self.live_objects(&change.key.partner).await?;
         match &change.value {
--- a/crates/daemon/src/ports/peers.rs
+++ b/crates/daemon/src/ports/peers.rs
@@ -10,9 +10,7 @@
 use crate::ports::{calls, jobs};
 use crate::shared::Shared;
 
-/// Handles requests from peers.
 pub struct PeerPort {
-    /// State shared by the process.
     pub shared: Arc<Shared>,
 }
 
--- a/crates/daemon/src/ports/platform.rs
+++ b/crates/daemon/src/ports/platform.rs
@@ -1,5 +1,4 @@
-//! Watches of the platform: a few daemons per region watch the object API and the machine list, and
-//! push changes to the others.
+//! A few daemons per region watch the object API and the machine list, and push changes to others.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -23,7 +22,6 @@
 const WATCHERS_PER_REGION: usize = 2;
 /// Rendezvous hashing key that selects the watchers of a region.
 const WATCHER_KEY: &[u8] = b"platform-watcher";
-/// Interval at which a daemon checks whether it is a watcher.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Bounds of the exponential backoff after a failed call.
 const RETRY_BACKOFF_RANGE: (Duration, Duration) =
@@ -31,7 +29,6 @@
 /// Partner name under which machines are stored; no partner has this name.
 const MACHINE_NAMESPACE: &str = "";
 
-/// Whether this daemon watches the platform for its region.
 fn is_watcher(view: &FleetView) -> bool {
     let Some(own) = view.member(&view.node) else { return true };
     let in_region: Vec<&NodeName> = view
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -21,27 +21,18 @@
 
 /// Files and uploads of the job store, on daemons with a data folder.
 pub struct Store {
-    /// Read access to the journal.
     pub journal: Journal,
-    /// Write access to the journal.
     pub writer: JournalWriter,
-    /// Uploads in progress.
     pub uploads: UploadTable,
 }
 
-/// State shared by the whole process.
 pub struct Shared {
-    /// Name of this daemon.
     pub node: NodeName,
     /// Name and incarnation of this daemon, as home of requests.
     pub home: HomeId,
-    /// The process's clock.
     pub clock: Clock,
-    /// Connections to other processes.
     pub peers: PeerClient,
-    /// Connections to back ends.
     pub backends: BackendClient,
-    /// The object API.
     pub objects: ObjectApi,
     /// Snapshot of the fleet, replaced on every change.
     pub view: ArcSwap<FleetView>,
@@ -49,7 +40,6 @@
     pub calls: CallTable,
     /// Calls that this daemon runs as owner.
     pub executions: CallTable,
-    /// Running batch items.
     pub items: ItemTable,
     /// Configuration changes as they take effect.
     pub changes: broadcast::Sender<VersionedObject>,
@@ -59,9 +49,7 @@
     pub storage_failed: Notify,
     /// Actor of membership and configuration.
     pub fleet: OnceLock<ActorRef<FleetActor>>,
-    /// Actor of calls and items.
     pub dispatch: OnceLock<ActorRef<DispatchActor>>,
-    /// Actor of jobs.
     pub jobs: OnceLock<ActorRef<JobActor>>,
 }
 
--- a/crates/daemon/src/traffic/batch.rs
+++ b/crates/daemon/src/traffic/batch.rs
@@ -22,7 +22,6 @@
 
 /// Maximum number of attempts to deliver start mark requests and returned items.
 const MAX_ATTEMPTS: u32 = 20;
-/// Pause between these attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Carries out one effect on the traffic threads.
@@ -127,7 +126,6 @@
     let _ = shared.dispatch().tell(DispatchCommand::ItemEnded { ticket, end }).await;
 }
 
-/// Engine request id of one attempt of an item.
 fn engine_item_id(item: &LeasedItem) -> String {
     let reference = &item.item;
     let token = reference.token;
--- a/crates/daemon/src/traffic/buffer.rs
+++ b/crates/daemon/src/traffic/buffer.rs
@@ -43,19 +43,16 @@
         Self { state: Mutex::default(), changed: watch::Sender::new(()) }
     }
 
-    /// Whether a back end is known to have started the call.
     pub fn is_started(&self) -> bool {
         lock(&self.state).backend.is_some()
     }
 
-    /// Records the back end that started the call.
     pub fn start(&self, backend: BackendId) {
         lock(&self.state).backend = Some(backend);
         self.changed.send_replace(());
     }
 
-    /// Appends bytes at an offset and skips those already present. Returns `false` if there is a
-    /// gap or the answer has ended.
+    /// Appends bytes not yet present. Returns `false` if there is a gap or the answer has ended.
     pub fn push(&self, offset: u64, text: &[u8], tokens_total: u32) -> bool {
         let mut state = lock(&self.state);
         let held = state.bytes.len() as u64;
@@ -88,7 +85,6 @@
         (state.bytes.len() as u64, state.tokens)
     }
 
-    /// The answer received so far.
     pub fn answer(&self) -> Answer {
         let state = lock(&self.state);
         Answer { body: state.bytes.clone(), tokens: state.tokens }
@@ -109,8 +105,7 @@
         }
     }
 
-    /// Emits all events from an offset on, up to and including the end, or until `emit` returns
-    /// `false`.
+    /// Emits all events from an offset to the end, or until `emit` returns `false`.
     pub async fn follow(&self, mut offset: u64, mut emit: impl FnMut(CallEvent) -> bool) {
         let mut changes = self.changed.subscribe();
         let mut started = false;
@@ -157,12 +152,10 @@
 }
 
 impl Call {
-    /// A call at its home daemon.
     pub fn at_home(call: OnlineCall) -> Arc<Self> {
         Self::new(call, 0, 0)
     }
 
-    /// One execution at an owner.
     pub fn execution(call: OnlineCall, attempt: u32, resume_from_token: u32) -> Arc<Self> {
         Self::new(call, attempt, resume_from_token)
     }
@@ -181,18 +174,15 @@
         })
     }
 
-    /// Header of the call.
     pub fn header(&self) -> &CallHeader {
         &self.header
     }
 
-    /// The prompt, or the body for a plain service. Empty once the call has ended at its home
-    /// daemon.
+    /// The prompt, or the body for a plain service. Empty once the call has ended at its home.
     pub fn body(&self) -> Arc<Vec<u8>> {
         lock(&self.body).clone()
     }
 
-    /// Length of the body, in bytes.
     pub fn body_bytes(&self) -> usize {
         self.body_bytes
     }
@@ -217,17 +207,14 @@
         self.resume_from_token
     }
 
-    /// The answer.
     pub fn buffer(&self) -> &AnswerBuffer {
         &self.buffer
     }
 
-    /// Signals the execution to stop.
     pub fn stop(&self) {
         self.stop.cancel();
     }
 
-    /// Resolves once the execution was signalled to stop.
     pub async fn stopped(&self) {
         self.stop.cancelled().await;
     }
@@ -244,19 +231,16 @@
     hasher.digest()
 }
 
-/// Calls by request.
 #[derive(Debug, Default)]
 pub struct CallTable {
     calls: Mutex<HashMap<RequestId, Arc<Call>>>,
 }
 
 impl CallTable {
-    /// The call of a request.
     pub fn get(&self, request: &RequestId) -> Option<Arc<Call>> {
         lock(&self.calls).get(request).cloned()
     }
 
-    /// Adds a call unless its request already has one.
     pub fn insert_if_absent(&self, call: Arc<Call>) {
         lock(&self.calls).entry(call.header.request.clone()).or_insert(call);
     }
@@ -266,7 +250,6 @@
         lock(&self.calls).insert(call.header.request.clone(), call)
     }
 
-    /// Removes the call of a request.
     pub fn remove(&self, request: &RequestId) {
         lock(&self.calls).remove(request);
     }
--- a/crates/daemon/src/traffic/execution.rs
+++ b/crates/daemon/src/traffic/execution.rs
@@ -129,19 +129,16 @@
     }
 }
 
-/// The declaration of a service in this daemon's view.
 pub fn service_spec(shared: &Shared, service: &ServiceId) -> Option<ServiceSpec> {
     shared.view.load().services.get(service).map(|view| view.spec.clone())
 }
 
-/// Engine request id of one attempt, distinct per attempt so that a cancellation never affects
-/// another attempt.
+/// Engine request id, distinct per attempt so that a cancellation never affects another one.
 fn engine_request_id(call: &Call) -> String {
     format!("{}#{}", call.header().request, call.attempt())
 }
 
-/// Cancels a request at an engine. If this fails, the engine stops the request when it detects the
-/// closed connection.
+/// Cancels a request at an engine. If this fails, the engine stops it when the connection closes.
 pub async fn cancel_at_backend(shared: &Shared, address: &str, request_id: String) {
     if let Err(error) = shared.backends.cancel(address, &request_id).await {
         Event::new(Level::Warn, "cancel at back end").peer(address).id(request_id).write(error);
--- a/crates/daemon/src/traffic/home.rs
+++ b/crates/daemon/src/traffic/home.rs
@@ -17,10 +17,8 @@
 use crate::traffic::buffer::Call;
 use crate::traffic::{call_peer, not_a_member};
 
-/// Maximum number of attempts to notify a holder of a copy of an end, or an owner of a
-/// cancellation.
+/// Maximum number of attempts to notify a holder of an end, or an owner of a cancellation.
 const MAX_NOTIFY_ATTEMPTS: u32 = 4;
-/// Pause between these attempts.
 const NOTIFY_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// Maximum time for which an execution of another home daemon is followed, in milliseconds.
 const ADOPT_TIMEOUT_MS: u64 = yokefall_types::limits::MAX_CALL_DEADLINE_MS;
@@ -86,7 +84,6 @@
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// Runs one attempt at an owner and reports its outcome.
 async fn execute(shared: Arc<Shared>, call: Arc<Call>, attempt: u32, owner: NodeName) {
     let (base_offset, base_tokens) = call.buffer().length();
     let peer_request = PeerRequest::Execute(ExecuteCall {
@@ -200,7 +197,6 @@
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// Hands over a record to a daemon that became one of its holders.
 async fn hand_over(
     shared: Arc<Shared>,
     to: NodeName,
@@ -219,7 +215,6 @@
     let _ = shared.dispatch().tell(command).await;
 }
 
-/// A copy of the record of an ended call, with its answer.
 fn ended_copy(shared: &Shared, call: &Call) -> Option<RecordCopy> {
     let state = match call.buffer().ended()?.0 {
         Outcome::Completed => RecordState::Answered(call.buffer().answer()),
--- a/crates/daemon/src/traffic/items.rs
+++ b/crates/daemon/src/traffic/items.rs
@@ -6,7 +6,6 @@
 use tokio_util::sync::CancellationToken;
 use yokefall_core::admission::Ticket;
 
-/// Stop signals by ticket.
 #[derive(Debug, Default)]
 pub struct ItemTable {
     stops: Mutex<HashMap<Ticket, CancellationToken>>,
@@ -17,21 +16,18 @@
         self.stops.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds an item that is about to run.
     pub fn insert(&self, ticket: Ticket) -> CancellationToken {
         let stop = CancellationToken::new();
         self.lock().insert(ticket, stop.clone());
         stop
     }
 
-    /// Signals an item to stop.
     pub fn stop(&self, ticket: Ticket) {
         if let Some(stop) = self.lock().get(&ticket) {
             stop.cancel();
         }
     }
 
-    /// Removes an item that ended.
     pub fn remove(&self, ticket: Ticket) {
         self.lock().remove(&ticket);
     }
--- a/crates/daemon/src/traffic/mod.rs
+++ b/crates/daemon/src/traffic/mod.rs
@@ -14,7 +14,6 @@
 
 use crate::shared::Shared;
 
-/// Timeout of peer requests with a single reply.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Sends a request to a member and waits for its single reply.
--- a/crates/daemon/src/traffic/uploads.rs
+++ b/crates/daemon/src/traffic/uploads.rs
@@ -1,5 +1,4 @@
-//! Uploads of jobs. Items are written to disk as they arrive; only a running digest is kept in
-//! memory.
+//! Uploads of jobs. Items are written to disk on arrival; memory holds only a running digest.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,13 +16,10 @@
 /// Number of low-order bits of an upload number that count uploads; the epoch is above them.
 const EPOCH_SHIFT: u32 = 32;
 
-/// A complete upload.
 pub struct FinishedUpload {
-    /// Header.
     pub header: JobHeader,
     /// Digest over header and bodies.
     pub digest: u64,
-    /// Number of items.
     pub items: u32,
 }
 
@@ -34,7 +30,6 @@
     last_append_at: Instant,
 }
 
-/// Uploads in progress, by number.
 pub struct UploadTable {
     next: AtomicU64,
     uploads: Mutex<HashMap<u64, Upload>>,
@@ -50,7 +45,6 @@
         self.uploads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts an upload and returns its number.
     pub fn open(&self, header: JobHeader) -> u64 {
         let number = self.next.fetch_add(1, Ordering::Relaxed) + 1;
         let mut hasher = Xxh3::new();
@@ -62,7 +56,6 @@
         number
     }
 
-    /// Appends items to an upload.
     pub fn append(
         &self,
         journal: &Journal,
--- a/crates/objects/src/machines.rs
+++ b/crates/objects/src/machines.rs
@@ -13,9 +13,7 @@
 
 /// Path of the machine list.
 pub const MACHINES_PATH: &str = "/v1/machines";
-/// Maximum size of the response.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// Timeout for reading the list.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// State of a machine.
--- a/crates/objects/src/objects.rs
+++ b/crates/objects/src/objects.rs
@@ -21,11 +21,9 @@
 const SPEC_FIELD: &str = "spec";
 /// Time after which the server ends a watch, which then has to be reopened.
 const WATCH_TIMEOUT_SECONDS: u32 = 240;
-/// Timeout of one API call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum number of attempts to read back a write whose response was lost.
 const MAX_READ_BACK_ATTEMPTS: u32 = 5;
-/// Interval between these attempts.
 const READ_BACK_INTERVAL: Duration = Duration::from_millis(300);
 
 const STATUS_NOT_FOUND: u16 = 404;
@@ -50,8 +48,7 @@
 pub enum WriteOutcome {
     /// The change was written as this version.
     Written(u64),
-    /// Nothing was written, because the current version is this one. Zero if the object does not
-    /// exist.
+    /// Nothing was written: the current version is this one, or zero if there is no such object.
     Conflict(u64),
     /// Whether the change was written could not be determined.
     Unknown(String),
@@ -140,8 +137,7 @@
         }))
     }
 
-    /// Writes a change. If the response is lost, the object is read back: its change id tells
-    /// whether the change was written.
+    /// Writes a change. If the response is lost, reads the object back and compares its change id.
     pub async fn write(&self, change: &Change) -> WriteOutcome {
         if let Ok(Some(object)) = self.read(&change.key).await {
             if change_id(&object) == Some(change.change_id.as_str()) {
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,5 +1,4 @@
-//! Client side of peer connections: one connection per peer, opened on first use, over which
-//! concurrent calls are multiplexed.
+//! Client of peer connections: one per peer, opened on first use, that multiplexes calls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -53,8 +52,7 @@
     }
 }
 
-/// The connection to one peer. The mutex stays locked while the connection is opened, so that
-/// concurrent calls share one connection.
+/// The connection to one peer. The mutex is held while it opens, so that concurrent calls share it.
 #[derive(Debug, Default)]
 struct ConnectionSlot {
     connection: tokio::sync::Mutex<Option<Arc<Connection>>>,
@@ -190,8 +188,7 @@
         () = writer => {}
         () = reader => {}
     }
-    // The queue is closed before the pending calls fail: a call added later finds it closed, so
-    // that no call waits on a closed connection.
+    // The queue is closed before pending calls fail: no later call waits on a closed connection.
     outgoing.close();
     let unanswered = std::mem::take(&mut *lock(&pending));
     for (_, sender) in unanswered {
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -17,11 +17,8 @@
 pub enum Frame {
     /// Opens the handshake; the first frame sent by the client.
     Hello {
-        /// Protocol version of the client.
         version: u32,
-        /// Node name of the client.
         node: NodeName,
-        /// Secret shared by the fleet.
         secret: String,
     },
     /// Reply to `Hello`.
@@ -33,14 +30,10 @@
     Request {
         /// Call number, assigned by the client.
         call: u64,
-        /// The request.
         request: PeerRequest,
     },
-    /// One reply to a request.
     Reply {
-        /// Call number of the request.
         call: u64,
-        /// The reply.
         reply: PeerReply,
     },
 }
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -15,8 +15,7 @@
     pub body: Vec<u8>,
 }
 
-/// A call forwarded by its home daemon to an owner daemon, which runs it on one of the back ends
-/// that it owns.
+/// A call forwarded by its home daemon to an owner, which runs it on one of its back ends.
 #[derive(Clone, Debug, BorshSerialize, BorshDeserialize)]
 pub struct ExecuteCall {
     /// The call.
@@ -51,8 +50,7 @@
 /// Load of one service at one owner daemon, reported whenever an execution ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct OwnerLoad {
-    /// Slots that an online call can use immediately: free, or occupied by a batch item that can be
-    /// preempted.
+    /// Slots that an online call can use at once: free, or held by a preemptible batch item.
     pub free_slots: u32,
     /// Number of queued online calls.
     pub waiting: u32,
@@ -202,8 +200,7 @@
         /// Digest of the list that the sender has; zero if it has none.
         known: u64,
     },
-    /// Start an online call, or join it if it is already running. Replies: `Call` events until
-    /// `Ended`.
+    /// Start an online call, or join it if it is running. Replies: `Call` events until `Ended`.
     Submit {
         /// The call.
         call: OnlineCall,
@@ -267,8 +264,7 @@
         /// The daemon that will run them.
         holder: NodeName,
     },
-    /// Mark items that must not be repeated as started. Reply: `Granted`, once the marks are on
-    /// disk.
+    /// Mark no-repeat items as started. Reply: `Granted`, once the marks are on disk.
     StartItems(Vec<LeasedItemRef>),
     /// Extend leases. Reply: `Granted`; items that it does not list must be stopped.
     ExtendLeases(Vec<LeasedItemRef>),
--- a/crates/rpc/src/auth.rs
+++ b/crates/rpc/src/auth.rs
@@ -37,8 +37,7 @@
 }
 
 impl Authenticator {
-    /// Reads the key file and starts a task that reloads it when it changes. While the file is
-    /// invalid, the keys read last remain in use.
+    /// Reads the key file and reloads it on change. While it is invalid, the last keys stay in use.
     pub fn start(file: PathBuf, interval: Duration) -> Result<Self, FileError> {
         let (text, ring) = read_keys(&file)?;
         let keys = Arc::new(ArcSwap::from_pointee(ring));
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -8,7 +8,6 @@
 use yokefall_api::v1::caller_client::CallerClient;
 use yokefall_api::v1::operator_client::OperatorClient;
 
-/// Maximum size of a message that a client decodes.
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Adds the API key to the metadata of every call.
--- a/crates/rpc/src/incoming.rs
+++ b/crates/rpc/src/incoming.rs
@@ -1,5 +1,4 @@
-//! Incoming connections of a gRPC server: TLS with certificates from files, or plaintext if no
-//! certificate is configured.
+//! Incoming gRPC connections: TLS with certificates from files, or plaintext without any.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,9 +25,7 @@
 
 use crate::auth::FileError;
 
-/// Maximum number of accepted connections queued for the gRPC server.
 const MAX_QUEUED_CONNECTIONS: usize = 256;
-/// Timeout of a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay after a failed `accept`, for example when no file descriptor is available.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,5 +1,4 @@
-//! Common parts of gRPC servers and clients: TLS with certificates from files, authentication by
-//! API keys, and conversion of the protobuf types.
+//! Common parts of gRPC servers and clients: TLS, API keys and conversion of protobuf types.
 
 pub mod auth;
 pub mod client;
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -1,5 +1,4 @@
-//! Jobs, item bodies and results in fjall, an embedded log-structured merge tree with a checksummed
-//! write-ahead journal.
+//! Jobs, item bodies and results in fjall, an embedded LSM tree with a checksummed write-ahead log.
 
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -8,7 +8,6 @@
 use crate::error::StorageError;
 use crate::journal::Journal;
 
-/// Maximum number of tasks that share one sync.
 const MAX_TASKS_PER_SYNC: usize = 4096;
 
 /// Records to write, with a callback that runs once they and all earlier records are on disk.
