--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -18,8 +18,7 @@
 use crate::context::RequestContext;
 use crate::shared::Shared;
 
-/// Upper bound for the time between two checks of the queues: back ends may appear, and load
-/// reports age.
+/// Maximum time between two checks of the queues: back ends may appear, and load reports age.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A queued request expired before a back end had capacity.
@@ -172,9 +171,8 @@
     }
 }
 
-/// Whether the least loaded back ends of a service are below the load limit for requests with a
-/// latency target. Returns true if no back end is known, so that selection reports the cause
-/// instead of queueing.
+/// Whether the least loaded back ends of a service are below the load limit for a latency target.
+/// True if no back end is known, so that selection reports the cause instead of queueing.
 fn has_capacity(shared: &Shared, requirements: &Requirements, target: Duration) -> bool {
     let catalog = shared.catalog.load();
     shared.balancer.with(|balancer, now| {
@@ -270,8 +268,7 @@
     // The caller has just disconnected.
     let Some(waiter) = waiter else { return true };
     let slot = match choose(shared, &key.requirements(), &[], waiter.affinity) {
-        // No back end in the regions of the request accepts requests any more; `None` reports that
-        // to the caller.
+        // No back end in the request's regions accepts requests any more: reported as `None`.
         None if key.residency.0 != Residency::Anywhere => Ok(None),
         slot => slot.map(Some).ok_or(QueueTimeout),
     };
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -57,16 +57,14 @@
     }
 
     /// Applies the newest configuration to the regions in which the request may be served: what was
-    /// allowed on arrival may be forbidden by now. Keeps the current regions if the route no longer
-    /// exists.
+    /// allowed on arrival may be forbidden by now. Keeps the regions if the route no longer exists.
     pub fn update_regions(&mut self, catalog: &Catalog) {
         if let Some(residency) = self.residency_in(catalog) {
             self.residency = residency;
         }
     }
 
-    /// Regions in which `catalog` allows the request to be served; `None` if no route matches its
-    /// host and path.
+    /// Regions in which `catalog` allows the request to be served; `None` if no route matches.
     pub fn residency_in(&self, catalog: &Catalog) -> Option<Residency> {
         let tenant = self.caller.tenant().map(|tenant| &tenant.name);
         catalog.residency_at(&self.route.host, self.parts.uri.path(), tenant)
@@ -99,8 +97,7 @@
             .field("left_ms", self.deadline.duration_since(Instant::now()).as_millis() as u64)
     }
 
-    /// Records that a back end may have executed the request. The token is consumed: each execution
-    /// counts.
+    /// Records a possible execution by a back end. The token is consumed: each execution counts.
     pub(crate) fn record_possible_run(&mut self) {
         self.may_have_run += 1;
         self.token = None;
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -44,7 +44,6 @@
 const STOP_SERVING_FRACTION: f64 = 0.35;
 /// Part of the shutdown time reserved for the process to exit.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
-/// Interval at which shutdown checks whether all requests have completed.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Options of a gateway.
@@ -248,7 +247,6 @@
     }
 }
 
-/// Starts the control thread.
 fn start_control<P: Platform>(
     options: &GatewayOptions,
     platform: P,
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -8,8 +8,7 @@
 use crate::response::{json, plain, ClientResponse};
 use crate::shared::Shared;
 
-/// How long clients may cache a response, in seconds. A gateway that shuts down keeps serving for
-/// longer than this.
+/// Seconds for which clients may cache a response. A gateway that shuts down serves for longer.
 const TTL_SECONDS: f64 = 2.0;
 
 /// Answers an address query: gateways that accept requests, those in the client's region first.
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -2,8 +2,7 @@
 //!
 //! Invariant: a request that is not repeatable is never sent again after a back end may have
 //! executed it, and is then never rejected as "not run". Only these prove that it was not executed:
-//! the connection could not be established, nothing of the request was written, or the back end
-//! said so.
+//! the connection could not be established, nothing was written, or the back end said so.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,11 +24,9 @@
 use crate::shared::Shared;
 use crate::suspect::{self, Clearance};
 
-/// Timeout for connecting to a back end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum number of back ends tried before a request that none accepted is rejected.
 const MAX_TRIES: usize = 5;
-/// Retry delay for rejected clients.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 /// Minimum retry delay for clients whose queued request expired, and the factor up to which it is
 /// randomized, so that clients rejected together do not return together.
@@ -41,9 +38,7 @@
 /// of the route's latency target; and its lower bound.
 const ATTEMPT_TIMEOUT_TARGETS: u32 = 3;
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Sent to the caller of a request during which back ends terminated.
 const BACKENDS_TERMINATED_TEXT: &str = "back ends ended while they ran this request";
-/// Sent to the caller of a request for which all back ends are cold.
 const ALL_COLD_TEXT: &str = "back ends are not warm yet and have had what they bear";
 /// Connections to one back end that are always allowed.
 const MIN_CONNECTIONS: usize = 4;
@@ -70,13 +65,11 @@
     DeadlineExceeded,
     /// The tenant's rate limit does not allow sending the request now, or again.
     TokenError(TokenError),
-    /// Every back end is cold and this process has used its share of requests to them; the request
-    /// was not executed.
+    /// All back ends are cold and this process has used its share of their requests; not executed.
     AllCold(Duration),
     /// Back ends terminated during this request; it may be sent again after this time.
     HeldBack(Duration),
-    /// No back end accepts requests in the regions where the request may be served; it was not
-    /// executed.
+    /// No back end accepts requests in the regions where the request may be served; not executed.
     NoRegion(Residency),
 }
 
@@ -414,8 +407,7 @@
     Ran(String),
 }
 
-/// Classifies a response head: whether the request was executed, and whether the client should get
-/// the response.
+/// Whether the request was executed, and whether the client should get the response.
 fn classify(
     shared: &Shared,
     context: &mut RequestContext,
@@ -455,7 +447,6 @@
     Classification::Use(Box::new(backend_response))
 }
 
-/// Records the load and the cold time that a back end reports with its response.
 fn record_backend_headers(shared: &Shared, slot: &BackendSlot, headers: &HeaderMap) {
     let load = headers.get(&shared.dialect.headers().load);
     if let Some(load) = load.and_then(|value| shared.dialect.parse_load(value)) {
--- a/crates/gateway/src/gateway_ranking.rs
+++ b/crates/gateway/src/gateway_ranking.rs
@@ -1,5 +1,4 @@
-//! Ranks gateways for the clients of a zone, for fleets with more gateways than one response may
-//! name.
+//! Ranks gateways for the clients of a zone, for fleets with more of them than fit in a response.
 //!
 //! All processes announce the same gateways to the clients of a zone, so that a client that
 //! queries another process keeps its connections. Clients of other zones get other gateways. Names
@@ -14,8 +13,7 @@
 /// Key for clients that announce no zone.
 const UNKNOWN_ZONE: &str = "";
 
-/// Ranks gateways for the clients of a zone by rendezvous score, so that the others keep their
-/// order when one is gone.
+/// Ranks gateways for a zone by rendezvous score: the others keep their order when one is gone.
 pub fn rank_for_zone<'a>(
     mut gateways: Vec<&'a FleetMember>,
     zone: Option<&str>,
--- a/crates/gateway/src/gateway_selection.rs
+++ b/crates/gateway/src/gateway_selection.rs
@@ -86,8 +86,7 @@
     }
 }
 
-/// Whether `own` gateways are enough for a region's clients, assuming that all regions have about
-/// as many clients.
+/// Whether `own` gateways suffice for a region, assuming that all have about as many clients.
 fn is_enough(own: usize, gateways: &[&FleetMember], zones: &ZoneMap) -> bool {
     let mut regions: Vec<Option<&str>> =
         gateways.iter().map(|member| zones.region_of(&member.zone)).collect();
--- a/crates/gateway/src/idle_eviction.rs
+++ b/crates/gateway/src/idle_eviction.rs
@@ -1,6 +1,5 @@
-//! Closes idle client connections when no new connection can be accepted, since they use up the
-//! file descriptors that clients with requests need. Otherwise a gateway with many idle connections
-//! accepts none until their idle timeout expires.
+//! Closes idle client connections when no new one can be accepted: they use up the descriptors that
+//! clients with requests need. Otherwise a gateway accepts none until their idle timeout expires.
 
 use std::cell::Cell;
 use std::io;
@@ -12,11 +11,9 @@
 
 use crate::connection::PhaseCell;
 
-/// Minimum idle time of a connection that is closed. A connection that was just opened, or whose
-/// request was just answered, may be about to carry a request; clients that cannot connect should
-/// not wait for seconds.
+/// Minimum idle time of a connection to be closed: one just opened or answered may be about to
+/// carry a request, while clients that cannot connect should not wait for seconds.
 const MIN_IDLE: Duration = Duration::from_millis(500);
-/// Minimum interval between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Notifies idle connections when others cannot be accepted.
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -28,7 +28,6 @@
 
 /// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Retry delay for clients of a gateway that has no configuration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Timeout of a request when neither the client nor the route sets one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -84,8 +83,7 @@
     let service = service_fn(|request| handle(shared.clone(), port, phase.clone(), request));
     let mut builder = http1::Builder::new();
     builder.max_buf_size(limits.header_bytes.max(MIN_HEADER_BUFFER_BYTES));
-    // A connection accepted after closing began gets one response, which sends its client to
-    // another gateway.
+    // A connection accepted after closing began gets one response, sending its client elsewhere.
     let is_closing = *closing.borrow();
     builder.keep_alive(!is_closing);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -17,7 +17,6 @@
 use crate::response::{json, plain, rejection, ClientResponse, ResponseBody};
 use crate::shared::Shared;
 
-/// Maximum number of items in a job.
 const MAX_ITEMS: usize = 200;
 /// Timeout of a call when the caller sets none.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -25,8 +24,7 @@
 const MAX_RESULT_WAIT: Duration = Duration::from_millis(1_000);
 /// Retry delay for callers that got no definite answer.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Retry delay for callers whose job exceeds the queued tokens that the route allows: items take
-/// seconds.
+/// Retry delay for jobs that exceed the route's limit of queued tokens: items take seconds.
 const QUOTA_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// Queue timeout of items on routes without limits.
 const DEFAULT_MAX_QUEUE_MS: u64 = 3_600_000;
@@ -108,8 +106,7 @@
     }
 }
 
-/// Regions in which a job may be stored: those allowed by its own route and by the routes of its
-/// items.
+/// Regions in which a job may be stored: those that its own route and its items' routes allow.
 fn residency_of(
     shared: &Shared,
     route: &Route,
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -109,8 +109,7 @@
             apply_answer(shared, state, answer, &counts);
             reported
         }
-        // The content of a lost answer is requested again; the aggregator may be gone, or may not
-        // lead.
+        // The content of a lost answer is requested again; the aggregator may be gone or not lead.
         Some(_) | None => {
             state.is_current = false;
             state.target.failed(&aggregator.name);
@@ -119,7 +118,6 @@
     }
 }
 
-/// Drops state of back ends that are no longer known.
 fn drop_departed_backends(shared: &Shared) {
     let catalog = shared.catalog.load();
     shared.pool.retain(|incarnation| catalog.is_ready_incarnation(incarnation));
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,6 +1,5 @@
 //! Tokens of tenants' rate limits: a request of a limited tenant is sent only with a token.
-//! `yokefall_quota::IssuerSelector` decides which token issuer to call; concurrent token requests
-//! are batched.
+//! `yokefall_quota::IssuerSelector` picks the token issuer; concurrent token requests are batched.
 
 pub mod assignment;
 pub mod relays;
--- a/crates/gateway/src/quota/assignment.rs
+++ b/crates/gateway/src/quota/assignment.rs
@@ -1,5 +1,4 @@
-//! Keeps the assignment of token issuers current: it is fetched from the leader or from other
-//! gateways when it may have changed.
+//! Fetches the token issuers' assignment from the leader or other gateways when it may be outdated.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,9 +55,8 @@
     let _ = tokio::time::timeout(ASSIGNMENT_INTERVAL, refresh_requested).await;
 }
 
-/// Probes token issuers that did not answer until they do, forever. It runs on its own schedule: if
-/// each rejected request postponed the probe, rejections would last as long as callers keep
-/// retrying.
+/// Probes token issuers that did not answer until they do, forever. Rejected requests must not
+/// postpone the probe, or rejections would last as long as callers keep retrying.
 pub async fn probe_failing(shared: Rc<Shared>) {
     loop {
         shared.quota.issuer_failed.notified().await;
--- a/crates/gateway/src/quota/relays.rs
+++ b/crates/gateway/src/quota/relays.rs
@@ -1,5 +1,4 @@
-//! Token requests relayed between gateways, for a gateway that alone is cut off from the job
-//! stores.
+//! Token requests relayed for a gateway that alone is cut off from the job stores.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,8 +12,7 @@
 use super::{QuotaCheck, Token, TokenError};
 use crate::shared::Shared;
 
-/// Maximum number of other gateways that are asked to relay a request when no token issuer can be
-/// reached.
+/// Maximum number of gateways asked to relay a request when no token issuer can be reached.
 const MAX_RELAYS: usize = 2;
 
 /// Requests a token through other gateways, since only this one may be cut off from the job stores.
--- a/crates/gateway/src/quota/token_requests.rs
+++ b/crates/gateway/src/quota/token_requests.rs
@@ -16,7 +16,6 @@
 /// Timeout for a token issuer's answer: a round trip between zones, and one pause of a process
 /// whose CPU quota is used up (a tenth of a second).
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(120);
-/// Maximum number of requests sent in one call.
 const MAX_BATCHED_REQUESTS: usize = 256;
 
 /// Outcome of a token request.
@@ -28,7 +27,6 @@
     None,
 }
 
-/// A request that waits to be sent.
 pub(super) struct QueuedRequest {
     token_request: TokenRequest,
     answer: oneshot::Sender<RequestOutcome>,
@@ -116,8 +114,7 @@
 }
 
 impl Group {
-    /// Distributes the tokens in order of arrival. The token of a caller that no longer waits is
-    /// lost.
+    /// Distributes the tokens in order of arrival; that of a caller that no longer waits is lost.
     fn answer(self, grant: Option<TokenGrant>, requested_at: Timestamp) {
         for (number, answer) in (0..).zip(self.answers) {
             let outcome = match grant {
--- a/crates/gateway/src/read_ahead.rs
+++ b/crates/gateway/src/read_ahead.rs
@@ -24,7 +24,6 @@
 /// How long a client may read nothing before it counts as slow: well below the seconds that back
 /// ends wait, and longer than a client that is merely busy needs.
 const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Interval at which clients are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 type Chunk = Result<Bytes, ResponseAborted>;
@@ -35,7 +34,6 @@
     open: RefCell<Vec<Weak<RefCell<Reader>>>>,
     /// Bytes buffered for clients.
     bytes: Cell<usize>,
-    /// Upper bound for `bytes`.
     max_bytes: usize,
     /// Notified when buffered bytes are released.
     capacity_freed: Notify,
@@ -43,7 +41,6 @@
     opened: Notify,
 }
 
-/// One response.
 struct Reader {
     read_ahead: Rc<ReadAhead>,
     /// The response; `None` once it has ended.
@@ -153,8 +150,7 @@
     }
 }
 
-/// Waits until another chunk may be buffered. One chunk is always read, so that the response makes
-/// progress.
+/// Waits until a chunk may be buffered; one always may, so that the response makes progress.
 async fn wait_for_capacity(reader: &Weak<RefCell<Reader>>) {
     loop {
         let Some(upgraded) = reader.upgrade() else { return };
@@ -184,7 +180,6 @@
         polled
     }
 
-    /// Buffers a chunk for the client.
     fn buffer(&mut self, chunk: Option<Chunk>) {
         if let Some(chunk) = chunk {
             let bytes = chunk.as_ref().map_or(0, Bytes::len);
--- a/crates/gateway/src/regions.rs
+++ b/crates/gateway/src/regions.rs
@@ -12,12 +12,10 @@
 /// Retry delay when no back end accepts requests in the allowed regions: all gateways learn of back
 /// ends that start or are readmitted within about a second.
 const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Retry delay when route and tenant have no region in common, or when a job may not be stored at
-/// all job stores: this lasts until a configuration or the set of job stores has changed, which
-/// takes two to four seconds.
+/// Retry delay when route and tenant share no region, or a job may not be stored at all job stores:
+/// until the configuration or the set of job stores changes, which takes two to four seconds.
 const RESIDENCY_RETRY_AFTER: Duration = Duration::from_millis(4_000);
 
-/// Maximum number of job store names in a log line.
 const MAX_LOGGED_NAMES: usize = 3;
 
 /// Whether a request is restricted to regions in which no back end accepts requests.
@@ -28,8 +26,7 @@
 }
 
 /// The response to a request that was not executed. The status is 503 even if only a configuration
-/// change would help: a 4xx status would be wrong, since another gateway may have a newer
-/// configuration.
+/// change would help: a 4xx would be wrong, since another gateway may have a newer one.
 pub fn reject(retry_after: &HeaderName, residency: &Residency) -> ClientResponse {
     if residency.is_nowhere() {
         let text = "the route and the tenant have no region in common: no region may serve this";
@@ -51,9 +48,8 @@
         .write();
 }
 
-/// Job stores that may not store data with this residency: every running one is a member of the
-/// group or may become one. The leader, which also knows the members that are not running, checks
-/// again.
+/// Job stores that may not store data with this residency: every running one is or may become a
+/// group member. The leader, which also knows the members that are not running, checks again.
 pub fn forbidden_job_stores(shared: &Shared, residency: &Residency) -> Vec<String> {
     if *residency == Residency::Anywhere {
         return Vec::new();
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -23,11 +23,9 @@
 /// Maximum size of a response that is collected before it is relayed.
 const MAX_COLLECTED_BYTES: usize = 256 * 1024;
 
-/// Terminates an event of a stream.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Relays a response. If it fails before any of it was sent to the client, returns the context with
-/// the cause.
+/// Relays a response; returns the context and the cause if it fails before any of it was sent.
 pub async fn relay(
     shared: &Rc<Shared>,
     context: RequestContext,
@@ -181,8 +179,7 @@
         }
     }
 
-    /// Extracts the complete events received so far. A partial event must not be relayed, since the
-    /// back end may fail within it.
+    /// Extracts the complete events; a partial one is held, since the back end may fail within it.
     fn complete_events(&mut self, data: &[u8]) -> Option<Bytes> {
         self.partial.extend_from_slice(data);
         let end = last_position(&self.partial, EVENT_END)? + EVENT_END.len();
--- a/crates/gateway/src/relay_port.rs
+++ b/crates/gateway/src/relay_port.rs
@@ -1,5 +1,4 @@
-//! Listener for other gateways: those that cannot reach the job stores send token requests through
-//! this one.
+//! Listener for gateways that cannot reach the job stores and send token requests through this one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +11,6 @@
 use crate::quota;
 use crate::shared::Shared;
 
-/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Serves a listener forever.
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,5 +1,4 @@
-//! Builds the request that is sent to a back end: the client's request with the headers that the
-//! gateway sets itself.
+//! Builds the request to a back end: that of the client with the headers that the gateway sets.
 
 use bytes::Bytes;
 use http::{header, HeaderMap, HeaderName, HeaderValue, Request};
@@ -10,8 +9,7 @@
 use crate::context::RequestContext;
 use crate::shared::Shared;
 
-/// Minimum number of shared prompt tokens for which a request prefers the back end that has them
-/// cached.
+/// Minimum number of shared prompt tokens for which the back end that caches them is preferred.
 const MIN_AFFINITY_TOKENS: u64 = 1_000;
 
 /// Hop-by-hop headers, which are not forwarded.
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/response.rs
@@ -52,7 +52,6 @@
 }
 
 enum Content {
-    /// Completely in memory.
     Complete(BoxBody<Bytes, Infallible>),
     /// Streamed. Ends normally, or with an error that closes the connection so that the client does
     /// not take the response for complete.
--- a/crates/gateway/src/suspect.rs
+++ b/crates/gateway/src/suspect.rs
@@ -1,5 +1,4 @@
-//! Decides whether a request may be sent, given that back ends terminated during it before, at this
-//! gateway or another.
+//! Decides whether a request during which back ends terminated, at any gateway, may be sent.
 //!
 //! This is checked before each send, not once per request: a retry, a resumed stream and an attempt
 //! by another client put a back end at the same risk.
--- a/crates/gateway/tests/read_ahead.rs
+++ b/crates/gateway/tests/read_ahead.rs
@@ -133,8 +133,7 @@
     .await;
 }
 
-/// 300 clients of one gateway read nothing: the memory buffered for them is bounded, and each
-/// response continues once its client reads.
+/// 300 clients read nothing: buffers are bounded; each response continues once its client reads.
 #[tokio::test(start_paused = true)]
 async fn buffered_bytes_of_all_clients_are_bounded() {
     const MAX_BYTES: usize = 100_000;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -20,11 +20,9 @@
 /// How long before the announced idle timeout a connection is no longer reused: a request that
 /// crosses the close may or may not have been executed.
 const IDLE_MARGIN: Duration = Duration::from_millis(900);
-/// Size of the read buffer of each connection. There are hundreds of connections, and events are
-/// short.
+/// Read buffer of each connection, of which there are hundreds; events are short.
 const READ_BUFFER_BYTES: usize = 4 * 1024;
-/// `TCP_USER_TIMEOUT`: how long sent data may stay unacknowledged before the kernel closes the
-/// connection.
+/// `TCP_USER_TIMEOUT`: how long sent data may stay unacknowledged until the kernel disconnects.
 const USER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Why no connection is available. Nothing was sent.
@@ -167,9 +165,8 @@
         connections.idle.push(IdleConnection { connection, expires_at });
     }
 
-    /// Closes the idle connections to a back end that does not respond to a request. They may all
-    /// have gone silent permanently at the same time while the back end accepts new ones; each
-    /// reuse would then cost a request.
+    /// Closes the idle connections to a back end that does not respond: all may have gone silent
+    /// permanently while the back end accepts new ones, and each reuse would cost a request.
     pub fn close_idle(&self, backend: &Backend) {
         if let Some(connections) = self.backends.borrow_mut().get_mut(backend) {
             connections.idle.clear();
--- a/crates/upstream/src/slot.rs
+++ b/crates/upstream/src/slot.rs
@@ -95,8 +95,7 @@
         }
     }
 
-    /// Records that the back end has sent nothing on this request for `silence`. Returns whether it
-    /// is now excluded from selection.
+    /// Records silence on this request. Returns whether the back end is now excluded.
     pub fn record_silence(&self, silence: Duration) -> bool {
         let silence_ms = silence.as_millis() as u64;
         // Silence is not reported as a restart: an overloaded back end is silent as well, and the
