--- a/crates/jobstore/src/abandon.rs
+++ b/crates/jobstore/src/abandon.rs
@@ -18,8 +18,7 @@
 const APPLY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Store {
-    /// Waits until the output of an item up to `event` is applied on this replica, or no longer can
-    /// be.
+    /// Waits until an item's output up to `event` is applied on this replica, or no longer can be.
     pub async fn wait_until_applied(&self, job: &str, item: u32, event: u64) {
         for _ in 0..MAX_APPLY_POLLS {
             let applied = self.with_job(job, |job| {
@@ -45,11 +44,9 @@
         }
     }
 
-    /// Abandons an item that a back end reported as unprocessable.
-    ///
-    /// Invariant: the verdict outlives the leadership of the replica that received it; otherwise
-    /// each later leader would run the item again. A replica that has lost leadership notifies the
-    /// next leader, repeatedly because frames may be lost.
+    /// Abandons an item that a back end reported as unprocessable. Invariant: the verdict outlives
+    /// the leadership of its receiver; otherwise each later leader would run the item again. After
+    /// losing leadership it notifies the next leader, repeatedly, since frames may be lost.
     pub async fn abandon_unprocessable(&self, job: &str, item: u32) {
         if self.abandon(job, item).await.is_ok() {
             return;
--- a/crates/jobstore/src/addresses.rs
+++ b/crates/jobstore/src/addresses.rs
@@ -1,8 +1,6 @@
-//! Addresses of the other job stores, persisted on disk so that after a restart of all processes
-//! the group can elect a leader before membership has found every member.
-//!
-//! An address is a hint only: each message names the member that it is addressed to, and any other
-//! process at that address drops it.
+//! Addresses of the other job stores, persisted so that after a restart of all processes the group
+//! can elect a leader before membership has found every member. An address is a hint only: each
+//! message names its addressee, and any other process at that address drops it.
 
 use std::collections::BTreeMap;
 use std::io::Result;
@@ -14,9 +12,7 @@
 
 use crate::hint_file;
 
-/// File name in the data folder.
 const FILE: &str = "addresses";
-/// Interval at which the member list is checked for changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(3_000);
 
 /// Addresses by job store name.
@@ -32,9 +28,8 @@
     hint_file::save(folder, FILE, addresses)
 }
 
-/// Writes the addresses of the live job stores whenever they change. Never returns. Addresses of
-/// members that are gone are kept until other live ones are known, since all members may be down at
-/// once.
+/// Writes the live job stores' addresses when they change. Never returns. Addresses of gone members
+/// are kept until other live ones are known, since all members may be down at once.
 pub async fn persist_changes(folder: PathBuf, fleet: FleetCell) {
     let mut saved = Addresses::new();
     loop {
--- a/crates/jobstore/src/admission.rs
+++ b/crates/jobstore/src/admission.rs
@@ -54,11 +54,9 @@
         self.pending.borrow().contains_key(job)
     }
 
-    /// Reserves memory and queue tokens for a submission.
-    ///
-    /// Invariant: accepted and pending submissions together never exceed the limits. Without
-    /// counting the pending ones, submissions that arrive at the same time would each be found to
-    /// fit.
+    /// Reserves memory and queue tokens for a submission. Invariant: accepted and pending
+    /// submissions together never exceed the limits. Without counting the pending ones, submissions
+    /// that arrive at the same time would each be found to fit.
     pub fn reserve(
         &self,
         job: &str,
@@ -66,8 +64,7 @@
         usage: Usage,
     ) -> Result<Reservation<'_>, Rejection> {
         let mut pending = self.pending.borrow_mut();
-        // The first attempt may still be committed, so a rejection, which promises that nothing
-        // runs, would be wrong.
+        // The first attempt may yet be committed; a rejection would promise that nothing runs.
         if pending.contains_key(job) {
             return Err(Rejection::InProgress);
         }
--- a/crates/jobstore/src/aggregators.rs
+++ b/crates/jobstore/src/aggregators.rs
@@ -25,18 +25,15 @@
 /// Interval at which unchanged sums are sent again; a third of their lifetime.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Gateways of a region, and the job stores there that accept work.
 #[derive(Default)]
 struct Region<'a> {
     gateways: usize,
     stores: Vec<&'a FleetMember>,
 }
 
-/// The job stores that aggregate load reports.
-///
-/// Each region with gateways and job stores has its own, so that only sums cross regions, not
-/// reports. If there is a single region, or regions are unknown, and one aggregator suffices, it is
-/// the leader, which then knows the load without another hop.
+/// The job stores that aggregate load reports. Each region with gateways and job stores has its
+/// own, so that only sums cross regions, not reports. If there is one region, or none is known, a
+/// sole aggregator is the leader, which then knows the load without another hop.
 pub fn aggregators<'a>(
     fleet: &'a Fleet,
     zones: &ZoneMap,
@@ -72,8 +69,7 @@
     stores
 }
 
-/// The member with the highest rendezvous score for a gateway, so that losing a member moves only
-/// its own gateways.
+/// By rendezvous score, so that losing a member moves only its own gateways.
 fn highest_score<'a>(members: Vec<&'a FleetMember>, gateway: &str) -> Option<&'a FleetMember> {
     let score = rendezvous_score(gateway.as_bytes());
     members.into_iter().max_by_key(|member| score(&member.name))
@@ -83,9 +79,7 @@
 #[derive(Debug)]
 pub struct ReportTarget {
     gateway: String,
-    /// Zone of the process.
     zone: String,
-    /// Region of each zone.
     zones: Arc<ZoneMap>,
     /// The leader according to the last answer.
     leader: Option<String>,
@@ -169,8 +163,7 @@
     }
 }
 
-/// Sends this process's sums to the other aggregators and to the leader when they change, at most
-/// once per interval. Never returns.
+/// Sends changed sums to the other aggregators and the leader, once per interval. Never returns.
 pub async fn exchange(store: Rc<Store>, fleet: FleetCell, zones: Arc<ZoneMap>, me: String) {
     let mut sent: Option<LoadSums> = None;
     let mut sent_at = Instant::now();
@@ -204,7 +197,6 @@
     }
 }
 
-/// Names of the job stores that need this process's sums.
 fn sum_receivers(fleet: &Fleet, zones: &ZoneMap, leader: Option<String>, me: &str) -> Vec<String> {
     let aggregators = aggregators(fleet, zones, leader.as_deref());
     let mut names: Vec<String> =
--- a/crates/jobstore/src/backlog.rs
+++ b/crates/jobstore/src/backlog.rs
@@ -1,5 +1,4 @@
-//! Logs and metrics about items that wait for a slot, and the limit that prevents them from
-//! starting.
+//! Logs and metrics about items that wait for a slot, and the limit that holds them back.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,16 +9,13 @@
 
 use crate::capacity::ServiceSlots;
 
-/// Minimum interval between two log lines about one service: the limit changes many times a second
-/// under fluctuating online load.
+/// Minimum interval between log lines per service: the limit changes often under varying load.
 const MIN_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Interval at which an unchanged limit is logged again.
 const RELOG_INTERVAL: Duration = Duration::from_millis(5_000);
 
 /// What prevents the items of a service from starting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    /// No back end of the service accepts work.
     NoBackend,
     /// Every back end is full or ejected after failures.
     NoFreeSlot,
@@ -30,7 +26,6 @@
 }
 
 impl Limit {
-    /// Text of the limit in log lines.
     fn text(self) -> &'static str {
         match self {
             Self::NoBackend => "no back end accepts work",
@@ -41,25 +36,20 @@
     }
 }
 
-/// Statistics of a scheduling pass.
 #[derive(Clone, Copy, Debug)]
 pub struct PassStats {
-    /// Items that this leader runs.
     pub running: usize,
-    /// Maximum number of items that it runs.
     pub max_runs: usize,
     /// Gateways whose load reports are current.
     pub reporting_gateways: u32,
 }
 
-/// The last limit logged for each service, and when.
 #[derive(Debug, Default)]
 pub struct Backlog {
     logged: RefCell<HashMap<String, (Limit, Instant)>>,
 }
 
 impl Backlog {
-    /// Logs the items that a pass left waiting, and updates the metrics.
     pub fn record<'a>(
         &self,
         services: impl Iterator<Item = (&'a String, &'a ServiceSlots)>,
--- a/crates/jobstore/src/capacity.rs
+++ b/crates/jobstore/src/capacity.rs
@@ -83,7 +83,6 @@
 #[derive(Debug)]
 pub struct ServiceSlots {
     capacity: Capacity,
-    /// Back ends with a free slot.
     backends: Vec<Arc<Backend>>,
     /// Items that found no slot in this pass.
     pub queued: usize,
--- a/crates/jobstore/src/client.rs
+++ b/crates/jobstore/src/client.rs
@@ -1,5 +1,4 @@
-//! Client of the job stores: finds the leader through any job store, and reports what is known
-//! about the outcome of a call.
+//! Client of the job stores: finds the leader through any of them, and reports outcomes of calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,12 +15,9 @@
 
 use crate::protocol::{decode, encode, framed, Frame, Reply, Request};
 
-/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time to wait for a reply before another job store is tried, in addition to the wait of a
-/// long-polling read.
+/// Time to wait for a reply, beyond a long-polling read, before another job store is tried.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
-/// Backoff before the job stores are tried again.
 const RETRY_BACKOFF: Duration = Duration::from_millis(60);
 /// TCP user timeout: a connection is closed when sent bytes stay unacknowledged for this long.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
--- a/crates/jobstore/src/connections.rs
+++ b/crates/jobstore/src/connections.rs
@@ -20,19 +20,15 @@
 
 /// Maximum number of frames queued for one member.
 const MAX_QUEUED_FRAMES: usize = 128;
-/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Backoff after a failed connection attempt.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
-/// TCP user timeout. A member that returns must not have to wait for the retransmission backoff of
-/// the operating system.
+/// TCP user timeout. A member that returns must not wait for the system's retransmission backoff.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Interval at which a connection in use sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without a heartbeat answer after which a connection is closed. A connection may lose
-/// everything that is sent on it although bytes are acknowledged and new connections work; the peer
-/// would then receive nothing until a restart. Several round trips between regions, and less than
-/// twice an election.
+/// Time without a heartbeat answer after which a connection is closed: bytes may be acknowledged
+/// and new connections work, yet everything sent is lost and the peer receives nothing until a
+/// restart. Several round trips between regions, and less than twice an election.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Additional time per byte sent after the heartbeat: the answer may be delayed by a snapshot of
 /// several megabytes on a 30 Mbit/s link shared by four.
@@ -48,8 +44,7 @@
 }
 
 impl Links {
-    /// Creates links without open connections. Addresses come from the fleet, or from `hints` for
-    /// members that it does not know.
+    /// Creates links without open connections. `hints` has addresses that the fleet does not know.
     pub fn new(fleet: FleetCell, hints: Addresses) -> Self {
         Self { fleet, hints, links: RefCell::default() }
     }
@@ -73,8 +68,7 @@
     fleet.load().members.iter().find(|member| member.name == name).map(|member| member.address)
 }
 
-/// An open connection to a member. Members send their own messages on connections that they open;
-/// only heartbeat answers are received on this one.
+/// Members send messages on connections that they open; only heartbeat answers arrive on this one.
 struct OpenConnection {
     reader: IncomingFrames,
     writer: OwnedWriteHalf,
@@ -129,7 +123,6 @@
     }
 }
 
-/// How a connection was lost.
 enum Lost {
     Closed,
     TimedOut,
--- a/crates/jobstore/src/daemon.rs
+++ b/crates/jobstore/src/daemon.rs
@@ -294,8 +294,7 @@
 }
 
 /// The log limit of a replica, lowered by up to a third depending on its name. With equal limits
-/// all replicas would rewrite their disks at the same time, and nothing could be committed
-/// meanwhile.
+/// all would rewrite their disks at once, and nothing could be committed meanwhile.
 fn staggered(log_bytes: usize, name: &str) -> usize {
     let part = xxh3_64(name.as_bytes()) % STAGGER_PARTS;
     log_bytes - log_bytes / 3 * part as usize / STAGGER_PARTS as usize
@@ -347,8 +346,7 @@
             .write();
         // The process may exit before the logging thread has written the line above.
         eprintln!("yokefall: log position {index}: {error}");
-        // No data is lost: what is synced stays, and a build that knows the command can continue
-        // from here.
+        // Synced data stays; a build that knows the command can continue from here.
         std::process::exit(EXIT_UNREADABLE_LOG);
     }
 
--- a/crates/jobstore/src/delegation.rs
+++ b/crates/jobstore/src/delegation.rs
@@ -1,10 +1,8 @@
 //! The leader's side of runs at other job stores: selects the worker for an item and collects its
-//! output and report.
-//!
-//! A delegated run is leased. The worker ends it if the connection breaks or the leader sends
-//! nothing for `RUN_LEASE`; the leader considers it lost if the worker sends nothing for as long.
-//! Output of a lost run is dropped with its connection. Only the leader proposes results, and the
-//! log accepts one result per item.
+//! output and report. A delegated run is leased. The worker ends it if the connection breaks or the
+//! leader sends nothing for `RUN_LEASE`; the leader considers it lost if the worker sends nothing
+//! for as long. Output of a lost run is dropped with its connection. Only the leader proposes
+//! results, and the log accepts one result per item.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -32,28 +30,23 @@
 pub const RUN_LEASE: Duration = Duration::from_millis(1_500);
 /// Interval of heartbeats between leader and worker; a third of the lease.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time limit for connecting to a worker.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which a failed or full worker receives no runs.
 const AVOIDANCE_PERIOD: Duration = Duration::from_millis(1_000);
 /// Time for a cancelled run to report its progress.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time after which a connection without runs is closed. Items arrive in batches some seconds
-/// apart.
+/// Idle time after which a connection is closed; items arrive in batches some seconds apart.
 const MAX_IDLE_TIME: Duration = Duration::from_millis(10_000);
 
-/// The leader's record of a delegated run.
 struct OpenRun {
     progress: Rc<RefCell<Progress>>,
     report: oneshot::Sender<Reply>,
 }
 
-/// A connection to a worker.
 struct Link {
     frames: UnboundedSender<Frame>,
     runs: RefCell<HashMap<u64, OpenRun>>,
-    /// Receives the worker's reports on suspects.
     suspects: Rc<Registry>,
     is_open: Cell<bool>,
     used_at: Cell<Instant>,
@@ -104,12 +97,9 @@
         }
     }
 
-    /// The job store that runs items of a back end, or `None` if this process should run them
-    /// itself.
-    ///
-    /// Candidates are the non-voters that the residency allows; of the nearest ones (see `nearest`)
-    /// the one with the highest rendezvous score is chosen, so that connections to back ends are
-    /// reused.
+    /// The job store that runs items of a back end; `None` if this process should. Of the nearest
+    /// non-voters that the residency allows (see `nearest`), the one with the highest rendezvous
+    /// score is chosen, so that connections to back ends are reused.
     pub fn worker_for(&self, backend: &Backend, residency: &Residency) -> Option<FleetMember> {
         let fleet = self.fleet.load();
         let voters = self.store.with_core(|core, _| core.members().voters.clone());
@@ -134,8 +124,7 @@
         self.free(&fleet, residency).into_iter().map(|member| member.name.clone()).collect()
     }
 
-    /// Job stores that accept work, have not failed recently and are in a place that the residency
-    /// allows.
+    /// Job stores that accept work, have not failed recently and satisfy the residency.
     fn free<'a>(&self, fleet: &'a Fleet, residency: &Residency) -> Vec<&'a FleetMember> {
         let mut avoided = self.avoided.borrow_mut();
         let now = Instant::now();
@@ -243,7 +232,6 @@
 
 type Queued = tokio::sync::mpsc::UnboundedReceiver<Frame>;
 
-/// Serves a link until the connection breaks or the worker stops responding.
 async fn serve(link: Rc<Link>, store: Rc<Store>, address: SocketAddr, queued: Queued) {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     if let Ok(Ok(stream)) = connecting.await {
--- a/crates/jobstore/src/disk.rs
+++ b/crates/jobstore/src/disk.rs
@@ -1,5 +1,4 @@
-//! The disk thread. Writing on a thread of its own keeps a slow disk from blocking the thread that
-//! answers peers.
+//! The disk thread. Writing on its own thread keeps a slow disk from blocking answers to peers.
 
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
@@ -10,7 +9,6 @@
 
 use crate::wal::{Rewrite, Wal};
 
-/// Backoff after a failed write.
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
 /// A command to the disk thread; commands are executed in order.
@@ -49,7 +47,6 @@
     }
 }
 
-/// Executes all pending commands, syncs once and reports the number of commands.
 fn run(mut wal: Wal, commands: Receiver<DiskCommand>, report_synced: UnboundedSender<usize>) {
     while let Ok(first) = commands.recv() {
         let mut count = 0;
@@ -74,8 +71,7 @@
     retry_until_done("rewrite", || wal.rewrite(rewrite.clone()));
 }
 
-/// Retries a step until it succeeds. A failing disk may recover; until then nothing is
-/// acknowledged.
+/// Retries until it succeeds. A failing disk may recover; until then nothing is acknowledged.
 fn retry_until_done<E: std::fmt::Display>(
     step: &'static str,
     mut action: impl FnMut() -> Result<(), E>,
--- a/crates/jobstore/src/group.rs
+++ b/crates/jobstore/src/group.rs
@@ -1,5 +1,4 @@
-//! Changes to the group's members that originate outside the log: bootstrap, joining, and the
-//! retirement of machines by an operator.
+//! Membership changes from outside the log: bootstrap, joining, and retirement by an operator.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -33,17 +32,14 @@
 const JOIN_LIFETIME: Duration = Duration::from_millis(2_300);
 /// Interval at which the leader evaluates the membership policy while a change is pending.
 const POLICY_INTERVAL: Duration = Duration::from_millis(100);
-/// Backoff after a failed call to the platform's store.
 const RETRY_BACKOFF: Duration = Duration::from_millis(300);
 /// Key of the claim that elects the founder of the group.
 const FOUNDER_KEY: &str = "jobs";
 /// Interval at which a member of a two-member group checks whether the other one is gone.
 const PAIR_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time limit for a claim or report to the platform's store.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Machines that are being retired according to the platform's store, with whether that is
-/// completed.
+/// Machines being retired according to the platform's store, and whether that is completed.
 #[derive(Clone, Default)]
 pub struct RetiringMachines {
     names: Rc<RefCell<HashMap<String, bool>>>,
@@ -56,7 +52,6 @@
         names.iter().filter(|(_, completed)| !**completed).map(|(name, _)| name.clone()).collect()
     }
 
-    /// All machines that must not be given any role.
     fn all(&self) -> Vec<String> {
         self.names.borrow().keys().cloned().collect()
     }
@@ -229,7 +224,6 @@
     !desired.joining.is_empty() || !retiring.open().is_empty() || learners
 }
 
-/// Zones of the known job stores.
 fn zones_of(fleet: &FleetCell) -> Zones {
     let fleet = fleet.load();
     Zones::new(fleet.job_stores().map(|member| (member.name.clone(), member.zone.clone())))
@@ -250,8 +244,7 @@
     joining
 }
 
-/// Claims, in the platform's store, the exclusive right of this member to act for a two-member
-/// group. Without a pair no claim is needed.
+/// Claims the exclusive right to act for a two-member group; without a pair no claim is needed.
 async fn claim_pair<P: Platform>(platform: &P, store: &Store, pair: Option<Pair>) -> bool {
     let Some(Pair { epoch }) = pair else { return true };
     let me = store.with_core(|core, _| core.id().to_string());
--- a/crates/jobstore/src/held_items.rs
+++ b/crates/jobstore/src/held_items.rs
@@ -1,6 +1,5 @@
-//! Items that are held back because back ends crashed while running them. They are not abandoned
-//! for that: an item may wait until its route's queue time is over, and the crashes may turn out to
-//! have another cause.
+//! Items held back because back ends crashed while running them. They are not abandoned: an item
+//! may wait for its route's queue time, and the crashes may turn out to have another cause.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -35,8 +34,7 @@
         is_held
     }
 
-    /// Whether an item may start at a back end; must be called by the leader. An item that may not
-    /// start is held back.
+    /// Whether an item may start at a back end, else it is held back. Must be called by the leader.
     pub fn may_start(
         &self,
         suspects: &Registry,
--- a/crates/jobstore/src/hint_file.rs
+++ b/crates/jobstore/src/hint_file.rs
@@ -1,5 +1,4 @@
-//! Small checksummed files beside the log. Each holds one value that serves as a hint; a missing or
-//! corrupt file is treated as empty.
+//! Small checksummed files beside the log, each with one hint; a missing or corrupt one is empty.
 
 use std::fs::File;
 use std::io::{Error, ErrorKind, Result, Write};
@@ -43,8 +42,7 @@
     file.sync_all()
 }
 
-/// Writes a value on a blocking thread, since a disk may hang for seconds. Returns whether it was
-/// stored.
+/// Writes on a blocking thread, since a disk may hang for seconds. Returns whether it succeeded.
 pub async fn save_in_background<T>(folder: PathBuf, name: &'static str, value: T) -> bool
 where
     T: BorshSerialize + Send + 'static,
--- a/crates/jobstore/src/item_run.rs
+++ b/crates/jobstore/src/item_run.rs
@@ -20,10 +20,8 @@
 use crate::running::{take_output, CountedItem, ItemKey, Running};
 use crate::state::{Command, Run};
 
-/// Backoff before an item that could not run is retried.
 const RETRY_BACKOFF: Duration = Duration::from_millis(150);
 
-/// The slot, worker and state of an item that starts.
 struct PlacedItem {
     slot: BackendSlot,
     worker: ItemWorker,
@@ -176,8 +174,7 @@
             }
             RunEnd::Unprocessable => {
                 self.log_abandoned(item, &job, "a back end told that it can never be done");
-                // Spawned separately, because the leader's tasks are aborted when leadership is
-                // lost.
+                // Not among the leader's tasks, which are aborted when leadership is lost.
                 let store = self.store.clone();
                 let recording = tokio::task::spawn_local(async move {
                     store.abandon_unprocessable(&job, index).await;
@@ -192,8 +189,7 @@
                     .field("after_event", progress.borrow().last_event)
                     .field("cause", cause)
                     .write();
-                // The next run resumes after the output in the log, which must therefore be
-                // committed first.
+                // The next run resumes after the output in the log, so it must be committed first.
                 if let Some(command) = take_output(key, progress) {
                     let _ = self.store.propose(&command).await;
                 }
@@ -222,8 +218,7 @@
         });
         if is_exhausted == Some(true) {
             self.log_abandoned(item, &job, "every attempt failed");
-            // If leadership is lost, the failures are in the log and the next leader abandons the
-            // item.
+            // If leadership is lost, the next leader abandons the item: the log has its failures.
             let _ = self.store.abandon(&job, index).await;
             return;
         }
--- a/crates/jobstore/src/item_worker.rs
+++ b/crates/jobstore/src/item_worker.rs
@@ -53,8 +53,7 @@
         self.worker.eligibility.sample_for_items(catalog, requirements, usable, generator)
     }
 
-    /// Back ends that may not take an item now because they are not known to be warm; `None` if
-    /// each must be examined.
+    /// Back ends closed because they are not known to be warm; `None` if each must be examined.
     pub fn closed(&self, requirements: &Requirements) -> Option<Vec<Arc<Backend>>> {
         let free = self.delegation.free_names(requirements.residency);
         self.worker
--- a/crates/jobstore/src/loads.rs
+++ b/crates/jobstore/src/loads.rs
@@ -1,8 +1,7 @@
-//! Requests in flight at back ends, summed from load reports.
-//!
-//! Each gateway reports to one job store, its aggregator. Aggregators exchange their sums, so that
-//! a report costs work at one job store only. Totals are maintained incrementally: a report changes
-//! them by its difference from the previous one, at a cost proportional to its entries.
+//! Requests in flight at back ends, summed from load reports. Each gateway reports to one job
+//! store, its aggregator. Aggregators exchange their sums, so that a report costs work at one job
+//! store only. Totals change by a report's difference from the previous one, at a cost proportional
+//! to its entries.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -22,16 +21,14 @@
 pub const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Lifetime of a report; two of the following reports may be lost.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
-/// Lifetime of a report of an idle gateway.
 const IDLE_REPORT_LIFETIME: Duration = Duration::from_millis(4_500);
 /// Share of a service's slots that the online requests of all gateways are assumed to occupy while
 /// none of them reports: shortly after a start, or while all gateways are cut off.
 const UNREPORTED_SLOT_SHARE: f64 = 0.7;
 /// Minimum interval between two passes that drop expired reports.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum number of back ends in one answer, about 1.5 KB. The largest changes are sent first and
-/// the others with the next answer, so that the cost of an answer does not depend on the number of
-/// back ends.
+/// Maximum number of back ends in one answer, about 1.5 KB, so that its cost does not depend on
+/// their number. The largest changes are sent first, the others with the next answer.
 const MAX_CHANGES: usize = 48;
 
 /// Fixed-point scale of reported outcomes: units per request.
@@ -50,14 +47,12 @@
     shared.clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
 }
 
-/// The last report of a gateway, or the last sums of a job store.
 #[derive(Debug)]
 struct Source {
     expires_at: Instant,
     counts: Vec<BackendTotal>,
     arrivals: Vec<ServiceRate>,
     outcomes: Vec<BackendOutcomes>,
-    /// Gateways whose requests are included.
     gateways: u32,
 }
 
@@ -127,8 +122,7 @@
         }
         let all = self.gateways.max(self.reporting);
         let unreported = 1.0 - f64::from(self.reporting) / f64::from(all);
-        // A process that has just started may not know all gateways; each of them reports once
-        // within the longest interval.
+        // A process that just started may not know all gateways; each reports within the interval.
         let startup_share = 1.0 - self.listening.div_duration_f64(IDLE_REPORT_INTERVAL);
         unreported.max(startup_share).clamp(0.0, 1.0)
     }
@@ -189,8 +183,7 @@
         LoadAnswer { changes, arrivals, failing, leader, gateways }
     }
 
-    /// Drops the report of a gateway that now reports to another job store, and would count twice
-    /// until it expired.
+    /// Drops the report of a gateway that moved to another job store, which would count twice.
     pub fn forget(&self, gateway: &str) {
         let sums = &mut *self.sums.borrow_mut();
         sums.sent_totals.remove(gateway);
@@ -247,8 +240,7 @@
         }
     }
 
-    /// Sums of the reports received by this process and of the items that it runs, for other job
-    /// stores; `None` if there are none.
+    /// Sums of the reports received here and of the items run here; `None` if there are none.
     pub fn local_sums(&self, from: &str) -> Option<LoadSums> {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
@@ -333,8 +325,7 @@
         (sums.reporters > 0).then(|| sums.totals.get(backend).map_or(0, |total| total.online))
     }
 
-    /// Calls `take` with each back end that has online requests of reporting gateways, and their
-    /// number.
+    /// Calls `take` with each back end that has reported online requests, and their number.
     pub fn for_each_online(&self, mut take: impl FnMut(&BackendIncarnation, u32)) {
         let sums = &mut *self.sums.borrow_mut();
         self.expire(sums);
@@ -388,7 +379,6 @@
     }
 }
 
-/// Removes and returns expired sources.
 fn remove_expired(sources: &mut HashMap<String, Source>, now: Instant) -> Vec<(String, Source)> {
     let is_expired = |source: &Source| now >= source.expires_at;
     let names: Vec<String> = sources
@@ -420,7 +410,6 @@
         failing.map(|(backend, _)| backend.clone()).collect()
     }
 
-    /// Subtracts what a source added before.
     fn subtract(&mut self, source: &Source) {
         for count in &source.counts {
             let part = InFlight { online: count.online, items: count.items };
--- a/crates/jobstore/src/packed.rs
+++ b/crates/jobstore/src/packed.rs
@@ -46,8 +46,7 @@
         match self {
             Self::Plain(text) => text.clone(),
             Self::Compressed { length, bytes } => {
-                // The bytes were compressed by this process, or arrived checksummed from the one
-                // that did.
+                // Compressed by this process, or arrived checksummed from the one that did.
                 let text =
                     zstd::bulk::decompress(bytes, *length as usize).expect("valid packed text");
                 String::from_utf8(text).expect("valid packed text")
--- a/crates/jobstore/src/pool_slots.rs
+++ b/crates/jobstore/src/pool_slots.rs
@@ -1,5 +1,4 @@
-//! Slots of a pool, computed from the totals of its tables and the few back ends that have work or
-//! are excluded.
+//! Slots of a pool, from the totals of its tables and the few back ends with work or excluded.
 
 use std::collections::HashMap;
 
--- a/crates/jobstore/src/preemption.rs
+++ b/crates/jobstore/src/preemption.rs
@@ -30,9 +30,8 @@
     pub phase: Phase,
 }
 
-/// Positions of the runs to preempt. `online` returns the online requests at a back end,
-/// `shortfall` the slots that the items of a service should release in addition to those of
-/// overfull back ends.
+/// Positions of the runs to preempt. `online` returns a back end's online requests, `shortfall` the
+/// slots a service's items should release in addition to those of overfull back ends.
 pub fn preempted(
     runs: &[PlacedRun<'_>],
     online: impl Fn(&Backend) -> u32,
@@ -71,7 +70,6 @@
     chosen
 }
 
-/// Runs of one service.
 #[derive(Debug, Default)]
 struct ServiceRuns {
     /// Positions of runs that occupy a slot, by incarnation of the back end.
@@ -80,8 +78,7 @@
     preempting: usize,
 }
 
-/// Sorts runs in the order of preemption: the newest with output first. A run without output would
-/// have to start over.
+/// The newest with output first; a run without output would have to start over.
 fn sort_for_preemption(positions: &mut [usize], runs: &[PlacedRun<'_>]) {
     positions
         .sort_by_key(|position| (!runs[*position].has_output, Reverse(runs[*position].started)));
--- a/crates/jobstore/src/protocol.rs
+++ b/crates/jobstore/src/protocol.rs
@@ -25,9 +25,8 @@
 const MAX_FRAME_BYTES: usize = 256 * 1024 * 1024;
 /// Size from which a frame is written without being copied first.
 const LARGE_FRAME_BYTES: usize = 64 * 1024;
-/// TCP keep-alive: idle time before the first probe, interval between probes, and their number. A
-/// connection whose peer is gone lasts about a minute; connections in use are monitored by their
-/// own traffic.
+/// TCP keep-alive: idle time before the first probe, probe interval, and number of probes. Detects
+/// a gone peer within about a minute; connections in use are monitored by their own traffic.
 const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(30);
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 const KEEP_ALIVE_RETRIES: u32 = 3;
@@ -43,8 +42,7 @@
     pub max_queue_ms: u64,
     /// Time in milliseconds after which the results are due; 0 if the route has no target.
     pub completion_target_ms: u64,
-    /// Queue whose waiting tokens are limited: the tenant, and the host and path prefix of the
-    /// route.
+    /// Queue whose waiting tokens are limited: the tenant, and the route's host and path prefix.
     pub queue: String,
     /// Maximum tokens of items that wait in the queue; `None` for no limit.
     pub max_queued_tokens: Option<u64>,
@@ -91,8 +89,7 @@
 /// Recent outcomes of requests at a back end, in thousandths.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BackendOutcomes {
-    /// The incarnation of the back end; outcomes of an earlier incarnation do not count for the
-    /// next.
+    /// The incarnation of the back end; outcomes of earlier incarnations do not count.
     pub backend: BackendIncarnation,
     /// Requests that failed.
     pub failed: u64,
@@ -111,8 +108,7 @@
     pub arrivals: Vec<ServiceRate>,
     /// Recent outcomes of its requests.
     pub outcomes: Vec<BackendOutcomes>,
-    /// Whether all totals are requested, not only changes: the gateway is new to this job store, or
-    /// missed an answer.
+    /// Whether all totals are requested: the gateway is new to this job store or missed an answer.
     pub wants_all_totals: bool,
     /// The job store that received the previous report, if it was another one.
     pub previous_aggregator: Option<String>,
@@ -301,8 +297,7 @@
         /// Name of the leader, if known.
         leader: Option<String>,
     },
-    /// This member leads but has no valid lease or too few replicas at the moment; nothing was
-    /// done.
+    /// This member leads but has no valid lease or too few replicas; nothing was done.
     LeaderNotReady,
     /// The change may or may not be in force.
     Unknown,
@@ -357,8 +352,7 @@
         /// Number of the request that started the run.
         call: u64,
     },
-    /// A back end reported an item as unprocessable to a process that could not record it because
-    /// it lost leadership.
+    /// A back end reported an item as unprocessable to a process that has since lost leadership.
     Unprocessable {
         /// Id of the job.
         job: String,
@@ -368,8 +362,7 @@
     /// What a worker learned about suspects during a run. Sent before the report of the run, so
     /// that the leader has it when it decides on the next run.
     Suspects(SuspectReport),
-    /// Renews the lease of the runs on the connection, or checks that it works; answered with the
-    /// same frame.
+    /// Renews the lease of the connection's runs, or checks it; answered with the same frame.
     Heartbeat,
 }
 
@@ -400,9 +393,8 @@
     Framed::new(stream, codec())
 }
 
-/// Disables Nagle's algorithm, since frames are short and awaited, and enables keep-alive: a side
-/// that only reads would otherwise never notice that its peer is gone, and keep the descriptor
-/// until the process ends.
+/// Disables Nagle's algorithm, since frames are short and awaited, and enables keep-alive: without
+/// it, a side that only reads would hold the descriptor of a gone peer until the process ends.
 fn configure_socket(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let keep_alive = TcpKeepalive::new()
--- a/crates/jobstore/src/quota.rs
+++ b/crates/jobstore/src/quota.rs
@@ -21,7 +21,6 @@
 use crate::state::{Command, SlotAssignment};
 use crate::store::Store;
 
-/// Interval at which leases are renewed.
 const RENEW_INTERVAL: Duration = Duration::from_millis(RENEW_INTERVAL_MS);
 /// Interval at which the leader looks for slots without a token issuer. Such a slot costs a
 /// sixteenth of the tenants a third of their limits.
@@ -39,10 +38,8 @@
     name: String,
     clock: ElapsedClock,
     token_issuer: RefCell<TokenIssuer>,
-    /// The lease manager of a term in which this process leads.
-    ///
-    /// Invariant: it is discarded when the term changes, since another leader may have renewed
-    /// leases in between.
+    /// Of a term in which this process leads. Invariant: it is discarded when the term changes,
+    /// since another leader may have renewed leases in between.
     lease_manager: RefCell<Option<(Term, LeaseManager)>>,
 }
 
@@ -68,8 +65,7 @@
         requests.iter().map(|request| token_issuer.take(now, request)).collect()
     }
 
-    /// Renews the leases of a token issuer, or takes back its slots. Must only be called on a
-    /// leader that may answer.
+    /// Renews a token issuer's leases, or takes back its slots. Only for a leader that may answer.
     pub fn renew(&self, store: &Store, name: &str, releases: bool) -> Vec<SlotLease> {
         let now = self.now();
         self.with_lease_manager(store, |lease_manager| {
@@ -81,7 +77,6 @@
         })
     }
 
-    /// Calls `step` with the lease manager of the current term.
     fn with_lease_manager<R>(&self, store: &Store, step: impl FnOnce(&mut LeaseManager) -> R) -> R {
         let term = store.term();
         let mut held = self.lease_manager.borrow_mut();
@@ -93,8 +88,7 @@
     }
 }
 
-/// Time to wait before checking again whether the configuration limits any tenant; `None` if it
-/// does.
+/// Time until the next check whether the configuration limits any tenant; `None` if it does.
 fn idle_interval(catalog: &CatalogCell) -> Option<Duration> {
     match &catalog.load().configuration {
         None => Some(STARTUP_POLL_INTERVAL),
@@ -171,8 +165,7 @@
     let _ = store.propose(&Command::AssignSlots(slots.collect())).await;
 }
 
-/// Releases this process's slots before a planned stop, so that nobody has to wait for the leases
-/// to expire.
+/// Releases this process's slots before a planned stop, so that nobody waits for their expiry.
 pub async fn release(quota: &QuotaService, fleet: &FleetCell) {
     let held = quota.token_issuer.borrow().held_slots(quota.now());
     quota.token_issuer.borrow_mut().release();
--- a/crates/jobstore/src/residency.rs
+++ b/crates/jobstore/src/residency.rs
@@ -20,11 +20,9 @@
     each.fold(Residency::Anywhere, |all, one| all.and(&one))
 }
 
-/// Zones of job stores, including stopped ones: a member of the group that returns receives the
-/// entries that it missed.
+/// Zones of job stores, including stopped ones: a returning member receives the missed entries.
 #[derive(Debug, Default)]
 pub struct KnownZones {
-    /// Zone by name.
     zones: RefCell<BTreeMap<String, String>>,
 }
 
@@ -39,8 +37,7 @@
         }
     }
 
-    /// Whether data with this residency may be stored at a job store. An unknown job store may only
-    /// hold unrestricted data.
+    /// Whether a job store may hold this data; an unknown one may only hold unrestricted data.
     pub fn may_keep(&self, job_store: &str, residency: &Residency, map: &ZoneMap) -> bool {
         let zones = self.zones.borrow();
         residency.allows(zones.get(job_store).and_then(|zone| map.region_of(zone)))
--- a/crates/jobstore/src/run.rs
+++ b/crates/jobstore/src/run.rs
@@ -18,7 +18,6 @@
 
 use crate::state::Run;
 
-/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time without any received byte after which a run is continued elsewhere.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
@@ -89,8 +88,7 @@
 pub struct PermitDenied {
     /// The cause.
     pub cause: String,
-    /// Whether the back end is cold and the share of this process is used up; an immediate retry
-    /// would fail again.
+    /// Whether the back end is cold and this process's share is used up: a retry now would fail.
     pub is_cold: bool,
 }
 
@@ -110,7 +108,6 @@
     pub tenant: Option<TenantName>,
 }
 
-/// The body of an item, shared with the replicated state.
 struct SharedBody(Arc<JobItem>);
 
 impl AsRef<[u8]> for SharedBody {
@@ -119,8 +116,7 @@
     }
 }
 
-/// Digest of an item, the same for all attempts of its request, whether sent as an item of a job or
-/// as an online request.
+/// Digest of an item, the same for all attempts, whether sent in a job or as an online request.
 pub fn item_digest(sender: &ItemSender, item: &JobItem) -> RequestDigest {
     RequestDigest::of(&RequestIdentity {
         method: Method::POST.as_str(),
@@ -146,11 +142,9 @@
         Self { pool: Pool::default(), suspects, dialect }
     }
 
-    /// Runs an item at a back end, resuming after the output so far.
-    ///
-    /// Invariant: `permit` is requested immediately before the item is sent. Connecting may take
-    /// long, and longer if the process gets no processor time; meanwhile the job may have been
-    /// cancelled, leadership lost, or the back end begun to drain.
+    /// Runs an item at a back end, resuming after the output so far. Invariant: `permit` is
+    /// requested right before the item is sent. Connecting may take long, more so without processor
+    /// time; meanwhile the job may be cancelled, leadership lost, or the back end begin to drain.
     pub async fn run_at(
         &self,
         slot: &mut BackendSlot,
@@ -238,8 +232,7 @@
         }
     }
 
-    /// Records the load and the remaining warm-up time that a back end reports in its response
-    /// headers.
+    /// Records the load and remaining warm-up time in a back end's response headers.
     fn record_backend_headers(&self, slot: &BackendSlot, headers: &http::HeaderMap) {
         let load = headers.get(&self.dialect.headers().load);
         if let Some(load) = load.and_then(|value| self.dialect.parse_load(value)) {
@@ -265,8 +258,7 @@
             let name = HeaderName::try_from(header.name.as_str()).ok()?;
             headers.append(name, HeaderValue::try_from(header.value.as_str()).ok()?);
         }
-        // Removes the API key and replaces the tenant header of the submission, which are not meant
-        // for back ends.
+        // Removes the API key and replaces the tenant header, which are not meant for back ends.
         set_tenant_header(sender.tenant.as_ref(), &names.tenant, headers);
         headers.insert(header::HOST, HeaderValue::try_from(&sender.host).ok()?);
         headers.insert(&names.request_id, HeaderValue::try_from(item.id.as_str()).ok()?);
--- a/crates/jobstore/src/runner.rs
+++ b/crates/jobstore/src/runner.rs
@@ -1,7 +1,6 @@
-//! Decides which item runs at which back end while this replica leads. Online requests take
-//! precedence: an item gets a slot only if enough slots stay free for them (`slots`). `item_run`
-//! handles a single run from its start to the recorded result, and `delegation` the runs at other
-//! job stores.
+//! Decides which item runs at which back end while this replica leads. An item gets a slot only if
+//! enough stay free for online requests (`slots`). `item_run` handles a single run up to the
+//! recorded result, and `delegation` the runs at other job stores.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,12 +26,9 @@
 
 /// Interval at which the output of running items is committed.
 const COMMIT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Minimum interval between two scheduling passes; load reports arrive this often if there are few
-/// gateways.
+/// Minimum interval between two scheduling passes; with few gateways, load reports are as frequent.
 const MIN_PASS_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum interval between two scheduling passes.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval between two searches for finished jobs.
 const PURGE_INTERVAL: Duration = Duration::from_millis(5_000);
 
 /// State of the runner, shared by its tasks.
@@ -55,8 +51,7 @@
 pub struct RunnerOptions {
     /// How long finished jobs are retained.
     pub retention: Duration,
-    /// Maximum number of items that run at the same time; each needs memory for its connection and
-    /// output.
+    /// Maximum number of concurrent items; each needs memory for its connection and output.
     pub max_runs: usize,
     /// Enabled policies.
     pub policy: Policy,
@@ -149,7 +144,6 @@
         });
     }
 
-    /// Applies the load totals to the balancer.
     fn apply_load_reports(&self) {
         let totals = self.store.loads.totals();
         let totals = totals
@@ -179,8 +173,7 @@
         self.backlog.record(services.services(), stats);
     }
 
-    /// Jobs that are still open. Items that have waited longer than their route allows are
-    /// abandoned.
+    /// Open jobs. Items that have waited longer than their route allows are abandoned.
     fn waiting_jobs(self: &Rc<Self>) -> Vec<WaitingJob> {
         let mut jobs = Vec::new();
         let mut expired = Vec::new();
@@ -201,8 +194,7 @@
         jobs
     }
 
-    /// Starts the items of a job that can meet their target, or, if `late` is set, those that
-    /// cannot.
+    /// Starts the items of a job that can meet their target, or those that cannot if `late`.
     fn start_items_of(self: &Rc<Self>, job: &WaitingJob, late: bool, services: &mut FreeSlots) {
         let estimator = self.estimator.get();
         let waiting = self.store.with_job(&job.id, |stored| {
@@ -248,7 +240,6 @@
         }
     }
 
-    /// The digest of an item; `None` if the job or the item no longer exists.
     fn digest_of(&self, (job, index): &ItemKey) -> Option<RequestDigest> {
         self.store.with_job(job, |job| {
             let item = job.open.get(index)?.item.clone();
--- a/crates/jobstore/src/server.rs
+++ b/crates/jobstore/src/server.rs
@@ -28,13 +28,11 @@
 
 /// Maximum wait of a read, whatever the client requests.
 const MAX_READ_WAIT: Duration = Duration::from_millis(2_000);
-/// Backoff after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Memory of a page in flight as a multiple of its text: the results and their encoding.
 const PAGE_COPIES: usize = 2;
 
-/// State shared by the tasks of a server.
 #[derive(Clone)]
 struct Server {
     store: Rc<Store>,
@@ -124,8 +122,7 @@
     writer.abort();
 }
 
-/// The next frame; `None` if the connection has ended, or the leader has not renewed the lease of
-/// its runs.
+/// The next frame; `None` if the connection has ended, or the lease of its runs has expired.
 async fn next_frame(frames: &mut IncomingFrames, runs: &ConnectionRuns) -> Option<BytesMut> {
     let frame = match runs.is_empty() {
         true => frames.next().await,
@@ -157,8 +154,7 @@
 async fn handle_request(server: &Server, request: Request) -> Reply {
     let (store, quota) = (&server.store, &server.quota);
     let suspects = &server.worker.items.suspects;
-    // Load is not part of the log. Any job store aggregates it, so that it stays known while there
-    // is no leader.
+    // Load is not in the log: any job store aggregates it, so that it is known without a leader.
     if let Request::Load(report) = request {
         if let Some(before) = &report.previous_aggregator {
             store.send_frame(before, &Frame::GatewayMoved { gateway: report.gateway.clone() });
@@ -280,8 +276,7 @@
     }
 }
 
-/// Waits until there is a result at or after a position, no more results will come, or the deadline
-/// is reached.
+/// Waits until a result exists from a position on, none will come, or the deadline is reached.
 async fn wait_until_readable(store: &Store, job: &str, from: u64, until: Instant) {
     loop {
         let reader = store.reader(job);
--- a/crates/jobstore/src/slots.rs
+++ b/crates/jobstore/src/slots.rs
@@ -1,5 +1,4 @@
-//! Slots for items: those that online requests leave free at back ends where an item may be served,
-//! and those that are returned to online requests.
+//! Slots for items: those that online requests leave free, and those returned to online requests.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -50,9 +49,8 @@
         (route.kind == RouteKind::Batch).then_some(SlotPool { service, residency })
     }
 
-    /// Capacity of a pool. Only back ends with work are examined one by one: there are up to fifty
-    /// passes a second, and with 10,000 back ends a leader that examined all of them completed only
-    /// a fifth of its items.
+    /// Only back ends with work are examined one by one: there are up to fifty passes a second, and
+    /// with 10,000 back ends a leader that examined all completed only a fifth of its items.
     fn capacity(&self, pool: &SlotPool) -> Capacity {
         let catalog = self.worker.catalog.load();
         let requirements = Requirements { service: &pool.service, residency: &pool.residency };
@@ -90,13 +88,11 @@
         capacity
     }
 
-    /// The workers that may run items.
     pub(crate) fn item_workers(&self) -> ItemWorkers<'_> {
         let leader = self.store.with_core(|core, _| core.id().name.clone());
         ItemWorkers { worker: &self.worker, delegation: &self.delegation, leader }
     }
 
-    /// Whether a back end with this many items has a free slot.
     pub(crate) fn has_free_slot(&self, backend: &Backend, items: u32) -> bool {
         self.reported_online(backend) + items < backend.slots
     }
--- a/crates/jobstore/src/snapshot.rs
+++ b/crates/jobstore/src/snapshot.rs
@@ -9,13 +9,10 @@
 
 use crate::state::{Job, Jobs, OpenItem, StoredResult};
 
-/// Magic bytes of a versioned snapshot. A version 1 snapshot begins with its number of jobs, which
-/// never reaches this value.
+/// Magic bytes of a versioned snapshot; the job count that begins version 1 never reaches this.
 const MAGIC: [u8; 4] = *b"YKFJ";
-/// Version that is written.
 const VERSION: u16 = 2;
 
-/// A job of version 1, without a tenant.
 #[derive(BorshDeserialize)]
 struct JobVersion1 {
     host: String,
@@ -56,8 +53,7 @@
     bytes.into()
 }
 
-/// Decodes a state of this or an earlier version; empty input is an empty state. The error names
-/// what could not be read.
+/// Decodes any known version; empty input is an empty state. The error names what is unreadable.
 pub fn decode_state(state: &[u8]) -> std::io::Result<Jobs> {
     if state.is_empty() {
         return Ok(Jobs::default());
--- a/crates/jobstore/src/state.rs
+++ b/crates/jobstore/src/state.rs
@@ -18,10 +18,8 @@
 /// Memory of a result in addition to its text.
 const RECORD_BYTES: usize = 96;
 
-/// A change of the state.
-///
-/// Invariant: variants are only appended and never changed, so that logs of earlier versions can be
-/// read.
+/// A change of the state. Invariant: variants are only appended and never changed, so that logs of
+/// earlier versions can be read.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Command {
     /// Submits a job without a tenant; written by versions without tenants.
@@ -152,11 +150,9 @@
 }
 
 impl PartialOutput {
-    /// Whether output of a run after an event may be appended.
-    ///
-    /// Invariant: output of different runs is only joined where the later run was asked to resume.
-    /// A run that was asked to resume elsewhere may happen to be at the same event if the output of
-    /// an earlier run is committed late.
+    /// Whether output of a run after an event may be appended. Invariant: output of different runs
+    /// is only joined where the later run was asked to resume. A run asked to resume elsewhere may
+    /// reach the same event if an earlier run's output is committed late.
     fn accepts(&self, run: Run, after_event: u64) -> bool {
         let is_same_run = self.run == run.number;
         let resumes_here = run.resume_after == after_event;
@@ -209,9 +205,7 @@
     pub total: u32,
     /// Items without a result, by index.
     pub open: BTreeMap<u32, OpenItem>,
-    /// Results by position.
-    ///
-    /// Invariant: results are only appended, so that a position always yields the same result.
+    /// Results by position; only appended, so that a position always yields the same result.
     pub results: Vec<StoredResult>,
     /// Whether its client ended it.
     pub ended: bool,
@@ -233,7 +227,6 @@
     }
 }
 
-/// Output to append to that of an item.
 struct OutputChunk<'a> {
     run: Run,
     after_event: u64,
--- a/crates/jobstore/src/store.rs
+++ b/crates/jobstore/src/store.rs
@@ -25,7 +25,6 @@
 use crate::state::{Applied, Command, Jobs, UnreadableCommand};
 use crate::wal::Rewrite;
 
-/// How long a leader hint from another member is valid.
 const LEADER_HINT_LIFETIME: Duration = Duration::from_millis(3_000);
 
 /// Resource limits of a replica, and the replication that acknowledgements require.
@@ -79,8 +78,7 @@
     fn state_installed(&self, index: Index, bytes: usize);
     /// A command was applied.
     fn applied(&self, index: Index, applied: &Applied);
-    /// A command cannot be read. The replica must stop; otherwise its state would differ from the
-    /// others'.
+    /// A command cannot be read. The replica must stop, or its state would differ from the others'.
     fn unreadable(&self, index: Index, error: &UnreadableCommand);
 }
 
@@ -378,8 +376,7 @@
         self.inner.borrow().core.role() == Role::Leader
     }
 
-    /// Whether this replica may answer: it leads, and its state is on enough disks that losing one
-    /// does not lose acknowledged data.
+    /// Whether this replica may answer: it leads, and losing one disk loses no acknowledged data.
     pub fn serves(&self) -> bool {
         let inner = self.inner.borrow();
         inner.core.can_read(self.now()) && inner.core.committed_voters() >= self.limits.copies
@@ -400,8 +397,7 @@
         hint.map(|(name, _)| name.clone())
     }
 
-    /// Name of the leader, unless it is this replica and its lease has expired: it may be cut off,
-    /// and there may be another leader.
+    /// The leader, unless it is this replica with an expired lease: another may lead by now.
     pub fn confirmed_leader(&self) -> Option<String> {
         let own_name = self.inner.borrow().core.id().name.clone();
         self.leader().filter(|leader| *leader != own_name || self.serves())
--- a/crates/jobstore/src/suspects.rs
+++ b/crates/jobstore/src/suspects.rs
@@ -1,10 +1,7 @@
-//! Synchronizes knowledge of suspects across all processes, and persists it on the disks of the job
-//! stores.
-//!
-//! Notices spread an observation to all processes within a round trip. This exchange covers what
-//! they miss: lost datagrams, healed partitions, and processes that have just started. Each process
-//! compares a fingerprint with a job store, so that two processes with the same knowledge spend
-//! about 100 bytes a second.
+//! Synchronizes knowledge of suspects across processes, and persists it at the job stores. Notices
+//! spread an observation to all processes within a round trip. This exchange covers lost datagrams,
+//! healed partitions, and processes that have just started. Each process compares a fingerprint
+//! with a job store; two with the same knowledge spend about 100 bytes a second.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -21,8 +18,7 @@
 use crate::hint_file;
 use crate::protocol::{Reply, Request};
 
-/// Maximum interval between two exchanges; three fit into the time within which a suspect must be
-/// known to all processes.
+/// Maximum interval between exchanges; three fit into the time in which all must know a suspect.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Maximum interval between two exchanges until the first one succeeds. A process that has just
 /// started does not know the suspects and sends requests that others hold back.
@@ -31,11 +27,8 @@
 const ROUNDS_PER_PURGE: u32 = 64;
 /// Delay before a local observation is exchanged.
 const OBSERVATION_DELAY: Duration = Duration::from_millis(50);
-/// Time limit for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Minimum interval between two writes to the disk.
 const MIN_SAVE_INTERVAL: Duration = Duration::from_millis(50);
-/// File name in the data folder.
 const FILE: &str = "suspects";
 
 /// Knowledge of suspects, as exchanged between two processes.
@@ -56,8 +49,7 @@
         Self { fingerprint: registry.fingerprint(), report: registry.report() }
     }
 
-    /// Merges the received report and returns the answer, with a report if the two sides still
-    /// differ.
+    /// Merges the received report; the answer has a report if the two sides still differ.
     pub fn answer(self, registry: &Registry) -> Self {
         registry.take(self.report);
         match self.fingerprint == registry.fingerprint() {
@@ -81,8 +73,7 @@
     tokio::task::spawn_local(exchange(registry, client, fleet, target));
 }
 
-/// Exchanges knowledge with job stores, preferably in the region of this process, as with load
-/// reports. Never returns.
+/// Exchanges knowledge with job stores, preferably in the region of this process. Never returns.
 async fn exchange(
     registry: Rc<Registry>,
     client: Rc<JobClient>,
@@ -128,7 +119,6 @@
     chosen.or_else(|| fleet.job_stores().filter(is_other).choose(&mut rand::rng())).cloned()
 }
 
-/// Sends an exchange to a job store; `None` if it did not answer.
 async fn ask(
     client: &JobClient,
     address: std::net::SocketAddr,
@@ -147,8 +137,7 @@
     registry.take(hint_file::load(folder, FILE));
 }
 
-/// Stores restricted suspects on disk when they change, since all processes may be killed at once.
-/// Never returns.
+/// Stores restricted suspects when they change: all processes may be killed at once. Never returns.
 pub async fn persist_changes(folder: PathBuf, registry: Rc<Registry>) {
     let mut saved = registry.fingerprint();
     loop {
--- a/crates/jobstore/src/urgency.rs
+++ b/crates/jobstore/src/urgency.rs
@@ -1,16 +1,11 @@
-//! Order in which waiting items run.
-//!
-//! Items run in the order of their due times, as long as they can meet them. An item that cannot
-//! meet its due time runs after all that can: otherwise, under overload, every item would complete
-//! just after it was due.
+//! Order in which waiting items run: by due time, as long as they can meet it. Items that cannot
+//! run last: otherwise, under overload, every item would complete just after it was due.
 
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Weight of one finished item in the moving averages.
 const SMOOTHING_FACTOR: f64 = 0.1;
-/// Minimum share of its expected output that an item is assumed to have remaining, since output
-/// lengths vary.
+/// Minimum share of its expected output assumed to remain, since output lengths vary.
 const MIN_REMAINING_SHARE: f64 = 0.1;
 
 /// Estimates durations from finished items.
@@ -23,8 +18,7 @@
 }
 
 impl DurationEstimator {
-    /// Records an item with `tokens` requested that ended with `events`, of which the last
-    /// `events_in_run` took `time`.
+    /// Records an item of `tokens` that ended with `events`; its last `events_in_run` took `time`.
     pub fn observe(&mut self, tokens: u64, events: u64, events_in_run: u64, time: Duration) {
         if tokens == 0 || events_in_run == 0 {
             return;
@@ -64,13 +58,11 @@
         self.due.is_some_and(|due| self.age + self.remaining > due)
     }
 
-    /// Time until it is due; maximal for items without a due time.
     fn slack(&self) -> Duration {
         self.due.map_or(Duration::MAX, |due| due.saturating_sub(self.age))
     }
 
-    /// Ordering by urgency: the earliest due first, within a job the shortest remaining time first,
-    /// and late items last, the oldest first.
+    /// The earliest due first, in a job the shortest remaining; late items last, the oldest first.
     pub fn order(&self, other: &Self) -> Ordering {
         let late = self.is_late();
         let by_lateness = late.cmp(&other.is_late());
@@ -104,7 +96,6 @@
 }
 
 impl WaitingJob {
-    /// Urgency of an item of this job with this remaining time.
     fn urgency(&self, remaining: Duration) -> Urgency {
         Urgency { age: self.age, due: self.due, remaining }
     }
@@ -114,8 +105,7 @@
         self.urgency(remaining).is_late()
     }
 
-    /// Ordering of jobs by the urgency of their items: of those that can be in time, or of the
-    /// `late` ones.
+    /// Orders jobs by the urgency of their items: those that can be in time, or the `late` ones.
     pub fn order(&self, other: &Self, late: bool) -> Ordering {
         let remaining =
             |job: &Self| if late { job.due.unwrap_or_default() } else { Duration::ZERO };
--- a/crates/jobstore/src/wal.rs
+++ b/crates/jobstore/src/wal.rs
@@ -19,10 +19,8 @@
 const HEADER_BYTES: usize = 8;
 /// Bytes of the length that precedes a snapshot's state at the end of its record.
 const LENGTH_BYTES: usize = 4;
-/// Maximum plausible size of a record, in bytes.
 const MAX_RECORD_BYTES: u32 = 512 * 1024 * 1024;
 
-/// A record.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 enum Record {
     /// Identity of the disk.
@@ -97,8 +95,7 @@
 }
 
 impl Wal {
-    /// Opens the log in a folder. An empty folder gets `fresh_incarnation` as its identity, which
-    /// is synced before this returns.
+    /// Opens a folder's log; an empty one gets and syncs `fresh_incarnation` as its identity.
     pub fn open(folder: &Path, fresh_incarnation: u64) -> Result<Opened, WalError> {
         let at = |step| move |cause| WalError { step, path: folder.to_owned(), cause };
         std::fs::create_dir_all(folder).map_err(at("create folder"))?;
@@ -126,7 +123,6 @@
         Ok(Opened { wal, incarnation: fresh_incarnation, recovered, was_empty: true })
     }
 
-    /// Continues after the last complete record.
     fn resume(
         folder: &Path,
         number: u64,
@@ -213,7 +209,6 @@
         Ok(())
     }
 
-    /// Truncates the file to the synced bytes.
     fn truncate_to_synced(&mut self) -> Result<(), WalError> {
         let length =
             self.file.metadata().map_err(|cause| self.error("read metadata of", cause))?.len();
@@ -322,8 +317,7 @@
     valid: u64,
 }
 
-/// Reads a file up to the first incomplete record; `None` if it is not sealed. Holds only one
-/// record in memory in addition to the recovered content.
+/// Reads a file up to the first incomplete record, one at a time; `None` if it is not sealed.
 fn scan(file: &File) -> std::io::Result<Option<Scan>> {
     let mut remaining = file.metadata()?.len();
     let mut reader = BufReader::new(file);
--- a/crates/jobstore/src/worker.rs
+++ b/crates/jobstore/src/worker.rs
@@ -1,6 +1,5 @@
-//! Runs items at back ends, for this process when it leads or on behalf of the leader. The leader
-//! decides which item runs where and stores the results; the other job stores, otherwise idle,
-//! receive the events.
+//! Runs items at back ends, for this process when it leads or on behalf of the leader, which
+//! decides what runs where and stores the results. The other, idle job stores receive the events.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -69,7 +68,6 @@
         })
     }
 
-    /// Whether `permit` would succeed.
     fn check(
         &self,
         backend: &Backend,
@@ -108,8 +106,7 @@
             Progress { run, committed_event: after_event, last_event: after_event, text: None };
         let progress = Rc::new(RefCell::new(progress));
         let (backend, item): (Arc<Backend>, Arc<JobItem>) = (backend.into(), item.into());
-        // Checked before connecting as well, since connecting to a back end that has left may take
-        // long.
+        // Checked before connecting too: connecting to a back end that has left may take long.
         if let Err(denied) = self.check(&backend, &sender, &item) {
             let cause =
                 format!("{} takes no work now, as its worker knows: {}", backend.id, denied.cause);
@@ -146,7 +143,6 @@
     }
 }
 
-/// Receiver of the output of a run.
 struct OutputSink {
     call: u64,
     replies: UnboundedSender<Outgoing>,
@@ -163,9 +159,8 @@
     }
 }
 
-/// Runs that a leader requested on one connection.
-///
-/// Invariant: they end with the connection, so that a replaced leader leaves no runs behind.
+/// Runs that a leader requested on one connection. Invariant: they end with the connection, so that
+/// a replaced leader leaves no runs behind.
 #[derive(Default)]
 pub struct ConnectionRuns {
     runs: Rc<RefCell<HashMap<u64, OpenRun>>>,
@@ -230,7 +225,6 @@
     }
 }
 
-/// Counts a run until it is dropped.
 struct CountedRun {
     worker: Rc<Worker>,
 }
--- a/crates/jobstore/tests/aggregators.rs
+++ b/crates/jobstore/tests/aggregators.rs
@@ -1,7 +1,5 @@
-//! Selection of the job store to which a gateway reports in a fleet with several regions.
-//!
-//! Guards against gateways that report to aggregators of any region: two of three reports and
-//! answers would cross regions, many times a second.
+//! Which job store a gateway reports to in a fleet with several regions. Guards against reports to
+//! aggregators of any region: two of three would cross regions, many times a second.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -26,7 +24,6 @@
     }
 }
 
-/// A fleet with this many gateways and five job stores per region.
 fn fleet(gateways: usize) -> Fleet {
     let mut members = Vec::new();
     for region in REGIONS {
--- a/crates/jobstore/tests/capacity.rs
+++ b/crates/jobstore/tests/capacity.rs
@@ -25,9 +25,7 @@
 fn items_are_preempted_only_below_half_of_the_reserve() {
     // 10 of 100 slots are free, and the reserve is 8.
     assert_eq!((capacity(10, 9, 20).startable_items(), capacity(10, 9, 20).shortfall()), (2, 0));
-    // No slot is free.
     assert_eq!((capacity(10, 10, 20).startable_items(), capacity(10, 10, 20).shortfall()), (0, 4));
-    // There are more requests than slots.
     assert_eq!((capacity(10, 14, 20).startable_items(), capacity(10, 14, 20).shortfall()), (0, 4));
 }
 
--- a/crates/jobstore/tests/formats.rs
+++ b/crates/jobstore/tests/formats.rs
@@ -1,5 +1,4 @@
-//! Data written by earlier versions can be read. The bytes come from the version before tenants
-//! (fd322a9).
+//! Data of earlier versions can be read. The bytes are from the version before tenants (fd322a9).
 
 use yokefall_jobstore::snapshot::{decode_state, encode_state};
 use yokefall_jobstore::state::{Command, Jobs, SlotAssignment};
--- a/crates/jobstore/tests/golden_bytes.rs
+++ b/crates/jobstore/tests/golden_bytes.rs
@@ -1,10 +1,9 @@
-//! The forms of everything that processes write for each other, or keep on disk: processes of two builds run side by side
-//! while machines are upgraded one after the other, and a new build reads the disks of the one before.
-//!
-//! `golden/version-1.txt` has encoded samples of each type, as the first build of that version wrote them. A change of
-//! a form fails here. It needs a new version: new forms stay off until every process of the fleet knows them, and are
-//! read and written in a file of their own beside this one (`docs/design/upgrades.md`). With
-//! `YOKEFALL_WRITE_GOLDEN=1` the file is written anew.
+//! The encodings of everything that processes write for each other or keep on disk: processes of
+//! two builds run side by side during a rolling upgrade, and a new build reads the disks of the one
+//! before. `golden/version-1.txt` has encoded samples of each type, written by the first build of
+//! that version. A changed encoding fails here and needs a new version: new encodings stay off
+//! until every process of the fleet knows them, and are read and written in their own file
+//! (`docs/design/upgrades.md`). With `YOKEFALL_WRITE_GOLDEN=1` the file is written anew.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -22,14 +21,14 @@
 
 const GOLDEN: &str = include_str!("golden/version-1.txt");
 const PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/version-1.txt");
-/// Samples that are kept of a type, or of each of its variants.
+/// Samples kept of a type, or of each of its variants.
 const SAMPLES: usize = 2;
-/// Draws of a sample before a variant counts as one that there is not.
+/// Draws of a sample after which a variant counts as missing.
 const DRAWS: u64 = 400;
 /// More variants than any type has.
 const MOST_VARIANTS: u8 = 40;
 
-/// Gives small numbers and letters, so that what is decoded of it is a short value of any type.
+/// Yields small numbers and letters, so that the value decoded from it is short for any type.
 struct SampleReader {
     generator: SmallRng,
     /// The first byte, which is the variant of an enum.
@@ -68,7 +67,6 @@
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-/// Encoded samples of a type; of each variant where it has some.
 fn samples<T: BorshSerialize + BorshDeserialize>(has_variants: bool) -> BTreeSet<String> {
     let variants = if has_variants { 0..MOST_VARIANTS } else { 0..1 };
     variants
@@ -81,7 +79,7 @@
                 Some(hex(&borsh::to_vec(&value).expect("a sample")))
             };
             let mut found: Vec<String> = (0..DRAWS).filter_map(draw).collect();
-            // The longest have the most in them.
+            // The longest samples cover the most.
             found.sort_by_key(|sample| std::cmp::Reverse(sample.len()));
             found.dedup();
             found.truncate(SAMPLES);
@@ -90,7 +88,7 @@
         .collect()
 }
 
-/// Decodes and encodes a sample again.
+/// Decodes a sample and encodes it again.
 fn again<T: BorshSerialize + BorshDeserialize>(sample: &[u8]) -> std::io::Result<Vec<u8>> {
     borsh::to_vec(&T::try_from_slice(sample)?)
 }
@@ -159,7 +157,7 @@
     }
 }
 
-/// A longer form, one that is cut off, and a variant that is not known are errors, and no panic and no other value.
+/// A longer or truncated encoding and an unknown variant must give errors, not panics or values.
 #[test]
 fn what_is_not_of_this_version_is_refused() {
     for form in forms() {
--- a/crates/jobstore/tests/loads.rs
+++ b/crates/jobstore/tests/loads.rs
@@ -12,7 +12,6 @@
 };
 use yokefall_serving::{BackendIncarnation, Fleet, FleetMember, ZoneMap};
 
-/// Incarnation of a back end that reports no start time.
 fn incarnation(id: &str) -> BackendIncarnation {
     BackendIncarnation { id: id.into(), started_ms: 0 }
 }
@@ -38,7 +37,6 @@
 }
 
 quickcheck! {
-    /// The incremental totals equal the sum of the last report of each gateway.
     fn totals_are_the_sum_of_the_last_reports(reports: Vec<(u8, Vec<(u8, u8)>)>) -> bool {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
@@ -82,7 +80,6 @@
     }
 }
 
-/// The job store to which a gateway reports after a start.
 fn aggregator_of<'a>(fleet: &'a Fleet, gateway: &str) -> Option<&'a FleetMember> {
     ReportTarget::new(gateway.to_owned()).choose(fleet)
 }
@@ -278,8 +275,7 @@
     assert_eq!(reserve(&loads), 70);
 }
 
-/// Guards against taking one reporting gateway for all of them: items would occupy the slots of the
-/// others.
+/// Guards against taking one reporting gateway for all: items would fill the others' slots.
 #[tokio::test(start_paused = true)]
 async fn slots_of_unreported_gateways_stay_free() {
     let loads = Loads::default();
--- a/crates/jobstore/tests/preemption.rs
+++ b/crates/jobstore/tests/preemption.rs
@@ -29,10 +29,9 @@
 }
 
 /// Guards against counting an item that waits for its next run at its back end. After one short
-/// online request the back end then appeared to have 9 runs for 8 slots, and 1 or 2 items were
-/// preempted in every pass, some 150 a second (515 and 757 preempted runs where 0 to 24 are usual):
-/// while a preempted item waited its 150 ms, the request ended, another item took the slot, and
-/// that item was preempted next.
+/// online request the back end appeared to have 9 runs for 8 slots, and 1 or 2 items were preempted
+/// in every pass, some 150 a second (515 and 757 preempted runs instead of 0 to 24): while a
+/// preempted item waited its 150 ms, another took the slot and was preempted next.
 #[tokio::test(start_paused = true)]
 async fn one_short_request_preempts_one_item() {
     let backend = backend(1);
@@ -77,8 +76,7 @@
     assert_eq!(chosen, [2, 3]);
 }
 
-/// A run at another job store takes up to 0.4 s to end; passes in the meantime count its slot as
-/// released.
+/// A run at another job store takes up to 0.4 s to end; until then its slot counts as released.
 #[tokio::test(start_paused = true)]
 async fn a_slot_being_released_counts_as_released() {
     let backend = backend(1);
@@ -90,8 +88,7 @@
     assert_eq!(preempted(&runs, |_| 0, |_| 2).len(), 1);
 }
 
-/// Guards against preempting items at a back end with free slots because runs at its earlier
-/// incarnation are counted at the new one.
+/// Guards against preempting items because runs of an earlier incarnation count at the new one.
 #[test]
 fn items_at_an_earlier_incarnation_occupy_no_slots_of_the_new_one() {
     let before = backend(1);
--- a/crates/jobstore/tests/residency.rs
+++ b/crates/jobstore/tests/residency.rs
@@ -1,7 +1,5 @@
-//! Where a job may be stored, and which job store runs its items.
-//!
-//! Guards against copying the bodies of a job that is restricted to one region to job stores of all
-//! regions, or sending them to workers there.
+//! Where a job may be stored, and which job store runs its items. Guards against copying or sending
+//! the bodies of a job restricted to one region to job stores or workers in others.
 
 use std::collections::BTreeMap;
 
--- a/crates/jobstore/tests/unreadable_command.rs
+++ b/crates/jobstore/tests/unreadable_command.rs
@@ -1,8 +1,6 @@
-//! A command that a later version wrote into the log.
-//!
-//! Guards against job stores of an older build that panic without a cause when a new leader
-//! replicates a new kind of command, or that skip it and then hold a different state than the
-//! others.
+//! A command that a later version wrote into the log. Guards against job stores of an older build
+//! that panic without a cause when a new leader replicates a new kind of command, or that skip it
+//! and then hold a different state than others.
 
 use yokefall_jobstore::state::{Command, UnreadableCommand};
 
--- a/crates/jobstore/tests/urgency.rs
+++ b/crates/jobstore/tests/urgency.rs
@@ -24,8 +24,7 @@
     assert_eq!(sorted(vec![never, later, soon]), [soon, later, never]);
 }
 
-/// Guards against running the oldest item first under overload: every item would complete just
-/// after it was due.
+/// Guards against oldest-first order: under overload, all items would end just after they were due.
 #[test]
 fn late_items_go_last() {
     let (late, in_time) = (urgency(15, Some(18), 4), urgency(3, Some(18), 4));
--- a/crates/jobstore/tests/wal.rs
+++ b/crates/jobstore/tests/wal.rs
@@ -1,5 +1,4 @@
-//! The write-ahead log: synced records are durable, a torn record ends the log, and old files are
-//! ignored.
+//! The write-ahead log: synced records are durable, a torn record ends it, old files are ignored.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
