--- a/crates/quota/src/issuer_selector.rs
+++ b/crates/quota/src/issuer_selector.rs
@@ -119,14 +119,14 @@
     pub fn describe(&self, now: Timestamp, tenant: &TenantName) -> String {
         let part = |part: Part| {
             let Some(holder) = self.assignment.holder(SlotId::of(tenant, part)) else {
-                return format!("part {}: no issuer", part.0);
+                return format!("part {}: nobody", part.0);
             };
             let is_exhausted =
                 self.exhausted_until.get(&(tenant.clone(), part)).is_some_and(|at| *at > now);
             let state = match (self.unreachable.contains(&holder.name), is_exhausted) {
-                (true, _) => "unreachable",
-                (false, true) => "exhausted",
-                (false, false) => "available",
+                (true, _) => "gave no answer",
+                (false, true) => "has no token",
+                (false, false) => "answers",
             };
             format!("part {}: {} {state}", part.0, holder.name)
         };
