--- a/crates/serving/src/admission.rs
+++ b/crates/serving/src/admission.rs
@@ -1,10 +1,9 @@
 //! Order in which queued requests are sent to back ends while capacity is short: first those that
 //! can still be answered in time, newest first, then late ones, oldest first.
 //!
-//! A back end serves its requests in order of arrival. Requests beyond its capacity are therefore
-//! queued here, where the order can still change. Following "Flow control for Latency-Critical
-//! RPCs" (Kogias and Bugnion, 2018), the capacity of a back end is derived from a bound on the time
-//! that a request may wait there and from observed service times.
+//! A back end serves its requests in order of arrival, so those beyond its capacity queue here,
+//! where the order can change. Its capacity is derived from a bound on the wait there and observed
+//! service times: "Flow control for Latency-Critical RPCs" (Kogias and Bugnion, 2018).
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -14,14 +13,12 @@
 /// Share of a route's target latency for which a request may wait at a back end. The rest is for
 /// the network and for the work before the first byte.
 const BACKEND_WAIT_SHARE: f64 = 0.25;
-/// Share of a route's target latency for which a request may be queued and still be answered in
-/// time.
+/// Share of a route's target latency for which a request may be queued and still be in time.
 const IN_TIME_SHARE: f64 = 0.4;
 /// Longest time in the queue, in multiples of the route's target latency. Callers of streams leave
 /// when nothing arrives for a few multiples of it.
 const MAX_QUEUE_TIME_TARGETS: f64 = 6.0;
-/// Longest time in the queue as a share of the request's timeout: the caller of a rejected request
-/// can then still retry.
+/// Longest queue time as a share of the timeout, so that a rejected caller can still retry.
 const MAX_QUEUE_TIME_SHARE: f64 = 0.35;
 
 /// A request waiting in the queue.
@@ -133,9 +130,8 @@
     }
 }
 
-/// Load, as a fraction of its slots, up to which a back end is sent requests with this target
-/// latency and a service time of `service_ms`. Requests beyond its slots wait there for at most a
-/// bounded share of the target.
+/// Load, as a fraction of its slots, up to which a back end is sent requests with this target and
+/// service time, so that those beyond its slots wait there for a bounded share of the target.
 pub fn load_limit(target: Duration, service_ms: f64) -> f64 {
     let wait_ms = target.as_secs_f64() * 1_000.0 * BACKEND_WAIT_SHARE;
     1.0 + wait_ms / service_ms.max(1.0)
--- a/crates/serving/src/affinity.rs
+++ b/crates/serving/src/affinity.rs
@@ -9,10 +9,8 @@
 
 /// Load, as a fraction of its slots, above which a back end gets no more requests by affinity.
 const AFFINITY_LOAD_LIMIT: f64 = 0.75;
-/// Number of back ends preferred for a prefix.
 const AFFINITY_CANDIDATES: usize = 2;
 
-/// Whether a back end with this cost still gets requests by affinity.
 pub(crate) fn has_affinity_capacity(cost: f64) -> bool {
     cost < AFFINITY_LOAD_LIMIT
 }
--- a/crates/serving/src/ages.rs
+++ b/crates/serving/src/ages.rs
@@ -1,9 +1,7 @@
-//! Tracks, per kind of object, how long ago the platform's store confirmed the state held by this
-//! process.
+//! Tracks, per kind of object, how long ago the platform's store confirmed this process's state.
 //!
-//! Only a few processes query the store, each on its own schedule. Every process advertises the age
-//! of its state per kind, so confirmations obtained by different processes for different kinds
-//! combine across the fleet.
+//! Only a few processes query the store, each on its own schedule. Every process advertises ages
+//! per kind, so confirmations from different processes combine across the fleet.
 
 use yokefall_clock::ElapsedClock;
 use yokefall_core::membership::StateAges;
--- a/crates/serving/src/arrivals.rs
+++ b/crates/serving/src/arrivals.rs
@@ -3,14 +3,12 @@
 use yokefall_core::Timestamp;
 
 /// Averaging time of this process's own arrival rate, in milliseconds: well below the length of a
-/// burst. Load reports sum the rates of all gateways, so the sum is accurate where each rate is
-/// not.
+/// burst. Load reports sum the rates of all gateways, so the sum is accurate where each is not.
 const RATE_WINDOW_MS: f64 = 500.0;
 /// Averaging time, in milliseconds, of the rate from which arrivals at other processes are
 /// inferred: a shorter average takes two requests in a row for a burst.
 const INFERRED_RATE_WINDOW_MS: f64 = 2_000.0;
-/// Time for which a reported rate is valid, in milliseconds. Load reports repeat it every half
-/// second.
+/// Lifetime of a reported rate, in milliseconds; load reports repeat it every half second.
 const REPORTED_RATE_LIFETIME_MS: u64 = 1_500;
 
 /// Rate of this process's own requests to a service.
@@ -28,7 +26,6 @@
         Self { at, ..Self::default() }
     }
 
-    /// Records a request.
     pub(crate) fn record(&mut self, now: Timestamp) {
         let elapsed = now.millis_since(self.at) as f64;
         self.per_ms = self.per_ms(now) + 1.0 / RATE_WINDOW_MS;
@@ -37,7 +34,6 @@
         self.at = now;
     }
 
-    /// Requests per millisecond.
     pub(crate) fn per_ms(&self, now: Timestamp) -> f64 {
         self.per_ms * (-(now.millis_since(self.at) as f64) / RATE_WINDOW_MS).exp()
     }
@@ -51,7 +47,6 @@
 }
 
 impl ReportedRate {
-    /// Whether the reported rate is still valid.
     pub(crate) fn is_recent(&self, now: Timestamp) -> bool {
         now.millis_since(self.at) < REPORTED_RATE_LIFETIME_MS
     }
--- a/crates/serving/src/backend_record.rs
+++ b/crates/serving/src/backend_record.rs
@@ -5,12 +5,10 @@
 use crate::model::Backend;
 use crate::outcomes::RecentOutcomes;
 
-/// Time for which a reported load is valid, in milliseconds; its weight falls linearly to zero over
-/// it.
+/// Lifetime of a reported load, in milliseconds, over which its weight falls linearly to zero.
 pub(crate) const LOAD_LIFETIME_MS: u64 = 1_500;
 /// Duration of the first ejection of a failing back end, in milliseconds.
 const MIN_EJECTION_MS: u64 = 500;
-/// Longest ejection of a failing back end, in milliseconds.
 const MAX_EJECTION_MS: u64 = 4_000;
 /// Smallest weight of outcomes that are reported; outcomes older than three seconds weigh less.
 pub(crate) const MIN_OUTCOME_WEIGHT: f64 = 0.05;
@@ -46,7 +44,6 @@
         1.0 - (age.min(LOAD_LIFETIME_MS) as f64 / LOAD_LIFETIME_MS as f64)
     }
 
-    /// Whether the record influences any choice.
     pub(crate) fn influences_choice(&self, now: Timestamp) -> bool {
         let outcomes = self.outcomes.sums(now);
         self.ejections > 0
--- a/crates/serving/src/backend_table.rs
+++ b/crates/serving/src/backend_table.rs
@@ -26,9 +26,7 @@
 pub struct BackendTable {
     shards: Vec<Shard>,
     count: usize,
-    /// Total slots of all back ends.
     slots: u64,
-    /// Size of the largest shard.
     max_shard_len: usize,
 }
 
@@ -107,8 +105,7 @@
         }
     }
 
-    /// Back ends that differ from those of another version. A back end whose record was read again
-    /// counts as changed even if the record is equal.
+    /// Back ends that differ from another version's; one read again counts even if it is equal.
     pub fn changes_since<'a>(
         &'a self,
         before: &'a BackendTable,
@@ -129,9 +126,8 @@
         if self.count == 0 {
             return None;
         }
-        // Rejection sampling: an empty position is drawn again, so that back ends in small shards
-        // are not drawn more often. The largest shard has at most 1.5 times the mean size at 10,000
-        // back ends, so few draws are rejected.
+        // Empty positions are drawn again, or back ends in small shards would be drawn more often.
+        // The largest shard is at most 1.5 times the mean at 10,000 back ends, so few are rejected.
         loop {
             let shard = generator.random_range(0..self.shards.len());
             let position = generator.random_range(0..self.max_shard_len);
@@ -142,9 +138,8 @@
         }
     }
 
-    /// The `count` back ends preferred for a key, best first. Each key has its own order by
-    /// rendezvous hashing, first of the shards, then within a shard; the loss of a preferred back
-    /// end changes only the order behind it.
+    /// The `count` back ends preferred for a key, best first: rendezvous hashing of shards, then
+    /// within a shard. The loss of a preferred back end changes only the order behind it.
     pub fn preferred(&self, key: u64, count: usize) -> Vec<&Arc<Backend>> {
         let score = |shard: usize| xxh3_64_with_seed(&shard.to_le_bytes(), key);
         let filled = self
@@ -185,8 +180,7 @@
         &self.table
     }
 
-    /// All back ends as a slice. Built once for each version, in time linear in the number of back
-    /// ends; callers that use it for every request do so only where there are few.
+    /// All back ends, listed once per version in linear time; use it per request only where few.
     pub fn all(&self) -> &[Arc<Backend>] {
         self.all.get_or_init(|| self.table.values().cloned().collect())
     }
--- a/crates/serving/src/balance.rs
+++ b/crates/serving/src/balance.rs
@@ -24,16 +24,14 @@
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 /// Ejection of a back end that rejected a request for lack of a free slot, in milliseconds.
 const FULL_EJECTION_MS: u64 = 60;
-/// Ejection of a back end from which nothing is received, in milliseconds. It is renewed for as
-/// long as the silence lasts.
+/// Ejection of a silent back end, in milliseconds; renewed for as long as the silence lasts.
 const SILENCE_EJECTION_MS: u64 = 500;
 /// Cost of another zone, as a fraction of a back end's slots.
 const OTHER_ZONE_COST: f64 = 0.1;
 /// Cost of another region: traffic between regions is priced four times that between zones, and
 /// takes 8 ms each way instead of 1.4 ms.
 const OTHER_REGION_COST: f64 = 4.0 * OTHER_ZONE_COST;
-/// Time that a load report and its answer take, in milliseconds, on top of the interval between
-/// reports.
+/// Time that a load report and its answer take, in milliseconds, besides the report interval.
 const REPORT_DELAY_MS: u64 = 50;
 /// Interval between load reports until the actual one is known, in milliseconds.
 const DEFAULT_REPORT_INTERVAL_MS: u64 = 100;
@@ -76,14 +74,11 @@
     zone: String,
     zones: Arc<ZoneMap>,
     records: ByIncarnation<BackendRecord>,
-    /// Processes that balance over the same back ends, this one included.
     balancers: usize,
-    /// Interval between load reports of a process, in milliseconds.
     report_interval_ms: u64,
     /// When the requests in flight of all processes were last received.
     totals_at: Option<Timestamp>,
     arrivals: HashMap<String, Arrivals>,
-    /// Reported arrival rates of all processes, by service.
     total_arrival_rates: HashMap<String, ReportedRate>,
     /// Mean service time at the back ends of a service, in milliseconds.
     service_ms: HashMap<String, f64>,
@@ -112,9 +107,8 @@
         Self { zones, ..self }
     }
 
-    /// Chooses a back end that is not in `tried`. `affinity` is a hash of the prompt prefix:
-    /// requests with the same one go to the same few back ends while these have capacity. Ejected
-    /// back ends are chosen only if no other remains.
+    /// Chooses a back end not in `tried`; ejected ones only if no other remains. Requests with the
+    /// same `affinity`, a hash of the prompt prefix, go to the same few while these have capacity.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -180,9 +174,8 @@
     }
 
     /// Candidates of the local region if they can take the requests expected until the next report,
-    /// with the fraction of all requests that belongs to them; otherwise all candidates. Prefix
-    /// affinity stays within the region as well: each region reads a prefix into memory once more,
-    /// but prompts and answers that cross regions cost more.
+    /// with their fraction of all requests; otherwise all. Prefix affinity stays within the region
+    /// too: each region reads a prefix into memory once more, but crossing regions costs more.
     fn prefer_local<'a>(
         &self,
         now: Timestamp,
@@ -207,14 +200,12 @@
         }
     }
 
-    /// Sets how many processes balance over the same back ends, this one included, and the interval
-    /// between load reports of each, in milliseconds.
+    /// Sets the number of balancers, this one included, and their interval between load reports.
     pub fn set_balancer_count(&mut self, balancers: usize, report_interval_ms: u64) {
         self.balancers = balancers.max(1);
         self.report_interval_ms = report_interval_ms;
     }
 
-    /// Records a request of this process to a service.
     fn record_arrival(&mut self, now: Timestamp, service: &str) {
         if !self.arrivals.contains_key(service) {
             self.arrivals.insert(service.to_owned(), Arrivals::since(now));
@@ -239,8 +230,7 @@
         self.remote_arrivals_per_ms(now, service) * self.report_age_ms(now)
     }
 
-    /// Requests per millisecond of other processes to a service: the reported rate, or else this
-    /// process's own rate for each of them.
+    /// Other processes' requests per millisecond: as reported, or else this one's rate for each.
     fn remote_arrivals_per_ms(&self, now: Timestamp, service: &str) -> f64 {
         let own = self.arrivals.get(service);
         let reported = self.total_arrival_rates.get(service);
@@ -258,9 +248,8 @@
         age.min(MAX_REPORT_AGE_MS) as f64
     }
 
-    /// One of the least loaded candidates, out of more of them the more requests other processes
-    /// are expected to send meanwhile. `fraction` is the fraction of all requests that belongs to
-    /// these candidates.
+    /// One of the least loaded candidates, out of more of them the more requests others are
+    /// expected to send meanwhile. `fraction` is the fraction of all requests for these candidates.
     fn choose_least_loaded<'a>(
         &mut self,
         now: Timestamp,
@@ -304,9 +293,8 @@
             slots: f64::from(backend.slots.max(1)),
         };
         let levels: Vec<LoadLevel> = available.map(level).collect();
-        // Extrapolating from own requests would queue requests despite free slots wherever this
-        // process gets more than its share of the clients. Without reports only its own requests
-        // count.
+        // Without reports only own requests count: extrapolating from them would queue requests
+        // despite free slots where this process gets more than its share of the clients.
         let is_informed = self.totals_at.is_some_and(|at| now.millis_since(at) < LOAD_LIFETIME_MS);
         let unreported = if is_informed {
             self.remote_arrivals_per_ms(now, service) * age.min(service_ms)
@@ -387,8 +375,7 @@
         self.records.entry(backend.incarnation()).in_flight += 1;
     }
 
-    /// Records the end of a request. It counts for the incarnation to which it was sent: a later
-    /// one under the same id never had it.
+    /// Records the end of a request for the incarnation it was sent to: a later one never had it.
     pub fn record_end(&mut self, now: Timestamp, backend: &Backend, outcome: Outcome) {
         let Some(record) = self.records.get_mut(backend) else { return };
         record.in_flight = record.in_flight.saturating_sub(1);
@@ -435,8 +422,7 @@
         })
     }
 
-    /// Ejects back ends that fail for all processes according to load reports. Without it each
-    /// process would have to detect a dead back end by itself.
+    /// Ejects back ends that fail for all processes: none has to detect a dead one by itself.
     pub fn eject_reported<'a>(
         &mut self,
         now: Timestamp,
@@ -456,9 +442,8 @@
         }
     }
 
-    /// Records that nothing was received from a back end for `silence_ms` on a request in flight.
-    /// Unless something was received on another request, the back end is ejected; otherwise the
-    /// request is only waiting there for a slot. Returns whether the back end is ejected.
+    /// Records silence for `silence_ms` on a request in flight. Returns whether the back end is
+    /// ejected: if it answered another request, this one only waits there for a slot.
     pub fn record_silence(&mut self, now: Timestamp, backend: &Backend, silence_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(backend).filter(|_| self.policy.silence) else {
             return false;
@@ -493,8 +478,7 @@
             record.reported_at = Some(now);
         }
         for (incarnation, total) in totals {
-            // Back ends that this process has never used count as well: they would look empty
-            // otherwise.
+            // Back ends never used by this process count as well: they would look empty otherwise.
             let record = match self.records.incarnation_mut(incarnation) {
                 Some(record) => record,
                 None => self.records.entry(incarnation.clone()),
@@ -520,14 +504,12 @@
         self.records.retain(|incarnation, record| record.in_flight > 0 || known(incarnation));
     }
 
-    /// Drops records that no longer influence a choice; every load report iterates over all of
-    /// them.
+    /// Drops records that influence no choice; every load report iterates over all of them.
     pub fn prune_idle(&mut self, now: Timestamp) {
         self.records.retain(|_, record| record.in_flight > 0 || record.influences_choice(now));
     }
 }
 
-/// Candidates of a choice.
 struct Available<'a> {
     /// Those that are not ejected, each with its cost.
     available: Vec<(f64, &'a Arc<Backend>)>,
--- a/crates/serving/src/catalog.rs
+++ b/crates/serving/src/catalog.rs
@@ -15,8 +15,7 @@
 use crate::objects::ObjectChange;
 use crate::table::RouteTable;
 
-/// Configuration and back ends at one point in time. A new version shares unchanged data with its
-/// predecessor.
+/// Configuration and back ends at one time. Versions share unchanged data.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     /// The configuration; `None` until the first one is received.
@@ -37,8 +36,7 @@
     pub evacuated: BTreeSet<String>,
     /// Region of each zone.
     pub zones: Arc<ZoneMap>,
-    /// Whether it is not known yet which zones are evacuated, in which case no back end may be
-    /// used.
+    /// Whether the evacuated zones are not known yet, in which case no back end may be used.
     pub evacuations_unknown: bool,
 }
 
@@ -84,9 +82,8 @@
         Self { evacuated, zones, evacuations_unknown: false, ..self }.with_lists()
     }
 
-    /// Applies back-end changes. The cost is proportional to the number of changes, not to the
-    /// number of back ends: rebuilding everything takes 17.7 ms of CPU time per change with 10,000
-    /// back ends, an incremental update 17 us.
+    /// Applies back-end changes at a cost proportional to their number: rebuilding everything takes
+    /// 17.7 ms of CPU time per change with 10,000 back ends, an incremental update 17 us.
     pub fn with_changes(mut self, changes: &[ObjectChange<Backend>]) -> Self {
         for change in changes {
             if let Some(before) = &change.before {
@@ -114,7 +111,6 @@
         self
     }
 
-    /// Rebuilds the lists of back ends that accept work.
     fn with_lists(mut self) -> Self {
         self.ready.clear();
         self.ready_by_region.clear();
@@ -210,8 +206,7 @@
         self.evacuated.contains(zone)
     }
 
-    /// Returns where requests of a tenant on a route may be served. A tenant that is no longer in
-    /// the configuration imposes no restriction.
+    /// Where requests of a tenant on a route may be served; an unknown tenant restricts nothing.
     pub fn residency(&self, route: &Route, tenant: Option<&TenantName>) -> Residency {
         let tenants = self.configuration.iter().flat_map(|configuration| &configuration.tenants);
         let owner = tenant.and_then(|name| tenants.clone().find(|tenant| tenant.name == *name));
@@ -231,8 +226,7 @@
         })
     }
 
-    /// Returns where a request for a host and path may be served; `None` if no route matches any
-    /// more.
+    /// Returns where a request for a host and path may be served; `None` without a matching route.
     pub fn residency_at(
         &self,
         host: &str,
@@ -259,13 +253,11 @@
     }
 }
 
-/// Whether a back end may receive new work.
 fn accepts_work(backend: &Backend, evacuated: &BTreeSet<String>) -> bool {
     backend.state == BackendState::Ready && !evacuated.contains(&backend.zone)
 }
 
-/// Indexes tenants by key. If two tenants share a key, the first one wins; the `check` command
-/// reports such duplicates.
+/// Indexes tenants by key. The first of duplicates wins; the `check` command reports them.
 fn index_tenants(configuration: &Configuration) -> Option<KeyIndex<Arc<Tenant>>> {
     if configuration.tenants.is_empty() {
         return None;
--- a/crates/serving/src/catalog_lists.rs
+++ b/crates/serving/src/catalog_lists.rs
@@ -18,17 +18,14 @@
 }
 
 impl ListUpdates {
-    /// Adds a back end to the lists that it belongs to.
     pub(crate) fn insert(&mut self, catalog: &Catalog, backend: &Arc<Backend>) {
         self.update_lists(catalog, backend, |table| table.insert(backend.clone()));
     }
 
-    /// Removes a back end from the lists that it belongs to.
     pub(crate) fn remove(&mut self, catalog: &Catalog, backend: &Arc<Backend>) {
         self.update_lists(catalog, backend, |table| table.remove(&backend.id));
     }
 
-    /// Applies a change to each list that a back end belongs to.
     fn update_lists(
         &mut self,
         catalog: &Catalog,
--- a/crates/serving/src/dialect.rs
+++ b/crates/serving/src/dialect.rs
@@ -118,8 +118,7 @@
     fn is_address_query(&self, method: &Method, uri: &Uri) -> bool;
     /// Parses the parameters of an address query.
     fn address_query(&self, uri: &Uri) -> AddressQuery;
-    /// Formats the response to an address query; `lifetime_s` is how long it may be cached, in
-    /// seconds.
+    /// Formats the response to an address query, which may be cached for `lifetime_s` seconds.
     fn format_addresses(&self, addresses: &[String], lifetime_s: f64) -> Bytes;
     /// Returns the job call that a request represents, if any.
     fn job_call(&self, method: &Method, uri: &Uri) -> Option<JobCall>;
--- a/crates/serving/src/discovery.rs
+++ b/crates/serving/src/discovery.rs
@@ -1,8 +1,7 @@
 //! Starts the tasks that keep the view of the fleet and of the platform's objects current.
 //!
-//! Membership is maintained with datagrams (`fleet`). Each process is ranked among those of its
-//! zone (`watch_role`); a few of them watch the platform's store (`watch`), and the others fetch
-//! the state from these peers (`peer_sync`).
+//! Membership is maintained with datagrams (`fleet`). A few processes of each zone (`watch_role`)
+//! watch the platform's store (`watch`), and the others fetch the state from them (`peer_sync`).
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -133,7 +132,6 @@
     }
 }
 
-/// Exports the age of the local state periodically.
 async fn report_freshness(freshness: Freshness) {
     loop {
         if let Some(age_ms) = freshness.age_ms() {
--- a/crates/serving/src/eligibility/cold_quota.rs
+++ b/crates/serving/src/eligibility/cold_quota.rs
@@ -1,9 +1,8 @@
 //! Per-process quotas for requests to a back end that is not known to be warm.
 //!
-//! No messages are exchanged. The sum over all processes is bounded because each of them derives
-//! from the same member names which few may send, and each of these sends one request in any
-//! second. Differing views cost at most one request a second per difference, which the unused
-//! margin covers.
+//! The sum over all processes is bounded without messages: each derives from the same member names
+//! which few may send, and each of these sends one request in any second. Differing views cost at
+//! most one request a second per difference, which the unused margin covers.
 
 use std::collections::VecDeque;
 
@@ -93,8 +92,7 @@
 }
 
 impl SendHistory {
-    /// Milliseconds until a process with this quota may send its next request; 0 for now and `None`
-    /// for never.
+    /// Milliseconds until a process with this quota may send next; 0 for now, `None` for never.
     pub fn wait_ms(&self, now: Timestamp, quota: u32) -> Option<u64> {
         if quota == 0 {
             return None;
--- a/crates/serving/src/eligibility/cold_start.rs
+++ b/crates/serving/src/eligibility/cold_start.rs
@@ -1,5 +1,4 @@
-//! Applies quotas for cold back ends: keeps `ColdStartState` up to date, and emits its metrics and
-//! log lines.
+//! Applies quotas for cold back ends: updates `ColdStartState`, emits its metrics and log lines.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -50,10 +49,8 @@
 #[derive(Debug)]
 struct Inner {
     state: ColdStartState,
-    /// Catalog that the state has taken over.
     catalog: Option<Arc<Catalog>>,
     fleet: Option<Arc<Fleet>>,
-    /// Back ends logged as cold, and since when.
     logged_cold: HashMap<String, Timestamp>,
     logged_stale: bool,
 }
@@ -116,8 +113,7 @@
         })?
     }
 
-    /// Back ends of a service that are not known to be warm; `None` if the platform state is too
-    /// old to tell.
+    /// Back ends of a service not known to be warm; `None` if the platform state is too old.
     pub fn cold_backends(&self, service: &str) -> Option<Vec<Arc<Backend>>> {
         self.with(|state, now, age| {
             if !state.has_warm_up(service) {
@@ -183,14 +179,12 @@
         warm_up_status.is_none_or(|warm_up_status| warm_up_status == WarmUpStatus::Warm)
     }
 
-    /// The job store to which the leader may assign an item for a back end that is not known to be
-    /// warm.
+    /// The job store that the leader may assign an item for a back end not known to be warm.
     pub fn item_sender(&self, backend: &Backend, usable: impl Fn(&str) -> bool) -> Option<String> {
         self.with(|state, now, _| state.item_sender(now, backend, usable))?
     }
 
-    /// Records that the leader assigned a job store an item for a back end that is not known to be
-    /// warm.
+    /// Records that the leader assigned an item for a back end not known to be warm.
     pub fn record_item_assignment(&self, backend: &Backend, to: &str) {
         self.with(|state, now, _| state.record_item_assignment(now, &backend.id, to.to_owned()));
     }
--- a/crates/serving/src/eligibility/cold_state.rs
+++ b/crates/serving/src/eligibility/cold_state.rs
@@ -13,9 +13,8 @@
 use crate::model::Backend;
 
 /// Time after its start in which a process uses no quota, in milliseconds. The others must know its
-/// name to leave it its share, and it must know theirs; updates reach 300 processes within 4 s of a
-/// start. Requests sent before a restart under the same name have left the quota interval by then
-/// as well.
+/// name to leave it its share, and it theirs; updates reach 300 processes within 4 s. Requests sent
+/// before a restart under the same name have left the quota interval by then.
 pub const JOIN_DELAY_MS: u64 = 5_000;
 /// Age of the platform state beyond which no back end counts as warm, in milliseconds, where
 /// operators evacuate no zones: longer than a watch without events takes.
@@ -44,7 +43,6 @@
     }
 }
 
-/// Quota of this process for one back end, and its use.
 #[derive(Debug, Default)]
 struct BackendQuota {
     /// Requests per interval; `None` until computed for the current names.
@@ -160,8 +158,7 @@
         self.warmth.ids()
     }
 
-    /// Back ends of a service that are not known to be warm; `None` if the platform state is too
-    /// old to tell.
+    /// Back ends of a service not known to be warm; `None` if the platform state is too old.
     pub fn cold_backends(
         &self,
         now: Timestamp,
@@ -229,8 +226,7 @@
         warm_up.map(of).unwrap_or_default()
     }
 
-    /// Records a request to a back end, which uses up quota if the back end is not known to be
-    /// warm.
+    /// Records a request to a back end, which uses up quota unless it is known to be warm.
     pub fn sent(&mut self, now: Timestamp, id: &str) {
         // Requests to a warm back end are recorded as well, because it may turn cold right after.
         if let Some(backend_quota) = self.quotas.get_mut(id) {
@@ -267,8 +263,7 @@
         job_stores.iter().find(|name| usable(name) && is_free(name)).cloned()
     }
 
-    /// Records that the leader assigned a job store an item for a back end that is not known to be
-    /// warm.
+    /// Records that the leader assigned an item for a back end not known to be warm.
     pub fn record_item_assignment(&mut self, now: Timestamp, id: &str, to: String) {
         let backend_quota = self.quotas.entry(id.to_owned()).or_default();
         backend_quota.assigned.retain(|(_, at)| now.millis_since(*at) < QUOTA_INTERVAL_MS);
--- a/crates/serving/src/eligibility/freshness.rs
+++ b/crates/serving/src/eligibility/freshness.rs
@@ -30,13 +30,11 @@
         Self { inner: Arc::new(Mutex::new(inner)) }
     }
 
-    /// A new clock on the same source.
     pub(crate) fn new_clock(&self) -> ElapsedClock {
         ElapsedClock::new(self.lock().source.clone())
     }
 
-    /// Records that the store answered this process or a peer `age_ms` ago, and that its answer is
-    /// known here.
+    /// Records that the store confirmed this process's view `age_ms` ago, to it or a peer.
     pub fn note(&self, age_ms: u64) {
         let inner = &mut *self.lock();
         // Nothing was known here before this clock started.
--- a/crates/serving/src/eligibility/mod.rs
+++ b/crates/serving/src/eligibility/mod.rs
@@ -74,8 +74,7 @@
 }
 
 impl Ineligible {
-    /// Counts a request or item that was denied a permit for the back end chosen for it, and logs
-    /// its id if the zone is evacuated.
+    /// Counts a request or item denied a permit, and logs its id if the zone is evacuated.
     pub fn record_rejection(&self, id: &str, backend: &Backend) {
         metrics::counter!("permits_refused_total", "cause" => self.name()).increment(1);
         if *self == Ineligible::Evacuated {
@@ -209,8 +208,7 @@
         (!sample.backends.is_empty()).then_some(sample)
     }
 
-    /// Back ends of a service that may not be sent an item now because they are not known to be
-    /// warm; `None` if the platform state is too old and each back end must be checked.
+    /// Cold back ends that may get no item now; `None` if the platform state is too old.
     pub fn ineligible_for_items(
         &self,
         service: &str,
@@ -250,8 +248,7 @@
         Cow::Owned(self.usable_for_items(cold, &allowed_by_placement, usable))
     }
 
-    /// Milliseconds until this process may send next, if every candidate is cold and its quota is
-    /// used up.
+    /// Milliseconds until this process may send if all candidates are cold and no quota is left.
     pub fn cold_wait_ms(&self, catalog: &Catalog, requirements: &Requirements) -> Option<u64> {
         let cold = self.cold.as_ref()?;
         cold.wait_ms(&self.allowed_by_placement(catalog, requirements))
@@ -270,8 +267,7 @@
     }
 
     /// Permission to send a request to a back end now, by the latest catalog. Must be requested
-    /// right before the request is written: if the back end is not known to be warm, it uses up
-    /// quota.
+    /// right before the request is written: for a back end not known to be warm it uses up quota.
     pub fn permit(
         &self,
         backend: &Backend,
--- a/crates/serving/src/eligibility/residency.rs
+++ b/crates/serving/src/eligibility/residency.rs
@@ -18,9 +18,8 @@
 }
 
 impl Residency {
-    /// Intersection of the regions allowed by a route and those allowed by a tenant. An empty list
-    /// allows every region. If the two lists have no region in common, the request may not be
-    /// served anywhere.
+    /// Intersection of the regions allowed by a route and by a tenant; an empty list allows every
+    /// region. Without a common region, the request may not be served anywhere.
     pub fn of(route: &[String], tenant: &[String]) -> Self {
         let all = |regions: &[String]| regions.iter().cloned().collect::<BTreeSet<String>>();
         match (route.is_empty(), tenant.is_empty()) {
@@ -38,8 +37,7 @@
         Residency::Within(BTreeSet::new())
     }
 
-    /// Whether a request may be served in a region. A zone of unknown region is not allowed for any
-    /// restricted request.
+    /// Whether a region is allowed; restricted requests are not allowed in zones of unknown region.
     pub fn allows(&self, region: Option<&str>) -> bool {
         match self {
             Residency::Anywhere => true,
--- a/crates/serving/src/eligibility/sample.rs
+++ b/crates/serving/src/eligibility/sample.rs
@@ -1,9 +1,8 @@
 //! Random samples of candidates for one request.
 //!
-//! Choosing a back end looks at each candidate. Where a service has thousands, a small random
-//! sample does as well: the best of 128 is among the least loaded 2.3 % of all in 95 of 100
-//! samples. All processes together still use every back end alike, because each is sampled with
-//! equal probability.
+//! Choosing a back end looks at each candidate. Among thousands, a small random sample does as
+//! well: the best of 128 is among the least loaded 2.3 % of all in 95 of 100 samples. All processes
+//! together use back ends alike because each is sampled with equal probability.
 
 use std::sync::Arc;
 
@@ -12,8 +11,7 @@
 use crate::backend_table::BackendTable;
 use crate::model::Backend;
 
-/// Largest number of back ends that are not sampled: up to here, looking at all costs as much as
-/// sampling.
+/// Largest number not sampled: up to here, looking at all costs as much as sampling.
 const MAX_UNSAMPLED: usize = 256;
 /// Sample size. Sampling and choosing takes 35 us of a core with 1,000 as with 20,000 back ends,
 /// compared with 1 ms for a choice among all of 10,000 without load data.
@@ -72,8 +70,7 @@
     }
 }
 
-/// The table that contains a position in the concatenation of all tables: large tables are sampled
-/// more often.
+/// The table at a position in the concatenation of all: large tables are sampled more often.
 fn table_at<'a>(tables: &[&'a BackendTable], position: usize) -> Option<&'a BackendTable> {
     let mut remaining = position;
     tables.iter().copied().find(|table| {
--- a/crates/serving/src/eligibility/unknown_regions.rs
+++ b/crates/serving/src/eligibility/unknown_regions.rs
@@ -3,8 +3,7 @@
 use super::ZoneMap;
 use crate::model::Configuration;
 
-/// Each route and tenant with such a region, as `route NAME: REGION`, in the order of the
-/// configuration.
+/// Each route and tenant with such a region, as `route NAME: REGION`, in configuration order.
 pub fn unknown_regions(configuration: &Configuration, zones: &ZoneMap) -> Vec<String> {
     let unknown = |kind: &str, name: &str, regions: &[String]| -> Vec<String> {
         let unknown = regions.iter().filter(|region| !zones.has_region(region));
--- a/crates/serving/src/eligibility/warmth.rs
+++ b/crates/serving/src/eligibility/warmth.rs
@@ -1,8 +1,7 @@
 //! Tracks which back ends are known to be warm.
 //!
-//! A back end that is not known to be warm is not excluded but gets few requests (`cold_quota`).
-//! Invariant: evidence that a back end may be cold is overridden only by time, or by a later report
-//! of the back end itself.
+//! A back end not known to be warm gets few requests (`cold_quota`). Invariant: evidence that it
+//! may be cold is overridden only by time, or by a later report of the back end itself.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -16,17 +15,15 @@
 /// Time that a back end's record takes to reach its readers, in milliseconds: a write to the
 /// platform's store, a watch that batches events for 200 ms, and three gossip hops.
 pub const RECORD_PROPAGATION_MS: u64 = 1_000;
-/// Time for which a back end that is no longer known is remembered, in milliseconds: the store may
-/// lose a record for a moment, and requests sent to it still count. Far longer than the second in
-/// which requests are counted.
+/// Time for which a lost back end is remembered, in milliseconds: the store may lose a record for a
+/// moment, and requests sent to it still count. Far above the second in which they are counted.
 const RETENTION_MS: u64 = 60_000;
 
 /// Time for which a failure is reported, in milliseconds: for this long after an incarnation
 /// appeared, reported failures may be those of the previous one.
 const FAILURE_REPORT_MS: u64 = 3_500;
 
-/// Time for which a back end counts as alive after something was received from it, in milliseconds:
-/// the silence after which a back end counts as silent.
+/// Silence after which a back end no longer counts as alive, in milliseconds.
 const ACTIVITY_TIMEOUT_MS: u64 = 450;
 
 /// Why a back end is not known to be warm.
@@ -36,8 +33,7 @@
     Recorded,
     /// It reported so itself in an answer.
     Reported,
-    /// It appeared while this process was running, and its record does not say for how long it is
-    /// cold.
+    /// It appeared while this process ran, and its record does not say for how long it is cold.
     Appeared,
     /// It was unreachable, broke a connection or fell silent: it may have restarted.
     Failed,
@@ -70,21 +66,17 @@
     pub cause: ColdCause,
 }
 
-/// A tracked back end.
 #[derive(Clone, Debug)]
 struct TrackedBackend {
     service: Arc<str>,
-    /// When something was last received from it here.
     last_activity_at: Option<Timestamp>,
     /// When this incarnation appeared; `None` if it was known at the start of this process.
     appeared_at: Option<Timestamp>,
     /// Its record. A new one restarts the cold period that it states, even if its content is equal.
     record: Arc<Backend>,
-    /// Period reported by the back end itself.
     reported: Option<ColdPeriod>,
     /// Period inferred from other evidence.
     suspected: Option<ColdPeriod>,
-    /// Since when it is no longer known.
     gone_since: Option<Timestamp>,
 }
 
@@ -97,8 +89,7 @@
     pub forgotten: Vec<String>,
 }
 
-/// Which back ends one process knows to be warm. Back ends of services without a warm-up are not
-/// tracked.
+/// Which back ends one process knows to be warm. Services without a warm-up are not tracked.
 #[derive(Debug, Default)]
 pub struct WarmthTracker {
     warm_ups: HashMap<Arc<str>, WarmUp>,
@@ -106,8 +97,7 @@
     evacuated: BTreeSet<String>,
     /// Back ends of the last catalog; only differences to the next one are processed.
     previous: BackendTable,
-    /// Whether the last catalog contained only some of the back ends: those added by the next one
-    /// existed before.
+    /// Whether the last catalog was incomplete: back ends added by the next one existed before.
     was_partial: bool,
     /// Ids of back ends that are no longer known and are remembered for a while.
     gone: BTreeSet<String>,
@@ -119,9 +109,8 @@
 }
 
 impl WarmthTracker {
-    /// Takes over a catalog. Must be called for each one soon after it was published, because
-    /// periods start now. Takes time linear in the number of back ends that changed, may be cold or
-    /// are gone; in that of all back ends if warm-ups or evacuated zones changed.
+    /// Must take over each catalog soon after publication: periods start now. Linear in the back
+    /// ends that changed, may be cold or are gone; in all if warm-ups or evacuated zones changed.
     pub fn observe(&mut self, now: Timestamp, catalog: &Catalog) -> CatalogChanges {
         let warm_ups = warm_ups(catalog);
         let warm_ups_changed = warm_ups != self.warm_ups;
@@ -163,7 +152,6 @@
             self.possibly_cold.iter().filter_map(end_of).max().unwrap_or_default();
     }
 
-    /// Records that a back end may be cold until a moment.
     fn track_cold(&mut self, id: &str, until: Timestamp) {
         self.last_cold_until = self.last_cold_until.max(until);
         if !self.possibly_cold.contains(id) {
@@ -224,7 +212,6 @@
         }
     }
 
-    /// Records that a back end is no longer known.
     fn mark_gone(&mut self, now: Timestamp, id: &str) {
         if let Some(tracked) = self.backends.get_mut(id) {
             tracked.gone_since.get_or_insert(now);
@@ -232,8 +219,7 @@
         }
     }
 
-    /// Back ends of a zone may have turned cold shortly before its evacuation ended, and their
-    /// records may not say so yet.
+    /// Back ends may have turned cold, still unrecorded, shortly before their zone returned.
     fn suspect_returned_zones(&mut self, now: Timestamp, evacuated: &BTreeSet<String>) {
         if self.evacuated == *evacuated {
             return;
@@ -255,7 +241,6 @@
         self.evacuated.clone_from(evacuated);
     }
 
-    /// Drops back ends that have been gone for long enough, and returns their ids.
     fn drop_gone(&mut self, now: Timestamp) -> Vec<String> {
         let backends = &self.backends;
         let is_expired = |id: &&String| {
@@ -270,8 +255,7 @@
         forgotten
     }
 
-    /// The same after the warm-ups of services changed: checks each back end, and also drops those
-    /// of services that no longer have a warm-up.
+    /// The same after warm-ups changed: checks all back ends, and drops those without a warm-up.
     fn drop_all_unknown(&mut self, now: Timestamp, catalog: &Catalog) -> Vec<String> {
         for (id, tracked) in &mut self.backends {
             if !catalog.known.contains(id) {
@@ -300,9 +284,8 @@
         }
     }
 
-    /// Records that a back end fails for most processes, according to load reports of the last
-    /// seconds. One that still answers here is overloaded: treating it as cold would shift its load
-    /// to the others.
+    /// Records that a back end fails for most processes by load reports of the last seconds. One
+    /// that still answers here is overloaded: treating it as cold would shift its load to others.
     pub fn record_reported_failure(&mut self, now: Timestamp, id: &str) {
         let Some(tracked) = self.backends.get_mut(id) else { return };
         if tracked.last_activity_at.is_some_and(|at| now.millis_since(at) < ACTIVITY_TIMEOUT_MS) {
@@ -342,8 +325,7 @@
         self.track_cold(id, until);
     }
 
-    /// Why a back end is not known to be warm and until when; `None` if it is. Does not consider
-    /// the age of the platform state.
+    /// Why and until when a back end is not known to be warm; ignores the platform state's age.
     pub fn cold_period(&self, now: Timestamp, id: &str) -> Option<ColdPeriod> {
         let tracked = self.backends.get(id)?;
         let cold_periods = [tracked.reported, tracked.suspected].into_iter().flatten();
@@ -352,8 +334,7 @@
             .max_by_key(|cold_period| cold_period.until)
     }
 
-    /// Whether every back end is known to be warm. Does not consider the age of the platform
-    /// state.
+    /// Whether every back end is known to be warm; ignores the age of the platform state.
     pub fn all_warm(&self, now: Timestamp) -> bool {
         self.last_cold_until <= now
     }
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -1,6 +1,5 @@
 //! The system's own processes as seen by one process, and the event loop that keeps this view
-//! current: probes and state digests in datagrams (`yokefall_core::membership`), driven by
-//! deadlines only.
+//! current by probes and state digests in datagrams (`yokefall_core::membership`), at deadlines.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -24,26 +23,21 @@
 use crate::stall_detector::StallDetector;
 use crate::watch_role::{Ranking, HEARTBEAT_INTERVAL_MS};
 
-/// Number of members of the own zone and of other zones that are notified at once of a change of
-/// the local state. Each of them does the same, so that 300 members are reached after four or five
-/// rounds.
+/// Numbers of members of the own zone and of others notified at once of a change of the local
+/// state. Each does the same, so that 300 members are reached after four or five rounds.
 const SAME_ZONE_FANOUT: usize = 3;
 const OTHER_ZONE_FANOUT: usize = 1;
-/// Number of members of the own zone and of other zones that are notified when the store has
-/// confirmed the local state. They pass the age on with their probes; starting with more members
-/// saves one round.
+/// Number of members of the own zone and of others that are notified when the store has confirmed
+/// the local state. They pass the age on with probes; starting with more members saves one round.
 pub const CONFIRMATION_FANOUT: (usize, usize) = (6, 2);
 /// Minimum interval between two rebuilds of the fleet view, in milliseconds. Listing 1,000 members
 /// takes 0.2 ms of CPU time, and after a simultaneous start of all processes every datagram brings
 /// a change. The first change after a quiet period is published at once.
 const MIN_VIEW_INTERVAL_MS: u64 = 50;
-/// Interval at which the history of unreachable members is pruned, in milliseconds; entries are
-/// retained for minutes.
+/// Interval of pruning the history of unreachable members, kept for minutes, in milliseconds.
 const PRUNE_INTERVAL_MS: u64 = 10_000;
-/// Interval at which that history is pruned while some members count as unresponsive, in
-/// milliseconds; they do so only for seconds.
+/// The same interval, in milliseconds, while members count as unresponsive, which takes seconds.
 const UNRESPONSIVE_PRUNE_INTERVAL_MS: u64 = 1_000;
-/// Size of the receive buffer for datagrams, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 16_384;
 
 /// One process of the system.
@@ -143,8 +137,7 @@
     pub clock: ElapsedClock,
 }
 
-/// Encoded broadcast messages, carried by membership datagrams. The other ends of the channels may
-/// belong to another thread.
+/// Encoded broadcast messages in membership datagrams; the other ends may be on another thread.
 #[derive(Debug)]
 pub struct Notices {
     /// Messages to send to all members.
@@ -257,15 +250,13 @@
                         stall_detector.record_wakeup(now);
                         let is_in_own_zone = members.is_in_own_zone(&datagram.from);
                         process_state(&peer_sync, now, &datagram, source, is_in_own_zone);
-                        // A datagram that was queued here for an unknown time proves nothing about
-                        // the current age.
+                        // A datagram queued here for an unknown time proves nothing about the age.
                         let round_trip = members.probe_age_ms(now, &datagram);
                         if let Some(delay_ms) = round_trip.or_else(|| stall_detector.delay_ms()) {
                             peer_sync.receive_ages(digest_in(&datagram), datagram.ages, delay_ms);
                         }
                         if let DatagramKind::Notice { content } = &datagram.kind {
-                            // Sending fails only if the receiver has shut down, in which case this
-                            // process is shutting down too.
+                            // Sending fails only while this process is shutting down.
                             let _ = incoming.send(content.clone());
                         }
                         send(&socket, members.receive(now, datagram, &source.to_string())).await;
@@ -311,7 +302,6 @@
     }
 }
 
-/// Whether no datagram is waiting to be read.
 async fn is_empty(socket: &UdpSocket) -> bool {
     tokio::select! {
         biased;
@@ -370,7 +360,6 @@
     }
 }
 
-/// Publishes the members if they changed.
 fn publish(records: Vec<(MemberRecord, u64)>, processes: KnownProcesses, cell: &FleetCell) {
     let member = |(record, _): (MemberRecord, u64)| {
         Some(FleetMember {
@@ -378,8 +367,7 @@
             address: record.address.parse().ok()?,
             zone: record.zone,
             job_store: record.data,
-            // A member that does not answer probes may be paused or partitioned; clients should not
-            // be sent there.
+            // A member that fails probes may be paused or partitioned; clients should avoid it.
             accepting: record.state == MemberState::Alive,
         })
     };
--- a/crates/serving/src/identity.rs
+++ b/crates/serving/src/identity.rs
@@ -112,8 +112,7 @@
         }
     }
 
-    /// Sets the headers that tell a back end who the caller is. `name` is the header that names the
-    /// tenant.
+    /// Sets the headers that tell a back end the caller; `name` is the one that names the tenant.
     pub fn set_tenant_header(&self, name: &HeaderName, headers: &mut HeaderMap) {
         if *self == Caller::Unchecked {
             return;
--- a/crates/serving/src/incarnations.rs
+++ b/crates/serving/src/incarnations.rs
@@ -1,12 +1,10 @@
-//! Values stored per incarnation of a back end: a process that restarts under the same id is a
-//! different one.
+//! Values stored per incarnation of a back end: a process restarted under its id is another one.
 
 use std::collections::HashMap;
 
 use crate::model::{Backend, BackendIncarnation};
 
-/// Values by incarnation of a back end. A lookup does not allocate, because each choice of a back
-/// end looks up all back ends of a service.
+/// Values by incarnation. A lookup allocates nothing: each choice looks up a service's back ends.
 #[derive(Clone, Debug)]
 pub struct ByIncarnation<T> {
     /// By id, then by start time. An id rarely has more than one incarnation.
--- a/crates/serving/src/known_processes.rs
+++ b/crates/serving/src/known_processes.rs
@@ -8,14 +8,12 @@
 use yokefall_core::membership::{MemberRecord, MemberState};
 use yokefall_core::Timestamp;
 
-/// Time for which a process counts after it was last seen alive, in milliseconds: as long as
-/// membership keeps dead members. In a network partition that lasts longer, each side takes over
-/// all shares.
+/// Time for which a process counts after it was last seen alive, in milliseconds, as membership
+/// keeps dead members. In a longer network partition, each side takes over all shares.
 const RETENTION_MS: u64 = 600_000;
 
 /// Time for which a process counts as unresponsive, in milliseconds: it is declared dead after 2.5
-/// s, and after another 5 s it knows that its state is out of date (the usual value of
-/// `placement.evacuation_ms`).
+/// s, and after another 5 s (the usual `placement.evacuation_ms`) it knows that its state is old.
 const UNRESPONSIVE_MS: u64 = 8_000;
 
 /// Names of processes, including this one once membership runs.
@@ -25,11 +23,9 @@
     pub gateways: Vec<String>,
     /// Job stores.
     pub job_stores: Vec<String>,
-    /// Number of processes that stopped answering recently. They may be partitioned and lack the
-    /// current state.
+    /// Number of processes that stopped answering recently and, if partitioned, may lack the state.
     pub unresponsive: u32,
-    /// Whether this process has met others or knows that there are none; until then the names are
-    /// incomplete.
+    /// Whether this process met others or knows there are none; until then names are incomplete.
     pub joined: bool,
 }
 
@@ -46,7 +42,6 @@
     job_store: bool,
     alive: bool,
     last_alive: Timestamp,
-    /// Last time it was known to answer.
     last_answered: Timestamp,
     answers: bool,
 }
@@ -82,8 +77,7 @@
         self.seen.retain(|name, seen| seen.counts(now) || is_listed(name));
     }
 
-    /// Returns the names that count now. `has_seeds` is whether this process was configured with
-    /// peers.
+    /// Returns the names that count now. `has_seeds`: whether peers were configured here.
     pub fn known_processes(&self, now: Timestamp, own: &str, has_seeds: bool) -> KnownProcesses {
         let counting = |job_store: bool| {
             let seen = self.seen.iter();
@@ -102,7 +96,6 @@
 }
 
 impl Seen {
-    /// Extends the last recorded state up to `now`.
     fn advance_to(&mut self, now: Timestamp) {
         if self.alive {
             self.last_alive = now;
--- a/crates/serving/src/lag.rs
+++ b/crates/serving/src/lag.rs
@@ -7,7 +7,6 @@
 /// Time for which a peer must be ahead before the store is queried again, in milliseconds. Updates
 /// normally reach all processes within this time of each other.
 const LAG_TOLERANCE_MS: u64 = 300;
-/// Minimum interval between two such queries, in milliseconds.
 const MIN_QUERY_INTERVAL_MS: u64 = 1_000;
 
 /// Detects that peers have been ahead for longer than updates normally take to arrive.
--- a/crates/serving/src/lateness.rs
+++ b/crates/serving/src/lateness.rs
@@ -2,8 +2,7 @@
 
 use yokefall_telemetry::{EventName, LogLine};
 
-/// Weight of one wake-up in the mean lateness: averages over about ten wake-ups, some seconds when
-/// idle.
+/// Weight of one wake-up in the mean lateness: averages over about ten, some seconds when idle.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Mean lateness, in milliseconds, from which a process counts as short of processor time: half of
 /// the shortest heartbeat interval of the replicated log.
--- a/crates/serving/src/listing.rs
+++ b/crates/serving/src/listing.rs
@@ -9,9 +9,8 @@
 
 use crate::source::{Change, ListPage, Listing, Revision};
 
-/// Maximum age of the first page, after which reading starts over. It is well within the time for
-/// which a store keeps its history (20 s); changes made between the pages are delivered by the
-/// first watch.
+/// Maximum age of the first page, after which reading starts over: well within the 20 s for which a
+/// store keeps its history. The first watch delivers changes made between the pages.
 const MAX_PAGES_AGE: Duration = Duration::from_secs(8);
 
 /// The pages of a list read so far.
--- a/crates/serving/src/model.rs
+++ b/crates/serving/src/model.rs
@@ -166,8 +166,7 @@
     pub slots: u32,
     /// Whether it accepts work.
     pub state: BackendState,
-    /// Remaining time for which it is cold, in milliseconds, as reported when the record was
-    /// written.
+    /// Remaining time for which it is cold when the record was written, in milliseconds.
     pub cold_remaining_ms: u64,
 }
 
@@ -178,8 +177,7 @@
     }
 }
 
-/// One incarnation of a back end. Load, outcomes, connections and cached data of one incarnation
-/// say nothing about a later one under the same id.
+/// One incarnation of a back end; load, outcomes, connections and caches are not carried over.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct BackendIncarnation {
     /// Id of the back end.
@@ -188,8 +186,7 @@
     pub started_ms: u64,
 }
 
-/// An operator's request to send no new work to the back ends of a zone, in force until it is
-/// removed.
+/// An operator's request to send no new work to a zone, in force until it is removed.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Evacuation {
     /// The zone.
--- a/crates/serving/src/objects.rs
+++ b/crates/serving/src/objects.rs
@@ -35,8 +35,7 @@
 #[derive(Debug)]
 pub struct Objects<T> {
     held: HashMap<String, (Revision, Arc<T>)>,
-    /// Names by revision of the last change, so that the cost of a peer's request is proportional
-    /// to the number of changes.
+    /// Names by revision of the last change: a peer's request costs in proportion to the changes.
     order: BTreeSet<(Revision, String)>,
     /// Revision up to which the objects are complete.
     revision: Revision,
@@ -60,8 +59,7 @@
 }
 
 impl<T: Incarnated + PartialEq> Objects<T> {
-    /// Replaces all objects with a list and returns the changes; `None` if the list is older than
-    /// the current state.
+    /// Replaces all objects and returns the changes; `None` if the list is older than the state.
     pub fn replace(&mut self, listing: Listing<T>) -> Option<Vec<ObjectChange<T>>> {
         if listing.revision < self.revision {
             return None;
@@ -93,7 +91,6 @@
         Some(changed)
     }
 
-    /// Stores an object at a revision and returns the object it replaces.
     fn insert(&mut self, name: String, revision: Revision, value: Arc<T>) -> Option<Arc<T>> {
         self.order.insert((revision, name.clone()));
         let (before_at, before) = self.held.insert(name.clone(), (revision, value))?;
@@ -142,8 +139,7 @@
         self.removals.iter().filter(move |removal| removal.revision > revision).filter(is_gone)
     }
 
-    /// Applies removals reported by a peer and returns those that were new here. An object that
-    /// changed later has been re-created and stays.
+    /// Applies a peer's removals, returns the new ones; objects changed later (re-created) stay.
     pub fn remove(&mut self, removals: Vec<Removal>) -> Vec<ObjectChange<T>> {
         let mut changed = Vec::new();
         for Removal { name, revision } in removals {
@@ -156,8 +152,7 @@
         changed
     }
 
-    /// Applies changes up to a revision and returns those that took effect; outdated ones are
-    /// ignored.
+    /// Applies changes up to a revision and returns those that took effect, ignoring outdated ones.
     pub fn apply(&mut self, changes: Vec<Change<T>>, revision: Revision) -> Vec<ObjectChange<T>> {
         let changed =
             changes.into_iter().filter_map(|change| self.apply_one(change, revision)).collect();
@@ -216,8 +211,7 @@
     }
 }
 
-/// Whether the held object supersedes a reported one: it is of a later incarnation, or of the same
-/// one and not at a lower revision.
+/// Whether the held object is of a later incarnation, or of the same and at no lower revision.
 fn is_newer<T: Incarnated>(held: &(Revision, Arc<T>), reported_at: Revision, reported: &T) -> bool {
     let (revision, held) = held;
     held.supersedes(reported) || (*revision >= reported_at && !reported.supersedes(held))
--- a/crates/serving/src/outcomes.rs
+++ b/crates/serving/src/outcomes.rs
@@ -5,11 +5,9 @@
 /// Time constant of the decay of outcomes, in milliseconds: long enough for a few requests at each
 /// back end of a busy fleet, and no longer than the first ejections.
 const OUTCOME_DECAY_MS: f64 = 1_000.0;
-/// Failures at all processes from which a back end is ejected by all: two failures half a second
-/// apart.
+/// Failures at all processes from which all eject a back end: two, half a second apart.
 const MIN_FAILURES: f64 = 1.5;
-/// Share of all outcomes that must be failures. Back ends that lose a few answers in a hundred
-/// stay.
+/// Share of outcomes that must be failures: back ends that lose a few answers in a hundred stay.
 const MIN_FAILED_SHARE: f64 = 1.0 / 3.0;
 
 /// Failed and answered requests at a back end, decayed over about a second.
--- a/crates/serving/src/peer_sync.rs
+++ b/crates/serving/src/peer_sync.rs
@@ -1,6 +1,5 @@
-//! Synchronizes configuration and back ends between peers. A process whose watch was silently lost
-//! finds out long before the watch would time out, and a process that does not watch the store
-//! fetches the state from a peer that has it.
+//! Synchronizes configuration and back ends between peers. A lost watch is noticed long before it
+//! would time out, and a process that does not watch fetches the state from a peer that has it.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,21 +18,18 @@
 use crate::watch::PlatformState;
 use crate::watch_role::{Ranking, WatchRole, WatcherElection};
 
-/// Time after its start for which a process without back ends requests the list only from peers in
-/// its own zone, in milliseconds: as long as watchers need to read a list of 10,000 in 50 pages and
-/// their first peers to copy it.
+/// Time after its start for which a process without back ends requests the list only in its own
+/// zone, in milliseconds: watchers read 10,000 in 50 pages, and their first peers copy them.
 const SAME_ZONE_ONLY_MS: u64 = 2_500;
 
-/// Interval between two exchanges that fetch only back ends, per member of the fleet. Each change
-/// reaches each member by an exchange of its own, so this limits a fleet to 4,000 exchanges per
-/// second.
+/// Interval between exchanges that fetch only back ends, per member of the fleet. Each change
+/// reaches each member by a separate exchange, so this limits a fleet to 4,000 exchanges a second.
 const EXCHANGE_INTERVAL_PER_MEMBER: Duration = Duration::from_micros(250);
 /// Maximum of that interval. With it a change reached all of 150 processes out of 986 within 1.9 s,
 /// well within the 5 s after which a leaving back end must receive no requests.
 const MAX_EXCHANGE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Returns how long a process in a fleet of `members` waits after an exchange before it requests
-/// back ends again.
+/// Returns how long a process in a fleet of `members` waits between requests for back ends.
 pub fn exchange_interval(members: usize) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
     EXCHANGE_INTERVAL_PER_MEMBER.saturating_mul(members).min(MAX_EXCHANGE_INTERVAL)
@@ -43,23 +39,17 @@
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     known: StateDigest,
-    /// Address of its state exchange.
     address: SocketAddr,
     /// Whether the whole list of back ends may be requested from it, or only a subset.
     whole_list: bool,
 }
 
-/// State of the exchanges with peers.
 struct Exchanges {
-    /// Whether an exchange is in progress.
     in_progress: bool,
-    /// The peer to ask next.
     next: Option<Peer>,
-    /// Whether the last exchange failed.
     last_failed: bool,
     /// When back ends may be requested again.
     next_at: Instant,
-    /// Interval between exchanges that fetch only back ends.
     interval: Duration,
 }
 
@@ -83,9 +73,7 @@
     lag: RefCell<LagDetector>,
     exchanges: RefCell<Exchanges>,
     election: RefCell<WatcherElection>,
-    /// Whether this process watches the platform's store.
     watches: watch::Sender<bool>,
-    /// Whether it reads back ends from the store.
     reads_backends: watch::Sender<bool>,
     changed: Rc<Notify>,
     /// Notified when a peer has state that must not be delayed.
@@ -161,8 +149,7 @@
         self.platform_state.borrow().advertised_ages()
     }
 
-    /// Whether the store has confirmed the local state since the last call, so that peers are to be
-    /// notified.
+    /// Whether the store confirmed the local state since the last call, so peers must be notified.
     pub fn take_confirmation(&self) -> bool {
         self.platform_state.borrow_mut().take_confirmation()
     }
@@ -211,8 +198,7 @@
         }
     }
 
-    /// Requests state from a peer. If an exchange is in progress, the peer is asked next if it is
-    /// still ahead by then.
+    /// Requests state from a peer, or after the exchange in progress if the peer is still ahead.
     fn request_from(self: &Rc<Self>, peer: Peer) {
         let mut exchanges = self.exchanges.borrow_mut();
         let own = self.digest();
@@ -243,8 +229,7 @@
         }
     }
 
-    /// Waits until back ends may be requested again or other state is available that must not be
-    /// delayed.
+    /// Waits until back ends may be requested again or there is state that must not be delayed.
     async fn wait_for_interval(&self) {
         let (next_at, next) = {
             let exchanges = self.exchanges.borrow();
@@ -278,15 +263,13 @@
         self.election.borrow_mut().record_watcher_heartbeat(now, name);
     }
 
-    /// Processes a change of the live members: stores the new ranking and adapts the interval
-    /// between exchanges to their number.
+    /// Processes a change of the live members: stores the ranking and adapts the exchange interval.
     pub fn rank(&self, now: Timestamp, ranking: Ranking, members: usize) {
         self.election.borrow_mut().rank(now, ranking);
         self.exchanges.borrow_mut().interval = exchange_interval(members);
     }
 
-    /// Queries the store again if a peer has been ahead for long enough, and starts or stops
-    /// watching.
+    /// Queries the store again if a peer was ahead for long enough; starts or stops watching.
     pub fn tick(&self, now: Timestamp) {
         if self.lag.borrow_mut().is_due(now, self.digest()) {
             self.query_store(now);
@@ -317,8 +300,7 @@
         self.platform_state.borrow().digest().backends_revision > 0
     }
 
-    /// Members to which this process announces that it watches; empty if it does not watch or the
-    /// store does not answer it.
+    /// Members told that this process watches; empty if it does not or the store does not answer.
     pub fn standbys(&self) -> Vec<String> {
         if !*self.watches.borrow() || !self.platform_state.borrow().is_store_reachable() {
             return Vec::new();
@@ -343,8 +325,7 @@
         self.changed.notified().await;
     }
 
-    /// Queries the store again. A process that does not watch does so only if its peers do not
-    /// respond.
+    /// Queries the store again; without watching, only if the peers do not respond.
     fn query_store(&self, now: Timestamp) {
         if *self.watches.borrow() {
             self.refresh.configuration.notify_one();
@@ -356,7 +337,6 @@
     }
 }
 
-/// Counts an exchange with a peer by outcome.
 fn count_exchange(response: &Result<StateResponse, ExchangeError>) {
     let outcome = if response.is_ok() { "ok" } else { "failed" };
     metrics::counter!("news_exchanges_total", "outcome" => outcome).increment(1);
--- a/crates/serving/src/platform_state.rs
+++ b/crates/serving/src/platform_state.rs
@@ -1,5 +1,4 @@
-//! State of the platform's objects as held by one process, whether received from the store or from
-//! a peer.
+//! State of the platform's objects held by one process, received from the store or from a peer.
 //!
 //! Invariant: state never goes backwards while the process runs. A configuration is replaced only
 //! by one with a higher version; an object only by one of a later incarnation or a higher revision;
@@ -41,32 +40,25 @@
     pub(crate) backends: Objects<Backend>,
     /// Zones evacuated by operators, by object name.
     pub(crate) evacuations: Objects<Evacuation>,
-    /// Whether evacuations are watched.
     watches_evacuations: bool,
-    /// Region of each zone.
     zones: Arc<ZoneMap>,
-    /// Digest of the back ends and their states.
     backends_digest: u64,
     pub(crate) cell: CatalogCell,
-    /// Notified when the state changes.
     changed: Rc<Notify>,
     /// Kinds of objects whose last call to the store succeeded.
     reachable_kinds: BTreeSet<ObjectKind>,
     pub(crate) ages: AgeTracker,
     /// Whether peers are notified each time the store confirms the state.
     announces_confirmations: bool,
-    /// Whether the store has confirmed the state since the last call of `take_confirmation`.
     confirmed: bool,
 }
 
 /// What a process watches in addition to configuration and back ends.
 #[derive(Debug)]
 pub struct StateOptions {
-    /// Whether evacuations are watched. If so, no request is served before the evacuated zones are
-    /// known.
+    /// Whether evacuations are watched; if so, nothing is served before the zones are known.
     pub evacuations: bool,
-    /// Whether decisions depend on the age of the state, so that peers are notified whenever the
-    /// store confirms it.
+    /// Whether decisions depend on the age of the state, so that peers learn of confirmations.
     pub ages: bool,
     /// Receives the age of the state.
     pub freshness: Freshness,
@@ -121,9 +113,8 @@
         };
     }
 
-    /// Records that the store answered a call made at `asked`. The store may have held the response
-    /// back for `held_back_ms` because nothing changed; the response is valid as of the end of that
-    /// time.
+    /// Records that the store answered a call made at `asked`, after holding the response back for
+    /// `held_back_ms` because nothing changed; it is valid as of the end of that time.
     pub(crate) fn record_response(
         &mut self,
         kind: ObjectKind,
@@ -131,8 +122,7 @@
         held_back_ms: u64,
     ) {
         let since_asked = self.ages.now().millis_since(asked);
-        // A response that arrived before the end of the wait is only valid as of the time of the
-        // request.
+        // A response before the end of the wait is only valid as of the time of the request.
         let age_ms = since_asked.checked_sub(held_back_ms).unwrap_or(since_asked);
         self.ages.record(kind, age_ms);
         if self.announces_confirmations {
@@ -141,8 +131,7 @@
         }
     }
 
-    /// Whether the store has confirmed something since the last call, so that peers are to be
-    /// notified.
+    /// Whether the store has confirmed something since the last call, to be announced to peers.
     pub fn take_confirmation(&mut self) -> bool {
         std::mem::take(&mut self.confirmed)
     }
@@ -220,8 +209,7 @@
 
     /// Returns the digest of the state that is advertised to peers.
     pub fn digest(&self) -> StateDigest {
-        // The hash includes the revisions: lists with equal digests are equal, so the higher
-        // revision is valid for both.
+        // The hash covers revisions: equal digests mean equal lists, and the higher one is valid.
         let hash = |(name, revision, _): (&String, Revision, &Arc<Evacuation>)| {
             xxh3_64_with_seed(name.as_bytes(), revision)
         };
@@ -254,8 +242,7 @@
         }
     }
 
-    /// Returns the revision after which changes are sent to a peer; `None` if the whole list is
-    /// sent.
+    /// Returns the revision after which changes are sent to a peer; `None` to send the whole list.
     fn changes_since(&self, request: &StateRequest) -> Option<Revision> {
         let known = request.known.backends_revision;
         (!request.whole && self.backends.covers(known)).then_some(known)
@@ -272,15 +259,13 @@
         }
     }
 
-    /// Whether a peer is sent a subset of the back ends: it asked for no more, or no more are known
-    /// here.
+    /// Whether a peer is sent a subset: it asked for no more, or no more is known here.
     fn sends_subset(&self, request: &StateRequest) -> bool {
         let exceeds_subset = self.backends.len() > SUBSET_BACKENDS;
         self.backends.revision() == 0 || (request.known.requests_subset() && exceeds_subset)
     }
 
-    /// Returns a random subset of the back ends, so that processes that start together do not all
-    /// use the same ones.
+    /// Returns a random subset, so that processes that start together use different back ends.
     fn random_subset(&self) -> BackendUpdates {
         let all = self.backends.named();
         let chosen = all.choose_multiple(&mut rand::rng(), SUBSET_BACKENDS);
@@ -313,8 +298,7 @@
         self.evacuations.named().map(named).collect()
     }
 
-    /// Applies back ends received from a peer. Returns whether the local state now equals the
-    /// peer's; if not, the whole list must be requested.
+    /// Applies a peer's back ends; returns false if the whole list is needed as states differ.
     pub fn apply_backend_updates(&mut self, peer: StateDigest, updates: BackendUpdates) -> bool {
         let revision = peer.backends_revision;
         let BackendUpdates { since, changed, removed } = updates;
@@ -324,8 +308,7 @@
                 let listing = Listing { items: changes.collect(), revision };
                 self.backends.replace(listing).unwrap_or_default()
             }
-            // Objects changed here in the meantime were updated by another source and are at least
-            // as new.
+            // Objects changed here meanwhile came from another source and are at least as new.
             Some(_) => {
                 let mut changed = self.backends.remove(removed);
                 changed.extend(self.backends.apply(changes.collect(), revision));
@@ -336,8 +319,7 @@
         self.backends.revision() != revision || self.backends_digest == peer.backends_digest
     }
 
-    /// Applies a subset of the back ends, received from a peer or as one page of a list, until the
-    /// whole list is known. Removes none. Returns whether any of them was new.
+    /// Adds a subset or page of back ends until the whole list is known; true if any was new.
     pub fn apply_subset(&mut self, changes: Vec<Change<Backend>>) -> bool {
         if self.backends.revision() > 0 {
             return false;
@@ -371,7 +353,6 @@
         self.publish(catalog);
     }
 
-    /// Publishes the zone data.
     pub(crate) fn publish_zones(&mut self) {
         let evacuated = self.evacuations.values().map(|evacuation| evacuation.zone.clone());
         let zone_state = ZoneState { evacuated: evacuated.collect(), zones: self.zones.clone() };
--- a/crates/serving/src/shared_state.rs
+++ b/crates/serving/src/shared_state.rs
@@ -1,5 +1,4 @@
-//! Applies updates from lists, watches and peers to the state of a process, and notifies an
-//! observer of changes.
+//! Applies updates from lists, watches and peers to a process's state and notifies an observer.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -32,8 +31,7 @@
 /// A change of the set of evacuated zones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationChange {
-    /// Zones that are newly evacuated, with the revision of each evacuation and the number of back
-    /// ends there that receive no new work.
+    /// Newly evacuated zones, each with its revision and the number of back ends without new work.
     pub begun: Vec<(String, Revision, usize)>,
     /// Zones that are no longer evacuated.
     pub ended: Vec<String>,
@@ -98,8 +96,7 @@
         !is_same
     }
 
-    /// Applies a subset of the back ends before the whole list is known, and reports it if any was
-    /// new.
+    /// Applies a subset of the back ends before the whole list is known; reports it if any was new.
     fn apply_subset(&self, changes: Vec<Change<Backend>>) {
         let any = self.platform_state.borrow_mut().apply_subset(changes);
         if any {
@@ -118,7 +115,6 @@
         }
     }
 
-    /// Changes the evacuated zones and reports the effect.
     fn change_evacuations(
         &self,
         source: &'static str,
--- a/crates/serving/src/source.rs
+++ b/crates/serving/src/source.rs
@@ -64,8 +64,7 @@
         /// The cause.
         cause: String,
     },
-    /// The store rejected the call because of its rate limit or its current state. Nothing was
-    /// done.
+    /// The store rejected the call by its rate limit or because of its state; nothing was done.
     Refused {
         /// HTTP status of the response.
         status: u16,
@@ -125,8 +124,7 @@
 
 /// Claims recorded in the platform's store, and reports to operators.
 pub trait Registry {
-    /// Records that `claimant` owns `key`, unless a claim exists already. The first claim is
-    /// permanent.
+    /// Records that `claimant` owns `key` unless a claim exists; the first claim is permanent.
     fn claim(
         &mut self,
         key: &str,
--- a/crates/serving/src/stall_detector.rs
+++ b/crates/serving/src/stall_detector.rs
@@ -1,12 +1,10 @@
-//! Detects whether received datagrams may have waited in the socket buffer. A process that was
-//! frozen or starved of processor time reads datagrams that were sent long ago, and nothing in them
-//! tells when.
+//! Detects whether received datagrams may be old: a process that was frozen or starved of processor
+//! time reads what waited in the socket buffer, and nothing in it tells since when.
 
 use yokefall_core::Timestamp;
 
 /// Wake-up delay, in milliseconds, beyond which datagrams may be old: longer than the pauses of a
-/// process with an eighth of a core (90 of every 100 ms), and short compared with the age limits of
-/// platform state.
+/// process with an eighth of a core (90 of every 100 ms), short against platform-state age limits.
 const MAX_WAKEUP_DELAY_MS: u64 = 150;
 
 /// Assumed transit time of a datagram if no process was stalled, in milliseconds: the network delay
--- a/crates/serving/src/state_digest.rs
+++ b/crates/serving/src/state_digest.rs
@@ -28,12 +28,10 @@
             || (self.evacuations.revision > 0) != (announced.evacuations.revision > 0)
     }
 
-    /// Whether a peer should be asked for its state.
     pub(crate) fn should_fetch_from(self, peer: StateDigest) -> bool {
         self.lacks(peer) || self.lacks_any_backend(peer)
     }
 
-    /// Whether a peer is ahead.
     pub(crate) fn lacks(self, peer: StateDigest) -> bool {
         self.version < peer.version || self.lacks_backends(peer) || self.lacks_evacuations(peer)
     }
@@ -43,8 +41,7 @@
         self.backends_revision == 0 && self.backends_digest == 0 && peer.backends_digest != 0
     }
 
-    /// Returns the digest for a request that wants only a subset of the back ends. Peers of older
-    /// builds send all of them.
+    /// Returns the digest that requests a subset of the back ends; peers of older builds send all.
     pub fn requesting_subset(self) -> Self {
         Self { backends_digest: SUBSET_REQUEST_DIGEST, ..self }
     }
--- a/crates/serving/src/state_exchange.rs
+++ b/crates/serving/src/state_exchange.rs
@@ -17,12 +17,10 @@
 use crate::peer_sync::StateDigest;
 use crate::source::{Change, Revision};
 
-/// Timeout of an exchange: twice the time the largest set of concurrent responses takes on a link
-/// of 30 Mbit/s.
+/// Timeout of an exchange: twice what the largest concurrent responses take at 30 Mbit/s.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Maximum number of peers served concurrently. Further ones are rejected and ask another peer:
-/// after a restart of the whole fleet, all processes ask the first ones that have the state, and
-/// none would receive its response in time.
+/// Maximum number of peers served concurrently; others are rejected and ask another peer. After a
+/// restart of the fleet, all ask the first that have the state, and none would get it in time.
 const MAX_CONCURRENT_RESPONSES: usize = 8;
 /// Maximum size of concurrent responses in bytes, except for a single larger one; a link of 30
 /// Mbit/s takes 0.7 s for them. Eight lists of 10,000 back ends, 1 MB each, would take 2.3 s
@@ -30,10 +28,8 @@
 const MAX_IN_FLIGHT_BYTES: usize = 2_700_000;
 /// Size of one back end in a response, with the longest names in use.
 const BACKEND_BYTES: usize = 130;
-/// Maximum message size in bytes: a configuration of 1 MB, the maximum size of an object in the
-/// platform's store, and 10,000 back ends.
+/// Maximum message size in bytes: a configuration of 1 MB, the store's limit, and 10,000 back ends.
 const MAX_MESSAGE_BYTES: u32 = 4 * 1024 * 1024;
-/// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Requests the state of a peer that is newer than the sender's.
@@ -217,8 +213,7 @@
             return Ok(());
         };
         let sent = send(&mut stream, &provider.answer(&request)).await;
-        // The write completes once the data is in the kernel's buffers; the peer has received it
-        // when it closes the connection.
+        // The peer has received the data when it closes; the write only fills kernel buffers.
         let _ = stream.read(&mut [0]).await;
         drop(reservation);
         sent
--- a/crates/serving/src/table.rs
+++ b/crates/serving/src/table.rs
@@ -33,8 +33,7 @@
         batch.any(|route| route.auth_exempt)
     }
 
-    /// Returns the regions common to all restricted routes of a host; if they have none in common,
-    /// the regions of any of them.
+    /// Returns the regions common to a host's restricted routes, or else those of any of them.
     pub fn residency_of_host(&self, host: &str) -> Residency {
         let routes = self.hosts.get(host).into_iter().flatten();
         let restricted: Vec<&[String]> = routes
@@ -61,8 +60,7 @@
     }
 }
 
-/// Smooth weighted round robin over the parts of each route's split; shares are exact over each
-/// full cycle.
+/// Smooth weighted round robin over each route's split; shares are exact over a full cycle.
 #[derive(Debug, Default)]
 pub struct Splitter {
     /// Credit of each service, by route name.
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -14,15 +14,13 @@
 
 /// Maximum time for which one watch waits.
 pub const MAX_WATCH_WAIT: Duration = Duration::from_millis(12_000);
-/// Range of the wait of the first watch after a list or a change, chosen at random each time. All
-/// watchers restart at the same moment then. If the store stops responding right after that, each
-/// of these calls is lost, which is noticed only when its wait ends. With random waits, the first
-/// of them ends early enough: a store that was down may delay a configuration by at most 6 s.
+/// Range of the random first wait after a list or a change. All watchers restart at once; if the
+/// store then stops responding, this is noticed only when a wait ends. With random waits the first
+/// ends early enough: a store that was down may delay a configuration by at most 6 s.
 const FIRST_WATCH_WAIT: std::ops::Range<Duration> =
     Duration::from_millis(1_500)..Duration::from_millis(6_000);
-/// Range of the wait of a watch if decisions depend on recent state. Only the response to a watch
-/// without changes proves that nothing changed. With two watchers in each of three zones, one is
-/// answered every 0.6 s on average.
+/// Range of watch waits if decisions need recent state: only a response without changes proves that
+/// nothing changed. With two watchers in each of three zones, one comes every 0.6 s on average.
 const FRESH_WATCH_WAIT: std::ops::Range<Duration> =
     Duration::from_millis(1_500)..Duration::from_millis(6_000);
 /// Number of zones up to which `WatchWaits::Fresh` uses its ranges unscaled.
@@ -38,9 +36,7 @@
 const WATCH_GRACE: Duration = Duration::from_millis(700);
 /// Timeout for one page of a list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Initial pause after a failed call.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Maximum pause after failed calls.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Receives the results of lists and watches.
@@ -57,8 +53,7 @@
     fn now(&self) -> Timestamp {
         Timestamp(0)
     }
-    /// Reports that the store answered a call made at `asked`, after holding the response back for
-    /// `held_back_ms` because nothing changed.
+    /// Reports a response to a call made at `asked`, held back for `held_back_ms` without changes.
     fn answered(&self, _asked: Timestamp, _held_back_ms: u64) {}
 }
 
@@ -84,7 +79,6 @@
         }
     }
 
-    /// Wait of subsequent watches.
     fn next(self) -> Duration {
         match self {
             WatchWaits::Long => MAX_WATCH_WAIT,
@@ -111,10 +105,9 @@
     pub waits: WatchWaits,
 }
 
-/// Lists, then watches, while the watch role is active. Lists again after a watch that failed, has
-/// lost its history or was ended by `refresh`. When the store answers after a failure, the watches
-/// of other kinds are ended too: a connection on which a response was lost may deliver
-/// nothing more, which would go unnoticed until the wait ends.
+/// Lists, then watches, while the role is active; lists again after a watch failed, lost its
+/// history or was ended by `refresh`. A store that answers after a failure ends other watches too:
+/// after a lost response, a connection may deliver nothing more, unnoticed until the wait ends.
 pub async fn run_watch<T, S: Source<T>>(
     mut source: S,
     sink: impl Sink<T>,
@@ -204,7 +197,6 @@
     }
 }
 
-/// Counts a call to the platform's store by outcome.
 fn count_call<T>(kind: &'static str, call: &'static str, response: &Result<T, SourceError>) {
     let outcome = match response {
         Ok(_) => "ok",
--- a/crates/serving/src/watch_role.rs
+++ b/crates/serving/src/watch_role.rs
@@ -32,8 +32,7 @@
 const CONFIGURATION_WAIT_MS: u64 = 100;
 /// Jitter of that wait, in milliseconds: the processes that read the store first inform the others.
 const CONFIGURATION_WAIT_JITTER_MS: u64 = 300;
-/// Wait and jitter at the first start of the whole system, before there are callers, in
-/// milliseconds.
+/// Wait and jitter at the system's first start, before there are callers, in milliseconds.
 const FIRST_START_WAIT_MS: u64 = 1_500;
 const FIRST_START_WAIT_JITTER_MS: u64 = 3_000;
 /// Time for which a rank must be stable before a process reads back ends because of it, in
@@ -41,19 +40,16 @@
 /// reveals members changes the rank of those that wrongly ranked first. Without the delay most of
 /// 986 restarting processes read the list, and none knew a back end after 24 s.
 const RANK_SETTLED_MS: u64 = 350;
-/// Time after its start for which a process waits for back ends from peers while others read them,
-/// in milliseconds, and its jitter: a reader needs under a second for a list of 3,000, which
-/// reaches 300 members within five exchanges.
+/// Wait of a starting process for back ends read by others, and its jitter, in milliseconds: a list
+/// of 3,000 is read in under a second and reaches 300 members within five exchanges.
 const BACKENDS_WAIT_MS: u64 = 2_500;
 const BACKENDS_WAIT_JITTER_MS: u64 = 1_500;
-/// Longest time that a process waits for back ends after it first heard from a peer that knows
-/// them, in milliseconds. After a first start no peer knows them for some seconds; then each peer
-/// that does sends the whole list to two others at a time, and 1,000 members know 10,000 back ends
-/// after about 6 s. With a limit of 4 s, 986 processes made 28,000 calls in 90 s; with this one
-/// they made 1,000.
+/// Longest wait for back ends after a peer that knows them was first heard, in milliseconds. After
+/// a first start no peer knows them for some seconds; then each that does sends the whole list to
+/// two others at a time, and 1,000 members know 10,000 back ends after about 6 s. With a limit of 4
+/// s, 986 processes made 28,000 calls in 90 s; with this one they made 1,000.
 const MAX_BACKENDS_WAIT_MS: u64 = 8_000;
-/// Time for which a process reads the store after peers could not supply what they know, in
-/// milliseconds: enough for a list and the changes that follow it.
+/// Time of reading the store for lack of peers, in milliseconds: enough for a list and its changes.
 const CATCH_UP_MS: u64 = 2_000;
 
 /// Whether this process watches the store, as seen by the watching tasks.
@@ -130,8 +126,7 @@
 
 /// Decides whether this process watches the store. Invariant: if the store answers any of the first
 /// `WATCHERS_PER_ZONE + STANDBYS_PER_ZONE` members of a zone, the zone has a watcher within a
-/// second of the loss of the previous one; otherwise its members learn of changes only from other
-/// zones.
+/// second of losing one; otherwise its members learn of changes only from other zones.
 #[derive(Debug)]
 pub struct WatcherElection {
     started: Timestamp,
@@ -141,11 +136,9 @@
     backends_deadline: Timestamp,
     /// When a peer that knows back ends was first heard.
     peer_with_backends_at: Option<Timestamp>,
-    /// Jitter of this process's wait for back ends, in milliseconds.
     backends_jitter_ms: u64,
     ranking: Ranking,
     ranked_at: Timestamp,
-    /// Last heartbeat of each watcher, by name.
     heartbeats: HashMap<String, Timestamp>,
     catch_up_until: Option<Timestamp>,
 }
@@ -216,9 +209,8 @@
         }
     }
 
-    /// Whether this process reads back ends now. Unlike the configuration they take many calls:
-    /// after a start of all processes only the watchers read them, and the others learn them from
-    /// these.
+    /// Whether this process reads back ends now. They take many calls, unlike the configuration:
+    /// after a start of all processes only watchers read them, and the others learn from these.
     pub fn reads_backends(&mut self, now: Timestamp, knows_backends: bool) -> bool {
         if self.watches(now, true) {
             return true;
@@ -234,7 +226,6 @@
         is_first || now >= self.backends_deadline
     }
 
-    /// Whether a standby is missing heartbeats of watchers.
     fn is_missing_watchers(&mut self, now: Timestamp) -> bool {
         self.heartbeats.retain(|_, at| now.millis_since(*at) < HEARTBEAT_TIMEOUT_MS);
         let is_settled = now.millis_since(self.ranked_at) >= HEARTBEAT_TIMEOUT_MS;
--- a/crates/serving/src/water_filling.rs
+++ b/crates/serving/src/water_filling.rs
@@ -1,7 +1,6 @@
 //! Randomized choice by water-filling, so that many processes that know the same, slightly old
-//! loads do not all choose the same back end: the requests expected meanwhile are distributed over
-//! the back ends, least loaded first, and each back end is chosen with a probability proportional
-//! to its share.
+//! loads choose differently: the expected requests are distributed over the back ends, least loaded
+//! first, and each is chosen with a probability proportional to its share.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
@@ -15,8 +14,7 @@
     pub slots: f64,
 }
 
-/// Position of the chosen back end if `expected` requests are to be placed; `None` if there are no
-/// back ends.
+/// Position of the back end chosen when `expected` requests are to be placed; `None` without any.
 pub fn choose_weighted(
     generator: &mut SmallRng,
     levels: &[LoadLevel],
@@ -41,8 +39,7 @@
     chosen
 }
 
-/// The load up to which all less loaded back ends are filled when `expected` requests, at least
-/// one, are placed.
+/// The load up to which less loaded back ends are filled by `expected` requests, at least one.
 pub fn water_level(levels: &[LoadLevel], expected: f64) -> Option<f64> {
     let mut sorted: Vec<LoadLevel> = levels.to_vec();
     sorted.sort_unstable_by(|left, right| left.load.total_cmp(&right.load));
--- a/crates/serving/tests/admission.rs
+++ b/crates/serving/tests/admission.rs
@@ -31,8 +31,7 @@
 
 #[test]
 fn requests_that_can_be_in_time_are_sent_first_newest_first() {
-    // With a target of 300 ms, requests aged 600 and 500 ms are late; those aged 60 and 20 ms are
-    // not.
+    // With a target of 300 ms, requests aged 600 and 500 ms are late; 60 and 20 ms are not.
     let mut queue = queue(&[(9_400, 0), (9_940, 0), (9_500, 0), (9_980, 0)]);
     assert_eq!(drain(&mut queue, NOW), [3, 1, 0, 2]);
 }
@@ -65,7 +64,6 @@
 }
 
 quickcheck! {
-    /// Whatever the load, every queued request leaves the queue once: it is sent or it expires.
     fn every_queued_request_leaves_the_queue_once(
         arrivals: Vec<(u16, u8)>, capacity: u8
     ) -> TestResult {
@@ -96,7 +94,6 @@
     }
 }
 
-/// Whether a request of a higher rank than `next` is queued.
 fn queue_has_higher(queue: &mut AdmissionQueue, now: Timestamp, next: QueuedRequest) -> bool {
     while let Some(queued) = queue.next(now) {
         queue.remove(queued.ticket);
--- a/crates/serving/tests/backend_table.rs
+++ b/crates/serving/tests/backend_table.rs
@@ -1,5 +1,4 @@
-//! The table of back ends: contents, sharing between versions, and cost independent of the fleet
-//! size.
+//! The table of back ends: contents, sharing between versions, cost independent of fleet size.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -145,9 +144,8 @@
         })
 }
 
-/// Guards against changes whose cost grows with the fleet: rebuilding the catalog for each change
-/// of one of 10,000 back ends took 17.7 ms of a core at each of 986 processes. Counts copied
-/// pointers instead of time.
+/// Guards against cost growing with the fleet: rebuilding the catalog for each change of one of
+/// 10,000 back ends took 17.7 ms of a core at each of 986 processes. Counts pointers, not time.
 #[test]
 fn a_change_costs_as_much_with_20_000_back_ends_as_with_1_000() {
     let copied = |count: usize| {
--- a/crates/serving/tests/balance.rs
+++ b/crates/serving/tests/balance.rs
@@ -116,8 +116,7 @@
     assert!(!balancer.is_ejected(NOW, &all[0]));
 }
 
-/// Guards against ejecting back ends as silent while they stream answers to other requests and a
-/// request only waits there for a slot.
+/// A request waiting for a slot must not eject a back end that streams answers to others.
 #[test]
 fn activity_on_another_request_prevents_ejection_for_silence() {
     let (mut balancer, all) = (balancer(), backends(1));
@@ -210,9 +209,8 @@
     assert_ne!(second, first.id);
 }
 
-/// Guards against extrapolating from own requests without reports: gateways cut off from the job
-/// stores that got more than their share of the clients took all others to be as busy, and queued
-/// and rejected 408 requests despite free slots.
+/// Without reports, gateways cut off from the job stores with more than their share of the clients
+/// took all others to be as busy, and queued and rejected 408 requests despite free slots.
 #[test]
 fn a_gateway_without_reports_does_not_extrapolate_its_own_requests() {
     let (mut balancer, all) = (balancer(), backends(100));
@@ -256,7 +254,6 @@
     assert!(balancer.outcomes(NOW.plus_millis(5_000)).next().is_none());
 }
 
-/// The same back ends, restarted under their ids.
 fn restarted(all: &[Arc<Backend>]) -> Vec<Arc<Backend>> {
     let again = |one: &Arc<Backend>| {
         Arc::new(Backend { started_ms: one.started_ms + 1, ..(**one).clone() })
@@ -264,8 +261,7 @@
     all.iter().map(again).collect()
 }
 
-/// Guards against an empty back end looking full because requests of its earlier incarnation count
-/// for the new one.
+/// Guards against requests of an earlier incarnation making an empty new one look full.
 #[test]
 fn an_incarnation_has_no_requests_of_the_previous_one() {
     let (mut balancer, before) = (balancer(), backends(1));
@@ -276,8 +272,7 @@
     assert_eq!(balancer.in_flight(&before[0]), 4);
 }
 
-/// Guards against a busy back end looking empty because requests of the earlier incarnation that
-/// end late are subtracted from those of the new one.
+/// Guards against late ends of an earlier incarnation making a busy new back end look empty.
 #[test]
 fn late_ends_of_an_earlier_incarnation_do_not_affect_the_new_one() {
     let (mut balancer, before) = (balancer(), backends(1));
--- a/crates/serving/tests/catalog.rs
+++ b/crates/serving/tests/catalog.rs
@@ -126,9 +126,8 @@
     assert_eq!(objects.revision(), 7);
 }
 
-/// A back end restarts under the same id, and the last write of the ended incarnation reaches the
-/// store after the new record, with a higher revision. If it replaced the new record, requests
-/// would go to a process that no longer exists.
+/// The last write of an ended incarnation reaches the store after the record of its successor, with
+/// a higher revision. Replacing that record would send requests to a process that is gone.
 #[test]
 fn a_record_of_an_older_incarnation_does_not_replace_a_newer_one() {
     let mut objects = Objects::default();
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -13,7 +13,6 @@
     configured.unwrap_or(SIMULATIONS)
 }
 
-/// Runs all simulations on a few threads.
 fn run_all() -> Vec<(u64, SimulationResult)> {
     let run_part = |first: u64| {
         let seeds = (first..simulations()).step_by(THREADS);
@@ -26,10 +25,9 @@
     })
 }
 
-/// Guards against processes that all send to a back end that has just returned, because it looks
-/// empty and none knows what the others send. The simulation includes processes that are
-/// partitioned, suspended, replaced or restarted, zones that return from an evacuation, and back
-/// ends that restart under the same id.
+/// Guards against all processes sending to a back end that has just returned and looks empty, as
+/// none knows what others send. Simulates processes that are partitioned, suspended, replaced or
+/// restarted, zones that return from an evacuation, and back ends that restart under their id.
 #[test]
 fn no_cold_back_end_gets_more_than_it_may_in_any_second() {
     let mut sum = SimulationResult::default();
@@ -65,7 +63,6 @@
     assert!(sum.cold_seconds > 0.0 && sum.warmed > 0, "no back end was cold or got warm");
 }
 
-/// The simulation detects the overload that it tests for.
 #[test]
 fn the_simulation_detects_overload_without_limits() {
     let exceeded = (0..20).filter(|seed| {
--- a/crates/serving/tests/cold_start.rs
+++ b/crates/serving/tests/cold_start.rs
@@ -35,8 +35,7 @@
     of_kind(false) + of_kind(true)
 }
 
-/// Guards against quotas that sum to more than the allowance at fleet sizes that the simulation
-/// does not cover.
+/// Guards against quotas whose sum exceeds the allowance at fleet sizes that are not simulated.
 #[test]
 fn quotas_sum_to_at_most_the_allowance_in_fleets_of_any_size() {
     for (gateways, job_stores) in [(1, 0), (1, 1), (2, 1), (3, 3), (17, 5), (23, 0), (75, 14)] {
@@ -98,8 +97,7 @@
     (record, 0)
 }
 
-/// Guards against a partitioned process that keeps sending while others forget its name and take
-/// over its share.
+/// A partitioned process must not keep sending when others forget it and take over its share.
 #[test]
 fn names_of_lost_processes_are_kept_for_minutes() {
     let mut history = ProcessHistory::default();
@@ -188,8 +186,7 @@
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::Appeared, 3_000)));
 }
 
-/// Guards against a report from before the failure, or of another incarnation, ending the cold
-/// period.
+/// A report from before the failure or of another incarnation must not end the cold period.
 #[test]
 fn a_failure_is_cleared_by_time_or_by_a_report_of_the_same_incarnation() {
     let mut warmth = WarmthTracker::default();
@@ -217,8 +214,7 @@
     assert_eq!(cold_period(&warmth, START), Some((ColdCause::ZoneReturned, until)));
 }
 
-/// Guards against forgetting the requests sent to a back end when the store loses its record for a
-/// moment.
+/// Requests sent must not be forgotten when the store loses a back end's record for a moment.
 #[test]
 fn a_back_end_that_is_gone_for_a_moment_stays_tracked() {
     let mut warmth = WarmthTracker::default();
@@ -237,8 +233,7 @@
     state
 }
 
-/// Guards against a restarted process that uses its quota again although it used it just before the
-/// restart, or takes the share of others whose names it does not know yet.
+/// A restarted process must not reuse its quota, or take the share of those it does not know yet.
 #[test]
 fn a_process_uses_its_quota_only_after_the_join_delay_and_with_known_peers() {
     let backend = backend(1, 60_000);
@@ -281,8 +276,7 @@
     assert!(state.item_sender(later, &backend, |_| false).is_none());
 }
 
-/// Guards against limiting overloaded back ends as if they were cold because they fail for most
-/// processes.
+/// Overloaded back ends that fail for most processes must not be limited as if they were cold.
 #[test]
 fn a_back_end_that_answers_here_is_not_cold_by_reported_failures() {
     let mut warmth = WarmthTracker::default();
--- a/crates/serving/tests/cold_world/mod.rs
+++ b/crates/serving/tests/cold_world/mod.rs
@@ -14,16 +14,13 @@
 use platform_store::{PlatformStore, DURATION_MS};
 use process::Process;
 
-/// Milliseconds per step.
 pub const STEP_MS: u64 = 20;
-/// Length of a simulation.
 const LENGTH_MS: u64 = 40_000;
 /// Back ends, in three zones.
 pub const BACK_ENDS: usize = 6;
 /// Time without faults at the start, in which processes meet and all back ends get warm.
 const SETTLED_MS: u64 = 10_000;
-/// Requests to a back end that returns, relative to others: it looks empty to processes that
-/// receive load reports.
+/// Requests to a returned back end relative to others: with load reports it looks empty.
 const EMPTY_BACK_END_FACTOR: f64 = 3.0;
 /// Load at which a back end crashes, as a multiple of its allowance.
 const CRASH_FACTOR: f64 = 2.0;
@@ -33,7 +30,6 @@
     PlacementBounds { evacuation_ms: Some(5_000), cold_overage: 1.5, cold_slack: 5.0 };
 pub const MAX_REQUESTS_PER_SECOND: f64 = 27.5;
 
-/// Result of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SimulationResult {
     /// Most requests to a cold back end in any second.
@@ -41,10 +37,8 @@
     /// Requests received by cold back ends, and the seconds for which these were cold and up.
     pub arrived: usize,
     pub cold_seconds: f64,
-    /// Back ends that crashed.
     pub crashed: usize,
-    /// Sum of the delays until all connected processes knew that a back end was warm, and their
-    /// number.
+    /// Sum and number of the delays until all connected processes knew that a back end was warm.
     pub detection_delay_ms: u64,
     pub warmed: u64,
 }
@@ -70,7 +64,6 @@
     pub counted_from: u64,
     /// Requests received while cold: send time and arrival time.
     pub arrivals: Vec<(u64, u64)>,
-    /// Times of recent failures.
     pub failures: Vec<u64>,
     pub known_warm_at: Option<u64>,
 }
@@ -142,7 +135,6 @@
         simulation
     }
 
-    /// Runs the simulation to its end.
     pub fn run(mut self) -> SimulationResult {
         while self.now < LENGTH_MS {
             if self.now > SETTLED_MS && self.rng.random_bool(0.02) {
@@ -269,7 +261,6 @@
         self.platform_store.write_later(now + delay, number);
     }
 
-    /// Updates what a process knows.
     fn refresh(&mut self, number: usize, unresponsive: u32) {
         let names: Vec<(String, bool)> = self.names_for(number);
         let catalog = self
@@ -279,8 +270,7 @@
         process.refresh(self.now, catalog, names, unresponsive);
     }
 
-    /// Names that a process learns: those of all processes that have run for longer than updates
-    /// take.
+    /// Names that a process learns: all processes that have run for longer than updates take.
     fn names_for(&self, number: usize) -> Vec<(String, bool)> {
         let own = &self.processes[number];
         if !own.is_connected(self.now) || !own.needs_names(self.now) {
@@ -294,7 +284,6 @@
         known.map(|(_, process)| (process.name.clone(), process.job_store)).collect()
     }
 
-    /// Reports failures to all connected processes.
     fn report_failures(&mut self) {
         let now = self.now;
         for back_end in &mut self.back_ends {
@@ -353,8 +342,7 @@
         }
     }
 
-    /// The oracle: counts the requests sent and received within one second, for every second that
-    /// begins with a request.
+    /// The oracle: counts requests sent and received in every second that begins with a request.
     fn count(&mut self, number: usize) {
         let back_end = &mut self.back_ends[number];
         back_end.arrivals.sort_unstable();
--- a/crates/serving/tests/cold_world/process.rs
+++ b/crates/serving/tests/cold_world/process.rs
@@ -18,7 +18,6 @@
 const LOSS_DETECTION_MS: u64 = 1_500;
 /// Time after which the platform state of such a process is too old for it to send as before.
 const LOSS_EXPIRY_MS: u64 = 8_000;
-/// Interval at which names are taken over.
 const NAMES_INTERVAL_MS: u64 = 1_000;
 
 pub struct Process {
@@ -28,7 +27,6 @@
     /// Delay with which it learns the content of the store.
     pub delay_ms: u64,
     pub suspended_until: u64,
-    /// When this name was first used.
     first_started: u64,
     started: u64,
     ended: Option<u64>,
@@ -109,8 +107,7 @@
         reported || existed_before
     }
 
-    /// Whether others count it as unresponsive: from `LOSS_DETECTION_MS` to `LOSS_EXPIRY_MS` after
-    /// it was lost.
+    /// Whether it is between `LOSS_DETECTION_MS` and `LOSS_EXPIRY_MS` after its loss.
     pub fn is_unresponsive(&self, now: u64) -> bool {
         let since = match self.ended {
             Some(ended) => ended,
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -1,6 +1,5 @@
-//! Evacuations and the age of the platform state in whole fleets, in virtual time: real membership
-//! and real knowledge, a simulated store that answers or rejects watchers, and datagrams that are
-//! dropped.
+//! Evacuations and the age of the platform state in whole fleets, in virtual time, with real
+//! membership and knowledge, a simulated store that rejects some watchers, and dropped datagrams.
 //!
 //! Guards against evacuations that do not reach a process which the store rejects, which started
 //! meanwhile, or which was partitioned. The clock advances only with the steps of the tests.
@@ -53,7 +52,6 @@
     now: u64,
     clock: Arc<AtomicU64>,
     processes: Vec<Option<Process>>,
-    /// Members that the store rejects.
     rejected: BTreeSet<usize>,
     /// Members that neither send nor receive datagrams and that the store does not answer.
     partitioned_members: BTreeSet<usize>,
@@ -287,7 +285,6 @@
         !platform_state.evacuations_unknown() && known == self.evacuated
     }
 
-    /// Asserts that all running processes follow the evacuations.
     fn assert_all_follow(&self, what: &str) {
         let running = (0..self.processes.len()).filter(|index| self.processes[*index].is_some());
         let lagging: Vec<usize> =
--- a/crates/serving/tests/locality.rs
+++ b/crates/serving/tests/locality.rs
@@ -43,8 +43,7 @@
     REGIONS.iter().flat_map(both).collect()
 }
 
-/// A balancer in the north that knows the total arrival rate, and `requests` in flight at each back
-/// end.
+/// A balancer in the north: total arrival rate, and `requests` in flight at each back end.
 fn balancer(seed: u64, per_ms: f64, requests: u32) -> Balancer {
     let zones = REGIONS.map(|region| (format!("{region}-hall"), region.to_owned()));
     let zones = Arc::new(ZoneMap::new(BTreeMap::from(zones)));
@@ -69,9 +68,8 @@
     chosen.filter(|backend| !backend.zone.starts_with("north")).count()
 }
 
-/// Guards against counting all unreported requests for the local region, including those of other
-/// regions and those that have ended: 61 of 100 requests then left their region although a fifth of
-/// its slots was taken.
+/// Guards against counting unreported requests of other regions, or ended ones, for the local
+/// region: 61 of 100 requests left it although a fifth of its slots was taken.
 #[test]
 fn requests_stay_in_a_region_with_a_fifth_of_its_slots_taken() {
     assert_eq!(count_leaving(0.129, 1), 0);
--- a/crates/serving/tests/sample.rs
+++ b/crates/serving/tests/sample.rs
@@ -40,8 +40,7 @@
     assert_eq!(CandidateSample::of(&[&table], None, &mut generator), None);
 }
 
-/// Guards against a cost that grows with the fleet: a choice among all of 10,000 takes 1 ms of a
-/// core without load data.
+/// Cost must not grow with the fleet: choosing among 10,000 without load data takes 1 ms of a core.
 #[test]
 fn the_sample_size_does_not_grow_with_the_fleet() {
     let mut generator = SmallRng::seed_from_u64(1);
@@ -71,8 +70,7 @@
     assert!((1_110..=1_450).contains(&from_small), "{from_small}");
 }
 
-/// Slots are nearly full, and processes know each other's loads: no request may be sent to a full
-/// back end while a sampled one has capacity.
+/// With loads known and slots nearly full, no full back end is chosen while a sampled one has room.
 #[test]
 fn load_stays_even_up_to_nine_tenths_of_the_slots() {
     let all = backends(1_000);
@@ -107,8 +105,7 @@
     assert_eq!(second, choose(&mut one));
 }
 
-/// With 999 of 1,000 back ends ejected, a sample may hold only ejected ones; the remaining one is
-/// then found by looking at all.
+/// With 999 of 1,000 back ends ejected, a sample may hold none usable; all are looked at then.
 #[test]
 fn if_the_whole_sample_is_ejected_the_choice_is_among_all() {
     let all = backends(1_000);
--- a/crates/serving/tests/state_exchange.rs
+++ b/crates/serving/tests/state_exchange.rs
@@ -89,7 +89,6 @@
     process.platform_state.borrow_mut().apply_configuration(configuration);
 }
 
-/// Runs one exchange like the production tasks. Returns the number of back ends sent.
 fn exchange(to: &Process, from: &Process) -> usize {
     let mut sent = 0;
     let mut whole = false;
@@ -107,7 +106,6 @@
     sent
 }
 
-/// Back ends with their states, in order.
 fn held(process: &Process) -> Vec<(String, BackendState)> {
     let platform_state = process.platform_state.borrow();
     let mut all: Vec<_> =
@@ -176,7 +174,6 @@
 }
 
 quickcheck! {
-    /// A process that has the newest revision holds what the store held then.
     fn a_current_process_holds_the_content_of_the_store(steps: Vec<Step>) -> bool {
         let mut store: std::collections::BTreeMap<u8, (u64, BackendState)> = Default::default();
         let mut events: Vec<Change<Backend>> = Vec::new();
@@ -219,8 +216,7 @@
     }
 }
 
-/// Steps of the store's evacuations, of two watchers, and of two other processes that fetch from
-/// any.
+/// Steps of the store's evacuations, of two watchers, and of two processes that fetch from any.
 #[derive(Clone, Debug)]
 enum EvacuationStep {
     Set { zone: u8 },
@@ -255,7 +251,6 @@
     held: std::collections::BTreeMap<u8, u64>,
     events: Vec<Change<Evacuation>>,
     history: std::collections::BTreeMap<u64, Vec<String>>,
-    /// A list response that is still in flight.
     in_flight: Option<(u64, Vec<Change<Evacuation>>)>,
 }
 
@@ -277,8 +272,7 @@
 }
 
 quickcheck! {
-    /// The evacuated zones known to a process are those that the store held at the process's
-    /// revision, and that revision never decreases. So no outdated state replaces a newer one.
+    /// The zones known to a process are those of the store at its revision, which never decreases.
     fn evacuations_match_the_store_at_the_same_revision(steps: Vec<EvacuationStep>) -> bool {
         let mut store = EvacuationStore::default();
         store.step();
@@ -367,8 +361,7 @@
     assert_eq!(evacuated(&newer), Some(Vec::new()));
 }
 
-/// Each kind is as recent as the best source reports, and the whole state is as old as its oldest
-/// kind.
+/// Each kind is as recent as its best source, and the whole state as old as its oldest kind.
 #[test]
 fn the_age_of_the_state_is_that_of_its_oldest_kind() {
     let elapsed = Arc::new(AtomicU64::new(0));
@@ -385,8 +378,7 @@
     configure(&watcher, 1);
     list(&watcher, 5, vec![change(1, 5, Some(BackendState::Ready))]);
     list_evacuations(&watcher, 5, Vec::new());
-    // Requested now, answered 4 s later: the first response reports a change, the second that
-    // nothing changed for 3 s, and the third arrives early.
+    // Answered 4 s later: first a change, then no change for 3 s, then an early response.
     let asked = Sink::<Backend>::now(&watcher);
     advance(4_000);
     Sink::<Configuration>::answered(&watcher, asked, 3_000);
@@ -411,8 +403,7 @@
     assert!(freshness.age_ms().is_some_and(|age_ms| (3_000..4_000).contains(&age_ms)));
 }
 
-/// Steps of a back end that restarts under its id, whose old heartbeats reach the store late, and
-/// of processes that watch, list and exchange state.
+/// A back end restarts under its id, and its old heartbeats reach the store late.
 #[derive(Clone, Debug)]
 enum RestartStep {
     Heartbeat { incarnation: u64, ready: bool },
@@ -437,9 +428,8 @@
 }
 
 quickcheck! {
-    /// In whatever order and with whatever revisions the records of a back end's incarnations
-    /// arrive, no process goes back from a later incarnation to an earlier one, and no other back
-    /// end is lost.
+    /// In whatever order and with whatever revisions records of incarnations arrive, no process
+    /// goes back to an earlier one, and no other back end is lost.
     fn no_process_reverts_to_an_older_incarnation(steps: Vec<RestartStep>) -> bool {
         let mut events: Vec<Change<Backend>> = Vec::new();
         let heartbeat = |incarnation: u64, revision: u64, state: BackendState| {
@@ -502,7 +492,6 @@
     }
 }
 
-/// Serves peers from a process, on the current `LocalSet`.
 async fn start_serving(process: &Process) -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -542,8 +531,7 @@
     assert_eq!((error.step, error.peer), ("connect", address));
 }
 
-/// After a restart of the whole fleet, all processes ask the first ones that have the state.
-/// Serving all of them at once would serve none in time.
+/// After a restart all ask the first processes with the state; serving all serves none in time.
 #[tokio::test]
 async fn a_busy_peer_rejects_further_requests_at_once() {
     let local = tokio::task::LocalSet::new();
@@ -560,7 +548,6 @@
             let error = fetch(address, request).await.expect_err("a rejection");
             assert_ne!(error.step, "await answer");
             drop(silent);
-            // The slots are free again.
             let mut answered = false;
             for _ in 0..500 {
                 answered = fetch(address, request).await.is_ok();
@@ -673,8 +660,7 @@
     assert_eq!(exchange_interval(2_000), exchange_interval(20_000));
 }
 
-/// A configuration and evacuated zones are not delayed, even during the interval between exchanges
-/// of back ends.
+/// Configuration and evacuated zones are not delayed by the interval between back-end exchanges.
 #[tokio::test]
 async fn a_configuration_does_not_wait_for_batched_back_ends() {
     let local = tokio::task::LocalSet::new();
@@ -753,7 +739,6 @@
     assert_eq!(held(&third).len(), SUBSET_BACKENDS);
     assert_eq!(exchange(&third, &process()), 0);
     assert_eq!(held(&third).len(), SUBSET_BACKENDS, "a peer without back ends removes none");
-    // Then the whole list arrives.
     let (_, whole) = ask(partial_digest);
     assert!(!new.apply_response(whole));
     assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
@@ -776,7 +761,6 @@
     assert_eq!(new.platform_state.borrow().digest(), watcher.platform_state.borrow().digest());
 }
 
-/// Pages are used before the list has been read to its end.
 #[test]
 fn pages_are_applied_before_the_list_is_complete() {
     let process = process();
@@ -789,8 +773,7 @@
     assert_eq!(held(&process).len(), 1, "a page of an older list adds nothing");
 }
 
-/// Soon after a start, a process without back ends requests the list from peers in its zone; urgent
-/// state comes from any peer.
+/// Soon after a start, the list is requested in the own zone only; urgent state from any peer.
 #[tokio::test]
 async fn another_zone_supplies_the_configuration_but_not_the_list() {
     let local = tokio::task::LocalSet::new();
--- a/crates/serving/tests/watch.rs
+++ b/crates/serving/tests/watch.rs
@@ -111,9 +111,8 @@
     (ended, watches)
 }
 
-/// The store stops responding, and the watch of back ends fails and recovers. The watch of
-/// configurations must be ended too: it was left waiting on a connection that delivered nothing
-/// more.
+/// The store stops responding, and the watch of back ends fails and recovers. That of
+/// configurations must be ended too: it was left on a connection that delivered nothing more.
 #[tokio::test(start_paused = true)]
 async fn other_watches_end_when_the_store_recovers() {
     let (ended, _) = run_script(vec![Step::Fail]).await;
@@ -173,7 +172,6 @@
     fn reset(&mut self) {}
 }
 
-/// Stores the lists that it receives.
 #[derive(Clone, Default)]
 struct RecordingSink(Rc<RefCell<Vec<Listing<u64>>>>);
 
@@ -187,8 +185,7 @@
     fn ended(&self, _error: Option<&SourceError>) {}
 }
 
-/// The list of a large fleet takes many calls. A rejected call must not discard the pages before
-/// it.
+/// A large fleet's list takes many calls; a rejected one must not discard the pages before it.
 #[tokio::test(start_paused = true)]
 async fn a_list_resumes_after_a_rejected_call() {
     let asked: Rc<RefCell<Vec<Option<String>>>> = Rc::default();
@@ -242,8 +239,7 @@
     fn reset(&mut self) {}
 }
 
-/// All watchers restart after a change. If the store stops responding at that moment, it must be
-/// noticed long before a full wait has passed.
+/// A store that stops responding when all restart must be noticed long before a full wait ends.
 #[tokio::test(start_paused = true)]
 async fn a_watch_lost_after_a_change_is_detected_soon() {
     let lists: Rc<RefCell<u32>> = Rc::default();
--- a/crates/serving/tests/watch_role.rs
+++ b/crates/serving/tests/watch_role.rs
@@ -28,7 +28,6 @@
     elections: Vec<WatcherElection>,
     /// Members that are down, and since when.
     gone: BTreeMap<usize, u64>,
-    /// Members that the store rejects.
     rejected: BTreeSet<usize>,
     watching: BTreeSet<usize>,
 }
@@ -120,8 +119,7 @@
     }
 }
 
-/// Whichever watcher is lost (down, paused or partitioned) or rejected by the store, its zone has
-/// as many again within a second.
+/// Whichever watcher is down, paused, partitioned or rejected, it is replaced within a second.
 #[test]
 fn a_lost_watcher_is_replaced_within_a_second() {
     for reject in [false, true] {
@@ -145,7 +143,6 @@
     }
 }
 
-/// The store rejects a third of the members, whichever they are, and serves the others.
 #[test]
 fn a_store_that_rejects_a_third_leaves_zones_watched_and_calls_bounded() {
     for offset in 0..3 {
@@ -201,8 +198,7 @@
     assert!(!election.watches(Timestamp(8_000), true));
 }
 
-/// After a start of all processes none knows back ends. A list of 3,000 takes 61 calls, so few may
-/// read it.
+/// After a start of all, none knows back ends; few may read a list of 3,000, which takes 61 calls.
 #[test]
 fn after_a_start_of_all_few_read_back_ends_first() {
     let (count, zones) = (300, 3);
@@ -264,8 +260,7 @@
         let alone = reads_after(jitter, 0, 0).expect("back ends are read");
         let announced = reads_after(jitter, 0, 5_000).expect("back ends are read");
         let always = reads_after(jitter, 0, 20_000).expect("back ends are read");
-        // After a first start the processes that read for their zones know back ends some seconds
-        // later.
+        // After a first start the reading processes know back ends some seconds later.
         let first_start = reads_after(jitter, 3_900, 20_000).expect("back ends are read");
         assert!(alone <= 4_500, "no peer knows them: {alone}");
         assert!(
@@ -280,9 +275,8 @@
     }
 }
 
-/// Guards against reading because of a transient rank: after a start of all processes each knows a
-/// few members and ranks first among them, so that most of 986 processes read a list of 50 pages,
-/// of which the store answers 320 a second.
+/// After a start of all processes each knows a few members and ranks first among them: most of 986
+/// then read a list of 50 pages, of which the store answers 320 a second.
 #[test]
 fn a_transient_first_rank_does_not_read_back_ends() {
     let members: Vec<FleetMember> = (0..60).map(|index| member(index, 1)).collect();
--- a/crates/serving/tests/water_filling.rs
+++ b/crates/serving/tests/water_filling.rs
@@ -59,8 +59,7 @@
     (0..BACK_ENDS).map(|index| Arc::new(back_end(index))).collect()
 }
 
-/// Guards against gateways that ignore the requests of others at back ends which they have not used
-/// themselves: all of them then chose the one that looked least loaded.
+/// Gateways that ignored others' requests at back ends they had not used all chose the same one.
 #[test]
 fn gateways_with_equal_loads_do_not_choose_the_same_back_end() {
     let all = back_ends();
