--- a/crates/bench/src/load/run.rs
+++ b/crates/bench/src/load/run.rs
@@ -105,13 +105,13 @@
             progress(elapsed, items, ledger.counts().len());
         }
     };
-    let disturbing = async {
+    let injecting = async {
         if let Some(plan) = faults {
-            chaos::disturb(&mut fleet, &plan, options.duration).await?;
+            chaos::inject_faults(&mut fleet, &plan, options.duration).await?;
         }
         Ok::<(), String>(())
     };
-    let both = async { tokio::try_join!(collecting, disturbing) };
+    let both = async { tokio::try_join!(collecting, injecting) };
     tokio::select! {
         done = both => { done?; }
         () = reporting => {}
@@ -121,8 +121,8 @@
     }
     let clean_stop = fleet.stop().await;
     Ok(RunReport {
-        requests: online::judge(&online.observations, &ledger, options.verbose),
-        items: batch::judge(&jobs, &ledger, options.verbose),
+        requests: online::verify(&online.observations, &ledger, options.verbose),
+        items: batch::verify(&jobs, &ledger, options.verbose),
         online_ms: OnlineReport {
             first_token: online.first_token.percentiles(),
             whole: online.whole.percentiles(),
--- a/crates/bench/src/measure/process.rs
+++ b/crates/bench/src/measure/process.rs
@@ -16,7 +16,7 @@
 }
 
 /// Processor time of a process, in seconds; zero when it is gone.
-pub fn processor_seconds(pid: u32) -> f64 {
+pub fn cpu_seconds(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     // The command name stands in parentheses and may hold spaces.
     let Some((_, fields)) = stat.rsplit_once(')') else { return 0.0 };
--- a/crates/bench/src/standin/engine/control.rs
+++ b/crates/bench/src/standin/engine/control.rs
@@ -67,7 +67,7 @@
 
     /// Carries out an action whose preparation is done. The epoch is checked again: a newer one
     /// may have come while weights were read.
-    pub fn carry_out(&mut self, order: &ControlOrder) -> bool {
+    pub fn apply(&mut self, order: &ControlOrder) -> bool {
         if !self.accept_epoch(order.epoch) {
             return false;
         }
