--- a/crates/bench/src/commands/chaos.rs
+++ b/crates/bench/src/commands/chaos.rs
@@ -11,13 +11,13 @@
 /// Arguments of `chaos`.
 #[derive(Debug, Args)]
 pub struct ChaosArguments {
-    /// Seconds for which load is offered and faults begin.
+    /// Seconds for which load is offered and faults are started.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
     /// Seed of arrivals, sizes and faults.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Parts that are disturbed.
+    /// Parts that receive faults.
     #[arg(long, value_enum, default_value_t = Parts::All)]
     parts: Parts,
     /// Print JSON.
@@ -28,7 +28,7 @@
     verbose: bool,
 }
 
-/// Runs load and faults, and judges by the ledgers.
+/// Runs load and faults, and verifies the outcomes against the ledgers.
 pub async fn run(arguments: ChaosArguments) -> Result<(), String> {
     let fleet = LocalFleet::start(deployment::today(), &FleetOptions::default()).await?;
     let options = RunOptions {
@@ -46,7 +46,8 @@
         println!("{}", report.table());
     }
     if report.is_broken() {
-        return Err("something was lost, doubled or cut off".to_owned());
+        return Err("requests or items were lost or doubled, or work was cut off; see the report"
+            .to_owned());
     }
     Ok(())
 }
--- a/crates/bench/src/commands/load.rs
+++ b/crates/bench/src/commands/load.rs
@@ -15,41 +15,41 @@
     /// URL of the agent.
     #[arg(long)]
     server: String,
-    /// File with the caller's key.
+    /// File with the caller's API key.
     #[arg(long)]
     key_file: PathBuf,
-    /// Partner of the key, by which answers are checked.
+    /// Partner of the key; the expected answers depend on it.
     #[arg(long)]
     partner: String,
-    /// Model service.
+    /// Name of the model service.
     #[arg(long)]
     model_service: String,
-    /// Plain service.
+    /// Name of the plain service.
     #[arg(long)]
     plain_service: String,
-    /// Model requests a second.
+    /// Model requests per second.
     #[arg(long, default_value_t = 20.0)]
     model_rate: f64,
-    /// Plain requests a second.
+    /// Plain requests per second.
     #[arg(long, default_value_t = 20.0)]
     plain_rate: f64,
-    /// Seconds for which requests arrive.
+    /// Seconds for which load is offered.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
     /// Seed of arrivals and sizes; also part of every request id.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A process whose processor time and memory are told, `NAME=PID`.
+    /// A process whose CPU time and memory are reported, `NAME=PID`; may be given several times.
     #[arg(long, value_parser = parse_process)]
     process: Vec<(String, u32)>,
 }
 
 fn parse_process(text: &str) -> Result<(String, u32), String> {
-    let (name, pid) = text.split_once('=').ok_or("give NAME=PID")?;
+    let (name, pid) = text.split_once('=').ok_or("must have the form NAME=PID")?;
     Ok((name.to_owned(), pid.parse().map_err(|_| "PID must be a number")?))
 }
 
-/// Sends the load and prints what callers saw and what processes spent.
+/// Sends the load, then prints the outcome and the resource use of the processes.
 pub async fn run(arguments: LoadArguments) -> Result<(), String> {
     let key = std::fs::read_to_string(&arguments.key_file)
         .map_err(|error| format!("{}: {error}", arguments.key_file.display()))?;
@@ -86,5 +86,5 @@
     if answered == sent {
         return Ok(());
     }
-    Err(format!("{} requests were not answered right", sent - answered))
+    Err(format!("{} requests did not get the expected answer", sent - answered))
 }
--- a/crates/bench/src/commands/measure.rs
+++ b/crates/bench/src/commands/measure.rs
@@ -7,7 +7,7 @@
 /// Arguments of `overhead`.
 #[derive(Debug, Args)]
 pub struct OverheadArguments {
-    /// Rounds; in each, direct calls and calls through agent and daemon take turns.
+    /// Number of rounds; each measures direct calls, then calls through agent and daemon.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
     /// Print JSON.
@@ -18,7 +18,7 @@
 /// Arguments of `digest`.
 #[derive(Debug, Args)]
 pub struct DigestArguments {
-    /// Digests of each length.
+    /// Number of digests computed for each body length.
     #[arg(long, default_value_t = 20_000)]
     count: u32,
     /// Print JSON.
@@ -41,7 +41,7 @@
     print(arguments.json, &rows, &overhead_run::table(&rows))
 }
 
-/// Measures the digest of a request.
+/// Measures the time of a request digest.
 pub fn digest(arguments: DigestArguments) -> Result<(), String> {
     let rows = digest_run::run(arguments.count);
     print(arguments.json, &rows, &digest_run::table(&rows))
--- a/crates/bench/src/commands/standin.rs
+++ b/crates/bench/src/commands/standin.rs
@@ -14,14 +14,14 @@
 use yokefall_bench::standin::weights::WeightStore;
 use yokefall_objects::MachineState;
 
-/// Stand-ins.
+/// Kinds of stand-ins.
 #[derive(Debug, Subcommand)]
 pub enum StandInCommand {
     /// A model engine.
     Engine(EngineArguments),
     /// A plain service.
     Plain(PlainArguments),
-    /// The object API, empty at its start.
+    /// The object API, initially empty.
     Objects(ListenArguments),
     /// The machine list.
     Machines(MachinesArguments),
@@ -29,10 +29,10 @@
     Weights(WeightsArguments),
 }
 
-/// Where a stand-in listens.
+/// Listen address of a stand-in.
 #[derive(Debug, Args)]
 pub struct ListenArguments {
-    /// Address of its HTTP port; port 0 takes a free one, which is printed.
+    /// Address of its HTTP port; port 0 selects a free port, which is printed.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
 }
@@ -42,13 +42,13 @@
 pub struct EngineArguments {
     #[command(flatten)]
     listen: ListenArguments,
-    /// File with parameters of the cost model, TOML; the defaults otherwise.
+    /// TOML file with the parameters of the cost model; defaults are used without it.
     #[arg(long)]
     parameters: Option<PathBuf>,
-    /// Model that is loaded at the start, in place of those in the file.
+    /// Model that is initially loaded, instead of those in the file.
     #[arg(long)]
     model: Option<String>,
-    /// Weight store; models load at once without one.
+    /// Address of the weight store; without one, models load instantly.
     #[arg(long)]
     weight_store: Option<SocketAddr>,
 }
@@ -58,10 +58,10 @@
 pub struct PlainArguments {
     #[command(flatten)]
     listen: ListenArguments,
-    /// Calls that run at once.
+    /// Maximum concurrent calls.
     #[arg(long, default_value_t = 32)]
     slots: usize,
-    /// Time of a call, in milliseconds.
+    /// Duration of a call, in milliseconds.
     #[arg(long, default_value_t = 5)]
     service_ms: u64,
 }
@@ -71,10 +71,10 @@
 pub struct MachinesArguments {
     #[command(flatten)]
     listen: ListenArguments,
-    /// Machines that are live at the start.
+    /// Machines that are initially live.
     #[arg(long)]
     machine: Vec<String>,
-    /// Lag of changes, in milliseconds.
+    /// Delay until a change becomes visible, in milliseconds.
     #[arg(long, default_value_t = 500)]
     lag_ms: u64,
 }
@@ -84,14 +84,14 @@
 pub struct WeightsArguments {
     #[command(flatten)]
     listen: ListenArguments,
-    /// Rate shared by all readers, in bytes a second.
+    /// Read rate shared by all readers, in bytes per second.
     #[arg(long, default_value_t = 1_000_000_000)]
     bytes_per_second: u64,
 }
 
-/// Runs a stand-in until the process is ended.
+/// Runs a stand-in until the process is terminated.
 pub async fn run(command: StandInCommand) -> Result<(), String> {
-    // What is started lives as long as this function.
+    // Each arm keeps its stand-in alive: `announce` never returns.
     match command {
         StandInCommand::Engine(arguments) => {
             let engine = start_engine(arguments).await?;
@@ -154,7 +154,7 @@
     format!("listen {address}: {error}")
 }
 
-/// Prints the address, and waits for ever.
+/// Prints the address, then waits forever.
 async fn announce(name: &str, address: SocketAddr) {
     println!("{name} listens on {address}");
     std::future::pending::<()>().await;
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The two partners' deployments, with the places, services and back-end counts of today.
+//! Reference deployments of the two partners: regions, zones, services and back-end counts.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 /// A service of a deployment.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// Name.
+    /// Service name.
     pub name: &'static str,
-    /// What it runs on.
+    /// Kind of the back ends that serve it.
     pub kind: ServiceKind,
-    /// Number of back ends, spread evenly over the zones.
+    /// Number of back ends, distributed evenly over the zones.
     pub backends: usize,
-    /// Calls that a back end runs at once.
+    /// Maximum concurrent calls of a back end.
     pub slots: u32,
-    /// Slots of a back end that batch leaves free.
+    /// Slots of a back end that batch items may not use.
     pub reserved_slots: u32,
-    /// Time of one call, for plain services.
+    /// Duration of one call, for plain services.
     pub service_time: Duration,
 }
 
 /// One partner's deployment.
 #[derive(Clone, Debug)]
 pub struct PartnerPlan {
-    /// Name.
+    /// Partner name.
     pub partner: &'static str,
     /// Region.
     pub region: &'static str,
@@ -46,9 +46,9 @@
     }
 }
 
-/// Calls that a model server runs at once.
+/// Maximum concurrent calls of a model server.
 const MODEL_SLOTS: u32 = 8;
-/// Calls that a plain server runs at once.
+/// Maximum concurrent calls of a plain server.
 const PLAIN_SLOTS: u32 = 32;
 
 fn model(name: &'static str, backends: usize) -> ServicePlan {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The Board and Trasovka as they are today.
+/// The deployments of the partners Board and Trasovka.
 pub fn today() -> Vec<PartnerPlan> {
     vec![
         PartnerPlan {
--- a/crates/bench/src/ledger.rs
+++ b/crates/bench/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What a stand-in ran, written down by itself, independent of the product.
+//! Record of the executions of a stand-in, kept by the stand-in itself and so independent of the
+//! product.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,20 +12,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionEnd {
-    /// It still runs.
+    /// Still running.
     Running,
-    /// The whole answer was produced.
+    /// The complete answer was produced.
     Finished,
-    /// It was cancelled, or its connection closed.
+    /// Cancelled, or its connection was closed.
     Cancelled,
-    /// The stand-in was made to fail.
+    /// Ended by an injected fault.
     Failed,
 }
 
 /// One execution.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// Id as the product sent it.
+    /// Request id as received from the product.
     pub engine_id: String,
     /// How it ended.
     pub end: ExecutionEnd,
@@ -32,7 +33,7 @@
     pub tokens: u32,
 }
 
-/// Executions of one or more stand-ins, in the order in which they began.
+/// Executions of one or more stand-ins, in order of their start.
 #[derive(Debug, Default)]
 pub struct Ledger {
     executions: Mutex<Vec<Execution>>,
@@ -45,9 +46,9 @@
 /// Executions of one request or item, over all attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExecutionCounts {
-    /// Executions begun.
+    /// Executions started.
     pub begun: u32,
-    /// Executions that produced the whole answer.
+    /// Executions that produced the complete answer.
     pub finished: u32,
 }
 
@@ -56,7 +57,7 @@
         self.executions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes down that an execution began.
+    /// Records the start of an execution.
     pub fn begin(&self, engine_id: &str) -> ExecutionNumber {
         let mut executions = self.lock();
         executions.push(Execution {
@@ -67,7 +68,7 @@
         ExecutionNumber(executions.len() - 1)
     }
 
-    /// Writes down how an execution ended. The first end stays.
+    /// Records how an execution ended. Only the first end counts.
     pub fn end(&self, number: ExecutionNumber, end: ExecutionEnd, tokens: u32) {
         if let Some(execution) = self.lock().get_mut(number.0) {
             if execution.end == ExecutionEnd::Running {
@@ -82,7 +83,7 @@
         self.lock().clone()
     }
 
-    /// Executions by the request's or item's own id.
+    /// Executions by request or item id, without the attempt number.
     pub fn counts(&self) -> HashMap<String, ExecutionCounts> {
         let mut counts: HashMap<String, ExecutionCounts> = HashMap::new();
         for execution in self.lock().iter() {
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins of the outside systems, and the commands that load and measure.
+//! Simulators (stand-ins) of the external systems, load generation and measurements.
 //!
-//! The product never depends on this crate, its `demo` command aside.
+//! Of the product, only the `demo` command depends on this crate.
 
 pub mod chaos;
 pub mod deployment;
--- a/crates/bench/src/load/batch.rs
+++ b/crates/bench/src/load/batch.rs
@@ -1,4 +1,4 @@
-//! Batch jobs in heaps, and the check of every result.
+//! Batch load: jobs submitted in periodic bursts, and verification of every result.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,37 +15,37 @@
 use crate::text::model_answer;
 use yokefall_rpc::client::Caller;
 
-/// Interval between heaps.
+/// Interval between bursts of jobs.
 const BURST_INTERVAL: Duration = Duration::from_secs(10);
 /// Deadline of a job.
 const JOB_DEADLINE: Duration = Duration::from_secs(4 * 3600);
-/// Pause before a failed call is made again.
+/// Pause before a failed call is retried.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
-/// Tries of a submission.
+/// Maximum attempts to submit a job.
 const MAX_SUBMIT_ATTEMPTS: u32 = 50;
 
 /// Batch load of one partner.
 #[derive(Clone, Debug)]
 pub struct BatchLoad {
-    /// Partner.
+    /// Partner name.
     pub partner: String,
-    /// Service.
+    /// Service name.
     pub service: String,
-    /// Jobs in a heap.
+    /// Jobs in a burst.
     pub jobs_per_heap: usize,
-    /// Items in a job.
+    /// Range of the number of items in a job.
     pub items_per_job: std::ops::RangeInclusive<u32>,
-    /// Tokens of an item's answer.
+    /// Tokens in an item's answer.
     pub tokens: u32,
-    /// Time for which heaps arrive.
+    /// Duration of the offered load.
     pub duration: Duration,
-    /// Time after the last heap until what is left is cancelled.
+    /// Time after the load ends until unfinished jobs are cancelled.
     pub grace: Duration,
-    /// Seed of sizes.
+    /// Seed of the random sizes.
     pub seed: u64,
 }
 
-/// One job to be submitted.
+/// A job to be submitted.
 #[derive(Clone, Debug)]
 struct JobPlan {
     key: String,
@@ -53,27 +53,27 @@
     no_repeat: bool,
 }
 
-/// What the submitter saw of one job.
+/// A job as its submitter observed it.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
-    /// Id as in the ledgers: partner, tenant and job.
+    /// Id in the ledgers: partner, tenant and job key.
     pub ledger_id: String,
-    /// Whether its items may run only once.
+    /// Whether its items may run at most once.
     pub no_repeat: bool,
-    /// Items accepted; zero when the submission failed.
+    /// Number of accepted items; zero if the submission failed.
     pub accepted: u32,
-    /// Results as they were listed.
+    /// Results in the order in which they were listed.
     pub results: Vec<v1::JobResult>,
-    /// Tokens of each answer.
+    /// Tokens in each answer.
     pub tokens: u32,
 }
 
-/// Completed items, as they are listed.
+/// Counter of completed items, updated as results are listed.
 pub type CompletedCounter = Arc<AtomicU64>;
 
 const TENANT: &str = "planning";
 
-/// Submits heaps, follows every job to its end, and returns what was seen.
+/// Submits bursts of jobs, follows every job to its end and returns the records.
 pub async fn send(load: BatchLoad, caller: Caller, completed: CompletedCounter) -> Vec<JobRecord> {
     let begun = Instant::now();
     let mut generator = SmallRng::seed_from_u64(load.seed);
@@ -85,7 +85,7 @@
             let plan = JobPlan {
                 key: format!("{}-{burst}-{number}", load.seed),
                 items: generator.random_range(load.items_per_job.clone()),
-                // Every third job holds advisories, which run at most once.
+                // Every third job must run each item at most once.
                 no_repeat: number % 3 == 2,
             };
             let end = begun + load.duration + load.grace;
@@ -123,7 +123,7 @@
     let job = v1::JobRef { tenant: TENANT.to_owned(), job_key: plan.key };
     let following = follow(&mut caller, &job, &mut record, &completed);
     if tokio::time::timeout_at(end, following).await.is_err() {
-        // The run is over: what has not ended is cancelled, and told as such.
+        // The grace period has ended: cancel the job and collect the remaining results.
         let _ = caller.cancel_job(job.clone()).await;
         follow(&mut caller, &job, &mut record, &completed).await;
     }
@@ -157,7 +157,7 @@
     0
 }
 
-/// Takes results until every item has one.
+/// Reads results until every item has one.
 async fn follow(
     caller: &mut Caller,
     job: &v1::JobRef,
@@ -183,14 +183,14 @@
     }
 }
 
-/// Judges what submitters saw by what the back ends ran.
+/// Verifies the submitters' records against the back ends' ledger.
 pub fn verify(records: &[JobRecord], ledger: &Ledger, verbose: bool) -> OutcomeCounts {
     let counts = ledger.counts();
     let mut total = OutcomeCounts::default();
     for record in records {
         let outcome_counts = verify_job(record, &counts, verbose);
         if verbose && outcome_counts.is_broken() {
-            eprintln!("broken: job {} {outcome_counts:?}", record.ledger_id);
+            eprintln!("violation: job {} {outcome_counts:?}", record.ledger_id);
         }
         total.add(&outcome_counts);
     }
@@ -215,7 +215,7 @@
         if record.no_repeat && ran.begun > 1 {
             total.doubled += 1;
             if verbose {
-                eprintln!("broken: {item_id} ran {ran:?}");
+                eprintln!("violation: {item_id} ran {ran:?}");
             }
         }
         match result.outcome() {
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Load on a fleet, and the check of every answer.
+//! Load generation and verification of every answer.
 
 pub mod batch;
 pub mod online;
--- a/crates/bench/src/load/run.rs
+++ b/crates/bench/src/load/run.rs
@@ -1,4 +1,4 @@
-//! A whole run: both partners' load on a local fleet.
+//! A complete run: online and batch load of all partners on a local fleet.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -12,20 +12,20 @@
 use crate::fleet::LocalFleet;
 use crate::report::{OnlineReport, RunReport};
 
-/// What is offered, and for how long.
+/// Load of a run and its duration.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Time for which load is offered.
+    /// Duration of the offered load.
     pub duration: Duration,
-    /// Seed of all arrivals and sizes.
+    /// Seed of all random arrivals and sizes.
     pub seed: u64,
-    /// Model requests a second of each partner.
+    /// Model requests per second of each partner.
     pub model_rate: f64,
-    /// Plain requests a second of each partner.
+    /// Plain requests per second of each partner.
     pub plain_rate: f64,
-    /// Jobs in each heap of each partner.
+    /// Jobs in each burst of each partner.
     pub jobs_per_heap: usize,
-    /// Time after the load until what is left of the jobs is cancelled.
+    /// Time after the load ends until unfinished jobs are cancelled.
     pub grace: Duration,
     /// Write a line to standard error for each request or item that was lost or doubled.
     pub verbose: bool,
@@ -47,13 +47,14 @@
 
 /// Deadline of online requests.
 const ONLINE_DEADLINE: Duration = Duration::from_secs(30);
-/// Items of a job.
+/// Range of the number of items in a job.
 const ITEMS_PER_JOB: std::ops::RangeInclusive<u32> = 20..=120;
-/// Tokens of an item's answer.
+/// Tokens in an item's answer.
 const ITEM_TOKENS: u32 = 48;
 
-/// Offers the load, waits for every end, stops the fleet and judges by the ledgers. `progress` is
-/// called every second with the time and the batch items completed.
+/// Offers the load, waits until every request and job has ended, stops the fleet and verifies the
+/// outcomes against the ledgers. `progress` is called every second with the elapsed time, the
+/// number of completed batch items and the number of requests and items that were executed.
 pub async fn run(
     mut fleet: LocalFleet,
     options: &RunOptions,
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The bench: stand-ins as processes, load, and measurements.
+//! Command-line entry point: stand-ins as processes, load generation and measurements.
 
 mod commands;
 mod soak;
@@ -8,7 +8,7 @@
 use commands::{chaos, load, measure, standin};
 use yokefall_telemetry::{init_logs, Format, Level};
 
-/// Stand-ins of the systems that yokefall is met by, and measurements.
+/// Stand-ins for the systems around yokefall, load generation and measurements.
 #[derive(Debug, Parser)]
 #[command(name = "yokefall-bench", version, about)]
 struct Arguments {
@@ -23,13 +23,14 @@
     Standin(standin::StandInCommand),
     /// Compare calls through agent and daemon with direct calls to the same back ends.
     Overhead(measure::OverheadArguments),
-    /// Measure the digest of a request, by the length of its body.
+    /// Measure the time of a request digest by body length.
     Digest(measure::DigestArguments),
-    /// Send online requests to a running agent, and tell what the processes spent on them.
+    /// Send online requests to a running agent and print the CPU time and memory of the processes.
     Load(load::LoadArguments),
-    /// Load a fleet while its parts die, hang, lie and come back; lost and doubled must stay 0.
+    /// Load a fleet while its parts crash, hang, send malformed data and recover; fails if anything
+    /// is lost or doubled.
     Chaos(chaos::ChaosArguments),
-    /// Run the real programs as processes while they are stopped, paused, killed and cut off.
+    /// Run the real programs as processes while they are stopped, paused, killed and disconnected.
     Soak(commands::soak::SoakArguments),
 }
 
--- a/crates/bench/src/measure/digest.rs
+++ b/crates/bench/src/measure/digest.rs
@@ -1,4 +1,4 @@
-//! Time of the digest by which a gateway knows a request again.
+//! Time of the digest by which a gateway recognizes a repeated request.
 
 use std::fmt::Write as _;
 use std::hint::black_box;
@@ -7,19 +7,19 @@
 use serde::Serialize;
 use yokefall_suspects::{RequestDigest, RequestIdentity};
 
-/// Lengths of bodies, in bytes.
+/// Body lengths, in bytes.
 const LENGTHS: [usize; 5] = [0, 256, 2_048, 16_384, 65_536];
 
-/// One length.
+/// Measurement for one body length.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DigestRow {
-    /// Bytes of the body.
+    /// Length of the body, in bytes.
     pub bytes: usize,
     /// Time of one digest, in microseconds.
     pub microseconds: f64,
 }
 
-/// Works out `count` digests of each length.
+/// Computes `count` digests for each body length.
 pub fn run(count: u32) -> Vec<DigestRow> {
     LENGTHS.into_iter().map(|bytes| row(bytes, count)).collect()
 }
@@ -41,7 +41,7 @@
     DigestRow { bytes, microseconds }
 }
 
-/// The rows as a table.
+/// The rows as a human-readable table.
 pub fn table(rows: &[DigestRow]) -> String {
     let mut text = "bytes of the body  microseconds a digest\n".to_owned();
     for DigestRow { bytes, microseconds } in rows {
--- a/crates/bench/src/measure/mod.rs
+++ b/crates/bench/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements.
+//! Measurements: overhead, request digest and process resource use.
 
 pub mod digest;
 pub mod overhead;
--- a/crates/bench/src/measure/overhead.rs
+++ b/crates/bench/src/measure/overhead.rs
@@ -1,4 +1,4 @@
-//! The overhead of agent and daemon, beside direct calls to the same back ends in the same run.
+//! Overhead of agent and daemon, relative to direct calls to the same back ends in the same run.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,15 +17,15 @@
 use crate::fleet::{Backend, FleetOptions, LocalFleet};
 use crate::report::{Latencies, Percentiles};
 
-/// Calls at once that are measured.
+/// Numbers of concurrent calls that are measured.
 const CONCURRENCY: [usize; 3] = [1, 32, 512];
-/// Calls in one turn at the least: plain calls are short, model calls long.
+/// Minimum calls in a round: plain calls are short, model calls long.
 const MIN_PLAIN_CALLS_PER_ROUND: usize = 128;
 const MIN_MODEL_CALLS_PER_ROUND: usize = 16;
-/// Tokens of a model answer.
+/// Tokens in a model answer.
 const TOKENS: u32 = 16;
-/// Back ends of each service, and calls that each runs at once: together more than the most calls
-/// at once, so that nothing queues.
+/// Back ends of each service, and slots of each. Their product exceeds the highest concurrency, so
+/// that nothing queues.
 const BACKENDS: usize = 4;
 const SLOTS: u32 = 160;
 const PARTNER: &str = "board";
@@ -33,20 +33,20 @@
 const PLAIN_SERVICE: &str = "tilegate";
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One comparison.
+/// Comparison of both paths for one service at one concurrency.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct OverheadRow {
-    /// What was called.
+    /// Service that was called.
     pub service: &'static str,
-    /// Calls at once.
+    /// Concurrent calls.
     pub calls_at_once: usize,
-    /// Direct calls, in milliseconds to the end.
+    /// Latency of direct calls to the end of the answer, in milliseconds.
     pub direct_ms: Percentiles,
-    /// Calls through agent and daemon, in milliseconds to the end.
+    /// Latency of calls through agent and daemon to the end of the answer, in milliseconds.
     pub through_ms: Percentiles,
-    /// Through over direct at the median.
+    /// Ratio of `through_ms` to `direct_ms` at the median.
     pub ratio_p50: f64,
-    /// Through over direct at 99 in 100.
+    /// Ratio of `through_ms` to `direct_ms` at the 99th percentile.
     pub ratio_p99: f64,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// How calls are made.
+/// Path of a call: directly to a back end, or through agent and daemon.
 #[derive(Clone)]
 enum CallPath {
     Direct { client: BackendClient, addresses: Arc<Vec<SocketAddr>> },
@@ -151,7 +151,7 @@
             _ => {}
         }
     }
-    Err("the answer broke off".to_owned())
+    Err("response stream ended without a final step".to_owned())
 }
 
 async fn call_plain(caller: &mut Caller, id: String) -> Result<(), String> {
@@ -161,11 +161,11 @@
     match response.into_inner().outcome {
         Some(v1::call_response::Outcome::Body(_)) => Ok(()),
         Some(v1::call_response::Outcome::Refusal(refusal)) => Err(refusal.detail),
-        None => Err("an empty response".to_owned()),
+        None => Err("response without outcome".to_owned()),
     }
 }
 
-/// Makes calls, so many at once, and returns their latencies.
+/// Makes calls at the given concurrency and returns their latencies.
 async fn measure_round(
     path: &CallPath,
     kind: ServiceKind,
@@ -193,7 +193,7 @@
     Ok(all)
 }
 
-/// Runs every comparison: turns of both paths alternate, so that noise falls on both.
+/// Runs every comparison. Rounds of both paths alternate, so that noise affects both alike.
 pub async fn run(rounds: usize) -> Result<Vec<OverheadRow>, String> {
     let fleet = LocalFleet::start(vec![plan()], &FleetOptions::default()).await?;
     let through = CallPath::Through { caller: fleet.caller(PARTNER).await? };
@@ -205,7 +205,7 @@
         let addresses = Arc::new(addresses(&fleet, service));
         let direct = CallPath::Direct { client: client.clone(), addresses };
         for concurrency in CONCURRENCY {
-            // The first turn opens connections and is not counted.
+            // Warm-up: the first round opens connections and is not counted.
             measure_round(&direct, kind, concurrency).await?;
             measure_round(&through, kind, concurrency).await?;
             let (mut direct_all, mut through_all) = (Latencies::default(), Latencies::default());
@@ -247,7 +247,7 @@
     }
 }
 
-/// The rows as a table.
+/// The rows as a Markdown table.
 pub fn table(rows: &[OverheadRow]) -> String {
     let mut table = String::from(
         "| service | calls at once | direct p50 ms | through p50 ms | ratio p50 | \
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,34 +1,34 @@
-//! What a run reports: counts from the independent ledgers, and latencies.
+//! Report of a run: outcome counts verified against the stand-ins' ledgers, and latencies.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Greatest latency recorded, in microseconds.
+/// Maximum recorded latency, in microseconds; longer ones are clamped.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of a latency.
+/// Significant decimal digits of a recorded latency.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Counts of requests or items. Lost and doubled come from the stand-ins' ledgers and from what
-/// callers saw, never from the product's own counters.
+/// Counts of requests or items. `lost` and `doubled` are derived from the stand-ins' ledgers and
+/// from the answers that callers received, never from the product's own counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OutcomeCounts {
-    /// Taken on: not refused with the proof that nothing ran.
+    /// Accepted: not refused with the statement that nothing ran.
     pub accepted: u64,
-    /// Ended with the whole right answer.
+    /// Ended with the complete correct answer.
     pub completed: u64,
-    /// Refused or ended without an answer, and said so truthfully.
+    /// Refused, or ended without an answer, and truthfully reported as such.
     pub refused: u64,
-    /// Ended without it being known whether they ran.
+    /// Ended without knowledge of whether they ran.
     pub unknown: u64,
-    /// Accepted, and neither an answer nor an end was ever told, or the answer was wrong, or a
-    /// refusal that proved "not run" was false.
+    /// Accepted without ever getting an answer or another end, or with a wrong answer, or refused
+    /// as "not run" although they ran.
     pub lost: u64,
-    /// Answered twice, or run more than once although marked no-repeat.
+    /// Answered twice, or run more than once although repeats are forbidden.
     pub doubled: u64,
 }
 
 impl OutcomeCounts {
-    /// Adds another count.
+    /// Adds another set of counts.
     pub fn add(&mut self, other: &OutcomeCounts) {
         self.accepted += other.accepted;
         self.completed += other.completed;
@@ -38,22 +38,22 @@
         self.doubled += other.doubled;
     }
 
-    /// Whether a promise was broken.
+    /// Whether a guarantee was violated: anything was lost or doubled.
     pub fn is_broken(&self) -> bool {
         self.lost + self.doubled > 0
     }
 }
 
-/// Latencies at the percentiles that are reported, in milliseconds.
+/// Latency percentiles, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Percentiles {
     /// Median.
     pub p50: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: f64,
-    /// 999 in 1,000.
+    /// 99.9th percentile.
     pub p999: f64,
 }
 
@@ -77,7 +77,7 @@
         self.histogram.saturating_record(latency.as_micros().max(1) as u64);
     }
 
-    /// Adds another histogram.
+    /// Merges another histogram.
     pub fn add(&mut self, other: &Latencies) {
         let _ = self.histogram.add(&other.histogram);
     }
@@ -87,7 +87,7 @@
         self.histogram.len()
     }
 
-    /// The percentiles that are reported.
+    /// The percentiles of all recorded latencies.
     pub fn percentiles(&self) -> Percentiles {
         let at = |quantile: f64| self.histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         Percentiles { p50: at(0.5), p95: at(0.95), p99: at(0.99), p999: at(0.999) }
@@ -97,13 +97,13 @@
 /// Latencies of online requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct OnlineReport {
-    /// From the intended arrival to the first token, model services only.
+    /// From the scheduled arrival to the first token, model services only.
     pub first_token: Percentiles,
-    /// From the intended arrival to the end, all services.
+    /// From the scheduled arrival to the end of the answer, all services.
     pub whole: Percentiles,
 }
 
-/// What a whole run reports.
+/// Report of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RunReport {
     /// Online requests.
@@ -112,23 +112,23 @@
     pub items: OutcomeCounts,
     /// Online latencies in milliseconds.
     pub online_ms: OnlineReport,
-    /// Batch items completed a second, while load was offered.
+    /// Batch items completed per second while load was offered.
     pub batch_items_per_second: f64,
-    /// Time for which load was offered, in seconds.
+    /// Duration of the offered load, in seconds.
     pub seconds: f64,
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Whether every process stopped with nothing cut off.
+    /// Whether every daemon and agent stopped without cutting off work.
     pub clean_stop: bool,
 }
 
 impl RunReport {
-    /// Whether a promise was broken.
+    /// Whether a guarantee was violated: anything was lost, doubled or cut off.
     pub fn is_broken(&self) -> bool {
         self.requests.is_broken() || self.items.is_broken() || !self.clean_stop
     }
 
-    /// The report as a table for people.
+    /// The report as a human-readable table.
     pub fn table(&self) -> String {
         let mut table = String::from(
             "           accepted  completed    refused    unknown       lost    doubled\n",
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -1,8 +1,10 @@
-//! A soak of the real programs: gateways and job stores as processes of their own, load on them, and signals
-//! and broken links from outside. What callers and back ends see is judged by `oracle`.
+//! Soak test of the real programs: gateways and job stores run as processes under load, while
+//! signals, restarts, lost disks and link faults are injected from outside. `oracle` verifies what
+//! clients and back ends observe.
 //!
-//! `fleet` runs the processes, `back_end` is what they forward to, `proxy` the links to it, `clients` the
-//! load, `faults` the schedule that follows from a seed.
+//! `fleet` runs the processes, `back_end` simulates the back ends that they forward to, `proxy` the
+//! links to these, `clients` generates the load, `faults` injects faults on a schedule that follows
+//! from a seed.
 
 mod back_end;
 mod clients;
@@ -23,27 +25,27 @@
 use fleet::ProcessFleet;
 use oracle::Oracle;
 
-/// Time for jobs to be finished after the last fault has ended.
+/// Time limit for accepted jobs to finish after the last fault has ended.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// Pause between two looks whether they are.
+/// Interval between checks whether they have finished.
 const SETTLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for the fleet to serve its first request.
+/// Time limit for the fleet to serve its first requests.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a soak is told.
+/// Options of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// Time for which load is offered and faults begin.
+    /// Duration of the offered load, in which faults are started.
     pub duration: Duration,
-    /// Seed of faults, sizes and arrivals.
+    /// Seed of the random faults, sizes and arrivals.
     pub seed: u64,
-    /// The program of the processes.
+    /// Program that the processes run.
     pub program: PathBuf,
-    /// Folder for settings, logs and data; it stays.
+    /// Folder for settings, logs and data; it is not removed.
     pub folder: PathBuf,
-    /// Gateways, job stores and back ends.
+    /// Numbers of gateways, job stores and back ends.
     pub sizes: Sizes,
-    /// Kinds of faults that are played.
+    /// Kinds of faults to inject.
     pub faults: Vec<FaultKind>,
 }
 
@@ -52,24 +54,24 @@
 pub struct Sizes {
     /// Gateways.
     pub gateways: usize,
-    /// Job stores; three at least, of which one may lose its disk.
+    /// Job stores; at least three, of which one may lose its disk.
     pub job_stores: usize,
-    /// Back ends, in the process of the soak.
+    /// Back ends, which run in the process of the soak.
     pub back_ends: usize,
 }
 
-/// What a soak showed.
+/// Result of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
-    /// Faults in the order in which they began, with their second.
+    /// Faults in order of their start, each with its time in seconds.
     pub faults: Vec<String>,
     /// Counts by name.
     pub counts: Vec<(&'static str, usize)>,
-    /// Broken promises; none is wanted.
+    /// Violated guarantees; must be empty.
     pub violations: Vec<String>,
 }
 
-/// Plays a soak.
+/// Runs a soak.
 pub async fn run(options: &SoakOptions) -> Result<SoakReport, String> {
     let ledger = Arc::new(Ledger::default());
     let mut fleet = ProcessFleet::start(options, ledger.clone()).await?;
@@ -79,7 +81,8 @@
     let until = Instant::now() + options.duration;
     let load = clients.start(until);
     let faults = faults::inject(&mut fleet, &oracle, &ledger, options, until).await?;
-    // Before the clients end: a reader that waits for a process that stands still would not come to an end.
+    // End the faults before the clients: a reader that waits for a paused process would never
+    // finish.
     fleet.heal().await?;
     for task in load {
         task.await.map_err(|error| format!("a client failed: {error}"))?;
@@ -90,7 +93,7 @@
     Ok(SoakReport { faults, counts: oracle.counts(&ledger), violations })
 }
 
-/// Reads all jobs until they are finished, or the time is up.
+/// Reads all jobs until they are finished or the time limit is reached.
 async fn settle(clients: &Clients, oracle: &Oracle) {
     let until = Instant::now() + SETTLE_TIMEOUT;
     while Instant::now() < until {
--- a/crates/bench/src/soak/proxy.rs
+++ b/crates/bench/src/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A link to a back end that can be disturbed: a loopback proxy that delays, silences, cuts one way or resets.
+//! Loopback TCP proxy in front of a back end, which simulates link faults: delay, silence, one-way
+//! loss, closed and refused connections.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicU8, Ordering};
@@ -9,27 +10,27 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Delay of each piece on a slow link.
+/// Delay of each chunk of bytes on a slow link.
 const SLOW_LINK_DELAY: Duration = Duration::from_millis(150);
-/// Pause between two looks whether a silent link speaks again.
+/// Interval between two checks of the state of a link.
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bytes that are passed on at once.
+/// Size of the copy buffer.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// How a link is.
+/// State of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Bytes pass at once.
+    /// Bytes pass without delay.
     Normal,
-    /// Bytes pass late.
+    /// Bytes pass with a delay.
     Slow,
-    /// No byte passes; connections stay open.
+    /// No bytes pass; connections stay open.
     Silent,
-    /// Bytes pass to the back end, and none comes back.
+    /// Bytes pass to the back end, but not back.
     OneWay,
-    /// Every connection is closed.
+    /// Existing connections are closed; new ones are accepted and closed.
     Closed,
-    /// Every connection is closed and none is taken, as where the back end has ended.
+    /// Existing connections are closed and the port is not open, as after a crash of the back end.
     Refused,
 }
 
@@ -43,24 +44,24 @@
 ];
 
 impl LinkState {
-    /// Whether connections are closed.
+    /// Whether existing connections are closed.
     fn closes_connections(self) -> bool {
         matches!(self, LinkState::Closed | LinkState::Refused)
     }
 }
 
-/// A link.
+/// A link to a back end.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// Address that is passed on.
+    /// Listen address of the proxy.
     pub address: SocketAddr,
     state: Arc<AtomicU8>,
-    /// Times that the back end behind it has ended.
+    /// Number of restarts of the back end behind it.
     restarts: Arc<AtomicU64>,
 }
 
 impl Link {
-    /// Opens a port before an address.
+    /// Starts a proxy in front of an address.
     pub async fn open(to: SocketAddr) -> Result<Self, String> {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = TcpListener::bind(any_port).await;
@@ -88,20 +89,20 @@
         }
     }
 
-    /// The back end behind it ends, and is back after a time.
+    /// Simulates a crash of the back end and a restart after `time`.
     pub async fn stop_for(&self, time: Duration) {
         self.set(LinkState::Refused);
         tokio::time::sleep(time).await;
         self.restart();
     }
 
-    /// The back end behind it, which had ended, is back under its id.
+    /// Simulates the restart of the crashed back end under the same id.
     pub fn restart(&self) {
         self.restarts.fetch_add(1, Ordering::Relaxed);
         self.set(LinkState::Normal);
     }
 
-    /// A number for the life of the back end behind it; later ones have larger numbers.
+    /// Incarnation of the back end behind it; each restart increases the number.
     pub fn incarnation(&self) -> u64 {
         self.restarts.load(Ordering::Relaxed) + 1
     }
@@ -112,13 +113,13 @@
         }
     }
 
-    /// Changes how it is.
+    /// Sets the state of the link.
     pub fn set(&self, state: LinkState) {
-        let number = STATES.iter().position(|held| *held == state).unwrap_or(0);
+        let number = STATES.iter().position(|other| *other == state).unwrap_or(0);
         self.state.store(number as u8, Ordering::Relaxed);
     }
 
-    /// Whether the back end behind it counts as ended.
+    /// Whether the back end behind it counts as crashed.
     pub fn is_down(&self) -> bool {
         self.state() == LinkState::Refused
     }
@@ -134,7 +135,7 @@
         let Ok(server) = TcpStream::connect(to).await else { return };
         let (from_client, to_client) = client.into_split();
         let (from_server, to_server) = server.into_split();
-        // Either end closes both.
+        // If either direction ends, both are closed.
         tokio::select! {
             () = self.clone().copy(from_client, to_server, false) => {}
             () = self.clone().copy(from_server, to_client, true) => {}
--- a/crates/bench/src/standin/engine/cache.rs
+++ b/crates/bench/src/standin/engine/cache.rs
@@ -1,18 +1,18 @@
-//! KV blocks in limited memory, with prefix caching and eviction of the least recently used.
+//! KV block memory with prefix caching and LRU eviction.
 
 use std::collections::{BTreeSet, HashMap};
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Identity of a block: the hash of all text up to its end.
+/// Identity of a block: the hash of the prompt up to the end of the block.
 pub type BlockHash = u64;
 
-/// A change of the cache, as an engine publishes it.
+/// A change of the cache that an engine publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
-    /// A block can be reused from now on.
+    /// A block is cached and can be reused.
     Stored(BlockHash),
-    /// A block is gone.
+    /// A block was evicted.
     Evicted(BlockHash),
 }
 
@@ -22,11 +22,11 @@
     used_at: u64,
 }
 
-/// The block memory of one engine.
+/// The KV block memory of one engine.
 #[derive(Debug)]
 pub struct KvCache {
     capacity: usize,
-    /// Blocks of generated text, which are not shared.
+    /// Number of blocks of generated text; these are not shared.
     private_blocks: usize,
     blocks: HashMap<BlockHash, Block>,
     idle: BTreeSet<(u64, BlockHash)>,
@@ -35,7 +35,7 @@
 }
 
 impl KvCache {
-    /// An empty memory of `capacity` blocks.
+    /// An empty memory with a capacity of `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Hashes of the whole blocks of a prompt.
+    /// Hashes of the full blocks of a prompt; a partial last block is not cached.
     pub fn prompt_blocks(prompt: &[u8], block_bytes: usize) -> Vec<BlockHash> {
         let mut hash = 0;
         let whole = prompt.chunks_exact(block_bytes.max(1));
@@ -59,17 +59,18 @@
             .collect()
     }
 
-    /// How many blocks from the first on are held.
+    /// Number of leading blocks that are cached.
     pub fn cached_prefix(&self, hashes: &[BlockHash]) -> usize {
         hashes.iter().take_while(|hash| self.blocks.contains_key(hash)).count()
     }
 
-    /// Takes blocks for a sequence, evicting idle ones. Takes nothing and returns `false` when
+    /// Acquires blocks for a sequence, evicting idle ones. Acquires nothing and returns `false` if
     /// the memory does not suffice.
     pub fn acquire(&mut self, hashes: &[BlockHash]) -> bool {
         let missing = hashes.iter().filter(|hash| !self.blocks.contains_key(hash)).count();
-        let held_idle = |hash: &&BlockHash| self.blocks.get(hash).is_some_and(|b| b.users == 0);
-        let reused_idle = hashes.iter().filter(held_idle).count();
+        let is_cached_idle =
+            |hash: &&BlockHash| self.blocks.get(hash).is_some_and(|b| b.users == 0);
+        let reused_idle = hashes.iter().filter(is_cached_idle).count();
         let evictable = self.idle.len() - reused_idle;
         if self.used() + missing > self.capacity + evictable {
             return false;
@@ -96,7 +97,7 @@
         self.events.push(CacheEvent::Stored(hash));
     }
 
-    /// Gives blocks back; they stay cached until evicted.
+    /// Releases blocks; they stay cached until evicted.
     pub fn release(&mut self, hashes: &[BlockHash]) {
         for hash in hashes {
             if let Some(block) = self.blocks.get_mut(hash) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Takes one block of generated text.
+    /// Acquires one block for generated text, evicting an idle block if necessary.
     pub fn acquire_private(&mut self) -> bool {
         if self.used() + 1 > self.capacity && !self.evict_one() {
             return false;
@@ -117,16 +118,16 @@
         true
     }
 
-    /// Gives back blocks of generated text.
+    /// Releases blocks of generated text.
     pub fn release_private(&mut self, blocks: usize) {
         self.private_blocks = self.private_blocks.saturating_sub(blocks);
     }
 
-    /// Stores blocks computed elsewhere, as far as they fit. Returns how many were stored.
+    /// Stores blocks computed by another engine, as far as they fit. Returns how many were stored.
     pub fn import(&mut self, hashes: &[BlockHash]) -> usize {
-        let fresh: Vec<BlockHash> =
+        let missing: Vec<BlockHash> =
             hashes.iter().filter(|hash| !self.blocks.contains_key(hash)).copied().collect();
-        let stored = fresh.iter().take_while(|hash| self.import_one(**hash)).count();
+        let stored = missing.iter().take_while(|hash| self.import_one(**hash)).count();
         self.evict_to(self.capacity);
         stored
     }
@@ -151,12 +152,12 @@
         true
     }
 
-    /// Blocks in memory, idle ones included.
+    /// Blocks in memory, including idle ones.
     pub fn used(&self) -> usize {
         self.blocks.len() + self.private_blocks
     }
 
-    /// Changes since the last call.
+    /// Removes and returns the changes since the last call.
     pub fn take_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
--- a/crates/bench/src/standin/engine/control.rs
+++ b/crates/bench/src/standin/engine/control.rs
@@ -1,62 +1,63 @@
-//! Fenced orders of an engine: models, adapters, role. An order of an older epoch is refused.
+//! Fenced control orders of an engine, which change its models, adapters and role. An order with an
+//! older epoch than the highest one seen is refused.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What an order changes.
+/// Change that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum ControlAction {
     /// Load a version of a model.
     LoadModel {
-        /// Model.
+        /// Model name.
         model: String,
         /// Version.
         version: u64,
     },
     /// Unload a model.
     UnloadModel {
-        /// Model.
+        /// Model name.
         model: String,
     },
     /// Load an adapter of a model.
     LoadAdapter {
-        /// Adapter.
+        /// Adapter name.
         adapter: String,
     },
     /// Change the role.
     SetRole {
-        /// Role.
+        /// Role name.
         role: String,
     },
 }
 
-/// An order.
+/// A control order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlOrder {
-    /// Epoch of whoever orders.
+    /// Epoch of the sender.
     pub epoch: u64,
-    /// What to change.
+    /// Change to make.
     #[serde(flatten)]
     pub action: ControlAction,
 }
 
-/// What an engine holds by order.
+/// State of an engine that orders change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     /// Highest epoch seen.
     pub epoch: u64,
-    /// Models with their versions.
+    /// Loaded models and their versions.
     pub models: BTreeMap<String, u64>,
-    /// Adapters.
+    /// Loaded adapters.
     pub adapters: Vec<String>,
     /// Role.
     pub role: String,
 }
 
 impl ControlState {
-    /// Takes an epoch. Returns `false` for one older than the highest seen.
+    /// Records an epoch. Returns `false` if it is older than the highest one seen.
     pub fn accept_epoch(&mut self, epoch: u64) -> bool {
         if epoch < self.epoch {
             return false;
@@ -65,8 +66,8 @@
         true
     }
 
-    /// Carries out an action whose preparation is done. The epoch is checked again: a newer one
-    /// may have come while weights were read.
+    /// Applies an order whose preparation is complete. The epoch is checked again, since a newer
+    /// one may have arrived while weights were read.
     pub fn apply(&mut self, order: &ControlOrder) -> bool {
         if !self.accept_epoch(order.epoch) {
             return false;
--- a/crates/bench/src/standin/engine/fault.rs
+++ b/crates/bench/src/standin/engine/fault.rs
@@ -1,45 +1,45 @@
-//! Faults of an engine.
+//! Faults that can be injected into an engine.
 
 use serde::{Deserialize, Serialize};
 
-/// A fault of an engine.
+/// A fault to inject into an engine, or to end.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum EngineFault {
-    /// The process dies: connections are cut, memory is lost, the port is closed.
+    /// The process crashes: connections are cut, memory is lost, the port is closed.
     Die,
-    /// It comes back after a death.
+    /// The process starts again after a crash.
     Revive,
-    /// It stops to make progress, or goes on.
+    /// The engine stops making progress, or resumes.
     Hang {
         /// Whether it hangs.
         on: bool,
     },
-    /// Iterations take so many times their time.
+    /// The duration of iterations is multiplied by a factor.
     Slow {
         /// The factor; 1 is normal.
         factor: f64,
     },
-    /// Every open stream is cut in the middle.
+    /// Every open stream is cut before its end.
     CutStreams,
-    /// Work is done and its answers are lost, or no longer.
+    /// Work is executed but its answers are not sent, or are sent again.
     LoseAnswers {
         /// Whether answers are lost.
         on: bool,
     },
-    /// Events are malformed JSON, or no longer.
+    /// Events contain malformed JSON, or are well-formed again.
     BadJson {
         /// Whether events are malformed.
         on: bool,
     },
-    /// Events are malformed UTF-8, or no longer.
+    /// Events contain malformed UTF-8, or are well-formed again.
     BadText {
         /// Whether events are malformed.
         on: bool,
     },
 }
 
-/// The faults that are switched on.
+/// The faults in effect.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Faults {
     pub(super) hang: bool,
@@ -50,7 +50,7 @@
 }
 
 impl Faults {
-    /// None.
+    /// No fault.
     pub(super) fn none() -> Self {
         Self { hang: false, slow: 1.0, lose_answers: false, bad_json: false, bad_text: false }
     }
--- a/crates/bench/src/standin/engine/mod.rs
+++ b/crates/bench/src/standin/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The model engine stand-in: a model of continuous batching behind the engines' HTTP calls.
+//! Stand-in of a model engine: a simulation of continuous batching behind the engine's HTTP API.
 
 pub mod cache;
 pub mod control;
--- a/crates/bench/src/standin/engine/parameters.rs
+++ b/crates/bench/src/standin/engine/parameters.rs
@@ -1,11 +1,11 @@
 //! Parameters of the cost model.
 //!
-//! The shape is that of iteration-level scheduling (Yu et al., "Orca", OSDI 2022) over paged KV
-//! memory with shared prefixes (Kwon et al., "PagedAttention", SOSP 2023) and chunked prefill
-//! (Agrawal et al., "Sarathi-Serve", OSDI 2024): the time of an iteration is a constant for reading
-//! the weights, plus a part for each prefill token, plus a part for each decoding sequence. The
-//! default figures are chosen, not measured on any accelerator: they give some 12 to 20 ms between
-//! tokens.
+//! The model follows iteration-level scheduling (Yu et al., "Orca", OSDI 2022) over paged KV memory
+//! with shared prefixes (Kwon et al., "PagedAttention", SOSP 2023) and chunked prefill (Agrawal et
+//! al., "Sarathi-Serve", OSDI 2024): the duration of an iteration is a constant for reading the
+//! weights, plus a cost for each prefill token, plus a cost for each decoding sequence. The
+//! defaults give an inter-token latency of about 12 to 20 ms and do not model a particular
+//! accelerator.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,33 +13,33 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineParameters {
-    /// Sequences in one iteration at the most.
+    /// Maximum sequences in an iteration.
     pub max_sequences: usize,
     /// KV memory, in blocks.
     pub kv_blocks: usize,
     /// Tokens in a block.
     pub block_tokens: usize,
-    /// Bytes of prompt in a token.
+    /// Bytes of prompt text per token.
     pub bytes_per_token: usize,
-    /// Prefill tokens in one iteration at the most.
+    /// Maximum prefill tokens in an iteration.
     pub prefill_chunk_tokens: usize,
-    /// Constant time of an iteration, in microseconds.
+    /// Constant cost of an iteration, in microseconds.
     pub iteration_us: u64,
-    /// Time of a prefill token, in microseconds.
+    /// Cost of a prefill token, in microseconds.
     pub prefill_token_us: u64,
-    /// Time of a decoding sequence in an iteration, in microseconds.
+    /// Cost of a decoding sequence in an iteration, in microseconds.
     pub decode_sequence_us: u64,
     /// Time to import one KV block from another engine, in microseconds.
     pub import_block_us: u64,
-    /// Sequences that may wait; beyond it the engine refuses with 429.
+    /// Maximum waiting sequences; above it the engine answers with 429.
     pub queue_limit: usize,
-    /// Lag of load reports, in milliseconds.
+    /// Minimum age of load reports, in milliseconds.
     pub load_lag_ms: u64,
-    /// Lag of cache events, in milliseconds.
+    /// Delay of cache events, in milliseconds.
     pub event_lag_ms: u64,
-    /// Part of the cache events that is never published.
+    /// Fraction of the cache events that is never published.
     pub event_loss: f64,
-    /// Models loaded at the start.
+    /// Initially loaded models.
     pub models: Vec<String>,
     /// Size of a model's weights, in bytes.
     pub model_bytes: u64,
--- a/crates/bench/src/standin/engine/report.rs
+++ b/crates/bench/src/standin/engine/report.rs
@@ -1,31 +1,31 @@
-//! What an engine reports of itself.
+//! Reports that an engine sends about itself.
 
 use serde::{Deserialize, Serialize};
 
 use super::cache::BlockHash;
 
-/// A load report as the engine sends it.
+/// A load report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Sequences in the batch.
     pub running: usize,
-    /// Sequences that wait.
+    /// Sequences waiting for a place in the batch.
     pub waiting: usize,
     /// KV blocks in memory.
     pub kv_blocks_used: usize,
-    /// KV blocks at the most.
+    /// KV memory, in blocks.
     pub kv_blocks: usize,
     /// Age of the report, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A cache event as the engine sends it.
+/// A cache event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventReport {
-    /// Number; a gap means that events were lost.
+    /// Sequence number; a gap means that events were lost.
     pub sequence: u64,
-    /// Block.
+    /// Hash of the block.
     pub block: BlockHash,
-    /// Whether the block was stored, else evicted.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
--- a/crates/bench/src/standin/machines.rs
+++ b/crates/bench/src/standin/machines.rs
@@ -1,4 +1,4 @@
-//! The machine list stand-in.
+//! Stand-in of the machine list.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,14 +11,14 @@
 
 use super::http::{json, read_json, whole, Body, HttpServer, ResponseFuture};
 
-/// A running machine list.
+/// A running machine list server.
 pub struct MachineList {
     /// The server.
     pub server: Arc<HttpServer>,
     state: Arc<Mutex<MachineListing>>,
 }
 
-/// A change of one machine, as `PUT` carries it.
+/// Body of `PUT`: the new state of one machine.
 #[derive(Deserialize)]
 struct MachineChange {
     name: String,
@@ -26,19 +26,19 @@
 }
 
 impl MachineList {
-    /// Serves the list; `PUT` of `{"name", "state"}` changes it after `lag`.
+    /// Serves the list. A `PUT` of `{"name", "state"}` takes effect after `lag`.
     pub async fn start(address: SocketAddr, lag: Duration) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(MachineListing { revision: 1, machines: Vec::new() }));
-        let held = state.clone();
+        let handler_state = state.clone();
         let handler = move |request: http::Request<hyper::body::Incoming>| {
-            let state = held.clone();
+            let state = handler_state.clone();
             let future: ResponseFuture = Box::pin(answer(state, lag, request));
             future
         };
         Ok(Self { server: HttpServer::start(address, Arc::new(handler)).await?, state })
     }
 
-    /// Sets the state of a machine, which is added when it is new.
+    /// Sets the state of a machine at once; an unknown machine is added.
     pub fn set(&self, name: &str, state: MachineState) {
         set(&self.state, name, state);
     }
--- a/crates/bench/src/standin/mod.rs
+++ b/crates/bench/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the systems that yokefall is met by.
+//! Stand-ins for the systems around yokefall: back ends and platform services.
 
 pub mod engine;
 pub mod http;
--- a/crates/bench/src/standin/plain.rs
+++ b/crates/bench/src/standin/plain.rs
@@ -1,4 +1,4 @@
-//! The plain-service stand-in (tile and turn servers): request and response.
+//! Stand-in of a plain service, such as a tile or turn server: one request, one response.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,16 +14,16 @@
 use crate::ledger::{ExecutionEnd, ExecutionNumber, Ledger};
 use crate::text::plain_answer;
 
-/// Path under which the ledger is read.
+/// Path of the ledger.
 pub const LEDGER_PATH: &str = "/ledger";
 
 /// A running plain service.
 pub struct PlainStandIn {
     /// The server.
     pub server: Arc<HttpServer>,
-    /// What it ran.
+    /// Record of its executions.
     pub ledger: Arc<Ledger>,
-    /// When set, calls are run and their answers lost.
+    /// When set, calls are executed but get no response.
     pub lose_answers: Arc<AtomicBool>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl PlainStandIn {
-    /// Serves calls, `slots` at once, each in `service_time`.
+    /// Serves up to `slots` concurrent calls, each of which takes `service_time`.
     pub async fn start(
         address: SocketAddr,
         slots: usize,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Writes down an execution as cancelled unless it was finished.
+/// Records an execution as cancelled on drop, unless it has already ended.
 struct Running<'a> {
     ledger: &'a Ledger,
     number: ExecutionNumber,
--- a/crates/bench/src/standin/weights.rs
+++ b/crates/bench/src/standin/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store stand-in: reads take their size over one shared rate.
+//! Stand-in of the weight store. All reads share one rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,13 +9,13 @@
 
 use super::http::{query_value, whole, HttpServer};
 
-/// A running weight store.
+/// A running weight store server.
 pub struct WeightStore {
     /// The server.
     pub server: Arc<HttpServer>,
 }
 
-/// The shared rate: each read is served after those before it.
+/// The shared rate: reads are served one after the other.
 struct Rate {
     bytes_per_second: u64,
     free_at: Mutex<Instant>,
@@ -31,7 +31,8 @@
 }
 
 impl WeightStore {
-    /// Serves `GET /weights?bytes=N`, which is answered once the rate allows it.
+    /// Serves `GET /weights?bytes=N`; the response is sent when `bytes` bytes have passed at the
+    /// shared rate.
     pub async fn start(address: SocketAddr, bytes_per_second: u64) -> std::io::Result<Self> {
         let rate = Arc::new(Rate { bytes_per_second, free_at: Mutex::new(Instant::now()) });
         let handler = move |request: http::Request<hyper::body::Incoming>| {
--- a/crates/bench/src/text.rs
+++ b/crates/bench/src/text.rs
@@ -1,12 +1,12 @@
-//! Answers that the stand-ins give, so that every answer can be checked to the byte.
+//! Deterministic answers of the stand-ins, so that every answer can be verified byte by byte.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Sets a request's own id apart from the attempt in an engine's request id.
+/// Separates the request id from the attempt number in an engine's request id.
 const ATTEMPT_MARK: char = '#';
 
-/// The request's own id within an engine's request id: the answer depends on it alone, so that
-/// every attempt gives the same answer.
+/// The request id without the attempt number. Answers depend on it alone, so that every attempt
+/// gives the same answer.
 pub fn base_id(engine_id: &str) -> &str {
     engine_id.split_once(ATTEMPT_MARK).map_or(engine_id, |(base, _)| base)
 }
@@ -17,12 +17,12 @@
     format!("w{:04x} ", hash & 0xffff)
 }
 
-/// The whole answer of a model.
+/// The complete answer of a model.
 pub fn model_answer(engine_id: &str, tokens: u32) -> String {
     (0..tokens).map(|index| token_text(engine_id, index)).collect()
 }
 
-/// The whole answer of a plain service.
+/// The complete answer of a plain service.
 pub fn plain_answer(engine_id: &str, body: &[u8]) -> String {
     format!("{}:{:016x}", base_id(engine_id), xxh3_64(body))
 }
