--- a/crates/bench/src/load/run.rs
+++ b/crates/bench/src/load/run.rs
@@ -1,4 +1,4 @@
-//! A whole run: both partners' load on a local fleet.
+//! A complete run: online and batch load of all partners on a local fleet.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -12,20 +12,20 @@
 use crate::fleet::LocalFleet;
 use crate::report::{OnlineReport, RunReport};
 
-/// What is offered, and for how long.
+/// Load of a run and its duration.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Time for which load is offered.
+    /// Duration of the offered load.
     pub duration: Duration,
-    /// Seed of all arrivals and sizes.
+    /// Seed of all random arrivals and sizes.
     pub seed: u64,
-    /// Model requests a second of each partner.
+    /// Model requests per second of each partner.
     pub model_rate: f64,
-    /// Plain requests a second of each partner.
+    /// Plain requests per second of each partner.
     pub plain_rate: f64,
-    /// Jobs in each heap of each partner.
+    /// Jobs in each burst of each partner.
     pub jobs_per_burst: usize,
-    /// Time after the load until what is left of the jobs is cancelled.
+    /// Time after the load ends until unfinished jobs are cancelled.
     pub grace: Duration,
     /// Write a line to standard error for each request or item that was lost or doubled.
     pub verbose: bool,
@@ -47,20 +47,21 @@
 
 /// Deadline of online requests.
 const ONLINE_DEADLINE: Duration = Duration::from_secs(30);
-/// Items of a job.
+/// Range of the number of items in a job.
 const ITEMS_PER_JOB: std::ops::RangeInclusive<u32> = 20..=120;
-/// Tokens of an item's answer.
+/// Tokens in an item's answer.
 const ITEM_TOKENS: u32 = 48;
 
-/// Offers the load, waits for every end, stops the fleet and judges by the ledgers. `progress` is
-/// called every second with the time and the batch items completed.
+/// Offers the load, waits until every request and job has ended, stops the fleet and verifies the
+/// outcomes against the ledgers. `progress` is called every second with the elapsed time, the
+/// number of completed batch items and the number of requests and items that were executed.
 pub async fn run(
     mut fleet: LocalFleet,
     options: &RunOptions,
     faults: Option<FaultPlan>,
     mut progress: impl FnMut(Duration, u64, usize),
 ) -> Result<RunReport, String> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let completed = Arc::new(AtomicU64::new(0));
     let mut online_tasks = Vec::new();
     let mut batch_tasks = Vec::new();
@@ -84,20 +85,20 @@
             online.whole.add(&record.whole);
         }
         if options.verbose {
-            eprintln!("{:>6.2} s  every request has ended", begun.elapsed().as_secs_f64());
+            eprintln!("{:>6.2} s  every request has ended", started.elapsed().as_secs_f64());
         }
         for task in batch_tasks {
             jobs.extend(task.await.map_err(|error| error.to_string())?);
         }
         if options.verbose {
-            eprintln!("{:>6.2} s  every job has ended", begun.elapsed().as_secs_f64());
+            eprintln!("{:>6.2} s  every job has ended", started.elapsed().as_secs_f64());
         }
         Ok::<(), String>(())
     };
     let reporting = async {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            let elapsed = begun.elapsed();
+            let elapsed = started.elapsed();
             let items = completed.load(Ordering::Relaxed);
             if elapsed <= options.duration + Duration::from_millis(500) {
                 rate = items as f64 / elapsed.as_secs_f64();
@@ -105,24 +106,24 @@
             progress(elapsed, items, ledger.counts().len());
         }
     };
-    let disturbing = async {
+    let injecting = async {
         if let Some(plan) = faults {
-            chaos::disturb(&mut fleet, &plan, options.duration).await?;
+            chaos::inject_faults(&mut fleet, &plan, options.duration).await?;
         }
         Ok::<(), String>(())
     };
-    let both = async { tokio::try_join!(collecting, disturbing) };
+    let both = async { tokio::try_join!(collecting, injecting) };
     tokio::select! {
         done = both => { done?; }
         () = reporting => {}
     }
     if rate == 0.0 {
-        rate = completed.load(Ordering::Relaxed) as f64 / begun.elapsed().as_secs_f64();
+        rate = completed.load(Ordering::Relaxed) as f64 / started.elapsed().as_secs_f64();
     }
     let clean_stop = fleet.stop().await;
     Ok(RunReport {
-        requests: online::judge(&online.observations, &ledger, options.verbose),
-        items: batch::judge(&jobs, &ledger, options.verbose),
+        requests: online::verify(&online.observations, &ledger, options.verbose),
+        items: batch::verify(&jobs, &ledger, options.verbose),
         online_ms: OnlineReport {
             first_token: online.first_token.percentiles(),
             whole: online.whole.percentiles(),
