--- a/crates/app/build.rs
+++ b/crates/app/build.rs
@@ -1,5 +1,4 @@
-//! Passes the checked-out commit to the build as `YOKEFALL_BUILD`, read from the files under `.git`
-//! without running git.
+//! Sets `YOKEFALL_BUILD` to the checked-out commit, read from `.git` without running git.
 
 use std::fs;
 use std::path::Path;
--- a/crates/app/src/commands/ask.rs
+++ b/crates/app/src/commands/ask.rs
@@ -103,7 +103,6 @@
     deadline_ms: u64,
 }
 
-/// Runs a subcommand.
 pub async fn run(command: AskCommand) -> ExitStatus {
     let done = match command {
         AskCommand::Generate(arguments) => generate(arguments).await,
--- a/crates/app/src/commands/ctl.rs
+++ b/crates/app/src/commands/ctl.rs
@@ -14,8 +14,7 @@
 use super::declarations::{self, DeclaredObject};
 use crate::exit::{fail, ExitStatus};
 
-/// Maximum attempts to apply one change while its outcome is unknown. All attempts carry the same
-/// change id, so that the change takes effect at most once.
+/// Attempts to apply a change of unknown outcome; their common change id lets it take effect once.
 const MAX_APPLY_ATTEMPTS: u32 = 3;
 
 /// Configuration.
@@ -80,7 +79,6 @@
     after: u64,
 }
 
-/// Planned change of one object.
 #[derive(Clone, Debug)]
 enum PlannedChange {
     Create(DeclaredObject),
@@ -122,7 +120,6 @@
     }
 }
 
-/// Runs a subcommand.
 pub async fn run(command: CtlCommand) -> ExitStatus {
     let done = match command {
         CtlCommand::Apply(arguments) => apply(arguments).await,
@@ -146,8 +143,7 @@
     Ok(response.into_inner().objects)
 }
 
-/// Compares the declared objects with those in force and returns the changes to apply, ordered so
-/// that no change leaves a reference to an object that does not exist.
+/// Plans the changes to the declared objects, ordered so that no reference is ever left dangling.
 async fn plan(
     operator: &mut Operator,
     arguments: &FilesArguments,
--- a/crates/app/src/commands/declarations.rs
+++ b/crates/app/src/commands/declarations.rs
@@ -6,14 +6,10 @@
 use serde::Deserialize;
 use yokefall_types::{Declaration, Kind};
 
-/// An object declared in a file.
 #[derive(Clone, Debug)]
 pub struct DeclaredObject {
-    /// File that declares it.
     pub file: PathBuf,
-    /// Kind.
     pub kind: Kind,
-    /// Name.
     pub name: String,
     /// Parsed specification.
     pub declaration: Declaration,
--- a/crates/app/src/commands/demo.rs
+++ b/crates/app/src/commands/demo.rs
@@ -37,7 +37,6 @@
     logs: bool,
 }
 
-/// Runs the demo.
 pub async fn run(arguments: DemoArguments) -> ExitStatus {
     let level = if arguments.logs { Level::Info } else { Level::Error };
     init_logs("demo", Format::Text, level);
--- a/crates/app/src/commands/explain.rs
+++ b/crates/app/src/commands/explain.rs
@@ -1,5 +1,4 @@
-//! `yokefall explain`: prints the history of one request, job or item from the log lines of all
-//! processes.
+//! `yokefall explain`: prints the history of a request, job or item from all processes' logs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Read};
@@ -48,7 +47,7 @@
 
 type JsonLine = Map<String, Value>;
 
-/// Prints the lines that mention the id, oldest first. Then reports if none of them ends the request,
+/// Prints the lines that mention the id, oldest first, reports if none of them ends the request,
 /// item or job, and prints events that may explain missing lines.
 pub fn run(arguments: &ExplainArguments) -> ExitStatus {
     let lines = match read_all(&arguments.files) {
@@ -90,8 +89,7 @@
     Ok(lines)
 }
 
-/// Parses the lines that contain a JSON object and skips all others. Text before the opening brace,
-/// such as a timestamp added by a log collector, is ignored.
+/// Parses the JSON object in each line that has one, ignoring a collector's timestamp before it.
 fn read(source: impl Read) -> Vec<JsonLine> {
     let lines = BufReader::new(source).lines().map_while(Result::ok);
     lines.filter_map(|line| serde_json::from_str(&line[line.find('{')?..]).ok()).collect()
@@ -135,8 +133,7 @@
     names.into_iter().collect::<Vec<_>>().join(", ")
 }
 
-/// Prints events that may explain missing lines, limited to the processes and the time range of the
-/// timeline.
+/// Prints events that may explain missing lines, in the timeline's processes and time range.
 fn print_gaps(lines: &[JsonLine], timeline: &[&JsonLine]) {
     let (Some(first), Some(last)) = (timeline.first(), timeline.last()) else { return };
     let span = time_of(first)..=time_of(last);
--- a/crates/app/src/commands/job.rs
+++ b/crates/app/src/commands/job.rs
@@ -75,7 +75,6 @@
     follow: bool,
 }
 
-/// Runs a subcommand.
 pub async fn run(command: JobCommand) -> ExitStatus {
     let done = match command {
         JobCommand::Submit(arguments) => submit(arguments).await,
--- a/crates/app/src/commands/serve.rs
+++ b/crates/app/src/commands/serve.rs
@@ -71,7 +71,6 @@
     init_logs(role, format, level);
 }
 
-/// Waits for SIGTERM or SIGINT.
 async fn stop_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
@@ -84,7 +83,6 @@
     }
 }
 
-/// Runs a daemon until SIGTERM or SIGINT.
 pub async fn run_daemon(arguments: ServeArguments) -> ExitStatus {
     let settings = match arguments.load(Role::Daemon) {
         Ok(settings) => settings,
@@ -114,7 +112,6 @@
     ExitStatus::WorkInterrupted
 }
 
-/// Runs an agent until SIGTERM or SIGINT.
 pub async fn run_agent(arguments: ServeArguments) -> ExitStatus {
     let settings = match arguments.load(Role::Agent) {
         Ok(settings) => settings,
--- a/crates/app/src/commands/serving.rs
+++ b/crates/app/src/commands/serving.rs
@@ -26,15 +26,12 @@
 
 /// Fraction of the memory limit available to buffered request bodies.
 const BODY_MEMORY_FRACTION: f64 = 0.4;
-/// Fraction of the memory limit available to stored jobs: encoding and rewriting them needs as much
-/// again.
+/// Fraction of the memory limit for stored jobs: encoding and rewriting needs as much again.
 const JOB_MEMORY_FRACTION: f64 = 0.32;
-/// Fraction of the disk limit available to stored jobs: encoding and rewriting them needs as much
-/// again.
+/// Fraction of the disk limit for stored jobs: encoding and rewriting needs as much again.
 const JOB_DISK_FRACTION: f64 = 0.35;
 /// Fraction of the memory limit available to the newest entries of the replicated log.
 const LOG_MEMORY_FRACTION: f64 = 0.05;
-/// Bounds of the memory for log entries, in MB.
 const LOG_MEMORY_RANGE_MB: std::ops::RangeInclusive<f64> = 1.0..=16.0;
 /// Fraction of the memory limit available to pages of results that are being sent to readers.
 const RESULT_PAGE_MEMORY_FRACTION: f64 = 0.06;
@@ -70,8 +67,7 @@
     init_log_lines(role, &settings.node.name, level);
 }
 
-/// Interval at which the settings file is checked for changes, so that they take effect without
-/// SIGHUP.
+/// Interval of checks of the settings file, so that changes take effect without SIGHUP.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reloads the settings file. Only the seeds take effect; all other settings need a restart.
@@ -116,8 +112,7 @@
     }
 }
 
-/// Sets `stop` to true on SIGTERM or SIGINT. Reloads the settings on SIGHUP, and when the file has
-/// changed.
+/// Sets `stop` on SIGTERM or SIGINT; reloads the settings on SIGHUP and when the file changes.
 async fn watch_signals(mut reloader: SettingsReloader, stop: watch::Sender<bool>) {
     let signals = (
         signal(SignalKind::terminate()),
@@ -174,8 +169,7 @@
     }
 }
 
-/// Serves metrics. If the metrics port cannot be opened, logs the failure and lets the process run
-/// without metrics.
+/// Serves metrics; if their port cannot be opened, logs the failure and runs without metrics.
 async fn serve_metrics(address: std::net::SocketAddr) {
     let started = match tokio::net::TcpListener::bind(address).await {
         Ok(listener) => MetricsServer::start(listener, Arc::new(HealthState::default())),
@@ -190,7 +184,6 @@
     }
 }
 
-/// Runs a gateway until SIGTERM or SIGINT.
 pub fn run_gateway(arguments: &ServingArguments) -> ExitStatus {
     run(arguments, ServingRole::Gateway, async |settings, seeds, stop| {
         let platform = settings.platform.clone();
@@ -230,7 +223,6 @@
     }
 }
 
-/// Runs a job store until SIGTERM or SIGINT.
 pub fn run_job_store(arguments: &ServingArguments) -> ExitStatus {
     run(arguments, ServingRole::JobStore, async |settings, seeds, stop| {
         let platform = settings.platform.clone();
--- a/crates/app/src/exit.rs
+++ b/crates/app/src/exit.rs
@@ -16,7 +16,6 @@
 /// Outcome of a command, which determines its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// The command completed.
     Success,
     /// Failed or refused; nothing was changed or run.
     Failed,
--- a/crates/app/tests/catalog.rs
+++ b/crates/app/tests/catalog.rs
@@ -25,7 +25,6 @@
 seconds = 4
 "#;
 
-/// Runs `yokefall check` on these settings and this catalog; returns the exit code and the errors.
 fn check(settings: &str, catalog: &str) -> (Option<i32>, String) {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("gateway.toml");
--- a/crates/app/tests/walk.rs
+++ b/crates/app/tests/walk.rs
@@ -1,4 +1,4 @@
-//! Runs the shell blocks of `docs/RUNNING.md` unchanged, except that ports are replaced by free ones.
+//! Runs the shell blocks of `docs/RUNNING.md` unchanged, except that free ports replace theirs.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
--- a/crates/bench/src/chaos.rs
+++ b/crates/bench/src/chaos.rs
@@ -1,5 +1,4 @@
-//! Fault injection into a running fleet. Faults are drawn from a seed, may hit any part at any
-//! time, and may overlap and recur.
+//! Injects seeded faults into any part of a running fleet at any time; they may overlap and recur.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -12,9 +11,7 @@
 use crate::fleet::{Backend, LocalFleet, PlacedBackend};
 use crate::standin::engine::EngineFault;
 
-/// Range of fault durations, in milliseconds.
 const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 300..=4_000;
-/// Range of intervals between two faults, in milliseconds.
 const FAULT_INTERVAL_MS: std::ops::RangeInclusive<u64> = 100..=1_200;
 /// Resolution at which faults start and end.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -68,7 +65,6 @@
     DaemonStops(usize),
 }
 
-/// A fault in progress.
 struct ActiveFault {
     fault: Fault,
     ends_at: Instant,
--- a/crates/bench/src/commands/chaos.rs
+++ b/crates/bench/src/commands/chaos.rs
@@ -28,7 +28,6 @@
     verbose: bool,
 }
 
-/// Runs load and faults, and verifies the outcomes against the ledgers.
 pub async fn run(arguments: ChaosArguments) -> Result<(), String> {
     let fleet =
         LocalFleet::start(deployment::reference_deployments(), &FleetOptions::default()).await?;
--- a/crates/bench/src/commands/load.rs
+++ b/crates/bench/src/commands/load.rs
@@ -49,7 +49,6 @@
     Ok((name.to_owned(), pid.parse().map_err(|_| "PID must be a number")?))
 }
 
-/// Sends the load, then prints the outcome and the resource use of the processes.
 pub async fn run(arguments: LoadArguments) -> Result<(), String> {
     let key = std::fs::read_to_string(&arguments.key_file)
         .map_err(|error| format!("{}: {error}", arguments.key_file.display()))?;
--- a/crates/bench/src/commands/measure.rs
+++ b/crates/bench/src/commands/measure.rs
@@ -35,13 +35,11 @@
     Ok(())
 }
 
-/// Measures the overhead of agent and daemon.
 pub async fn overhead(arguments: OverheadArguments) -> Result<(), String> {
     let rows = overhead_run::run(arguments.rounds).await?;
     print(arguments.json, &rows, &overhead_run::table(&rows))
 }
 
-/// Measures the time of a request digest.
 pub fn digest(arguments: DigestArguments) -> Result<(), String> {
     let rows = digest_run::run(arguments.count);
     print(arguments.json, &rows, &digest_run::table(&rows))
--- a/crates/bench/src/commands/soak.rs
+++ b/crates/bench/src/commands/soak.rs
@@ -39,7 +39,6 @@
     back_ends: usize,
 }
 
-/// Executes the runs and prints the report of each.
 pub async fn run(arguments: SoakArguments) -> Result<(), String> {
     let own = std::env::current_exe()
         .map_err(|error| format!("find the path of this program: {error}"))?;
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -46,9 +46,7 @@
     }
 }
 
-/// Maximum concurrent calls of a model server.
 const MODEL_SLOTS: u32 = 8;
-/// Maximum concurrent calls of a plain server.
 const PLAIN_SLOTS: u32 = 32;
 
 fn model(name: &'static str, backends: usize) -> ServicePlan {
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -26,11 +26,9 @@
 
 /// Time limit for the configuration to reach every daemon and agent.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time limit for a daemon or agent to stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Shared secret of the fleet's processes.
 const FLEET_SECRET: &str = "demonstration-fleet-secret";
 
 /// API key of a partner's callers in a local fleet.
@@ -63,8 +61,7 @@
     pub backend: Backend,
 }
 
-/// A daemon in a Tokio runtime of its own, so that it can be aborted at any point, as a killed
-/// process is.
+/// A daemon in its own Tokio runtime, which can be aborted at any point like a killed process.
 pub struct LocalDaemon {
     settings: Settings,
     runtime: Option<Runtime>,
@@ -72,10 +69,8 @@
     stopping: Option<JoinHandle<StopReport>>,
 }
 
-/// Worker threads of a local daemon's runtime.
 const DAEMON_THREADS: usize = 2;
-/// Attempts to reopen the ports and the data folder of a daemon that has just crashed, which may
-/// still be in use, and the pause between them.
+/// Restart attempts, and the pause between them: a crash may leave ports and data folder in use.
 const MAX_RESTART_ATTEMPTS: u32 = 100;
 const RESTART_BACKOFF: Duration = Duration::from_millis(50);
 
--- a/crates/bench/src/ledger.rs
+++ b/crates/bench/src/ledger.rs
@@ -1,5 +1,4 @@
-//! Record of the executions of a stand-in, kept by the stand-in itself and so independent of the
-//! product.
+//! Record of a stand-in's executions, kept by the stand-in and so independent of the product.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/bench/src/load/batch.rs
+++ b/crates/bench/src/load/batch.rs
@@ -15,13 +15,9 @@
 use crate::text::model_answer;
 use yokefall_rpc::client::Caller;
 
-/// Interval between bursts of jobs.
 const BURST_INTERVAL: Duration = Duration::from_secs(10);
-/// Deadline of a job.
 const JOB_DEADLINE: Duration = Duration::from_secs(4 * 3600);
-/// Pause before a failed call is retried.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
-/// Maximum attempts to submit a job.
 const MAX_SUBMIT_ATTEMPTS: u32 = 50;
 
 /// Batch load of one partner.
@@ -45,7 +41,6 @@
     pub seed: u64,
 }
 
-/// A job to be submitted.
 #[derive(Clone, Debug)]
 struct JobPlan {
     key: String,
--- a/crates/bench/src/load/online.rs
+++ b/crates/bench/src/load/online.rs
@@ -15,12 +15,9 @@
 use crate::text::{model_answer, plain_answer};
 use yokefall_rpc::client::Caller;
 
-/// Number of tenants of a partner that send online requests.
 const TENANTS: u32 = 20;
-/// Number of distinct prompt prefixes that requests share, as prompts about the same guide book or
-/// depot do.
+/// Number of distinct shared prompt prefixes, as of prompts about the same guide book or depot.
 const PROMPT_PREFIXES: u32 = 16;
-/// Approximate length of a shared prefix.
 const PROMPT_PREFIX_BYTES: usize = 512;
 /// Range of the number of tokens in an answer.
 const TOKENS: std::ops::RangeInclusive<u32> = 8..=40;
@@ -51,7 +48,6 @@
     pub seed: u64,
 }
 
-/// A request to be sent.
 #[derive(Clone, Debug)]
 struct RequestPlan {
     id: String,
@@ -171,8 +167,7 @@
 /// A finished request, its latency to the first token and its latency to the end.
 type RequestResult = (Observation, Option<Duration>, Option<Duration>);
 
-/// Sends a request, and resends it under the same id while it is unknown whether it ran, as clients
-/// do.
+/// Sends a request and, as clients do, resends it under the same id while its outcome is unknown.
 async fn send_one(
     load: &OnlineLoad,
     mut caller: Caller,
--- a/crates/bench/src/load/run.rs
+++ b/crates/bench/src/load/run.rs
@@ -45,16 +45,12 @@
     }
 }
 
-/// Deadline of online requests.
 const ONLINE_DEADLINE: Duration = Duration::from_secs(30);
-/// Range of the number of items in a job.
 const ITEMS_PER_JOB: std::ops::RangeInclusive<u32> = 20..=120;
-/// Tokens in an item's answer.
 const ITEM_TOKENS: u32 = 48;
 
-/// Offers the load, waits until every request and job has ended, stops the fleet and verifies the
-/// outcomes against the ledgers. `progress` is called every second with the elapsed time, the
-/// number of completed batch items and the number of requests and items that were executed.
+/// Offers the load until all work has ended, stops the fleet and verifies outcomes by the ledgers.
+/// Each second, `progress` gets the elapsed time, completed batch items and executions.
 pub async fn run(
     mut fleet: LocalFleet,
     options: &RunOptions,
--- a/crates/bench/src/measure/overhead.rs
+++ b/crates/bench/src/measure/overhead.rs
@@ -17,15 +17,13 @@
 use crate::fleet::{Backend, FleetOptions, LocalFleet};
 use crate::report::{Latencies, Percentiles};
 
-/// Numbers of concurrent calls that are measured.
 const CONCURRENCY: [usize; 3] = [1, 32, 512];
 /// Minimum calls in a round: plain calls are short, model calls long.
 const MIN_PLAIN_CALLS_PER_ROUND: usize = 128;
 const MIN_MODEL_CALLS_PER_ROUND: usize = 16;
 /// Tokens in a model answer.
 const TOKENS: u32 = 16;
-/// Back ends of each service, and slots of each. Their product exceeds the highest concurrency, so
-/// that nothing queues.
+/// Back ends per service, and slots of each: more slots in all than calls, so nothing queues.
 const BACKENDS: usize = 4;
 const SLOTS: u32 = 160;
 const PARTNER: &str = "board";
@@ -165,7 +163,6 @@
     }
 }
 
-/// Makes calls at the given concurrency and returns their latencies.
 async fn measure_round(
     path: &CallPath,
     kind: ServiceKind,
--- a/crates/bench/src/measure/process.rs
+++ b/crates/bench/src/measure/process.rs
@@ -1,11 +1,9 @@
 //! CPU time and memory of a process, read from `/proc`.
 
-/// Size of a memory page.
 const PAGE_BYTES: u64 = 4_096;
 /// Clock ticks per second, the unit of CPU time in `/proc` on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Positions of user and system time in `/proc/PID/stat`, counted from the field after the command
-/// name.
+/// Positions of user and system time in `/proc/PID/stat`, counted after the command name.
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
 
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -5,7 +5,6 @@
 
 /// Maximum recorded latency, in microseconds; longer ones are clamped.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant decimal digits of a recorded latency.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Counts of requests or items. `lost` and `doubled` are derived from the stand-ins' ledgers and
@@ -20,8 +19,7 @@
     pub refused: u64,
     /// Ended without knowledge of whether they ran.
     pub unknown: u64,
-    /// Accepted without ever getting an answer or another end, or with a wrong answer, or refused
-    /// as "not run" although they ran.
+    /// Accepted but never ended, or answered wrongly, or refused as "not run" although they ran.
     pub lost: u64,
     /// Answered twice, or run more than once although repeats are forbidden.
     pub doubled: u64,
--- a/crates/bench/src/soak/back_end.rs
+++ b/crates/bench/src/soak/back_end.rs
@@ -1,5 +1,4 @@
-//! Simulated back ends of the soak. They answer calls, stream the output of items, and record what
-//! they run.
+//! Simulated back ends of the soak, which answer calls, stream items and record what they run.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,27 +20,22 @@
 /// Duration of a call, and interval between the events of an item.
 const CALL_DURATION: Duration = Duration::from_millis(15);
 const EVENT_INTERVAL: Duration = Duration::from_millis(10);
-/// Time from the arrival of a fatal call until the back end crashes, and from the crash until it is
-/// restarted.
+/// Delays from a fatal call to the crash of its back end, and from the crash to the restart.
 const CRASH_DELAY: Duration = Duration::from_millis(80);
 const RESTART_DELAY: Duration = Duration::from_millis(2_000);
 /// Path prefix of calls that crash the back end that runs them.
 pub const FATAL_PATH: &str = "/call/fatal-";
-/// Path prefix of items.
 pub const ITEM_PATH: &str = "/work/run/";
 
 /// Record of what ran at all back ends.
 #[derive(Debug, Default)]
 pub struct Ledger {
     runs: Mutex<HashMap<String, Vec<Instant>>>,
-    /// Links by back-end id.
     links: Mutex<HashMap<String, Link>>,
     /// Number of crashes caused by each fatal call, by path.
     crashes: Mutex<HashMap<String, usize>>,
-    /// Times at which each back end received a request, by id.
     arrivals: Mutex<HashMap<String, Vec<Instant>>>,
-    /// Back ends that must receive a request within an interval, since no other fault affects them
-    /// in it.
+    /// Back ends that must get a request in an interval, in which no other fault affects them.
     expected: Mutex<Vec<(String, Instant, Instant)>>,
 }
 
@@ -53,12 +47,10 @@
         runs.entry(id.to_owned()).or_default().push(Instant::now());
     }
 
-    /// Registers the link to a back end.
     pub fn set_link(&self, id: String, link: Link) {
         self.links.lock().unwrap_or_else(PoisonError::into_inner).insert(id, link);
     }
 
-    /// Number of crashes caused by each fatal call, by path.
     pub fn crashes(&self) -> HashMap<String, usize> {
         self.crashes.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -107,30 +99,25 @@
         (expected.len(), idle)
     }
 
-    /// Total number of runs.
     pub fn runs(&self) -> usize {
         let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.values().map(Vec::len).sum()
     }
 }
 
-/// Number of events in the output of an item.
 pub fn events_of(item: &str) -> u64 {
     10 + xxh3_64(item.as_bytes()) % 60
 }
 
-/// Complete output of an item.
 pub fn output_of(item: &str) -> String {
     let chunk = |event| format!("{item} piece {event}");
     (1..=events_of(item)).map(chunk).collect::<Vec<String>>().join("\n")
 }
 
-/// Complete answer to a call.
 pub fn expected_answer(id: &str) -> String {
     format!("answer to {id}")
 }
 
-/// Starts a back end with an id.
 pub async fn start(id: String, ledger: Arc<Ledger>) -> Result<Arc<HttpServer>, String> {
     let handler: Handler = Arc::new(move |request| {
         let (id, ledger) = (id.clone(), ledger.clone());
--- a/crates/bench/src/soak/clients.rs
+++ b/crates/bench/src/soak/clients.rs
@@ -1,5 +1,4 @@
-//! Clients of the soak: repeatable calls, at-most-once calls, calls that crash back ends, and jobs
-//! that are submitted, read and cancelled.
+//! Clients of the soak, which send repeatable, at-most-once and fatal calls, and use batch jobs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +18,6 @@
 use super::back_end::{expected_answer, FATAL_PATH, ITEM_PATH};
 use super::oracle::{CallOutcome, Oracle};
 
-/// Time limit for one complete answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 /// Mean interval between the calls of one client, and number of these clients.
 const CALL_INTERVAL: Duration = Duration::from_millis(60);
@@ -34,12 +32,10 @@
 /// Mean interval between two calls that crash back ends, and number of times each is sent.
 const FATAL_CALL_INTERVAL: Duration = Duration::from_millis(6_000);
 const FATAL_CALL_REPEATS: u32 = 40;
-/// Maximum items in a job.
 const MAX_JOB_ITEMS: usize = 24;
 /// Accepted jobs whose number is a multiple of this are cancelled by their client.
 const CANCEL_EVERY_NTH_JOB: u64 = 6;
 
-/// The clients of a soak.
 #[derive(Clone)]
 pub struct Clients {
     seed: u64,
@@ -47,14 +43,12 @@
     oracle: Arc<Oracle>,
 }
 
-/// A complete answer.
 struct Answer {
     status: StatusCode,
     body: Bytes,
 }
 
 impl Clients {
-    /// Creates clients that send their requests to these gateways.
     pub fn new(seed: u64, gateways: Vec<SocketAddr>, oracle: Arc<Oracle>) -> Self {
         Self { seed, gateways, oracle }
     }
@@ -78,7 +72,6 @@
         Err("the fleet did not answer a call and accept a job in time after its start".to_owned())
     }
 
-    /// Starts the load, which ends at `until`.
     pub fn start(&self, until: Instant) -> Vec<JoinHandle<()>> {
         let mut tasks: Vec<JoinHandle<()>> = (0..CALLER_COUNT)
             .map(|number| tokio::spawn(self.clone().call_until(number, until)))
@@ -122,8 +115,7 @@
         }
     }
 
-    /// Sends calls that crash back ends at intervals, each of them repeatedly, whatever the answers
-    /// are.
+    /// Sends calls that crash back ends at intervals, each repeatedly whatever the answers are.
     async fn send_fatal_until(self, until: Instant) {
         let mut random = StdRng::seed_from_u64(self.seed.rotate_left(29));
         let mut number = 0;
@@ -201,8 +193,7 @@
         }
     }
 
-    /// Reads the new results of every accepted job, and with a probability of 1/8 all of them
-    /// again.
+    /// Reads the new results of every accepted job, and with probability 1/8 all of them again.
     pub async fn read_all(&self) {
         let mut random = StdRng::from_rng(&mut rand::rng());
         for (id, read_count) in self.oracle.accepted_jobs() {
--- a/crates/bench/src/soak/faults.rs
+++ b/crates/bench/src/soak/faults.rs
@@ -14,13 +14,10 @@
 use super::SoakOptions;
 use clap::ValueEnum;
 
-/// Range of intervals between two faults, in milliseconds.
 const FAULT_INTERVAL_MS: std::ops::Range<u64> = 300..3_000;
-/// Range of fault durations, in milliseconds.
 const FAULT_DURATION_MS: std::ops::Range<u64> = 200..6_000;
-/// Time within which a job store with a lost disk recovers its state from the others. No job store
-/// gets another fault in this time after a lost disk, and none loses its disk within this time of
-/// another fault of a job store.
+/// Time in which a job store recovers the state of a lost disk from the others and no job store
+/// gets another fault. No disk is lost within this time of another fault of a job store.
 const STORE_RECOVERY_TIME: Duration = Duration::from_secs(10);
 /// Time at the end in which no fault is started, so that faults do not cut off all jobs.
 const FAULT_FREE_TAIL: Duration = Duration::from_secs(3);
@@ -29,7 +26,6 @@
 /// continues; changes of the catalog file are picked up within one second.
 const RESTART_REUSE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum FaultKind {
     /// A process is suspended (`SIGSTOP`) and resumed later.
@@ -48,8 +44,7 @@
     Restart,
 }
 
-/// Kinds other than link faults from which one is drawn with equal probability; repeated kinds have
-/// a higher weight.
+/// Kinds other than link faults, drawn with equal probability; repeated kinds weigh more.
 const WEIGHTED_KINDS: [FaultKind; 7] = [
     FaultKind::Pause,
     FaultKind::Pause,
@@ -60,20 +55,15 @@
     FaultKind::Restart,
 ];
 
-/// Action that ends a fault.
+/// Action that ends a fault: at a process for `Start` and `Continue`, at a link for the others.
 #[derive(Clone, Copy, Debug)]
 enum FaultEnd {
-    /// Start the process with this number.
     Start(usize),
-    /// Resume the process with this number.
     Continue(usize),
-    /// Set the link with this number to normal.
     Heal(usize),
-    /// Restart the back end behind the link with this number.
     Restart(usize),
 }
 
-/// State of the schedule.
 struct Schedule {
     random: StdRng,
     pending_ends: Vec<(Instant, FaultEnd)>,
@@ -81,7 +71,6 @@
     last_store_fault: Instant,
     /// No job store gets a fault before this time.
     recovering_until: Instant,
-    /// Kinds of faults to inject.
     kinds: Vec<FaultKind>,
     /// Descriptions of the faults, each with its time in seconds.
     log: Vec<String>,
--- a/crates/bench/src/soak/fleet.rs
+++ b/crates/bench/src/soak/fleet.rs
@@ -26,27 +26,21 @@
 /// Job stores that may lose their disks at the same time.
 const TOLERATED_LOSSES: usize = 1;
 
-/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Gateway, which serves clients.
     Gateway,
-    /// Job store, which keeps jobs.
     JobStore,
 }
 
-/// A process of the fleet.
 pub struct ManagedProcess {
     /// Process name, also used in file names.
     pub name: String,
-    /// Role of the process.
     pub role: Role,
     ports: Vec<u16>,
     starts: u32,
     child: Option<Child>,
 }
 
-/// The processes and the links to back ends.
 pub struct ProcessFleet {
     program: PathBuf,
     folder: PathBuf,
@@ -96,13 +90,11 @@
         Ok(fleet)
     }
 
-    /// Addresses of the gateways' client ports.
     pub fn ingress_addresses(&self) -> Vec<SocketAddr> {
         let gateways = self.processes.iter().filter(|process| process.role == Role::Gateway);
         gateways.map(|gateway| local(gateway.ports[0])).collect()
     }
 
-    /// Starts a process if it is not running.
     pub fn start_process(&mut self, number: usize) -> Result<(), String> {
         let seeds: Vec<String> = self.processes.iter().map(peer).collect();
         let process = &mut self.processes[number];
@@ -133,7 +125,6 @@
         Ok(())
     }
 
-    /// Sends a signal to a process if it is running.
     pub fn signal(&self, number: usize, signal: Signal) -> Result<(), String> {
         let process = &self.processes[number];
         let Some(id) = process.child.as_ref().and_then(Child::id) else { return Ok(()) };
@@ -141,7 +132,6 @@
         kill(Pid::from_raw(id), signal).map_err(|error| format!("signal {}: {error}", process.name))
     }
 
-    /// Kills a process.
     pub async fn kill(&mut self, number: usize) -> Result<(), String> {
         let process = &mut self.processes[number];
         let Some(mut child) = process.child.take() else { return Ok(()) };
@@ -189,7 +179,6 @@
         Ok(())
     }
 
-    /// Kills every process.
     pub async fn kill_all(&mut self) {
         for number in 0..self.processes.len() {
             // An error means that the process has already exited.
@@ -202,7 +191,6 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Address of a process's peer port.
 fn peer(process: &ManagedProcess) -> String {
     match process.role {
         Role::Gateway => local(process.ports[3]).to_string(),
@@ -210,8 +198,7 @@
     }
 }
 
-/// Finds free ports. The listeners stay open until all are found, so that no port is returned
-/// twice.
+/// Finds free ports; the listeners stay open until all are found, so that the ports differ.
 fn free_ports(count: usize) -> Result<Vec<u16>, String> {
     let open = || TcpListener::bind(local(0)).map_err(|error| format!("find a port: {error}"));
     let listeners = (0..count).map(|_| open()).collect::<Result<Vec<TcpListener>, String>>()?;
@@ -260,7 +247,6 @@
     std::fs::rename(&new, folder.join("catalog.toml")).map_err(failed)
 }
 
-/// Text of the catalog: routes and back ends.
 fn catalog(links: &[Link]) -> String {
     let mut text = "version = 1\n".to_owned();
     let routes = [("calls", "/", "repeatable"), ("once", "/once/", "at_most_once")];
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -2,9 +2,8 @@
 //! signals, restarts, lost disks and link faults are injected from outside. `oracle` verifies what
 //! clients and back ends observe.
 //!
-//! `fleet` runs the processes, `back_end` simulates the back ends that they forward to, `proxy` the
-//! links to these, `clients` generates the load, `faults` injects faults on a schedule that follows
-//! from a seed.
+//! `fleet` runs the processes, `back_end` simulates back ends, `proxy` the links to them, `clients`
+//! generates the load and `faults` injects faults on a schedule that follows from the seed.
 
 mod back_end;
 mod clients;
@@ -27,32 +26,25 @@
 
 /// Time limit for accepted jobs to finish after the last fault has ended.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// Interval between checks whether they have finished.
 const SETTLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time limit for the fleet to serve its first requests.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Options of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
     /// Duration of the offered load, in which faults are started.
     pub duration: Duration,
-    /// Seed of the random faults, sizes and arrivals.
     pub seed: u64,
     /// Program that the processes run.
     pub program: PathBuf,
     /// Folder for settings, logs and data; it is not removed.
     pub folder: PathBuf,
-    /// Numbers of gateways, job stores and back ends.
     pub sizes: Sizes,
-    /// Kinds of faults to inject.
     pub faults: Vec<FaultKind>,
 }
 
-/// Number of processes of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizes {
-    /// Gateways.
     pub gateways: usize,
     /// Job stores; at least three, of which one may lose its disk.
     pub job_stores: usize,
@@ -60,18 +52,15 @@
     pub back_ends: usize,
 }
 
-/// Result of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
     /// Faults in order of their start, each with its time in seconds.
     pub faults: Vec<String>,
-    /// Counts by name.
     pub counts: Vec<(&'static str, usize)>,
     /// Violated guarantees; must be empty.
     pub violations: Vec<String>,
 }
 
-/// Runs a soak.
 pub async fn run(options: &SoakOptions) -> Result<SoakReport, String> {
     let ledger = Arc::new(Ledger::default());
     let mut fleet = ProcessFleet::start(options, ledger.clone()).await?;
@@ -81,8 +70,7 @@
     let until = Instant::now() + options.duration;
     let load = clients.start(until);
     let faults = faults::inject(&mut fleet, &oracle, &ledger, options, until).await?;
-    // End the faults before the clients: a reader that waits for a paused process would never
-    // finish.
+    // End the faults first: a reader that waits for a paused process would never finish.
     fleet.heal().await?;
     for task in load {
         task.await.map_err(|error| format!("a client failed: {error}"))?;
--- a/crates/bench/src/soak/oracle.rs
+++ b/crates/bench/src/soak/oracle.rs
@@ -8,8 +8,7 @@
 
 use super::back_end::{output_of, Ledger};
 
-/// Time after an acknowledged cancellation within which items of the job may still reach a back
-/// end.
+/// Time after an acknowledged cancellation in which its items may still reach a back end.
 const CANCEL_GRACE: Duration = Duration::from_millis(3_000);
 
 /// Maximum back-end crashes under one call that is sent 40 times: five, and as many again since
@@ -27,16 +26,12 @@
     Unknown,
 }
 
-/// A job as its client observed it.
 #[derive(Clone, Debug)]
 pub struct JobState {
-    /// Ids of its items.
     pub items: Vec<String>,
-    /// Whether it was accepted.
     pub is_accepted: bool,
     /// Whether every submission was refused.
     pub is_rejected: bool,
-    /// Whether its cancellation was requested.
     pub cancel_requested: bool,
     /// When its cancellation was acknowledged.
     pub cancelled_at: Option<Instant>,
@@ -57,7 +52,6 @@
     violations: Vec<String>,
 }
 
-/// Collects the observations of the clients and verifies them.
 #[derive(Debug, Default)]
 pub struct Oracle {
     observed: Mutex<Observations>,
@@ -68,17 +62,14 @@
         self.observed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a violation that a client observed.
     pub fn record_violation(&self, what: String) {
         self.observed().violations.push(what);
     }
 
-    /// Records the outcome of a call.
     pub fn record_call(&self, id: String, runs_once: bool, outcome: CallOutcome) {
         self.observed().calls.insert(id, (runs_once, outcome));
     }
 
-    /// Records a submitted job and the outcome of the submission.
     pub fn record_job(&self, id: String, items: Vec<String>, is_accepted: bool, is_rejected: bool) {
         let job = JobState {
             items,
@@ -144,7 +135,6 @@
         self.observed().jobs.values().all(JobState::is_finished)
     }
 
-    /// All violations.
     pub fn verify(&self, ledger: &Ledger) -> Vec<String> {
         let observed = self.observed();
         let mut violations = observed.violations.clone();
@@ -186,7 +176,6 @@
         violations
     }
 
-    /// Counts for the report, by name.
     pub fn counts(&self, ledger: &Ledger) -> Vec<(&'static str, usize)> {
         let observed = self.observed();
         let calls = |end: CallOutcome| {
--- a/crates/bench/src/soak/proxy.rs
+++ b/crates/bench/src/soak/proxy.rs
@@ -1,5 +1,4 @@
-//! Loopback TCP proxy in front of a back end, which simulates link faults: delay, silence, one-way
-//! loss, closed and refused connections.
+//! Loopback TCP proxy that simulates link faults: delay, silence, one-way loss, closing, refusal.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicU8, Ordering};
@@ -12,17 +11,12 @@
 
 /// Delay of each chunk of bytes on a slow link.
 const SLOW_LINK_DELAY: Duration = Duration::from_millis(150);
-/// Interval between two checks of the state of a link.
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Size of the copy buffer.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// State of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Bytes pass without delay.
     Normal,
-    /// Bytes pass with a delay.
     Slow,
     /// No bytes pass; connections stay open.
     Silent,
@@ -44,24 +38,20 @@
 ];
 
 impl LinkState {
-    /// Whether existing connections are closed.
     fn closes_connections(self) -> bool {
         matches!(self, LinkState::Closed | LinkState::Refused)
     }
 }
 
-/// A link to a back end.
 #[derive(Clone, Debug)]
 pub struct Link {
     /// Listen address of the proxy.
     pub address: SocketAddr,
     state: Arc<AtomicU8>,
-    /// Number of restarts of the back end behind it.
     restarts: Arc<AtomicU64>,
 }
 
 impl Link {
-    /// Starts a proxy in front of an address.
     pub async fn open(to: SocketAddr) -> Result<Self, String> {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = TcpListener::bind(any_port).await;
@@ -113,7 +103,6 @@
         }
     }
 
-    /// Sets the state of the link.
     pub fn set(&self, state: LinkState) {
         let number = STATES.iter().position(|other| *other == state).unwrap_or(0);
         self.state.store(number as u8, Ordering::Relaxed);
--- a/crates/bench/src/standin/engine/cache.rs
+++ b/crates/bench/src/standin/engine/cache.rs
@@ -66,8 +66,7 @@
         hashes.iter().take_while(|hash| self.blocks.contains_key(hash)).count()
     }
 
-    /// Acquires blocks for a sequence, evicting idle ones. Acquires nothing and returns `false` if
-    /// the memory does not suffice.
+    /// Acquires all blocks, evicting idle ones, or none and returns `false` if memory is short.
     pub fn acquire(&mut self, hashes: &[BlockHash]) -> bool {
         let missing = hashes.iter().filter(|hash| !self.blocks.contains_key(hash)).count();
         let is_cached_idle =
--- a/crates/bench/src/standin/engine/control.rs
+++ b/crates/bench/src/standin/engine/control.rs
@@ -1,5 +1,4 @@
-//! Fenced control orders of an engine, which change its models, adapters and role. An order with an
-//! older epoch than the highest one seen is refused.
+//! Fenced control orders for an engine's models, adapters and role; an older epoch is refused.
 
 use std::collections::BTreeMap;
 
@@ -66,8 +65,7 @@
         true
     }
 
-    /// Applies an order whose preparation is complete. The epoch is checked again, since a newer
-    /// one may have arrived while weights were read.
+    /// Applies a prepared order, unless a newer epoch arrived while weights were read.
     pub fn apply(&mut self, order: &ControlOrder) -> bool {
         if !self.accept_epoch(order.epoch) {
             return false;
--- a/crates/bench/src/standin/engine/fault.rs
+++ b/crates/bench/src/standin/engine/fault.rs
@@ -39,7 +39,6 @@
     },
 }
 
-/// The faults in effect.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Faults {
     pub(super) hang: bool,
@@ -50,7 +49,6 @@
 }
 
 impl Faults {
-    /// No fault.
     pub(super) fn none() -> Self {
         Self { hang: false, slow: 1.0, lose_answers: false, bad_json: false, bad_text: false }
     }
--- a/crates/bench/src/standin/engine/parameters.rs
+++ b/crates/bench/src/standin/engine/parameters.rs
@@ -4,8 +4,7 @@
 //! with shared prefixes (Kwon et al., "PagedAttention", SOSP 2023) and chunked prefill (Agrawal et
 //! al., "Sarathi-Serve", OSDI 2024): the duration of an iteration is a constant for reading the
 //! weights, plus a cost for each prefill token, plus a cost for each decoding sequence. The
-//! defaults give an inter-token latency of about 12 to 20 ms and do not model a particular
-//! accelerator.
+//! defaults give an inter-token latency of about 12 to 20 ms and model no particular accelerator.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/bench/src/standin/engine/server.rs
+++ b/crates/bench/src/standin/engine/server.rs
@@ -50,7 +50,6 @@
 /// Interval at which an engine that waits for memory or hangs checks whether it can continue.
 const BLOCKED_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// An open stream.
 struct Stream {
     engine_id: String,
     execution: ExecutionNumber,
@@ -131,8 +130,7 @@
         };
         let server = HttpServer::start(address, Arc::new(handler)).await?;
         tokio::spawn(run(state.clone()));
-        // Faults are injected in a task of their own: a crash also cuts the connection that
-        // requested it.
+        // A separate task injects faults: a crash also cuts the connection that requested it.
         let (fault_server, fault_state) = (server.clone(), state.clone());
         tokio::spawn(async move {
             while let Some(fault) = fault_queue.recv().await {
@@ -191,7 +189,6 @@
     }
 }
 
-/// Runs iterations forever.
 async fn run(state: Arc<State>) {
     loop {
         let faults = *lock(&state.faults);
@@ -354,8 +351,7 @@
         priority: request.priority,
     };
     let already_complete = request.resume_from_token >= request.max_tokens;
-    // The lock is held across the submission, so that no token is emitted before its stream is
-    // registered.
+    // Held across the submission, so that no token is emitted before its stream is registered.
     let mut streams = lock(&state.streams);
     let submitted = if already_complete { Some(0) } else { lock(&state.model).submit(sequence) };
     let Some(number) = submitted else {
@@ -399,8 +395,7 @@
     number: SequenceNumber,
     chunks: mpsc::UnboundedSender<Bytes>,
 ) {
-    // Only a weak reference is kept between checks, so that the stream ends when the engine drops
-    // its sender.
+    // A weak reference between checks lets the stream end when the engine drops its sender.
     let weak = chunks.downgrade();
     drop(chunks);
     loop {
--- a/crates/bench/src/standin/http.rs
+++ b/crates/bench/src/standin/http.rs
@@ -29,7 +29,6 @@
 /// Request handler.
 pub type Handler = Arc<dyn Fn(Request<Incoming>) -> ResponseFuture + Send + Sync>;
 
-/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Maximum attempts to bind the port again after a kill, and the pause between them.
 const MAX_BIND_ATTEMPTS: u32 = 50;
--- a/crates/bench/src/standin/objects.rs
+++ b/crates/bench/src/standin/objects.rs
@@ -59,7 +59,6 @@
     lose_write_answers: Option<usize>,
 }
 
-/// Body of the response: counts of readers.
 #[derive(Debug, Serialize)]
 struct ReaderCounts {
     watches: usize,
@@ -116,7 +115,6 @@
     }
 }
 
-/// Object or collection that a path refers to.
 struct Target {
     plural: String,
     namespace: Option<String>,
--- a/crates/bench/src/standin/weights.rs
+++ b/crates/bench/src/standin/weights.rs
@@ -31,8 +31,7 @@
 }
 
 impl WeightStore {
-    /// Serves `GET /weights?bytes=N`; the response is sent when `bytes` bytes have passed at the
-    /// shared rate.
+    /// Serves `GET /weights?bytes=N`; responds when `bytes` bytes have passed at the shared rate.
     pub async fn start(address: SocketAddr, bytes_per_second: u64) -> std::io::Result<Self> {
         let rate = Arc::new(Rate { bytes_per_second, free_at: Mutex::new(Instant::now()) });
         let handler = move |request: http::Request<hyper::body::Incoming>| {
--- a/crates/bench/src/text.rs
+++ b/crates/bench/src/text.rs
@@ -5,8 +5,7 @@
 /// Separates the request id from the attempt number in an engine's request id.
 const ATTEMPT_MARK: char = '#';
 
-/// The request id without the attempt number. Answers depend on it alone, so that every attempt
-/// gives the same answer.
+/// The request id without the attempt number; answers depend on it alone, whatever the attempt.
 pub fn base_id(engine_id: &str) -> &str {
     engine_id.split_once(ATTEMPT_MARK).map_or(engine_id, |(base, _)| base)
 }
--- a/crates/bench/tests/batch.rs
+++ b/crates/bench/tests/batch.rs
@@ -55,8 +55,7 @@
     }
     let results = results(&mut caller, "job").await;
     assert!(results.iter().all(|result| result.outcome() == v1::ItemOutcome::Cancelled));
-    // Items already on their way to the engine when the job was cancelled may still start; no
-    // others do.
+    // Items on their way to the engine when the job was cancelled may still start; no others do.
     let after = fleet.ledger.entries().len();
     assert!(after <= started + 4, "{started} executions before, {after} after");
 }
--- a/crates/bench/tests/control.rs
+++ b/crates/bench/tests/control.rs
@@ -141,8 +141,7 @@
 async fn few_daemons_watch_the_object_api_and_calls_are_served_without_it() {
     let options = yokefall_bench::fleet::FleetOptions { daemons_per_zone: 4, ..quick() };
     let fleet = LocalFleet::start(vec![plan("board", 2)], &options).await.expect("fleet starts");
-    // Two kinds of objects with two watching daemons per region; initially every daemon watches by
-    // itself.
+    // Two kinds of objects, two watching daemons per region; initially each watches alone.
     let watches = || fleet.objects.controls.watches.load(Ordering::SeqCst);
     support::eventually("two watches per kind", || watches() == 4).await;
     fleet.objects.server.kill();
--- a/crates/bench/tests/engine.rs
+++ b/crates/bench/tests/engine.rs
@@ -1,5 +1,4 @@
-//! Engine stand-in: batching, priorities, prefix reuse, memory limit, fenced control orders, KV
-//! transfer, load reports.
+//! Engine stand-in: batching, priorities, prefix reuse, memory, fenced orders, KV transfer, load.
 
 mod support;
 
@@ -26,8 +25,7 @@
     model.submit(sequence).expect("the queue has room")
 }
 
-/// Runs until all sequences have finished; returns them in order of completion, and the total time
-/// in microseconds.
+/// Runs all sequences; returns them in order of completion, and the time in microseconds.
 fn finish(model: &mut EngineModel) -> (Vec<SequenceNumber>, u64) {
     let mut order = Vec::new();
     let mut time = 0;
--- a/crates/bench/tests/online.rs
+++ b/crates/bench/tests/online.rs
@@ -78,7 +78,6 @@
     assert_eq!(String::from_utf8(answer).expect("UTF-8"), expected);
 }
 
-/// Index of the engine that has open streams.
 async fn busy_engine(fleet: &yokefall_bench::fleet::LocalFleet) -> usize {
     for (number, engine) in engines(fleet).into_iter().enumerate() {
         if engine.is_busy() {
--- a/crates/bench/tests/support/mod.rs
+++ b/crates/bench/tests/support/mod.rs
@@ -88,7 +88,6 @@
     }
 }
 
-/// Sends a request and returns the complete answer, or the refusal.
 pub async fn generate(
     caller: &mut Caller,
     request: v1::GenerateRequest,
--- a/crates/bench/tests/tls.rs
+++ b/crates/bench/tests/tls.rs
@@ -1,5 +1,4 @@
-//! TLS on the callers' port: certificate files are reloaded without a restart, and an invalid key
-//! file leaves the previous keys in effect.
+//! TLS on the callers' port: certificates reload without restart, invalid key files are ignored.
 
 use std::path::Path;
 use std::time::Duration;
@@ -15,7 +14,6 @@
 const NAME: &str = "agent.example";
 const RELOAD: Duration = Duration::from_millis(50);
 
-/// Writes a self-signed certificate and its key, and returns the certificate in PEM form.
 fn write_certificate(folder: &Path) -> String {
     let made = rcgen::generate_simple_self_signed(vec![NAME.to_owned()]).expect("a certificate");
     std::fs::write(folder.join("server.key"), made.signing_key.serialize_pem()).expect("a file");
--- a/crates/standalone/src/catalog.rs
+++ b/crates/standalone/src/catalog.rs
@@ -13,7 +13,6 @@
     SplitPart, Tenant, TenantName, WatchResponse,
 };
 
-/// Interval at which the file is checked for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Contents of a catalog file.
@@ -31,8 +30,7 @@
     /// Machines to be retired.
     #[serde(default)]
     pub retire: Vec<String>,
-    /// Zones whose back ends receive no new requests. Takes effect in processes that have
-    /// `placement.evacuation_ms` set.
+    /// Zones whose back ends get no new requests in processes that set `placement.evacuation_ms`.
     #[serde(default)]
     pub evacuate: Vec<String>,
     /// Tenants; if empty, requests need no key.
@@ -122,8 +120,7 @@
     /// Number of requests that it processes concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Start time in milliseconds since the Unix epoch, which distinguishes the incarnations of a
-    /// process that restarts under the same id. With 0 they are not distinguished.
+    /// Start time (Unix, ms), which distinguishes incarnations under the same id unless it is 0.
     #[serde(default)]
     pub started_ms: u64,
     /// Whether it receives no new requests.
@@ -148,7 +145,6 @@
 /// Time after the first submission at which an item may be abandoned, in milliseconds.
 const MAX_QUEUE_MS: u64 = 24 * 3_600_000;
 
-/// Extracts the objects of one kind from the file, with their names.
 type Extract<T> = fn(&CatalogFile) -> Vec<(String, T)>;
 
 /// Returns the configuration defined by a file.
@@ -280,7 +276,6 @@
     Ok(file)
 }
 
-/// Validates the tenants; the error names the first invalid name, key or rate.
 fn check_tenants(tenants: &[TenantEntry]) -> Result<(), String> {
     let mut names = HashSet::new();
     let mut keys = HashSet::new();
@@ -314,8 +309,8 @@
         let modified = self.modified()?;
         self.last_modified = Some(modified);
         let file = read(&self.path).map_err(|error| self.failed("read", error))?;
-        // Processes that share the file compare revisions with each other, so the revision is derived
-        // from the modification time of the file: a counter in each process would not be comparable.
+        // Processes that share the file compare revisions, so these follow the modification time of
+        // the file: a counter in each process would not be comparable.
         let since_epoch = modified.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         self.revision = self.revision.max(since_epoch.as_millis() as u64);
         let revision = self.revision;
--- a/crates/standalone/src/claims.rs
+++ b/crates/standalone/src/claims.rs
@@ -1,5 +1,4 @@
-//! Claims stored as files in a folder next to the catalog: the first process to create the file for
-//! a key holds the claim.
+//! Claims as files in a folder next to the catalog; the creator of the file for a key holds it.
 
 use std::fs::OpenOptions;
 use std::io::{ErrorKind, Write};
@@ -29,8 +28,7 @@
     async fn claim(&mut self, key: &str, claimant: &str) -> Result<Claim, SourceError> {
         std::fs::create_dir_all(&self.folder).map_err(|e| self.failed("create folder", e))?;
         let path = self.folder.join(key);
-        // The claimant is written to a draft that is then linked to its final name, so that no process
-        // can read a claim without its claimant.
+        // A draft with the claimant is linked to the final name, so no claim is read without it.
         let draft = self.folder.join(format!("{key}.{}.draft", claimant.replace('/', "-")));
         let mut options = OpenOptions::new();
         let mut file = options
--- a/crates/standalone/src/lib.rs
+++ b/crates/standalone/src/lib.rs
@@ -21,7 +21,7 @@
 }
 
 impl Standalone {
-    /// Uses the routes, back ends and tenants in a catalog file, which is reread whenever it changes.
+    /// Uses the routes, back ends and tenants in a catalog file, rereading it whenever it changes.
     pub fn new(catalog: PathBuf) -> Self {
         Self { catalog }
     }
--- a/crates/standalone/tests/evacuations.rs
+++ b/crates/standalone/tests/evacuations.rs
@@ -11,9 +11,8 @@
     page.items.iter().filter_map(|item| Some(item.value.as_ref()?.zone.as_str())).collect()
 }
 
-/// Revisions must be comparable between processes. If each process counts its own reads of the
-/// file, one that has read it less often than a peer ignores the file after receiving the state of
-/// that peer.
+/// Revisions must be comparable between processes: if each counted its own reads of the file, one
+/// with fewer reads than a peer would ignore the file after receiving that peer's state.
 #[tokio::test]
 async fn processes_that_read_the_same_file_report_the_same_revision() {
     let folder = tempfile::tempdir().expect("a folder");
